--- /dev/null
+++ b/test/compatibility_unit.cpp
@@ -0,0 +1,478 @@
+/// @file
+/// What the program of commit 0a5d9f4 put on disks and sent to its peers is read today as it was meant
+/// then, whatever names messages, fields and files have now. test/compatibility/README.md tells how the
+/// fixtures were made.
+///
+/// Names of the old schema stand in schema.txt and in the names of the fixtures only. Which message of
+/// today an old one is follows from field numbers, beginning at those in kRoots.
+#include <google/protobuf/descriptor.pb.h>
+#include <google/protobuf/dynamic_message.h>
+#include <google/protobuf/io/coded_stream.h>
+#include <google/protobuf/io/zero_copy_stream_impl_lite.h>
+#include <google/protobuf/text_format.h>
+#include <google/protobuf/util/message_differencer.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+#include <set>
+
+#include "consensus/acceptor.hpp"
+#include "control_api/call.hpp"
+#include "membership/deregistered.hpp"
+#include "membership/leadership.hpp"
+#include "relay/node.hpp"
+#include "rollout/conductor.hpp"
+#include "rollout/moves.hpp"
+#include "rollout/release.hpp"
+#include "rollout/shares.hpp"
+#include "simulation/ports.hpp"
+#include "storage/snapshot_store.hpp"
+#include "traffic/order.hpp"
+#include "unit.hpp"
+
+namespace dunlinwing::test {
+namespace {
+namespace fs = std::filesystem;
+namespace gp = google::protobuf;
+
+const fs::path kFixtures = DUNLINWING_COMPATIBILITY_FIXTURES;
+constexpr size_t kLogBytes = 1 << 20;
+
+/// The messages that no other one holds as a field, by their names in 0a5d9f4.
+const std::map<std::string, const gp::Descriptor*> kRoots = {
+    {"Ask", pb::Ask::descriptor()},
+    {"Reply", pb::Reply::descriptor()},
+    {"Record", pb::Record::descriptor()},
+    {"Image", pb::Image::descriptor()},
+    {"Rollout", pb::Rollout::descriptor()},
+    {"Act", pb::Act::descriptor()},
+    {"LeaderLease", pb::LeaderLease::descriptor()},
+    {"PurgeSet", pb::PurgeSet::descriptor()},
+    {"ServiceState", pb::ServiceState::descriptor()},
+    {"Order", pb::Order::descriptor()},
+    {"Deregistered", pb::Deregistered::descriptor()},
+    {"Drain", pb::Drain::descriptor()},
+    {"Shares", pb::Shares::descriptor()},
+};
+
+/// What a register holds, by the whole name or, where it ends with a slash, the beginning of the name.
+/// Null: a JSON document.
+const std::map<std::string, const gp::Descriptor*> kRegisters = {
+    {"act/", pb::Act::descriptor()},           {"departed", pb::Deregistered::descriptor()},
+    {"drain/", pb::Drain::descriptor()},       {"duty/", pb::LeaderLease::descriptor()},
+    {"holders", pb::ReplicaSet::descriptor()}, {"order", pb::Order::descriptor()},
+    {"purge/", pb::PurgeSet::descriptor()},    {"release/", nullptr},
+    {"rollout", pb::Rollout::descriptor()},    {"service/", pb::ServiceState::descriptor()},
+    {"share/", pb::Shares::descriptor()},
+};
+
+std::string read_file(const fs::path& path) {
+  std::ifstream file(path, std::ios::binary);
+  expect(file.good(), "cannot read " + path.string());
+  return {std::istreambuf_iterator<char>(file), {}};
+}
+
+/// The files of a folder of the fixtures, by name.
+std::map<std::string, std::string> read_folder(const std::string& folder) {
+  std::map<std::string, std::string> files;
+  for (auto& entry : fs::directory_iterator(kFixtures / folder))
+    files[entry.path().filename().string()] = read_file(entry.path());
+  expect(!files.empty(), "no fixtures in " + folder);
+  return files;
+}
+
+std::string before_dot(const std::string& name) { return name.substr(0, name.find('.')); }
+
+// ---- The schema of 0a5d9f4 and today's, side by side ----
+
+/// Pairs each message of the old schema with today's that takes its place, and fails where a reader of
+/// the one would not understand a writer of the other. Fields and enum values may be added.
+class Pairing {
+ public:
+  Pairing() {
+    gp::FileDescriptorProto proto;
+    expect(gp::TextFormat::ParseFromString(read_file(kFixtures / "schema.txt"), &proto), "no schema");
+    old_ = pool_.BuildFile(proto);
+    expect(old_ != nullptr, "the old schema is not valid");
+    for (auto& [name, now] : kRoots) pair(*old_->FindMessageTypeByName(name), *now);
+  }
+
+  const gp::FileDescriptor& old_file() const { return *old_; }
+
+  const gp::Descriptor& now(const std::string& old_name) const {
+    auto found = now_.find(old_file().FindMessageTypeByName(old_name));
+    expect(found != now_.end(), old_name + " of the old schema is no part of any other message");
+    return *found->second;
+  }
+
+  std::unique_ptr<gp::Message> make(const std::string& old_name) const {
+    return std::unique_ptr<gp::Message>(
+        gp::MessageFactory::generated_factory()->GetPrototype(&now(old_name))->New());
+  }
+
+ private:
+  void pair(const gp::Descriptor& old, const gp::Descriptor& now) {
+    auto [at, added] = now_.emplace(&old, &now);
+    expect(at->second == &now, old.name() + " is two messages now");
+    if (!added) return;
+    for (int i = 0; i < old.field_count(); ++i) {
+      auto* field = now.FindFieldByNumber(old.field(i)->number());
+      expect(field != nullptr, old.field(i)->full_name() + ": its number is gone");
+      pair(*old.field(i), *field);
+    }
+    for (int i = 0; i < old.oneof_decl_count(); ++i) same_oneof(*old.oneof_decl(i), now);
+  }
+
+  void pair(const gp::FieldDescriptor& old, const gp::FieldDescriptor& now) {
+    auto name = old.full_name() + ", now " + now.full_name();
+    same(std::string(now.type_name()), std::string(old.type_name()), name + ": type");
+    same(int(now.label()), int(old.label()), name + ": label");
+    same(now.is_packed(), old.is_packed(), name + ": packed");
+    same(now.is_map(), old.is_map(), name + ": map");
+    same(now.has_presence(), old.has_presence(), name + ": presence");
+    auto* namesake = old.containing_type()->FindFieldByName(now.name());
+    expect(!namesake || namesake == &old, name + ": this name had another number");
+    if (old.message_type()) pair(*old.message_type(), *now.message_type());
+    if (old.enum_type()) same_values(*old.enum_type(), *now.enum_type());
+  }
+
+  void same_values(const gp::EnumDescriptor& old, const gp::EnumDescriptor& now) {
+    for (int i = 0; i < old.value_count(); ++i) {
+      auto* value = now.FindValueByNumber(old.value(i)->number());
+      expect(value != nullptr, old.value(i)->full_name() + ": its number is gone");
+      auto* namesake = old.FindValueByName(value->name());
+      expect(!namesake || namesake->number() == value->number(),
+             value->full_name() + ": this name had another number");
+    }
+  }
+
+  void same_oneof(const gp::OneofDescriptor& old, const gp::Descriptor& now) {
+    std::set<const gp::OneofDescriptor*> places;
+    for (int i = 0; i < old.field_count(); ++i)
+      places.insert(now.FindFieldByNumber(old.field(i)->number())->containing_oneof());
+    expect(places.size() == 1 && *places.begin(), old.full_name() + " is not one oneof now");
+  }
+
+  gp::DescriptorPool pool_;
+  const gp::FileDescriptor* old_ = nullptr;
+  std::map<const gp::Descriptor*, const gp::Descriptor*> now_;
+};
+
+void schema_is_the_same() {
+  Pairing pairing;
+  auto& old = pairing.old_file();
+  same(old.message_type_count(), 48, "messages of the old schema");
+  for (int i = 0; i < old.message_type_count(); ++i) pairing.now(old.message_type(i)->name());
+}
+
+// ---- Bytes of single messages ----
+
+std::string serialized(const gp::Message& message) {
+  std::string out;
+  {
+    gp::io::StringOutputStream stream(&out);
+    gp::io::CodedOutputStream coded(&stream);
+    coded.SetSerializationDeterministic(true);
+    expect(message.SerializeToCodedStream(&coded), "cannot be serialized");
+  }
+  return out;
+}
+
+/// Fails when something in the message, at any depth, is not of today's schema.
+void all_known(const gp::Message& message, const std::string& what) {
+  auto* reflection = message.GetReflection();
+  expect(reflection->GetUnknownFields(message).empty(),
+         what + ": unknown fields in " + message.GetDescriptor()->name());
+  std::vector<const gp::FieldDescriptor*> fields;
+  reflection->ListFields(message, &fields);
+  for (auto* field : fields) {
+    if (!field->message_type()) continue;
+    if (!field->is_repeated()) all_known(reflection->GetMessage(message, field), what);
+    for (int i = 0; field->is_repeated() && i < reflection->FieldSize(message, field); ++i)
+      all_known(reflection->GetRepeatedMessage(message, field, i), what);
+  }
+}
+
+void read_whole(gp::Message& message, const std::string& bytes, const std::string& what) {
+  expect(message.ParseFromString(bytes), what + " does not parse");
+  all_known(message, what);
+}
+
+void same_bytes(const Pairing& pairing, const std::string& folder) {
+  for (auto& [name, bytes] : read_folder(folder)) {
+    auto message = pairing.make(before_dot(name));
+    read_whole(*message, bytes, name);
+    expect(serialized(*message) == bytes, name + " is other bytes when it is written again");
+  }
+}
+
+/// One frame for each kind of ask and reply, each with every field set.
+void peer_frames() {
+  Pairing pairing;
+  same_bytes(pairing, "frames");
+  auto frames = read_folder("frames");
+  for (auto* message : {"Ask", "Reply"}) {
+    auto* kinds = pairing.old_file().FindMessageTypeByName(message)->oneof_decl(0);
+    for (int i = 0; i < kinds->field_count(); ++i)
+      expect(frames.count(fmt::format("{}.{}", message, kinds->field(i)->number())),
+             "no frame for " + kinds->field(i)->full_name());
+  }
+}
+
+void single_messages() {
+  Pairing pairing;
+  same_bytes(pairing, "messages");
+  same(read_folder("messages").size(), size_t(46), "messages but asks and replies");
+}
+
+/// Fails unless all that the old text says is said in the new one too. Members may be added.
+void says_all_of(const base::Json& now, const base::Json& old, const std::string& at) {
+  auto members = old.members();
+  for (auto& [key, value] : members) {
+    expect(now.has(key.c_str()), at + "/" + key + " is gone");
+    says_all_of(now.at(key.c_str()), value, at + "/" + key);
+  }
+  auto old_items = old.items(), items = now.items();
+  same(items.size(), old_items.size(), at + ": items");
+  for (size_t i = 0; i < items.size(); ++i) says_all_of(items[i], old_items[i], fmt::format("{}/{}", at, i));
+  if (members.empty() && old_items.empty()) same(now.text(), old.text(), at);
+}
+
+base::Json parsed(const std::string& text, const std::string& what) {
+  auto json = base::Json::parse(text);
+  expect(std::holds_alternative<base::Json>(json), what + " is not JSON");
+  return std::get<base::Json>(json);
+}
+
+/// The control address prints stored messages with the names of their fields, which are part of its API.
+void printed_names() {
+  Pairing pairing;
+  for (auto& [name, text] : read_folder("json")) {
+    if (!name.ends_with(".json")) continue;
+    auto stem = name.substr(0, name.rfind('.'));
+    auto message = pairing.make(before_dot(name));
+    read_whole(*message, read_file(kFixtures / "json" / (stem + ".bin")), stem);
+    says_all_of(parsed(control_api::message_json(*message), stem), parsed(text, name), stem);
+  }
+}
+
+// ---- A replica's data folder ----
+
+std::string from_hex(const std::string& text) {
+  std::string out;
+  for (size_t i = 0; i + 1 < text.size(); i += 2)
+    out.push_back(static_cast<char>(std::stoi(text.substr(i, 2), nullptr, 16)));
+  return out;
+}
+
+/// What the old program found in the data folder.
+struct Expected {
+  int stage = 0;
+  pb::ReplicaSet set;
+  std::map<std::string, pb::RegisterState> registers;
+};
+
+Expected expected() {
+  Expected out;
+  std::istringstream lines(read_file(kFixtures / "registers.txt"));
+  for (std::string kind, name, bytes; lines >> kind;) {
+    if (kind == "stage") lines >> out.stage;
+    if (kind == "set") lines >> bytes, read_whole(out.set, from_hex(bytes), "set");
+    if (kind == "register") lines >> name >> bytes, read_whole(out.registers[name], from_hex(bytes), name);
+  }
+  return out;
+}
+
+void same_image(const base::Loaded& loaded) {
+  auto want = expected();
+  expect(!loaded.doubt && !loaded.unwritten, "the data folder is not believed");
+  same(int(loaded.image.stage()), want.stage, "stage");
+  expect(serialized(loaded.image.set()) == serialized(want.set), "the replica set is another");
+  same(size_t(loaded.image.slots_size()), want.registers.size(), "registers");
+  for (auto& slot : loaded.image.slots()) {
+    all_known(slot, slot.name());
+    expect(want.registers.count(slot.name()) && serialized(slot) == serialized(want.registers[slot.name()]),
+           "register " + slot.name() + " is another");
+  }
+}
+
+/// A copy of the fixture that is taken away again.
+struct FolderCopy {
+  fs::path path = fs::temp_directory_path() / fmt::format("dunlinwing-compatibility-{}", ::getpid());
+  FolderCopy() {
+    fs::remove_all(path);
+    fs::copy(kFixtures / "data", path);
+  }
+  ~FolderCopy() { fs::remove_all(path); }
+
+  base::Loaded load() const {
+    auto folder = storage::open_folder(path.string());
+    expect(std::holds_alternative<std::unique_ptr<storage::Files>>(folder), "the folder does not open");
+    return storage::SnapshotStore(std::move(std::get<std::unique_ptr<storage::Files>>(folder)), kLogBytes)
+        .load();
+  }
+};
+
+/// Once as the old program left it, and once as today's wrote it anew while loading.
+void data_folder_is_loaded() {
+  FolderCopy copy;
+  same_image(copy.load());
+  same_image(copy.load());
+}
+
+/// The replica whose folder it is, in a world of its own.
+struct Replica {
+  struct NoOrigin final : base::Origin {
+    bool reach(const std::string&, Duration) override { return false; }
+    std::variant<base::Response, base::AttemptError> send(const std::string&, const base::Request&,
+                                                          const base::AttemptRules&) override {
+      return base::AttemptError::unsent;
+    }
+  };
+
+  simulation::World world{7};
+  simulation::LifePtr life = std::make_shared<simulation::Life>();
+  simulation::Platter platter{read_folder("data")};
+  simulation::Directory directory;
+  int64_t wall = 0;
+  simulation::Clock clock{world, life, &wall};
+  simulation::Random random{world};
+  simulation::Tasks tasks{world, life};
+  simulation::Net net{world, life, directory};
+  NoOrigin origin;
+  base::Ports ports{clock, random, tasks, net, origin};
+  simulation::Disk disk{world, life, platter};
+  consensus::ReplicaSetView set{{{"a1", "peer:a1"}}};
+  consensus::Acceptor acceptor{ports, disk, "a1", set, Duration(500)};
+
+  /// Runs `steps` once the replica has started, within a minute of simulated time.
+  void run(const std::function<void()>& steps) {
+    std::string failure = "the steps did not come to their end";
+    world.run(world.now() + Duration(60000), nullptr, [&] {
+      life->host = "a1";
+      acceptor.start({});
+      world.spawn(life, [&] {
+        try {
+          steps();
+          failure.clear();
+        } catch (const std::exception& e) {
+          failure = e.what();
+        }
+      });
+    });
+    world.kill(life);
+    world.run(world.now() + Duration(1000), nullptr, nullptr);
+    expect(failure.empty(), failure);
+  }
+
+  pb::Ask ask() const {
+    pb::Ask ask;
+    ask.set_epoch(set.epoch());
+    return ask;
+  }
+  pb::Vote peek(const std::string& name) {
+    auto peek = ask();
+    peek.mutable_peek()->set_name(name);
+    return acceptor.answer(peek).vote();
+  }
+  pb::Vote prepare(const std::string& name, const pb::Ballot& ballot) {
+    auto prepare = ask();
+    prepare.mutable_prepare()->set_name(name);
+    *prepare.mutable_prepare()->mutable_ballot() = ballot;
+    return acceptor.answer(prepare).vote();
+  }
+};
+
+/// A promise once given binds, and a higher ballot is told the value that was accepted.
+void votes_as_before(Replica& replica, const std::string& name, const pb::RegisterState& state) {
+  auto peeked = replica.peek(name);
+  expect(peeked.yes() && serialized(peeked.slot()) == serialized(state), name + ": peeked is another");
+  expect(state.promised().round() > 0, name + " was promised to nobody");
+  auto again = replica.prepare(name, state.promised());
+  expect(!again.yes() && !again.mute(), name + ": promised twice under one ballot");
+  auto higher = state.promised();
+  higher.set_round(higher.round() + 1);
+  auto vote = replica.prepare(name, higher);
+  expect(vote.yes(), name + ": no promise to a higher ballot");
+  expect(serialized(vote.slot().promised()) == serialized(higher), name + ": the promise is another");
+  expect(serialized(vote.slot().accepted()) == serialized(state.accepted()), name + ": another was accepted");
+  expect(serialized(vote.slot().value()) == serialized(state.value()), name + ": the value is another");
+}
+
+void replica_votes() {
+  Replica replica;
+  auto want = expected();
+  replica.run([&] {
+    expect(!replica.acceptor.mute(), "the replica does not vote");
+    same(replica.set.epoch(), want.set.epoch(), "epoch");
+    for (auto& [name, state] : want.registers) votes_as_before(replica, name, state);
+  });
+}
+
+void register_values() {
+  std::set<std::string> met;
+  for (auto& [name, state] : expected().registers) {
+    auto slash = name.find('/');
+    auto kind = slash == name.npos ? name : name.substr(0, slash + 1);
+    auto type = kRegisters.find(kind);
+    expect(type != kRegisters.end(), "what register " + name + " holds is not known");
+    met.insert(kind);
+    auto& bytes = state.value().data();
+    if (!type->second) {
+      parsed(bytes, name);
+      continue;
+    }
+    std::unique_ptr<gp::Message> value(
+        gp::MessageFactory::generated_factory()->GetPrototype(type->second)->New());
+    read_whole(*value, bytes, name);
+    same(value->ByteSizeLong(), bytes.size(), name + ": bytes when it is written again");
+  }
+  same(met.size(), kRegisters.size(), "kinds of registers in the data folder");
+}
+
+void register_names() {
+  same(std::string(rollout::kRolloutKey), std::string("rollout"), "rollout");
+  same(std::string(traffic::kOrderKey), std::string("order"), "numbered configuration");
+  same(std::string(membership::kDeregisteredKey), std::string("departed"), "deregistered instances");
+  same(std::string(consensus::kReplicaSetKey), std::string("holders"), "replica set");
+  same(membership::leadership_key("rollout"), std::string("duty/rollout"), "lease");
+  same(rollout::service_key("x"), std::string("service/x"), "service");
+  same(rollout::share_key("x"), std::string("share/x"), "shares");
+  same(rollout::release_key("layout", "x"), std::string("release/layout/x"), "release");
+  same(rollout::act_key("layout", "x"), std::string("act/layout/x"), "acts on a release");
+  same(relay::drain_key("node", "x"), std::string("drain/node/x"), "drain");
+}
+
+// ---- The framing of records ----
+
+void record_framing() {
+  const std::string payload = "one record";
+  const std::string framed = from_hex("314c77640a000000530dca2159648617") + payload;
+  expect(storage::frame(payload) == framed, "a record is framed in other bytes");
+  auto [payloads, tail] = storage::unframe(framed + framed);
+  expect(tail == storage::Tail::clean && payloads == std::vector<std::string>{payload, payload},
+         "a framed record is not read");
+  for (auto& [name, bytes] : read_folder("data")) {
+    auto [parts, end] = storage::unframe(bytes);
+    expect(end == storage::Tail::clean && parts.size() >= 2, name + " is not read to its end");
+    std::string again;
+    for (auto& part : parts) again += storage::frame(part);
+    expect(again == bytes, name + " is other bytes when it is framed again");
+  }
+}
+}  // namespace
+
+std::vector<Case> compatibility_cases() {
+  return {{"compatibility: field numbers and types are those of old peers and disks", schema_is_the_same},
+          {"compatibility: frames of old peers are the same bytes today", peer_frames},
+          {"compatibility: messages of old programs are the same bytes today", single_messages},
+          {"compatibility: the control address prints the names of before", printed_names},
+          {"compatibility: the framing of records", record_framing},
+          {"compatibility: an old data folder is loaded", data_folder_is_loaded},
+          {"compatibility: a replica on an old data folder votes as before", replica_votes},
+          {"compatibility: values of old registers are read", register_values},
+          {"compatibility: names of registers", register_names}};
+}
+
+}  // namespace dunlinwing::test
--- a/test/unit.hpp
+++ b/test/unit.hpp
@@ -20,6 +20,7 @@
 std::vector<Case> traffic_cases();
 std::vector<Case> checker_cases();
 std::vector<Case> config_cases();
+std::vector<Case> compatibility_cases();
 std::vector<Case> keepers_cases();
 std::vector<Case> platform_words_cases();
 std::vector<Case> platform_rules_cases();
