--- a/test/compatibility_unit.cpp
+++ b/test/compatibility_unit.cpp
@@ -131,6 +131,7 @@
     same(now.is_packed(), old.is_packed(), name + ": packed");
     same(now.is_map(), old.is_map(), name + ": map");
     same(now.has_presence(), old.has_presence(), name + ": presence");
+    same(!now.containing_oneof(), !old.containing_oneof(), name + ": outside of any oneof");
     auto* namesake = old.containing_type()->FindFieldByName(now.name());
     expect(!namesake || namesake == &old, name + ": this name had another number");
     if (old.message_type()) pair(*old.message_type(), *now.message_type());
