--- a/test/wire_cases.hpp
+++ b/test/wire_cases.hpp
@@ -133,6 +133,7 @@
 std::vector<Case> answer_cases();
 std::vector<Case> client_byte_cases();
 std::vector<Case> peer_cases();
+std::vector<Case> compatibility_wire_cases();
 std::vector<Case> forward_cases();
 std::vector<Case> soak_cases();
 
--- a/test/wire_test.cpp
+++ b/test/wire_test.cpp
@@ -145,7 +145,7 @@
                                    {"wire: only whole answers are answers", not_whole}};
     for (auto& more :
          {test::server_cases(), test::origin_cases(), test::answer_cases(), test::client_byte_cases(),
-          test::peer_cases(), test::forward_cases(), test::soak_cases()})
+          test::peer_cases(), test::compatibility_wire_cases(), test::forward_cases(), test::soak_cases()})
       all.insert(all.end(), more.begin(), more.end());
     wire::Pool::stop(test::run_all(all, only));
   });
