--- a/test/compatibility_unit.cpp
+++ b/test/compatibility_unit.cpp
@@ -231,8 +231,9 @@
 void says_all_of(const base::Json& now, const base::Json& old, const std::string& at) {
   auto members = old.members();
   for (auto& [key, value] : members) {
-    expect(now.has(key.c_str()), at + "/" + key + " is gone");
-    says_all_of(now.at(key.c_str()), value, at + "/" + key);
+    auto place = fmt::format("{}/{}", at, key);
+    expect(now.has(key.c_str()), place + " is gone");
+    says_all_of(now.at(key.c_str()), value, place);
   }
   auto old_items = old.items(), items = now.items();
   same(items.size(), old_items.size(), at + ": items");
@@ -357,8 +358,8 @@
         try {
           steps();
           failure.clear();
-        } catch (const std::exception& e) {
-          failure = e.what();
+        } catch (const std::exception& failed) {
+          failure = failed.what();
         }
       });
     });
