--- a/src/base/common.hpp
+++ b/src/base/common.hpp
@@ -19,11 +19,11 @@
 using TimePoint = std::chrono::milliseconds;  // since boot, counting sleep
 
 template <class... F>
-struct Cases : F... {
+struct Overloaded : F... {
   using F::operator()...;
 };
 template <class... F>
-Cases(F...) -> Cases<F...>;
+Overloaded(F...) -> Overloaded<F...>;
 
 template <class T, class... V>
 const T* as(const std::variant<V...>& v) {
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -28,7 +28,7 @@
     i->v = i->doc.get();
     return i;
   }();
-  p_ = none;
+  impl_ = none;
 }
 
 namespace {
@@ -60,59 +60,59 @@
   auto i = std::make_shared<Impl>();
   i->doc = d;
   i->v = d.get();
-  Json j;
-  j.p_ = i;
-  return j;
+  Json json;
+  json.impl_ = i;
+  return json;
 }
 
-bool Json::has(const char* k) const { return p_->v->IsObject() && p_->v->HasMember(k); }
+bool Json::has(const char* k) const { return impl_->v->IsObject() && impl_->v->HasMember(k); }
 
 Json Json::at(const char* k) const {
   if (!has(k)) return {};
-  auto i = std::make_shared<Impl>(*p_);
-  i->v = &(*p_->v)[k];
-  Json j;
-  j.p_ = i;
-  return j;
+  auto i = std::make_shared<Impl>(*impl_);
+  i->v = &(*impl_->v)[k];
+  Json json;
+  json.impl_ = i;
+  return json;
 }
 
 std::vector<std::pair<std::string, Json>> Json::members() const {
   std::vector<std::pair<std::string, Json>> out;
-  if (p_->v->IsObject())
-    for (auto& m : p_->v->GetObject()) out.emplace_back(m.name.GetString(), at(m.name.GetString()));
+  if (impl_->v->IsObject())
+    for (auto& m : impl_->v->GetObject()) out.emplace_back(m.name.GetString(), at(m.name.GetString()));
   return out;
 }
 
 std::vector<Json> Json::items() const {
   std::vector<Json> out;
-  if (!p_->v->IsArray()) return out;
-  for (auto& e : p_->v->GetArray()) {
-    auto i = std::make_shared<Impl>(*p_);
+  if (!impl_->v->IsArray()) return out;
+  for (auto& e : impl_->v->GetArray()) {
+    auto i = std::make_shared<Impl>(*impl_);
     i->v = &e;
-    Json j;
-    j.p_ = i;
-    out.push_back(j);
+    Json json;
+    json.impl_ = i;
+    out.push_back(json);
   }
   return out;
 }
 
-std::string Json::str(const std::string& def) const {
-  return p_->v->IsString() ? std::string(p_->v->GetString(), p_->v->GetStringLength()) : def;
+std::string Json::string_or(const std::string& def) const {
+  return impl_->v->IsString() ? std::string(impl_->v->GetString(), impl_->v->GetStringLength()) : def;
 }
-int64_t Json::num(int64_t def) const { return p_->v->IsInt64() ? p_->v->GetInt64() : def; }
-double Json::real(double def) const { return p_->v->IsNumber() ? p_->v->GetDouble() : def; }
-bool Json::flag(bool def) const { return p_->v->IsBool() ? p_->v->GetBool() : def; }
+int64_t Json::integer_or(int64_t def) const { return impl_->v->IsInt64() ? impl_->v->GetInt64() : def; }
+double Json::real_or(double def) const { return impl_->v->IsNumber() ? impl_->v->GetDouble() : def; }
+bool Json::bool_or(bool def) const { return impl_->v->IsBool() ? impl_->v->GetBool() : def; }
 
-std::vector<std::string> Json::strs() const {
+std::vector<std::string> Json::strings() const {
   std::vector<std::string> out;
-  for (auto& i : items()) out.push_back(i.str());
+  for (auto& i : items()) out.push_back(i.string_or());
   return out;
 }
 
 std::string Json::text() const {
   rj::StringBuffer b;
   rj::Writer<rj::StringBuffer> w(b);
-  p_->v->Accept(w);
+  impl_->v->Accept(w);
   return b.GetString();
 }
 
@@ -196,12 +196,12 @@
   d.Parse(t.data(), t.size());
   if (d.HasParseError()) throw std::logic_error("a built-in schema is not JSON");
   build(d, p->root);
-  p_ = p;
+  impl_ = p;
 }
 
-std::vector<ValidationError> Schema::check(const Json& j) const {
+std::vector<ValidationError> Schema::check(const Json& json) const {
   std::vector<ValidationError> out;
-  walk(*j.p_->v, p_->root, "", out);
+  walk(*json.impl_->v, impl_->root, "", out);
   return out;
 }
 
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -7,7 +7,7 @@
 namespace dunlinwing::base {
 
 struct ValidationError {
-  std::string at, what;
+  std::string pointer, message;
 };
 
 // A read-only view of a parsed document or of a part of it.
@@ -19,28 +19,28 @@
   Json at(const char* k) const;  // null view when absent
   std::vector<std::pair<std::string, Json>> members() const;
   std::vector<Json> items() const;
-  std::string str(const std::string& def = {}) const;
-  int64_t num(int64_t def = 0) const;
-  double real(double def = 0) const;
-  bool flag(bool def = false) const;
-  std::vector<std::string> strs() const;
+  std::string string_or(const std::string& def = {}) const;
+  int64_t integer_or(int64_t def = 0) const;
+  double real_or(double def = 0) const;
+  bool bool_or(bool def = false) const;
+  std::vector<std::string> strings() const;
   std::string text() const;
 
  private:
   friend class Schema;
   struct Impl;
-  std::shared_ptr<const Impl> p_;
+  std::shared_ptr<const Impl> impl_;
 };
 
 class Schema {
  public:
   explicit Schema(std::string_view text);
-  std::vector<ValidationError> check(const Json& j) const;
+  std::vector<ValidationError> check(const Json& json) const;
 
   struct Impl;
 
  private:
-  std::shared_ptr<const Impl> p_;
+  std::shared_ptr<const Impl> impl_;
 };
 
 std::string quote(std::string_view s);  // a JSON string, quotes included
--- a/src/base/ports.cpp
+++ b/src/base/ports.cpp
@@ -8,7 +8,7 @@
 
 namespace dunlinwing::base {
 
-bool same_word(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) return false;
   for (size_t i = 0; i < a.size(); ++i)
     if (std::tolower(static_cast<unsigned char>(a[i])) != std::tolower(static_cast<unsigned char>(b[i])))
@@ -16,13 +16,13 @@
   return true;
 }
 
-std::string header(const std::vector<std::pair<std::string, std::string>>& hs, std::string_view name) {
-  for (auto& [k, v] : hs)
-    if (same_word(k, name)) return v;
+std::string header(const std::vector<std::pair<std::string, std::string>>& headers, std::string_view name) {
+  for (auto& [k, v] : headers)
+    if (equals_ignore_case(k, name)) return v;
   return {};
 }
 
-std::vector<std::string> words(std::string_view s, char sep) {
+std::vector<std::string> split_list(std::string_view s, char sep) {
   std::vector<std::string> out;
   for (size_t i = 0; i <= s.size();) {
     auto e = std::min(s.find(sep, i), s.size());
@@ -44,6 +44,8 @@
   return out;
 }
 
-std::string token(Random& c) { return fmt::format("{:016x}{:016x}", c.draw(), c.draw()); }
+std::string random_token(Random& random) {
+  return fmt::format("{:016x}{:016x}", random.draw(), random.draw());
+}
 
 }  // namespace dunlinwing::base
--- a/src/base/ports.hpp
+++ b/src/base/ports.hpp
@@ -38,20 +38,20 @@
 };
 
 // Only `unreachable` says that nothing was sent.
-enum class NetError { unreachable, broken, timed_out, garbled };
+enum class PeerError { unreachable, broken, timed_out, malformed };
 
-class Net {
+class PeerTransport {
  public:
-  virtual ~Net() = default;
-  virtual std::variant<pb::Reply, NetError> ask(const std::string& addr, const pb::Ask& a,
-                                                Duration limit) = 0;
+  virtual ~PeerTransport() = default;
+  virtual std::variant<pb::PeerResponse, PeerError> call(const std::string& address,
+                                                         const pb::PeerRequest& request, Duration limit) = 0;
 };
 
 enum class DiskError { failed };
 
-struct Loaded {
-  pb::Image image;
-  bool doubt = false;  // something synced earlier can no longer be read
+struct LoadedSnapshot {
+  pb::Snapshot snapshot;
+  bool possibly_lost = false;  // something synced earlier can no longer be read
   // The image could not be written anew, so it may stand in caches only: nothing of it may
   // be told of until Disk::rewrite() succeeds.
   bool unwritten = false;
@@ -60,15 +60,15 @@
 class Disk {
  public:
   virtual ~Disk() = default;
-  virtual Loaded load() = 0;
+  virtual LoadedSnapshot load() = 0;
   // Returns once all records are synced. `whole` is called when a fresh image is due. After an
   // error each later save fails too, until a rewrite() succeeds.
-  virtual std::optional<DiskError> save(const std::vector<pb::Record>& rs,
-                                        const std::function<pb::Image()>& whole) = 0;
+  virtual std::optional<DiskError> save(const std::vector<pb::LogRecord>& records,
+                                        const std::function<pb::Snapshot()>& whole) = 0;
   // The way back after an error: writes the whole image beside what is there, syncs it and reads
   // it back. Until it succeeds, what was synced before stays what is loaded; after an error
   // it may be called again.
-  virtual std::optional<DiskError> rewrite(const pb::Image& whole) = 0;
+  virtual std::optional<DiskError> rewrite(const pb::Snapshot& whole) = 0;
 };
 
 struct Request {
@@ -92,20 +92,20 @@
 // has no weight where another answer may still come. Null: every answer has a name.
 struct AttemptRules {
   template <class R, class P>
-  AttemptRules(std::chrono::duration<R, P> l) : limit(l) {}  // a bare limit is a rule
-  Duration limit;                                            // in which the whole answer must be here
-  Duration connect{0};  // in which a new connection must stand; 0: the limit
-  int most = 0;         // connections held to this address at once; 0: no bound
-  bool safe = false;    // may ride a connection that the worker may be about to close
-  std::function<bool(const Response&)> mine, nameless;
+  AttemptRules(std::chrono::duration<R, P> l) : timeout(l) {}  // a bare limit is a rule
+  Duration timeout;                                            // in which the whole answer must be here
+  Duration connect_timeout{0};  // in which a new connection must stand; 0: the limit
+  int max_connections = 0;      // connections held to this address at once; 0: no bound
+  bool idempotent = false;      // may ride a connection that the worker may be about to close
+  std::function<bool(const Response&)> is_own_response, is_anonymous;
 };
 
 class Origin {
  public:
   virtual ~Origin() = default;
-  virtual bool reach(const std::string& addr,
-                     Duration limit) = 0;  // whether a connection can be made; no byte is sent
-  virtual std::variant<Response, AttemptError> send(const std::string& addr, const Request& q,
+  virtual bool can_connect(const std::string& address,
+                           Duration limit) = 0;  // whether a connection can be made; no byte is sent
+  virtual std::variant<Response, AttemptError> send(const std::string& address, const Request& request,
                                                     const AttemptRules& r) = 0;
 };
 
@@ -113,14 +113,14 @@
   Clock& clock;
   Random& random;
   Tasks& tasks;
-  Net& net;
+  PeerTransport& peers;
   Origin& origin;
 };
 
-std::string header(const std::vector<std::pair<std::string, std::string>>& hs, std::string_view name);
-bool same_word(std::string_view a, std::string_view b);        // ASCII case folded
-std::vector<std::string> words(std::string_view s, char sep);  // trimmed, none empty
+std::string header(const std::vector<std::pair<std::string, std::string>>& headers, std::string_view name);
+bool equals_ignore_case(std::string_view a, std::string_view b);    // ASCII case folded
+std::vector<std::string> split_list(std::string_view s, char sep);  // trimmed, none empty
 std::string sha256_base64(std::string_view body);
-std::string token(Random& c);
+std::string random_token(Random& random);
 
 }  // namespace dunlinwing::base
--- a/src/consensus/ask.hpp
+++ b/src/consensus/ask.hpp
@@ -10,12 +10,14 @@
   bool operator==(const Replica&) const = default;
 };
 
-using Replies = std::vector<std::optional<pb::Reply>>;
-using Enough = std::function<bool(const Replies&)>;
-using Local = std::function<pb::Reply(const pb::Ask&)>;
+using PeerResponses = std::vector<std::optional<pb::PeerResponse>>;
+using StopCondition = std::function<bool(const PeerResponses&)>;
+using LocalReplica = std::function<pb::PeerResponse(const pb::PeerRequest&)>;
 
 // `local` answers for the target named `me`, without the network.
-Replies ask_all(base::Ports& ps, const std::vector<Replica>& ts, const std::function<pb::Ask(size_t)>& make,
-                Duration limit, const Enough& enough, const std::string& me = {}, const Local& local = {});
+PeerResponses call_replicas(base::Ports& ports, const std::vector<Replica>& ts,
+                            const std::function<pb::PeerRequest(size_t)>& make, Duration limit,
+                            const StopCondition& enough, const std::string& node_name = {},
+                            const LocalReplica& local = {});
 
 }  // namespace dunlinwing::consensus
--- a/src/consensus/refill.cpp
+++ b/src/consensus/refill.cpp
@@ -13,9 +13,9 @@
 
 // How many others of the complete list have to tell what they hold before this disk may
 // vote: so many that every quorum in which its former self may have voted is among them.
-size_t refill_quorum(const ReplicaSetView& set, const std::string& me) {
+size_t refill_quorum(const ReplicaSetView& set, const std::string& node_name) {
   auto& list = set.complete_list();
-  return majority_of(list.size() - (contains_name(list, me) ? 1 : 0));
+  return majority_of(list.size() - (contains_name(list, node_name) ? 1 : 0));
 }
 
 // Whether a set after the present one was written at one of those asked. It may be in force
@@ -28,35 +28,37 @@
 }
 
 bool nothing_was_recorded(const RefillSurvey& survey, const ReplicaSetView& set, bool first_start) {
-  bool nothing_seen = survey.every() && !survey.with_registers && !survey.formed;
+  bool nothing_seen = survey.every() && !survey.with_registers && !survey.voting;
   bool set_never_changed = set.epoch() <= 1 && !set.joint();
-  return nothing_seen && set_never_changed && (first_start || !may_have_voted(set, survey.born));
+  return nothing_seen && set_never_changed && (first_start || !may_have_voted(set, survey.joining));
 }
 
 }  // namespace
 
-void add_reply(RefillSurvey& survey, const Replica& replica, const pb::Image& image, ReplicaSetView& set) {
-  survey.newer_set |= set.adopt(image.set());
-  ++survey.heard;
-  survey.born += image.stage() != pb::BLANK;
-  survey.with_registers += image.slots_size() > 0;
-  if (image.stage() != pb::FORMED) return;
-  ++survey.formed;
-  survey.formed_complete += contains(set.complete_list(), replica);
-  for (auto& state : image.slots())
-    survey.registers[state.name()] = higher(survey.registers[state.name()], state);
+void add_response(RefillSurvey& survey, const Replica& replica, const pb::Snapshot& image,
+                  ReplicaSetView& set) {
+  survey.newer_set |= set.adopt(image.replica_set());
+  ++survey.responded;
+  survey.joining += image.stage() != pb::REPLICA_EMPTY;
+  survey.with_registers += image.registers_size() > 0;
+  if (image.stage() != pb::REPLICA_VOTING) return;
+  ++survey.voting;
+  survey.voting_complete += contains(set.complete_list(), replica);
+  for (auto& state : image.registers())
+    survey.registers[state.name()] = merge_highest(survey.registers[state.name()], state);
 }
 
-RefillStep next_step(const RefillSurvey& survey, pb::Stage stage, const ReplicaSetView& set,
-                     const std::string& me, bool first_start) {
-  if (survey.newer_set || !set.has(me) || shows_later_set(survey, set)) return RefillStep::ask_again;
-  if (stage == pb::BORN) {
-    bool all_born = survey.every() && survey.born == survey.asked;
-    return survey.formed > 0 || all_born ? RefillStep::become_formed : RefillStep::ask_again;
+RefillStep next_step(const RefillSurvey& survey, pb::ReplicaStage stage, const ReplicaSetView& set,
+                     const std::string& node_name, bool first_start) {
+  if (survey.newer_set || !set.has(node_name) || shows_later_set(survey, set))
+    return RefillStep::survey_again;
+  if (stage == pb::REPLICA_JOINING) {
+    bool all_born = survey.every() && survey.joining == survey.requested;
+    return survey.voting > 0 || all_born ? RefillStep::become_voting : RefillStep::survey_again;
   }
-  if (survey.formed_complete >= refill_quorum(set, me)) return RefillStep::take;
-  if (nothing_was_recorded(survey, set, first_start)) return RefillStep::become_born;
-  return survey.every() && !survey.formed ? RefillStep::doubtful : RefillStep::ask_again;
+  if (survey.voting_complete >= refill_quorum(set, node_name)) return RefillStep::adopt_state;
+  if (nothing_was_recorded(survey, set, first_start)) return RefillStep::become_joining;
+  return survey.every() && !survey.voting ? RefillStep::undecidable : RefillStep::survey_again;
 }
 
 }  // namespace dunlinwing::consensus
--- a/src/consensus/refill.hpp
+++ b/src/consensus/refill.hpp
@@ -16,30 +16,31 @@
 
 // What the other replicas told of themselves, each with a dump of all that it holds.
 struct RefillSurvey {
-  size_t asked = 0, heard = 0;
-  size_t born = 0;             // disks that are born or formed
-  size_t formed = 0;           // disks that vote
-  size_t formed_complete = 0;  // of these, the ones on the list that holds everything ever chosen
+  size_t requested = 0, responded = 0;
+  size_t joining = 0;          // disks that are born or formed
+  size_t voting = 0;           // disks that vote
+  size_t voting_complete = 0;  // of these, the ones on the list that holds everything ever chosen
   size_t with_registers = 0;   // replies that hold any register
   bool newer_set = false;      // somebody knows a newer replica set than this node did
   std::map<std::string, pb::RegisterState> registers;  // the highest of each, from disks that vote
 
-  bool every() const { return heard == asked; }
+  bool every() const { return responded == requested; }
 };
 
 enum class RefillStep {
-  ask_again,    // too few have answered, or they are of another set than the one in force
-  take,         // a blank disk takes what the others hold, and votes
-  become_born,  // nothing was ever recorded
-  become_formed,
-  doubtful,  // all answer, and none can tell whether anything was ever recorded
+  survey_again,    // too few have answered, or they are of another set than the one in force
+  adopt_state,     // a blank disk takes what the others hold, and votes
+  become_joining,  // nothing was ever recorded
+  become_voting,
+  undecidable,  // all answer, and none can tell whether anything was ever recorded
 };
 
 // Adds one reply to the survey and takes the replica set that it names.
-void add_reply(RefillSurvey& survey, const Replica& replica, const pb::Image& image, ReplicaSetView& set);
+void add_response(RefillSurvey& survey, const Replica& replica, const pb::Snapshot& image,
+                  ReplicaSetView& set);
 
 // `first_start`: this is known to be the first start of the whole fleet.
-RefillStep next_step(const RefillSurvey& survey, pb::Stage stage, const ReplicaSetView& set,
-                     const std::string& me, bool first_start);
+RefillStep next_step(const RefillSurvey& survey, pb::ReplicaStage stage, const ReplicaSetView& set,
+                     const std::string& node_name, bool first_start);
 
 }  // namespace dunlinwing::consensus
--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -21,50 +21,54 @@
 }  // namespace
 
 struct RegisterClient::Impl {
-  base::Ports& ps;
-  std::string me;
+  base::Ports& ports;
+  std::string node_name;
   ReplicaSetView& set;
   Duration round;
-  Local local;
+  LocalReplica local;
   uint64_t top = 0;
 
   // What the members answered, and whether it may still be counted. A vote older than a
   // round's limit may come from a disk that was lost since.
   struct Votes {
-    Replies replies;
+    PeerResponses replies;
     bool expired = false;
   };
 
   // The set must not change while a round counts: replies are counted by the quorum of the
   // set that was asked, and a newer set that somebody names voids the round.
-  Votes ask(pb::Ask a, const Enough& enough) {
+  Votes ask(pb::PeerRequest request, const StopCondition& enough) {
     auto epoch = set.epoch();
-    a.set_epoch(epoch);
-    auto from = ps.clock.now();
+    request.set_epoch(epoch);
+    auto from = ports.clock.now();
     Votes votes;
-    votes.replies = ask_all(
-        ps, set.all(), [&](size_t) { return a; }, round, enough, me, local);
+    votes.replies = call_replicas(
+        ports, set.all(), [&](size_t) { return request; }, round, enough, node_name, local);
     for (auto& r : votes.replies)
-      if (r && r->has_vote()) set.adopt(r->vote().newer());
+      if (r && r->has_vote()) set.adopt(r->vote().newer_set());
     if (set.epoch() != epoch) votes.replies.assign(set.all().size(), std::nullopt);
-    votes.expired = ps.clock.now() - from > round;
+    votes.expired = ports.clock.now() - from > round;
     return votes;
   }
 
-  void note(const pb::Vote& v) { top = std::max(top, v.slot().promised().round()); }
+  void note(const pb::Vote& v) { top = std::max(top, v.register_state().promised().round()); }
 
   template <class Predicate>
-  static MemberFlags flags(const Replies& rs, Predicate said) {
+  static MemberFlags flags(const PeerResponses& rs, Predicate said) {
     MemberFlags out(rs.size());
     for (size_t i = 0; i < rs.size(); ++i) out[i] = said(rs[i]);
     return out;
   }
-  static bool said_yes(const std::optional<pb::Reply>& r) { return r && r->has_vote() && r->vote().yes(); }
-  static bool votes(const std::optional<pb::Reply>& r) { return r && r->has_vote() && !r->vote().mute(); }
+  static bool said_yes(const std::optional<pb::PeerResponse>& r) {
+    return r && r->has_vote() && r->vote().granted();
+  }
+  static bool votes(const std::optional<pb::PeerResponse>& r) {
+    return r && r->has_vote() && !r->vote().non_voting();
+  }
 
-  bool quorum_said_yes(const Replies& rs) const { return set.is_quorum(flags(rs, said_yes)); }
+  bool quorum_said_yes(const PeerResponses& rs) const { return set.is_quorum(flags(rs, said_yes)); }
   // Voting is over when a quorum said yes, or so many said no that none can.
-  bool settled(const Replies& rs) const {
+  bool settled(const PeerResponses& rs) const {
     auto may_say_yes = [](auto& r) { return !r || said_yes(r); };
     return quorum_said_yes(rs) || !set.is_quorum(flags(rs, may_say_yes));
   }
@@ -73,28 +77,28 @@
   void back_off(int i) {
     auto most =
         static_cast<uint64_t>(round.count()) / 32 * static_cast<uint64_t>(1 << std::min(i, kMostDoublings));
-    ps.clock.sleep(Duration(1 + ps.random.below(most + 1)));
+    ports.clock.sleep(Duration(1 + ports.random.below(most + 1)));
   }
 
   // The state that a quorum has accepted at one ballot, none higher being seen.
-  const pb::RegisterState* agreed(const Replies& rs) const {
+  const pb::RegisterState* agreed(const PeerResponses& rs) const {
     const pb::RegisterState* best = nullptr;
     for (auto& r : rs)
-      if (said_yes(r) && (!best || lower(best->accepted(), r->vote().slot().accepted())))
-        best = &r->vote().slot();
+      if (said_yes(r) && (!best || is_lower(best->accepted(), r->vote().register_state().accepted())))
+        best = &r->vote().register_state();
     if (!best) return nullptr;
     auto has_best = [&](auto& r) {
       if (!said_yes(r)) return false;
-      auto& state = r->vote().slot();
-      return !state.copied() && equal(best->accepted(), state.accepted());
+      auto& state = r->vote().register_state();
+      return !state.refilled() && is_equal(best->accepted(), state.accepted());
     };
     return set.is_quorum(flags(rs, has_best)) ? best : nullptr;
   }
 
   std::optional<pb::Value> peek(const std::string& name) {
-    pb::Ask a;
-    a.mutable_peek()->set_name(name);
-    auto votes = ask(a, [&](auto& r) { return agreed(r) != nullptr; });
+    pb::PeerRequest request;
+    request.mutable_read_register()->set_name(name);
+    auto votes = ask(request, [&](auto& r) { return agreed(r) != nullptr; });
     if (votes.expired) return {};
     if (auto* s = agreed(votes.replies)) return s->value();
     return {};
@@ -110,23 +114,24 @@
     Out o;
     pb::Ballot b;
     b.set_round(++top);
-    b.set_node(me);
-    pb::Ask a;
-    a.mutable_prepare()->set_name(name);
-    *a.mutable_prepare()->mutable_ballot() = b;
-    auto promises = ask(a, [&](auto& r) { return settled(r); });
+    b.set_node(node_name);
+    pb::PeerRequest request;
+    request.mutable_prepare()->set_name(name);
+    *request.mutable_prepare()->mutable_ballot() = b;
+    auto promises = ask(request, [&](auto& r) { return settled(r); });
     pb::RegisterState best;
     for (auto& r : promises.replies)
       if (r && r->has_vote()) {
         note(r->vote());
-        if (r->vote().yes() && lower(best.accepted(), r->vote().slot().accepted())) best = r->vote().slot();
+        if (r->vote().granted() && is_lower(best.accepted(), r->vote().register_state().accepted()))
+          best = r->vote().register_state();
       }
     o.heard = set.is_quorum(flags(promises.replies, votes));
     auto epoch = set.epoch();
     if (promises.expired || !quorum_said_yes(promises.replies)) return o;
     o.promised = true;
     o.value = make(best.value());
-    pb::Ask c;
+    pb::PeerRequest c;
     c.mutable_accept()->set_name(name);
     *c.mutable_accept()->mutable_ballot() = b;
     *c.mutable_accept()->mutable_value() = o.value;
@@ -139,13 +144,13 @@
 
   // Makes the present set last at its members; which of them answered that it does.
   MemberFlags spread_set(Duration limit) {
-    pb::Ask a;
-    *a.mutable_adopt()->mutable_set() = set.message();
-    auto all_answered = [](const Replies& rs) {
+    pb::PeerRequest request;
+    *request.mutable_adopt()->mutable_replica_set() = set.message();
+    auto all_answered = [](const PeerResponses& rs) {
       return std::all_of(rs.begin(), rs.end(), [](auto& r) { return r.has_value(); });
     };
-    auto rs = ask_all(
-        ps, set.all(), [&](size_t) { return a; }, limit, all_answered, me, local);
+    auto rs = call_replicas(
+        ports, set.all(), [&](size_t) { return request; }, limit, all_answered, node_name, local);
     return flags(rs, said_yes);
   }
 
@@ -157,10 +162,10 @@
       bool ok = true;
       std::shared_ptr<base::Condition> condition;
     };
-    auto t =
-        std::make_shared<Table>(Table{names, 0, std::min(kAtOnce, names.size()), true, ps.tasks.condition()});
+    auto t = std::make_shared<Table>(
+        Table{names, 0, std::min(kAtOnce, names.size()), true, ports.tasks.condition()});
     for (size_t k = t->left; k > 0; --k)
-      ps.tasks.spawn([this, t] {
+      ports.tasks.spawn([this, t] {
         while (t->ok && t->next < t->names.size()) {
           auto& n = t->names[t->next++];
           bool done = false;
@@ -178,32 +183,33 @@
   }
 };
 
-RegisterClient::RegisterClient(base::Ports& ps, std::string me, ReplicaSetView& set, Duration round,
-                               Local local)
-    : p_(new Impl{ps, std::move(me), set, round, std::move(local)}) {}
+RegisterClient::RegisterClient(base::Ports& ports, std::string node_name, ReplicaSetView& set, Duration round,
+                               LocalReplica local)
+    : impl_(new Impl{ports, std::move(node_name), set, round, std::move(local)}) {}
 RegisterClient::~RegisterClient() = default;
-size_t RegisterClient::sufficient_count() const { return p_->set.sufficient_count(); }
-const std::vector<Replica>& RegisterClient::replicas() const { return p_->set.all(); }
-ReplicaSetView& RegisterClient::set() { return p_->set; }
+size_t RegisterClient::sufficient_count() const { return impl_->set.sufficient_count(); }
+const std::vector<Replica>& RegisterClient::replicas() const { return impl_->set.all(); }
+ReplicaSetView& RegisterClient::set() { return impl_->set; }
 
 ReadResult RegisterClient::read(const std::string& name) {
-  auto& p = *p_;
-  TimePoint end = p.ps.clock.now() + p.round * kRounds;
-  for (int i = 0, silent = 0; i == 0 || p.ps.clock.now() < end; ++i) {
-    if (auto v = p.peek(name)) return VersionedValue{v->version(), v->data()};
-    auto o = p.turn(name, [](const pb::Value& v) { return v; });
+  auto& impl = *impl_;
+  TimePoint end = impl.ports.clock.now() + impl.round * kRounds;
+  for (int i = 0, silent = 0; i == 0 || impl.ports.clock.now() < end; ++i) {
+    if (auto v = impl.peek(name)) return VersionedValue{v->version(), v->data()};
+    auto o = impl.turn(name, [](const pb::Value& v) { return v; });
     if (o.chosen) return VersionedValue{o.value.version(), o.value.data()};
     if (!o.heard && ++silent >= kSilentTries) break;
-    p.back_off(i);
+    impl.back_off(i);
   }
   return RegisterError::no_majority;
 }
 
 WriteResult RegisterClient::write(const std::string& name, uint64_t expect, const std::string& data) {
-  auto& p = *p_;
-  auto tag = base::token(p.ps.random);
+  auto& impl = *impl_;
+  auto tag = base::random_token(impl.ports.random);
   auto is_mine = [&](const pb::Value& v) {
-    return v.tag() == tag || std::find(v.past().begin(), v.past().end(), tag) != v.past().end();
+    return v.write_id() == tag || std::find(v.earlier_write_ids().begin(), v.earlier_write_ids().end(),
+                                            tag) != v.earlier_write_ids().end();
   };
   bool sent = false;
   auto stale = [&](const pb::Value& v) -> WriteResult {
@@ -211,25 +217,26 @@
     if (sent && v.version() > expect + kPastTags) return RegisterError::fate_unknown;
     return VersionConflict{{v.version(), v.data()}};
   };
-  TimePoint end = p.ps.clock.now() + p.round * kRounds;
-  for (int i = 0, silent = 0; i == 0 || p.ps.clock.now() < end; ++i) {
+  TimePoint end = impl.ports.clock.now() + impl.round * kRounds;
+  for (int i = 0, silent = 0; i == 0 || impl.ports.clock.now() < end; ++i) {
     // After a round that broke off, a look first: the race may be over.
     if (i > 0)
-      if (auto v = p.peek(name)) {
+      if (auto v = impl.peek(name)) {
         if (is_mine(*v)) return VersionedValue{expect + 1, data};
         if (v->version() != expect) return stale(*v);
       }
     bool mine = false, first = false;
-    auto o = p.turn(name, [&](const pb::Value& v) {
+    auto o = impl.turn(name, [&](const pb::Value& v) {
       mine = is_mine(v);
       if (mine || v.version() != expect) return v;
       first = true;
       pb::Value n;
       n.set_version(expect + 1);
       n.set_data(data);
-      n.set_tag(tag);
-      if (!v.tag().empty()) n.add_past(v.tag());
-      for (int k = 0; k < v.past_size() && n.past_size() < kPastTags; ++k) n.add_past(v.past(k));
+      n.set_write_id(tag);
+      if (!v.write_id().empty()) n.add_earlier_write_ids(v.write_id());
+      for (int k = 0; k < v.earlier_write_ids_size() && n.earlier_write_ids_size() < kPastTags; ++k)
+        n.add_earlier_write_ids(v.earlier_write_ids(k));
       return n;
     });
     sent |= first;
@@ -238,40 +245,40 @@
       return stale(o.value);
     }
     if (!o.heard && ++silent >= kSilentTries) break;
-    p.back_off(i);
+    impl.back_off(i);
   }
   return sent ? RegisterError::fate_unknown : RegisterError::no_majority;
 }
 
 // Writes `next` over the set of `from_epoch`, under the quorum of the present set.
 ReplicaSetResult RegisterClient::write_set(const pb::ReplicaSet& next, uint64_t from_epoch) {
-  auto& p = *p_;
+  auto& impl = *impl_;
   auto held = read(kReplicaSetKey);
   auto* now = std::get_if<VersionedValue>(&held);
   if (!now) return ReplicaSetError::no_majority;
   pb::ReplicaSet seen;
   seen.ParseFromString(now->data);
-  if (p.set.epoch() != from_epoch || seen.epoch() > from_epoch) return ReplicaSetError::raced;
+  if (impl.set.epoch() != from_epoch || seen.epoch() > from_epoch) return ReplicaSetError::raced;
   auto written = write(kReplicaSetKey, now->version, next.SerializeAsString());
   if (std::holds_alternative<VersionConflict>(written)) return ReplicaSetError::raced;
   if (auto* error = std::get_if<RegisterError>(&written))
     return *error == RegisterError::no_majority ? ReplicaSetError::no_majority
                                                 : ReplicaSetError::fate_unknown;
-  p.set.adopt(next);
-  p.spread_set(p.round / kTellPart);
+  impl.set.adopt(next);
+  impl.spread_set(impl.round / kTellPart);
   return next;
 }
 
 ReplicaSetResult RegisterClient::begin_change(const std::vector<Replica>& to) {
-  auto& set = p_->set;
+  auto& set = impl_->set;
   if (set.joint() || to == set.current()) return ReplicaSetError::no_change;
   if (to.size() < set.current().size() && to.size() < kFewestReplicas) return ReplicaSetError::too_few;
   auto from = set.message();
   pb::ReplicaSet next;
   next.set_epoch(from.epoch() + 1);
-  *next.mutable_previous() = from.holders();
+  *next.mutable_previous() = from.replicas();
   for (auto& replica : to) {
-    auto* entry = next.add_holders();
+    auto* entry = next.add_replicas();
     entry->set_name(replica.name);
     entry->set_address(replica.address);
   }
@@ -283,24 +290,24 @@
 // register stands at a quorum of the joint set and so at a majority of the new list, and
 // only then does the old list stop counting.
 ReplicaSetResult RegisterClient::finish_change(const RegisterNames& names) {
-  auto& p = *p_;
-  if (!p.set.joint()) return ReplicaSetError::no_change;
-  auto from = p.set.message();
-  if (!p.set.is_quorum(p.spread_set(p.round)) || p.set.epoch() != from.epoch())
+  auto& impl = *impl_;
+  if (!impl.set.joint()) return ReplicaSetError::no_change;
+  auto from = impl.set.message();
+  if (!impl.set.is_quorum(impl.spread_set(impl.round)) || impl.set.epoch() != from.epoch())
     return ReplicaSetError::no_majority;
   auto all_names = names();
-  if (!all_names || !p.finish(*all_names)) return ReplicaSetError::no_majority;
-  if (p.set.epoch() != from.epoch()) return ReplicaSetError::raced;
+  if (!all_names || !impl.finish(*all_names)) return ReplicaSetError::no_majority;
+  if (impl.set.epoch() != from.epoch()) return ReplicaSetError::raced;
   pb::ReplicaSet next;
   next.set_epoch(from.epoch() + 1);
-  *next.mutable_holders() = from.holders();
+  *next.mutable_replicas() = from.replicas();
   return write_set(next, from.epoch());
 }
 
-bool RegisterClient::rewrite(const std::vector<std::string>& names) { return p_->finish(names); }
+bool RegisterClient::rewrite(const std::vector<std::string>& names) { return impl_->finish(names); }
 
 ReplicaSetResult RegisterClient::change(const std::vector<Replica>& to, const RegisterNames& names) {
-  if (p_->set.joint()) {
+  if (impl_->set.joint()) {
     auto left = finish_change(names);
     if (std::holds_alternative<ReplicaSetError>(left)) return left;
   }
--- a/src/consensus/register_client.hpp
+++ b/src/consensus/register_client.hpp
@@ -12,7 +12,7 @@
   std::string data;
 };
 struct VersionConflict {
-  VersionedValue now;
+  VersionedValue current;
 };
 enum class RegisterError {
   no_majority,   // nothing was written
@@ -28,7 +28,8 @@
 class RegisterClient {
  public:
   // `round`: the limit of one round, after which its votes count no longer.
-  RegisterClient(base::Ports& ps, std::string me, ReplicaSetView& set, Duration round, Local local);
+  RegisterClient(base::Ports& ports, std::string node_name, ReplicaSetView& set, Duration round,
+                 LocalReplica local);
   ~RegisterClient();
   ReadResult read(const std::string& name);
   WriteResult write(const std::string& name, uint64_t expect, const std::string& data);
@@ -52,7 +53,7 @@
  private:
   struct Impl;
   ReplicaSetResult write_set(const pb::ReplicaSet& next, uint64_t from_epoch);
-  std::unique_ptr<Impl> p_;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwing::consensus
--- a/src/consensus/replica_set.cpp
+++ b/src/consensus/replica_set.cpp
@@ -39,9 +39,9 @@
 }
 
 bool ReplicaSetView::adopt(const pb::ReplicaSet& set) {
-  if (set.epoch() <= epoch_ || set.holders_size() == 0) return false;
+  if (set.epoch() <= epoch_ || set.replicas_size() == 0) return false;
   epoch_ = set.epoch();
-  current_ = from_entries(set.holders());
+  current_ = from_entries(set.replicas());
   previous_ = from_entries(set.previous());
   collect_members();
   return true;
@@ -70,7 +70,7 @@
 pb::ReplicaSet ReplicaSetView::message() const {
   pb::ReplicaSet set;
   set.set_epoch(epoch_);
-  to_entries(current_, *set.mutable_holders());
+  to_entries(current_, *set.mutable_replicas());
   to_entries(previous_, *set.mutable_previous());
   return set;
 }
--- a/src/consensus/vote.cpp
+++ b/src/consensus/vote.cpp
@@ -4,37 +4,37 @@
 
 namespace dunlinwing::consensus {
 
-bool lower(const pb::Ballot& a, const pb::Ballot& b) {
+bool is_lower(const pb::Ballot& a, const pb::Ballot& b) {
   return a.round() != b.round() ? a.round() < b.round() : a.node() < b.node();
 }
-bool equal(const pb::Ballot& a, const pb::Ballot& b) {
+bool is_equal(const pb::Ballot& a, const pb::Ballot& b) {
   return a.round() == b.round() && a.node() == b.node();
 }
 
-Step prepare(const pb::RegisterState& s, const pb::Prepare& p) {
-  Step r{s};
-  if (!lower(s.promised(), p.ballot())) return r;
-  r.yes = r.dirty = true;
-  r.slot.set_name(p.name());
-  *r.slot.mutable_promised() = p.ballot();
+VoteStep prepare(const pb::RegisterState& state, const pb::Prepare& request) {
+  VoteStep r{state};
+  if (!is_lower(state.promised(), request.ballot())) return r;
+  r.granted = r.must_sync = true;
+  r.state.set_name(request.name());
+  *r.state.mutable_promised() = request.ballot();
   return r;
 }
 
-Step accept(const pb::RegisterState& s, const pb::Accept& a) {
-  Step r{s};
-  if (lower(a.ballot(), s.promised())) return r;
-  r.yes = r.dirty = true;
-  r.slot.set_name(a.name());
-  *r.slot.mutable_promised() = a.ballot();
-  *r.slot.mutable_accepted() = a.ballot();
-  *r.slot.mutable_value() = a.value();
-  r.slot.clear_copied();
+VoteStep accept(const pb::RegisterState& state, const pb::Accept& a) {
+  VoteStep r{state};
+  if (is_lower(a.ballot(), state.promised())) return r;
+  r.granted = r.must_sync = true;
+  r.state.set_name(a.name());
+  *r.state.mutable_promised() = a.ballot();
+  *r.state.mutable_accepted() = a.ballot();
+  *r.state.mutable_value() = a.value();
+  r.state.clear_refilled();
   return r;
 }
 
-pb::RegisterState higher(const pb::RegisterState& a, const pb::RegisterState& b) {
-  pb::RegisterState r = lower(a.accepted(), b.accepted()) ? b : a;
-  *r.mutable_promised() = lower(a.promised(), b.promised()) ? b.promised() : a.promised();
+pb::RegisterState merge_highest(const pb::RegisterState& a, const pb::RegisterState& b) {
+  pb::RegisterState r = is_lower(a.accepted(), b.accepted()) ? b : a;
+  *r.mutable_promised() = is_lower(a.promised(), b.promised()) ? b.promised() : a.promised();
   return r;
 }
 
--- a/src/consensus/vote.hpp
+++ b/src/consensus/vote.hpp
@@ -6,17 +6,17 @@
 
 namespace dunlinwing::consensus {
 
-struct Step {
-  pb::RegisterState slot;
-  bool yes = false;
-  bool dirty = false;  // the slot changed and must be synced before the vote
+struct VoteStep {
+  pb::RegisterState state;
+  bool granted = false;
+  bool must_sync = false;  // the slot changed and must be synced before the vote
 };
 
-bool lower(const pb::Ballot& a, const pb::Ballot& b);
-bool equal(const pb::Ballot& a, const pb::Ballot& b);
-Step prepare(const pb::RegisterState& s, const pb::Prepare& p);
-Step accept(const pb::RegisterState& s, const pb::Accept& a);
-pb::RegisterState higher(const pb::RegisterState& a,
-                         const pb::RegisterState& b);  // the later promise, the later accepted value
+bool is_lower(const pb::Ballot& a, const pb::Ballot& b);
+bool is_equal(const pb::Ballot& a, const pb::Ballot& b);
+VoteStep prepare(const pb::RegisterState& state, const pb::Prepare& request);
+VoteStep accept(const pb::RegisterState& state, const pb::Accept& a);
+pb::RegisterState merge_highest(const pb::RegisterState& a,
+                                const pb::RegisterState& b);  // the later promise, the later accepted value
 
 }  // namespace dunlinwing::consensus
--- a/src/console/commands.cpp
+++ b/src/console/commands.cpp
@@ -11,12 +11,12 @@
 namespace dunlinwing::console {
 namespace {
 int show(Session& s, const Reply& r, const std::function<void(const base::Json&)>& table) {
-  if (r.status != 200 && r.status != 202) return refused(r);
+  if (r.status != 200 && r.status != 202) return report_rejection(r);
   if (s.json)
     std::cout << r.text;
   else
     table(r.body);
-  return kFine;
+  return kOk;
 }
 
 int done(Session& s, const Reply& r, const std::string& words) {
@@ -50,11 +50,11 @@
 
 void course_line(const base::Json& r) {
   auto c = r.at("course");
-  std::cout << row({{r.at("kind").str(), 9},
-                    {r.at("name").str(), 20},
-                    {c.at("phase").str("not taken up"), 12},
-                    {c.at("zone").str(), 6},
-                    {c.at("why").str(), 0}});
+  std::cout << row({{r.at("kind").string_or(), 9},
+                    {r.at("name").string_or(), 20},
+                    {c.at("phase").string_or("not taken up"), 12},
+                    {c.at("zone").string_or(), 6},
+                    {c.at("why").string_or(), 0}});
 }
 
 int apply(Session& s) {
@@ -77,23 +77,24 @@
   auto rc = show(s, r, [](auto& j) {
     auto c = j.at("course");
     auto e = c.at("evidence");
-    std::cout << "release   " << j.at("kind").str() << " " << j.at("name").str() << "\n"
-              << "phase     " << c.at("phase").str("not taken up yet") << " " << c.at("zone").str() << "\n"
-              << "why       " << c.at("why").str() << "\n"
-              << "machine   " << c.at("machine").str() << "\n"
-              << "held      " << c.at("held_ms").str("0") << " ms\n"
-              << "on it     " << e.at("on_requests").str("0") << " requests, " << e.at("on_defects").str("0")
-              << " defects\n"
-              << "elsewhere " << e.at("off_requests").str("0") << " requests, "
-              << e.at("off_defects").str("0") << " defects\n"
-              << "probes    " << e.at("probes_ok").str("0") << " good, " << e.at("probes_bad").str("0")
-              << " bad\n";
+    std::cout << "release   " << j.at("kind").string_or() << " " << j.at("name").string_or() << "\n"
+              << "phase     " << c.at("phase").string_or("not taken up yet") << " "
+              << c.at("zone").string_or() << "\n"
+              << "why       " << c.at("why").string_or() << "\n"
+              << "machine   " << c.at("machine").string_or() << "\n"
+              << "held      " << c.at("held_ms").string_or("0") << " ms\n"
+              << "on it     " << e.at("on_requests").string_or("0") << " requests, "
+              << e.at("on_defects").string_or("0") << " defects\n"
+              << "elsewhere " << e.at("off_requests").string_or("0") << " requests, "
+              << e.at("off_defects").string_or("0") << " defects\n"
+              << "probes    " << e.at("probes_ok").string_or("0") << " good, "
+              << e.at("probes_bad").string_or("0") << " bad\n";
     for (auto& [k, v] : j.at("acts").at("waived").members())
-      std::cout << "waived    " << k << ": " << v.str() << "\n";
+      std::cout << "waived    " << k << ": " << v.string_or() << "\n";
   });
-  if (rc != kFine) return rc;
-  auto ph = r.body.at("course").at("phase").str();
-  return ph == "STOPPED" || ph == "WITHDRAWN" ? kNotSo : kFine;
+  if (rc != kOk) return rc;
+  auto ph = r.body.at("course").at("phase").string_or();
+  return ph == "STOPPED" || ph == "WITHDRAWN" ? kNegative : kOk;
 }
 
 // Follows a release until it ends, a line for each change of phase or reason.
@@ -102,34 +103,34 @@
   TimePoint end = s.clock.now() + Duration((s.wait_s ? s.wait_s : 86400) * 1000LL);
   while (s.clock.now() < end) {
     auto r = s.link.get(release(s));
-    if (r.status != 200) return refused(r);
+    if (r.status != 200) return report_rejection(r);
     auto c = r.body.at("course");
-    auto ph = c.at("phase").str("not taken up yet");
-    auto now = ph + " " + c.at("zone").str() + ": " + c.at("why").str();
+    auto ph = c.at("phase").string_or("not taken up yet");
+    auto now = ph + " " + c.at("zone").string_or() + ": " + c.at("why").string_or();
     if (auto i = now.find(" s of the phase"); i != now.npos)
-      now = ph + " " + c.at("zone").str() + ": holding";
+      now = ph + " " + c.at("zone").string_or() + ": holding";
     if (now != last) std::cout << now << "\n" << std::flush;
     last = now;
-    if (ph == "DONE") return kFine;
-    if (ph == "STOPPED" || ph == "WITHDRAWN") return kNotSo;
+    if (ph == "DONE") return kOk;
+    if (ph == "STOPPED" || ph == "WITHDRAWN") return kNegative;
     s.clock.sleep(Duration(500));
   }
   std::cerr << "console: still under way when the time was up\n";
-  return kNotSo;
+  return kNegative;
 }
 
 // Goes on where an earlier upload broke off: the fleet says how much it holds.
 int upload(Session& s) {
   auto rel = s.link.get("/v1/releases/software/" + s.args[0]);
-  if (rel.status != 200) return refused(rel);
+  if (rel.status != 200) return report_rejection(rel);
   auto data = slurp(s.args[1]);
   if (!data) return kUsage;
-  auto path = "/v1/artifacts/" + rel.body.at("document").at("content").at("sha256").str();
+  auto path = "/v1/artifacts/" + rel.body.at("document").at("content").at("sha256").string_or();
   auto at = s.link.get(path);
-  if (at.status != 200) return refused(at);
+  if (at.status != 200) return report_rejection(at);
   constexpr uint64_t kPiece = 1 << 20;
-  while (!at.body.at("whole").flag()) {
-    auto held = static_cast<uint64_t>(at.body.at("held").num());
+  while (!at.body.at("whole").bool_or()) {
+    auto held = static_cast<uint64_t>(at.body.at("held").integer_or());
     if (held >= data->size()) {
       std::cerr << "console: the file is not the one that the release names\n";
       return kRejected;
@@ -140,17 +141,17 @@
           << "console: the file is not the one that the release names, or another upload is under way\n";
       return kRejected;
     }
-    if (r.status != 200) return refused(r);
+    if (r.status != 200) return report_rejection(r);
     at = r;
   }
   std::cout << "the artifact is held whole by a majority\n";
-  return kFine;
+  return kOk;
 }
 
 int diff(Session& s) {
   auto a = s.link.get(release(s)), b = s.link.get(fmt::format("/v1/releases/{}/{}", s.args[0], s.args[2]));
-  if (a.status != 200) return refused(a);
-  if (b.status != 200) return refused(b);
+  if (a.status != 200) return report_rejection(a);
+  if (b.status != 200) return report_rejection(b);
   int n = 0;
   std::function<void(const base::Json&, const base::Json&, const std::string&)> walk = [&](auto& x, auto& y,
                                                                                            auto at) {
@@ -165,7 +166,7 @@
     for (auto& [k, p] : all) walk(p.first, p.second, at + "/" + k);
   };
   walk(a.body.at("document"), b.body.at("document"), std::string());
-  return n ? kNotSo : kFine;
+  return n ? kNegative : kOk;
 }
 
 int nodes(Session& s) {
@@ -181,14 +182,14 @@
     for (auto& x : j.at("nodes").items()) {
       auto f = x.at("facts");
       auto yes = [](bool b) { return std::string(b ? "yes" : "no"); };
-      std::cout << row({{x.at("name").str(), 10},
-                        {f.at("zone").str(), 6},
-                        {yes(x.at("member").flag()), 7},
-                        {yes(f.at("ready").flag()), 6},
-                        {yes(f.at("holder").flag()), 7},
-                        {f.at("generation").str(), 6},
-                        {f.at("running").at("layout").str(), 20},
-                        {f.at("software").str(), 0}});
+      std::cout << row({{x.at("name").string_or(), 10},
+                        {f.at("zone").string_or(), 6},
+                        {yes(x.at("member").bool_or()), 7},
+                        {yes(f.at("ready").bool_or()), 6},
+                        {yes(f.at("holder").bool_or()), 7},
+                        {f.at("generation").string_or(), 6},
+                        {f.at("running").at("layout").string_or(), 20},
+                        {f.at("software").string_or(), 0}});
     }
   });
 }
@@ -199,14 +200,14 @@
         {{"INSTANCE", 16}, {"SERVICE", 14}, {"VERSION", 10}, {"ZONE", 6}, {"ADDRESS", 22}, {"STATE", 0}});
     for (auto& x : j.at("workers").items()) {
       auto b = x.at("beat");
-      std::cout << row({{x.at("instance").str(), 16},
-                        {b.at("service").str(), 14},
-                        {b.at("version").str(), 10},
-                        {b.at("zone").str(), 6},
-                        {b.at("address").str(), 22},
-                        {b.at("leaving").flag() ? "leaving"
-                         : x.at("gone").flag()  ? "gone"
-                                                : "beating",
+      std::cout << row({{x.at("instance").string_or(), 16},
+                        {b.at("service").string_or(), 14},
+                        {b.at("version").string_or(), 10},
+                        {b.at("zone").string_or(), 6},
+                        {b.at("address").string_or(), 22},
+                        {b.at("leaving").bool_or() ? "leaving"
+                         : x.at("gone").bool_or()  ? "gone"
+                                                   : "beating",
                          0}});
     }
   });
@@ -215,16 +216,16 @@
 int duties(Session& s) {
   return show(s, s.link.get("/v1/duties"), [](auto& j) {
     for (auto& [k, d] : j.members())
-      std::cout << k << ": " << d.at("holder").str() << ", understudy " << d.at("understudy").str()
-                << ", term " << d.at("term").str() << "\n";
+      std::cout << k << ": " << d.at("holder").string_or() << ", understudy "
+                << d.at("understudy").string_or() << ", term " << d.at("term").string_or() << "\n";
   });
 }
 
 int get(Session& s) {
   auto r = s.link.get(s.args[0].starts_with("/") ? s.args[0] : "/v1/" + s.args[0]);
-  if (r.status != 200) return refused(r);
+  if (r.status != 200) return report_rejection(r);
   std::cout << r.text;
-  return kFine;
+  return kOk;
 }
 
 int move(Session& s) {
@@ -266,17 +267,17 @@
   return out + "\n";
 }
 
-int refused(const Reply& r) {
+int report_rejection(const Reply& r) {
   if (r.status == 0) {
     std::cerr << "console: no seed could be reached\n";
     return kNoAnswer;
   }
-  std::cerr << "console: " << r.from << " answers " << r.status << ": " << r.body.at("defect").str(r.text)
-            << "\n";
+  std::cerr << "console: " << r.from << " answers " << r.status << ": "
+            << r.body.at("defect").string_or(r.text) << "\n";
   for (auto& d : r.body.at("defects").items())
-    std::cerr << "  " << d.at("at").str() << " " << d.at("what").str() << "\n";
+    std::cerr << "  " << d.at("at").string_or() << " " << d.at("what").string_or() << "\n";
   if (r.status == 404) return kNotFound;
-  if (r.status == 503) return r.text.find("fate") != std::string::npos ? kFateUnknown : kNoAnswer;
+  if (r.status == 503) return r.text.find("fate") != std::string::npos ? kOutcomeUnknown : kNoAnswer;
   return kRejected;
 }
 
@@ -311,9 +312,9 @@
       {"workers", {"workers", "all workers", 0, 0, workers}},
       {"holders",
        {"holders [list] | add NAME IP:PORT | remove NAME",
-        "who holds the state; changes the set by one machine", 0, 3, holders}},
+        "who holds the state; changes the set by one machine", 0, 3, replicas}},
       {"duties", {"duties", "who does which duty", 0, 0, duties}},
-      {"doctor", {"doctor", "says in plain words what is wrong, and where", 0, 0, doctor}}};
+      {"doctor", {"doctor", "says in plain words what is wrong, and where", 0, 0, diagnose}}};
   return all;
 }
 
--- a/src/console/commands.hpp
+++ b/src/console/commands.hpp
@@ -5,11 +5,11 @@
 namespace dunlinwing::console {
 
 // Exit statuses.
-inline constexpr int kFine = 0, kNotSo = 1, kUsage = 2, kNotFound = 3, kRejected = 4, kNoAnswer = 5,
-                     kFateUnknown = 6;
+inline constexpr int kOk = 0, kNegative = 1, kUsage = 2, kNotFound = 3, kRejected = 4, kNoAnswer = 5,
+                     kOutcomeUnknown = 6;
 
 struct Session {
-  Link& link;
+  Client& link;
   base::Clock& clock;
   std::vector<std::string> args;  // after the command
   bool json = false;
@@ -24,9 +24,9 @@
 };
 
 const std::map<std::string, Command>& commands();
-int doctor(Session& s);
-int holders(Session& s);
-int refused(const Reply& r);  // says why, and gives the exit status
+int diagnose(Session& s);
+int replicas(Session& s);
+int report_rejection(const Reply& r);  // says why, and gives the exit status
 std::string row(const std::vector<std::pair<std::string, int>>& cells);
 
 }  // namespace dunlinwing::console
--- a/src/console/link.cpp
+++ b/src/console/link.cpp
@@ -8,18 +8,18 @@
 
 namespace dunlinwing::console {
 namespace {
-Reply of(const base::Response& r, const std::string& from) {
-  Reply x{r.status, {}, r.body, base::header(r.headers, "ETag"), from};
-  auto p = base::Json::parse(r.body);
+Reply of(const base::Response& response, const std::string& from) {
+  Reply x{response.status, {}, response.body, base::header(response.headers, "ETag"), from};
+  auto p = base::Json::parse(response.body);
   if (auto* j = std::get_if<base::Json>(&p)) x.body = *j;
   return x;
 }
 }  // namespace
 
-Reply Link::any(const base::Request& q, Duration limit) {
+Reply Client::any(const base::Request& request, Duration limit) {
   Reply last;
   for (auto& s : r_.seeds) {
-    auto r = http_.send(s, q, limit);
+    auto r = http_.send(s, request, limit);
     if (auto* a = std::get_if<base::Response>(&r)) {
       last = of(*a, s);
       if (a->status != 503 || last.text.find("fate") != std::string::npos) return last;
@@ -32,14 +32,14 @@
   return last;
 }
 
-Reply Link::get(const std::string& path, Duration limit) { return any({"", "GET", path, "", {}}, limit); }
+Reply Client::get(const std::string& path, Duration limit) { return any({"", "GET", path, "", {}}, limit); }
 
-Reply Link::put(const std::string& path, const std::string& body,
-                std::vector<std::pair<std::string, std::string>> hs) {
-  return any({"", "PUT", path, body, std::move(hs)}, Duration(8000));
+Reply Client::put(const std::string& path, const std::string& body,
+                  std::vector<std::pair<std::string, std::string>> headers) {
+  return any({"", "PUT", path, body, std::move(headers)}, Duration(8000));
 }
 
-Reply Link::at(const std::string& seed, const std::string& path, Duration limit) {
+Reply Client::at(const std::string& seed, const std::string& path, Duration limit) {
   auto r = http_.send(seed, {"", "GET", path, "", {}}, limit);
   if (auto* a = std::get_if<base::Response>(&r)) return of(*a, seed);
   return {};
--- a/src/console/link.hpp
+++ b/src/console/link.hpp
@@ -5,7 +5,7 @@
 
 namespace dunlinwing::console {
 
-struct Reach {
+struct ClientOptions {
   std::vector<std::string> seeds;
   bool quiet = false;
 };
@@ -16,19 +16,19 @@
   std::string text, etag, from;
 };
 
-class Link {
+class Client {
  public:
-  Link(base::Origin& http, Reach r) : http_(http), r_(std::move(r)) {}
+  Client(base::Origin& http, ClientOptions r) : http_(http), r_(std::move(r)) {}
   Reply get(const std::string& path, Duration limit = Duration(8000));
   Reply put(const std::string& path, const std::string& body,
-            std::vector<std::pair<std::string, std::string>> hs = {});
+            std::vector<std::pair<std::string, std::string>> headers = {});
   Reply at(const std::string& seed, const std::string& path, Duration limit);
   const std::vector<std::string>& seeds() const { return r_.seeds; }
 
  private:
-  Reply any(const base::Request& q, Duration limit);
+  Reply any(const base::Request& request, Duration limit);
   base::Origin& http_;
-  Reach r_;
+  ClientOptions r_;
 };
 
 }  // namespace dunlinwing::console
--- a/src/console/main.cpp
+++ b/src/console/main.cpp
@@ -38,22 +38,22 @@
   if (f == console::commands().end()) return bad(fmt::format("there is no command \"{}\"", argv[1]));
   std::vector<std::string> args(argv + 2, argv + argc);
   if (args.size() < f->second.least || args.size() > f->second.most) return bad("usage: " + f->second.form);
-  console::Reach r;
+  console::ClientOptions r;
   auto seeds = FLAGS_seeds;
   if (auto* e = std::getenv("DUNLINWING_SEEDS"); seeds.empty() && e) seeds = e;
-  r.seeds = base::words(seeds, ',');
+  r.seeds = base::split_list(seeds, ',');
   for (auto& x : r.seeds)
     if (!wire::split_address(x)) return bad("\"" + x + "\" is not IP:port");
   if (r.seeds.empty()) return bad("--seeds names no relay");
   std::signal(SIGPIPE, SIG_IGN);
-  wire::Pool pool(1);
-  wire::HttpOrigin http(64u << 20);
-  wire::RealClock clock;
+  wire::EventLoopPool pool(1);
+  wire::HttpClient http(64u << 20);
+  wire::SystemClock clock;
   pool.run([&] {
-    console::Link link(http, r);
+    console::Client link(http, r);
     console::Session s{link, clock, args, FLAGS_json, FLAGS_reason, FLAGS_wait};
     int rc = f->second.run(s);
     std::cout << std::flush;
-    wire::Pool::stop(rc);
+    wire::EventLoopPool::stop(rc);
   });
 }
--- a/src/control_api/artifact_pieces.cpp
+++ b/src/control_api/artifact_pieces.cpp
@@ -10,15 +10,16 @@
 
 namespace dunlinwing::control_api {
 namespace {
-using PieceResult = std::variant<pb::Piece, software::PieceError>;
+using PieceResult = std::variant<pb::ArtifactChunkResponse, software::ChunkError>;
 
 base::Response piece_response(const PieceResult& result) {
-  if (auto* piece = std::get_if<pb::Piece>(&result))
-    return json_response(200, fmt::format(R"({{"held":{},"whole":{}}})", piece->held(), piece->whole()));
-  switch (std::get<software::PieceError>(result)) {
-    case software::PieceError::unknown_artifact:
+  if (auto* piece = std::get_if<pb::ArtifactChunkResponse>(&result))
+    return json_response(200,
+                         fmt::format(R"({{"held":{},"whole":{}}})", piece->received(), piece->complete()));
+  switch (std::get<software::ChunkError>(result)) {
+    case software::ChunkError::unknown_artifact:
       return error_response(404, "no recorded software release names this digest");
-    case software::PieceError::gap:
+    case software::ChunkError::gap:
       return error_response(409, "the piece does not follow what is held; GET says how much that is");
     default:
       return error_response(503, "no majority of the holders answers; state the piece again");
@@ -26,12 +27,12 @@
 }
 
 bool unknown(const PieceResult& result) {
-  auto* error = std::get_if<software::PieceError>(&result);
-  return error && *error == software::PieceError::unknown_artifact;
+  auto* error = std::get_if<software::ChunkError>(&result);
+  return error && *error == software::ChunkError::unknown_artifact;
 }
 }  // namespace
 
-base::Response put_artifact_piece(relay::Node& node, Call& call) {
+base::Response put_artifact_chunk(relay::Node& node, ApiRequest& call) {
   auto* artifacts = node.artifacts();
   if (!artifacts) return error_response(503, "this node takes no artifacts");
   uint64_t offset = 0;
@@ -41,20 +42,20 @@
       return error_response(422, "offset is no number");
   }
   auto& body = call.request.body;
-  if (body.empty() || body.size() > software::kPiece)
+  if (body.empty() || body.size() > software::kChunkBytes)
     return error_response(413, "a piece has 1 to 1048576 bytes");
-  auto result = artifacts->put(call.path[2], offset, body);
+  auto result = artifacts->append(call.path[2], offset, body);
   if (unknown(result)) {
-    if (auto unheard = hear_majority(node)) return *unheard;
-    result = artifacts->put(call.path[2], offset, body);
+    if (auto unheard = await_majority_contact(node)) return *unheard;
+    result = artifacts->append(call.path[2], offset, body);
   }
   return piece_response(result);
 }
 
-base::Response get_artifact(relay::Node& node, Call& call) {
+base::Response get_artifact(relay::Node& node, ApiRequest& call) {
   auto* artifacts = node.artifacts();
   if (!artifacts) return error_response(503, "this node takes no artifacts");
-  return piece_response(artifacts->look(call.path[2]));
+  return piece_response(artifacts->progress(call.path[2]));
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/artifact_pieces.hpp
+++ b/src/control_api/artifact_pieces.hpp
@@ -6,8 +6,8 @@
 namespace dunlinwing::control_api {
 
 // PUT /v1/artifacts/SHA256?offset=N: pieces in order, each of a mebibyte at most.
-base::Response put_artifact_piece(relay::Node& node, Call& call);
+base::Response put_artifact_chunk(relay::Node& node, ApiRequest& call);
 // GET /v1/artifacts/SHA256: how much of it a majority holds.
-base::Response get_artifact(relay::Node& node, Call& call);
+base::Response get_artifact(relay::Node& node, ApiRequest& call);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/call.cpp
+++ b/src/control_api/call.cpp
@@ -55,21 +55,21 @@
 }
 }  // namespace
 
-Call parse_call(base::Request& request) {
+ApiRequest parse_request(base::Request& request) {
   std::string_view target = request.target;
   auto mark = target.find('?');
-  Call call{request, path_segments(target.substr(0, mark)), {}};
+  ApiRequest call{request, path_segments(target.substr(0, mark)), {}};
   if (mark != target.npos) call.query = query_parameters(target.substr(mark + 1));
   return call;
 }
 
 base::Response json_response(int status, std::string body, std::optional<uint64_t> version) {
-  base::Response r{
+  base::Response response{
       status, {{"Content-Type", "application/json"}, {"Cache-Control", "no-store"}}, std::move(body)};
-  if (version) r.headers.emplace_back("ETag", fmt::format("\"{}\"", *version));
-  if (status == 503) r.headers.emplace_back("Retry-After", kComeBackSeconds);
-  if (!r.body.empty() && r.body.back() != '\n') r.body += '\n';
-  return r;
+  if (version) response.headers.emplace_back("ETag", fmt::format("\"{}\"", *version));
+  if (status == 503) response.headers.emplace_back("Retry-After", kComeBackSeconds);
+  if (!response.body.empty() && response.body.back() != '\n') response.body += '\n';
+  return response;
 }
 
 base::Response error_response(int status, const std::string& why, std::optional<uint64_t> version) {
@@ -78,9 +78,9 @@
 
 base::Response validation_errors(const std::vector<base::ValidationError>& errors) {
   std::string list;
-  for (auto& e : errors)
-    list += fmt::format("{}{{\"at\":{},\"what\":{}}}", list.empty() ? "" : ",", base::quote(e.at),
-                        base::quote(e.what));
+  for (auto& error : errors)
+    list += fmt::format("{}{{\"at\":{},\"what\":{}}}", list.empty() ? "" : ",", base::quote(error.pointer),
+                        base::quote(error.message));
   return json_response(
       422, fmt::format("{{\"defect\":\"the document is not valid; nothing was recorded\",\"defects\":[{}]}}",
                        list));
@@ -94,7 +94,7 @@
 
 std::variant<base::Json, base::Response> parse_body(const std::string& body, const base::Schema& schema) {
   auto parsed = base::Json::parse(body);
-  if (auto* e = std::get_if<base::ValidationError>(&parsed)) return validation_errors({*e});
+  if (auto* error = std::get_if<base::ValidationError>(&parsed)) return validation_errors({*error});
   auto& json = std::get<base::Json>(parsed);
   auto errors = schema.check(json);
   if (!errors.empty()) return validation_errors(errors);
@@ -104,7 +104,7 @@
 std::string message_json(const google::protobuf::Message& message) {
   google::protobuf::util::JsonPrintOptions options;
   options.always_print_primitive_fields = true;
-  options.preserve_proto_field_names = true;
+  options.preserve_proto_field_names = false;  // json_name in proto/wire.proto pins the names
   std::string out;
   if (!google::protobuf::util::MessageToJsonString(message, &out, options).ok()) return "{}";
   return out;
--- a/src/control_api/call.hpp
+++ b/src/control_api/call.hpp
@@ -10,13 +10,13 @@
 namespace dunlinwing::control_api {
 
 // A parsed request.
-struct Call {
+struct ApiRequest {
   base::Request& request;
   std::vector<std::string> path;             // segments, decoded
   std::map<std::string, std::string> query;  // decoded
   TimePoint deadline{0};                     // no new attempt is begun after it
 };
-Call parse_call(base::Request& request);
+ApiRequest parse_request(base::Request& request);
 
 // A JSON response; `version` becomes its ETag. A 503 says when to come back (Retry-After).
 base::Response json_response(int status, std::string body, std::optional<uint64_t> version = {});
--- a/src/control_api/change.hpp
+++ b/src/control_api/change.hpp
@@ -12,8 +12,8 @@
 // A change that is in force already is acknowledged, also when only the client's own write,
 // whose answer was lost, can have overtaken its precondition (RFC 9110, 13.1.1).
 template <class Message, class Edit>
-base::Response change_register(base::Ports& ports, relay::Node& node, Call& call, const std::string& key,
-                               Edit edit) {
+base::Response change_register(base::Ports& ports, relay::Node& node, ApiRequest& call,
+                               const std::string& key, Edit edit) {
   auto read = node.registers().read(key);
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
   auto held = std::get<consensus::VersionedValue>(read);
@@ -32,7 +32,7 @@
     if (auto* value = std::get_if<consensus::VersionedValue>(&written))
       return json_response(200, message_json(after), value->version);
     if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
-    held = std::get<consensus::VersionConflict>(written).now;
+    held = std::get<consensus::VersionConflict>(written).current;
   }
   return error_response(503, "other writes came first; send it again");
 }
--- a/src/control_api/contact.cpp
+++ b/src/control_api/contact.cpp
@@ -13,8 +13,8 @@
 
 Duration contact_limit(Duration bound) { return std::min(bound / 3, kLongestContact); }
 
-std::optional<base::Response> hear_majority(relay::Node& node) {
-  if (node.state_cache().settle(contact_limit(node.config().bound))) return {};
+std::optional<base::Response> await_majority_contact(relay::Node& node) {
+  if (node.state_cache().await_pull(contact_limit(node.config().bound))) return {};
   return error_response(503, kNoMajority);
 }
 
@@ -23,7 +23,7 @@
   return outcome_unknown();
 }
 
-base::Response answer_within(base::Ports& ports, Duration limit, std::function<base::Response()> work) {
+base::Response respond_within(base::Ports& ports, Duration limit, std::function<base::Response()> work) {
   struct Pending {
     std::shared_ptr<base::Condition> done;
     std::optional<base::Response> response;
--- a/src/control_api/control.cpp
+++ b/src/control_api/control.cpp
@@ -25,7 +25,7 @@
 constexpr Duration kLongestWatch{30000};
 constexpr const char* kNoResource = "no such resource";
 
-int64_t query_number(const Call& call, const char* name) {
+int64_t query_number(const ApiRequest& call, const char* name) {
   int64_t value = -1;
   if (auto f = call.query.find(name); f != call.query.end())
     std::from_chars(f->second.data(), f->second.data() + f->second.size(), value);
@@ -40,40 +40,40 @@
 }
 }  // namespace
 
-struct Control::Impl {
+struct Router::Impl {
   base::Ports& ports;
   relay::Node& node;
-  Purger purger;
+  PurgeWriter purger;
 
   Impl(base::Ports& p, relay::Node& n) : ports(p), node(n), purger(p, n.registers()) {}
 
-  base::Response read(Call& call) {
+  base::Response read(ApiRequest& call) {
     auto& path = call.path;
     auto is = [&](size_t segments, const char* name) { return path.size() == segments && path[1] == name; };
     if (path.size() <= 4 && path[1] == "releases") return get_releases(node, call);
     if (is(2, "assignments")) return get_assignments(node);
     if (is(3, "assignments")) return get_assignment(node, path[2]);
     if (is(2, "nodes")) return list_nodes(node, ports.clock.now());
-    if (is(2, "workers")) return list_workers(node, ports.clock.now());
+    if (is(2, "workers")) return list_instances(node, ports.clock.now());
     if (is(2, "purges")) return list_purges(node);
     if (is(2, "drains")) return list_drains(node);
     if (is(2, "holders")) return get_replicas(node);
     if (is(3, "layouts") && path[2] == "current") return get_numbered_configuration(node);
     if (is(3, "artifacts")) return get_artifact(node, call);
     if (is(2, "duties"))
-      return json_response(200, "{\"rollout\":" + message_json(node.leadership().known()) + "}");
-    if (is(3, "moves")) return get_move(node, call);
+      return json_response(200, "{\"rollout\":" + message_json(node.leadership().known_lease()) + "}");
+    if (is(3, "moves")) return get_version_rollout(node, call);
     if (is(3, "services")) return get_service(node, call);
     return error_response(404, kNoResource);
   }
 
   // A watch is a read that waits until the response's version is past `after`.
-  base::Response watch(Call& call) {
+  base::Response watch(ApiRequest& call) {
     auto after = query_number(call, "after");
     Duration longest = std::clamp(Duration(query_number(call, "wait_ms")), Duration(0), kLongestWatch);
     TimePoint end = ports.clock.now() + longest;
     for (;;) {
-      if (auto unheard = hear_majority(node)) return *unheard;
+      if (auto unheard = await_majority_contact(node)) return *unheard;
       auto response = read(call);
       if (after < 0 || response.status != 200) return response;
       auto version = etag_number(response);
@@ -82,35 +82,35 @@
     }
   }
 
-  base::Response write(Call& call) {
+  base::Response write(ApiRequest& call) {
     auto& path = call.path;
     auto is = [&](size_t segments, const char* name) { return path.size() == segments && path[1] == name; };
     auto& method = call.request.method;
     if (method == "POST" && is(2, "beats")) return post_heartbeat(node, call);
     if (method == "POST" && is(2, "purges")) return put_purge(node, purger, call);
-    if (method == "DELETE" && is(3, "workers")) return delete_worker(node, call);
+    if (method == "DELETE" && is(3, "workers")) return delete_instance(node, call);
     if (method != "PUT") return error_response(405, "resources are read by GET and stated by PUT");
     if (is(4, "releases")) return put_release(node, call);
-    if (is(5, "releases") || is(6, "releases")) return put_act(ports, node, call);
+    if (is(5, "releases") || is(6, "releases")) return put_operator_action(ports, node, call);
     if (is(3, "services")) return put_service(ports, node, call);
     if (is(3, "layouts")) return put_numbered_configuration(ports, node, call);
-    if (is(3, "moves")) return put_move(ports, node, call);
+    if (is(3, "moves")) return put_version_rollout(ports, node, call);
     if (is(3, "purges")) return put_purge(node, purger, call);
     if (is(4, "drains")) return put_drain(ports, node, call);
     return error_response(404, kNoResource);
   }
 
   // What takes as long as it needs: pieces of a mebibyte, and a change of the set of replicas.
-  static bool is_long(const Call& call) {
+  static bool is_long(const ApiRequest& call) {
     return call.request.method == "PUT" && call.path.size() == 3 &&
            (call.path[1] == "artifacts" || call.path[1] == "holders");
   }
-  base::Response write_long(Call& call) {
-    return call.path[1] == "artifacts" ? put_artifact_piece(node, call) : put_replica(node, call);
+  base::Response write_long(ApiRequest& call) {
+    return call.path[1] == "artifacts" ? put_artifact_chunk(node, call) : put_replica(node, call);
   }
 
   // What this relay tells of itself alone, whether or not it hears the others.
-  std::optional<base::Response> read_local(const Call& call) {
+  std::optional<base::Response> read_local(const ApiRequest& call) {
     auto& path = call.path;
     bool get = call.request.method == "GET";
     if (path.size() == 1 && path[0] == "readyz")
@@ -121,24 +121,24 @@
       return base::Response{
           200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics(node, ports.clock.now())};
     if (path.size() < 2 || path[0] != "v1") return error_response(404, kNoResource);
-    if (get && path.size() == 2 && path[1] == "self") return self(node);
+    if (get && path.size() == 2 && path[1] == "self") return node_identity(node);
     return {};
   }
 };
 
-Control::Control(base::Ports& ports, relay::Node& node) : impl_(std::make_shared<Impl>(ports, node)) {}
-Control::~Control() = default;
+Router::Router(base::Ports& ports, relay::Node& node) : impl_(std::make_shared<Impl>(ports, node)) {}
+Router::~Router() = default;
 
-base::Response Control::answer(base::Request& request) {
-  auto call = parse_call(request);
+base::Response Router::handle(base::Request& request) {
+  auto call = parse_request(request);
   if (auto response = impl_->read_local(call)) return *response;
   if (request.method == "GET" || request.method == "HEAD") return impl_->watch(call);
   if (Impl::is_long(call)) return impl_->write_long(call);
-  auto deadline = impl_->ports.clock.now() + kAnswerLimit;
+  auto deadline = impl_->ports.clock.now() + kResponseLimit;
   // The work may outlast this call, so it has a request of its own.
   auto own = std::make_shared<base::Request>(request);
-  return answer_within(impl_->ports, kAnswerLimit, [impl = impl_, own, deadline] {
-    auto parsed = parse_call(*own);
+  return respond_within(impl_->ports, kResponseLimit, [impl = impl_, own, deadline] {
+    auto parsed = parse_request(*own);
     parsed.deadline = deadline;
     return impl->write(parsed);
   });
--- a/src/control_api/control.hpp
+++ b/src/control_api/control.hpp
@@ -5,13 +5,13 @@
 
 namespace dunlinwing::control_api {
 
-class Control {
+class Router {
  public:
-  Control(base::Ports& ports, relay::Node& node);
-  ~Control();
+  Router(base::Ports& ports, relay::Node& node);
+  ~Router();
   // Answers one request. Parks the calling fiber, for kAnswerLimit at most (contact.hpp)
   // unless the request asks to wait or transfers a large object.
-  base::Response answer(base::Request& request);
+  base::Response handle(base::Request& request);
 
  private:
   struct Impl;
--- a/src/control_api/drains.hpp
+++ b/src/control_api/drains.hpp
@@ -6,6 +6,6 @@
 namespace dunlinwing::control_api {
 
 // PUT /v1/drains/node/NAME, /v1/drains/zone/NAME {"drained":…,"reason":…}
-base::Response put_drain(base::Ports& ports, relay::Node& node, Call& call);
+base::Response put_drain(base::Ports& ports, relay::Node& node, ApiRequest& call);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/heartbeats.cpp
+++ b/src/control_api/heartbeats.cpp
@@ -9,32 +9,33 @@
 namespace {
 constexpr const char* kKnown = "{\"known\":true}";
 
-pb::Beat heartbeat_of(const base::Json& json) {
-  pb::Beat beat;
-  beat.set_service(json.at("service").str());
-  beat.set_version(json.at("version").str());
-  beat.set_instance(json.at("instance").str());
-  beat.set_zone(json.at("zone").str());
-  beat.set_address(json.at("address").str());
-  beat.set_capacity(static_cast<uint32_t>(json.at("capacity").num(1)));
-  beat.set_leaving(json.at("leaving").flag());
-  beat.set_number(static_cast<uint64_t>(json.at("number").num()));
-  beat.set_period_ms(static_cast<uint32_t>(json.at("period_ms").num()));
-  beat.set_cold_ms(static_cast<uint32_t>(json.at("cold_ms").num()));
+pb::Heartbeat heartbeat_of(const base::Json& json) {
+  pb::Heartbeat beat;
+  beat.set_service(json.at("service").string_or());
+  beat.set_version(json.at("version").string_or());
+  beat.set_instance(json.at("instance").string_or());
+  beat.set_zone(json.at("zone").string_or());
+  beat.set_address(json.at("address").string_or());
+  beat.set_capacity(static_cast<uint32_t>(json.at("capacity").integer_or(1)));
+  beat.set_leaving(json.at("leaving").bool_or());
+  beat.set_sequence(static_cast<uint64_t>(json.at("number").integer_or()));
+  beat.set_period_ms(static_cast<uint32_t>(json.at("period_ms").integer_or()));
+  beat.set_warm_up_ms(static_cast<uint32_t>(json.at("cold_ms").integer_or()));
   return beat;
 }
 }  // namespace
 
-base::Response post_heartbeat(relay::Node& node, Call& call) {
-  auto body = parse_body(call.request.body, beat_schema());
+base::Response post_heartbeat(relay::Node& node, ApiRequest& call) {
+  auto body = parse_body(call.request.body, heartbeat_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
-  if (!node.beat(heartbeat_of(std::get<base::Json>(body))))
+  if (!node.accept_heartbeat(heartbeat_of(std::get<base::Json>(body))))
     return error_response(503, "this node cannot pass the beat on; try another");
   return json_response(200, kKnown);
 }
 
-base::Response delete_worker(relay::Node& node, Call& call) {
-  if (!node.gone(call.path[2])) return error_response(503, "this node cannot record it; try another");
+base::Response delete_instance(relay::Node& node, ApiRequest& call) {
+  if (!node.deregister_instance(call.path[2]))
+    return error_response(503, "this node cannot record it; try another");
   return json_response(200, kKnown);
 }
 
--- a/src/control_api/heartbeats.hpp
+++ b/src/control_api/heartbeats.hpp
@@ -6,8 +6,8 @@
 namespace dunlinwing::control_api {
 
 // POST /v1/beats
-base::Response post_heartbeat(relay::Node& node, Call& call);
+base::Response post_heartbeat(relay::Node& node, ApiRequest& call);
 // DELETE /v1/workers/INSTANCE
-base::Response delete_worker(relay::Node& node, Call& call);
+base::Response delete_instance(relay::Node& node, ApiRequest& call);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/moves.cpp
+++ b/src/control_api/moves.cpp
@@ -30,38 +30,38 @@
 base::Response move_response(const pb::ServiceState& state, uint64_t version) {
   constexpr auto kForm =
       R"({{"state":{},"version":{},"why":{},"within_ms":{},"asked_ms_ago":{},"good":{},"bad":{}}})";
-  return json_response(
-      200,
-      fmt::format(kForm, base::quote(rollout::outcome(state)), base::quote(state.asked()),
-                  base::quote(state.why()), state.within_ms(), state.held_ms(), state.good(), state.bad()),
-      version);
+  return json_response(200,
+                       fmt::format(kForm, base::quote(rollout::rollout_outcome(state)),
+                                   base::quote(state.requested()), base::quote(state.reason()),
+                                   state.deadline_ms(), state.held_ms(), state.good(), state.bad()),
+                       version);
 }
 
-base::Response earlier_response(const pb::EarlierMove& earlier, uint64_t version) {
+base::Response earlier_response(const pb::EarlierVersionRollout& earlier, uint64_t version) {
   constexpr auto kForm = R"({{"state":{},"version":{},"why":{},"within_ms":{}}})";
   return json_response(200,
                        fmt::format(kForm, base::quote(earlier.outcome()), base::quote(earlier.version()),
-                                   base::quote(earlier.why()), earlier.within_ms()),
+                                   base::quote(earlier.reason()), earlier.deadline_ms()),
                        version);
 }
 
-bool running(const pb::ServiceState& state) { return !state.trial().empty() && state.within_ms() > 0; }
+bool running(const pb::ServiceState& state) { return !state.canary().empty() && state.deadline_ms() > 0; }
 
 // Whether the latest move is the one that is asked for.
 bool is_latest(const pb::ServiceState& state, const MoveRequest& move) {
-  if (state.asked() != move.version) return false;
-  if (running(state)) return state.trial() == move.version;
+  if (state.requested() != move.version) return false;
+  if (running(state)) return state.canary() == move.version;
   bool stands = state.quarantined().count(move.version) > 0 || state.current() == move.version;
   return stands && !move.lift_quarantine;
 }
 
 // The replaced move that this request repeats, or null.
-const pb::EarlierMove* find_repeated(const pb::ServiceState& state, const MoveRequest& move,
-                                     int64_t wall_ms) {
+const pb::EarlierVersionRollout* find_repeated(const pb::ServiceState& state, const MoveRequest& move,
+                                               int64_t wall_ms) {
   if (move.lift_quarantine) return nullptr;
   for (auto& earlier : state.earlier()) {
     bool same = earlier.version() == move.version &&
-                earlier.within_ms() == static_cast<uint64_t>(move.within.count());
+                earlier.deadline_ms() == static_cast<uint64_t>(move.within.count());
     if (same && std::abs(wall_ms - earlier.replaced_wall_ms()) < kRepeatSpan.count()) return &earlier;
   }
   return nullptr;
@@ -69,14 +69,14 @@
 
 // Keeps the latest move among the earlier ones, as it ends.
 void keep_earlier(pb::ServiceState& state, int64_t wall_ms) {
-  rollout::drop_trial(state);
-  if (state.asked().empty() || !state.within_ms()) return;
+  rollout::drop_canary(state);
+  if (state.requested().empty() || !state.deadline_ms()) return;
   auto& earlier = *state.mutable_earlier();
   auto* kept = earlier.Add();
-  kept->set_version(state.asked());
-  kept->set_within_ms(state.within_ms());
+  kept->set_version(state.requested());
+  kept->set_deadline_ms(state.deadline_ms());
   kept->set_outcome(state.outcome());
-  kept->set_why(state.why());
+  kept->set_reason(state.reason());
   kept->set_replaced_wall_ms(wall_ms);
   if (earlier.size() > kEarlierKept) earlier.DeleteSubrange(0, earlier.size() - kEarlierKept);
 }
@@ -86,34 +86,34 @@
   if (move.lift_quarantine) state.mutable_quarantined()->erase(move.version);
   bool in_place = state.current() == move.version;
   if (!in_place && !state.quarantined().count(move.version))
-    return rollout::open_trial(state, move.version, move.within, longest);
-  state.set_asked(move.version);
-  state.set_within_ms(static_cast<uint64_t>(move.within.count()));
+    return rollout::start_canary(state, move.version, move.within, longest);
+  state.set_requested(move.version);
+  state.set_deadline_ms(static_cast<uint64_t>(move.within.count()));
   state.set_outcome(in_place ? "completed" : "rolled_back");
-  state.set_why(in_place ? "it is in place"
-                         : "the version is in quarantine: " + state.quarantined().at(move.version));
+  state.set_reason(in_place ? "it is in place"
+                            : "the version is in quarantine: " + state.quarantined().at(move.version));
 }
 }  // namespace
 
-base::Response get_move(relay::Node& node, Call& call) {
+base::Response get_version_rollout(relay::Node& node, ApiRequest& call) {
   auto& chosen = node.state_cache().chosen();
   auto found = chosen.find(rollout::service_key(call.path[2]));
   pb::ServiceState state;
   if (found != chosen.end()) state.ParseFromString(found->second.data);
-  if (rollout::outcome(state).empty())
+  if (rollout::rollout_outcome(state).empty())
     return error_response(404, "no move of this service was ever asked for");
   return move_response(state, found->second.version);
 }
 
-base::Response put_move(base::Ports& ports, relay::Node& node, Call& call) {
-  auto body = parse_body(call.request.body, term_schema());
+base::Response put_version_rollout(base::Ports& ports, relay::Node& node, ApiRequest& call) {
+  auto body = parse_body(call.request.body, version_rollout_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
   auto& json = std::get<base::Json>(body);
-  MoveRequest move{call.path[2], json.at("version").str(), Duration(json.at("within_ms").num()),
-                   json.at("lift_quarantine").flag()};
+  MoveRequest move{call.path[2], json.at("version").string_or(), Duration(json.at("within_ms").integer_or()),
+                   json.at("lift_quarantine").bool_or()};
   auto looked_up = service_for_version(node, move.service, move.version);
   if (auto* response = std::get_if<base::Response>(&looked_up)) return *response;
-  auto service = std::get<std::shared_ptr<const traffic::Service>>(looked_up);
+  auto service = std::get<std::shared_ptr<const traffic::ServiceConfiguration>>(looked_up);
   auto key = rollout::service_key(move.service);
   auto read = node.registers().read(key);
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
@@ -127,7 +127,7 @@
       return earlier_response(*repeated, held.version);
     if (auto failed = check_precondition(call.request, held.version)) return *failed;
     if (running(state) && state.switching())
-      return error_response(503, "the service is being switched to version " + state.trial() +
+      return error_response(503, "the service is being switched to version " + state.canary() +
                                      "; ask again when that has ended");
     if (state.current().empty()) {
       auto current = version_in_place(ports, node, move.service, *service, move.version);
@@ -140,7 +140,7 @@
     if (auto* value = std::get_if<consensus::VersionedValue>(&written))
       return move_response(state, value->version);
     if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
-    held = std::get<consensus::VersionConflict>(written).now;
+    held = std::get<consensus::VersionConflict>(written).current;
   }
   return error_response(503, "other writes came first; ask again");
 }
--- a/src/control_api/moves.hpp
+++ b/src/control_api/moves.hpp
@@ -6,8 +6,8 @@
 namespace dunlinwing::control_api {
 
 // PUT /v1/moves/NAME {"version":…,"within_ms":…}
-base::Response put_move(base::Ports& ports, relay::Node& node, Call& call);
+base::Response put_version_rollout(base::Ports& ports, relay::Node& node, ApiRequest& call);
 // GET /v1/moves/NAME, after a pull that began after the request.
-base::Response get_move(relay::Node& node, Call& call);
+base::Response get_version_rollout(relay::Node& node, ApiRequest& call);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/numbered_configuration.cpp
+++ b/src/control_api/numbered_configuration.cpp
@@ -14,7 +14,7 @@
 
 namespace dunlinwing::control_api {
 namespace {
-constexpr base::Log lg("control-api");
+constexpr base::Log logger("control-api");
 constexpr int kAttempts = 16;
 
 std::optional<uint64_t> parse_number(const std::string& text) {
@@ -25,26 +25,28 @@
 }
 
 // The request as it would be recorded, or the response that says why it is invalid.
-std::variant<pb::Order, base::Response> read_request(Call& call) {
+std::variant<pb::NumberedConfiguration, base::Response> read_request(ApiRequest& call) {
   auto number = parse_number(call.path[2]);
   if (!number) return error_response(422, "a layout is stated under a number above 0");
   auto parsed = base::Json::parse(call.request.body);
   if (auto* error = std::get_if<base::ValidationError>(&parsed)) return validation_errors({*error});
   auto& json = std::get<base::Json>(parsed);
-  auto read = traffic::read_layout(traffic::order_name(*number), json.at("content"));
+  auto read =
+      traffic::parse_routing_configuration(traffic::numbered_configuration_name(*number), json.at("content"));
   if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&read))
     return validation_errors(*errors);
-  pb::Order stated;
+  pb::NumberedConfiguration stated;
   stated.set_number(*number);
-  stated.set_document(std::get<std::shared_ptr<const traffic::Layout>>(read)->text);
-  stated.set_stated(json.at("stated").str());
+  stated.set_document(std::get<std::shared_ptr<const traffic::RoutingConfiguration>>(read)->text);
+  stated.set_operator_text(json.at("stated").string_or());
   return stated;
 }
 
 // The response to what is not above the configuration held.
-base::Response nothing_changed(const pb::Order& held, const pb::Order& stated, uint64_t version) {
+base::Response nothing_changed(const pb::NumberedConfiguration& held, const pb::NumberedConfiguration& stated,
+                               uint64_t version) {
   if (held.number() == stated.number() && held.document() != stated.document()) {
-    lg.warn("Layout {} was stated with another content than is held.", held.number());
+    logger.warn("Layout {} was stated with another content than is held.", held.number());
     return json_response(
         409,
         fmt::format(R"({{"defect":"held under this number with other content","number":{}}})", held.number()),
@@ -54,39 +56,40 @@
 }
 }  // namespace
 
-base::Response put_numbered_configuration(base::Ports& ports, relay::Node& node, Call& call) {
+base::Response put_numbered_configuration(base::Ports& ports, relay::Node& node, ApiRequest& call) {
   auto request = read_request(call);
   if (auto* response = std::get_if<base::Response>(&request)) return *response;
-  auto& stated = std::get<pb::Order>(request);
-  auto read = node.registers().read(traffic::kOrderKey);
+  auto& stated = std::get<pb::NumberedConfiguration>(request);
+  auto read = node.registers().read(traffic::kNumberedConfigurationKey);
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
   auto held = std::get<consensus::VersionedValue>(read);
   for (int i = 0; i < kAttempts && (i == 0 || ports.clock.now() < call.deadline); ++i) {
-    pb::Order now;
+    pb::NumberedConfiguration now;
     now.ParseFromString(held.data);
     if (now.number() >= stated.number()) return nothing_changed(now, stated, held.version);
-    auto written = node.registers().write(traffic::kOrderKey, held.version, stated.SerializeAsString());
+    auto written =
+        node.registers().write(traffic::kNumberedConfigurationKey, held.version, stated.SerializeAsString());
     if (auto* value = std::get_if<consensus::VersionedValue>(&written)) {
-      lg.info("Layout {} was recorded.", stated.number());
-      node.state_cache().hurry();
+      logger.info("Layout {} was recorded.", stated.number());
+      node.state_cache().pull_soon();
       return json_response(200, fmt::format(R"({{"number":{},"changed":true}})", stated.number()),
                            value->version);
     }
     if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
-    held = std::get<consensus::VersionConflict>(written).now;
+    held = std::get<consensus::VersionConflict>(written).current;
   }
   return error_response(503, "other writes came first; send it again");
 }
 
 base::Response get_numbered_configuration(relay::Node& node) {
   auto& chosen = node.state_cache().chosen();
-  auto found = chosen.find(traffic::kOrderKey);
-  pb::Order held;
+  auto found = chosen.find(traffic::kNumberedConfigurationKey);
+  pb::NumberedConfiguration held;
   if (found == chosen.end() || !held.ParseFromString(found->second.data) || !held.number())
     return error_response(404, "no layout was ever stated under a number");
   return json_response(200,
                        fmt::format(R"({{"number":{},"content":{},"stated":{}}})", held.number(),
-                                   held.document(), base::quote(held.stated())),
+                                   held.document(), base::quote(held.operator_text())),
                        found->second.version);
 }
 
--- a/src/control_api/purger.cpp
+++ b/src/control_api/purger.cpp
@@ -18,14 +18,15 @@
 }
 }  // namespace
 
-PurgeDone add_purge(pb::PurgeSet& s, const pb::Purge& p) {
-  for (auto& x : s.purges())
-    if (!p.name().empty() && x.name() == p.name())
-      return {x.number(), true, x.kind() != p.kind() || x.path() != p.path() || x.host() != p.host()};
-  s.set_number(s.number() + 1);
-  pb::Purge n = p;
-  n.set_number(s.number());
-  auto* v = s.mutable_purges();
+PurgeResult add_purge(pb::PurgeSet& purges, const pb::Purge& purge) {
+  for (auto& x : purges.purges())
+    if (!purge.name().empty() && x.name() == purge.name())
+      return {x.number(), true,
+              x.kind() != purge.kind() || x.path() != purge.path() || x.host() != purge.host()};
+  purges.set_number(purges.number() + 1);
+  pb::Purge n = purge;
+  n.set_number(purges.number());
+  auto* v = purges.mutable_purges();
   v->erase(std::remove_if(v->begin(), v->end(), [&](auto& x) { return covers(n, x); }), v->end());
   *v->Add() = n;
   if (v->size() > kMostPurges) {
@@ -39,20 +40,20 @@
              v->end());
     *v->Add() = fold;
   }
-  return {s.number(), false};
+  return {purges.number(), false};
 }
 
-struct Purger::Impl {
+struct PurgeWriter::Impl {
   struct Job {
-    pb::Purge p;
+    pb::Purge purge;
     std::shared_ptr<base::Condition> condition;
-    std::optional<std::variant<PurgeDone, PurgeError>> res;
+    std::optional<std::variant<PurgeResult, PurgeError>> res;
   };
   struct Line {
     bool writing = false;
     std::vector<std::shared_ptr<Job>> jobs;
   };
-  base::Ports& ps;
+  base::Ports& ports;
   consensus::RegisterClient& registers;
   std::map<std::string, Line> by;
 
@@ -66,35 +67,36 @@
     if (!h) return all(PurgeError::no_majority);
     consensus::VersionedValue now = *h;
     for (;;) {
-      pb::PurgeSet s;
-      s.ParseFromString(now.data);
-      std::vector<PurgeDone> done;
-      for (auto& j : js) done.push_back(add_purge(s, j->p));
-      auto r = registers.write(key, now.version, s.SerializeAsString());
+      pb::PurgeSet purges;
+      purges.ParseFromString(now.data);
+      std::vector<PurgeResult> done;
+      for (auto& j : js) done.push_back(add_purge(purges, j->purge));
+      auto r = registers.write(key, now.version, purges.SerializeAsString());
       if (std::holds_alternative<consensus::VersionedValue>(r)) {
         for (size_t i = 0; i < js.size(); ++i) js[i]->res = done[i];
         return;
       }
       if (auto* d = std::get_if<consensus::RegisterError>(&r))
         return all(*d == consensus::RegisterError::no_majority ? PurgeError::no_majority
-                                                               : PurgeError::fate_unknown);
-      now = std::get<consensus::VersionConflict>(r).now;
+                                                               : PurgeError::outcome_unknown);
+      now = std::get<consensus::VersionConflict>(r).current;
     }
   }
 };
 
-Purger::Purger(base::Ports& ps, consensus::RegisterClient& b) : p_(new Impl{ps, b, {}}) {}
-Purger::~Purger() = default;
+PurgeWriter::PurgeWriter(base::Ports& ports, consensus::RegisterClient& registers)
+    : impl_(new Impl{ports, registers, {}}) {}
+PurgeWriter::~PurgeWriter() = default;
 
-std::variant<PurgeDone, PurgeError> Purger::put(const std::string& service, const pb::Purge& p) {
+std::variant<PurgeResult, PurgeError> PurgeWriter::put(const std::string& service, const pb::Purge& purge) {
   auto j = std::make_shared<Impl::Job>();
-  j->p = p;
-  j->condition = p_->ps.tasks.condition();
-  auto& l = p_->by[service];
+  j->purge = purge;
+  j->condition = impl_->ports.tasks.condition();
+  auto& l = impl_->by[service];
   l.jobs.push_back(j);
   if (!l.writing) {
     l.writing = true;
-    p_->ps.tasks.spawn([me = p_, &l, service] {
+    impl_->ports.tasks.spawn([me = impl_, &l, service] {
       while (!l.jobs.empty()) {
         auto js = std::exchange(l.jobs, {});
         me->write(service, js);
--- a/src/control_api/purger.hpp
+++ b/src/control_api/purger.hpp
@@ -5,25 +5,25 @@
 
 namespace dunlinwing::control_api {
 
-enum class PurgeError { no_majority, fate_unknown };
-struct PurgeDone {
+enum class PurgeError { no_majority, outcome_unknown };
+struct PurgeResult {
   uint64_t number = 0;
-  bool known = false;  // a purge of this name was there already
-  bool clash = false;  // and it was another purge
+  bool known = false;     // a purge of this name was there already
+  bool conflict = false;  // and it was another purge
 };
 
 // Adds to the set; pure.
-PurgeDone add_purge(pb::PurgeSet& s, const pb::Purge& p);
+PurgeResult add_purge(pb::PurgeSet& purges, const pb::Purge& purge);
 
-class Purger {
+class PurgeWriter {
  public:
-  Purger(base::Ports& ps, consensus::RegisterClient& b);
-  ~Purger();
-  std::variant<PurgeDone, PurgeError> put(const std::string& service, const pb::Purge& p);
+  PurgeWriter(base::Ports& ports, consensus::RegisterClient& registers);
+  ~PurgeWriter();
+  std::variant<PurgeResult, PurgeError> put(const std::string& service, const pb::Purge& purge);
 
  private:
   struct Impl;
-  std::shared_ptr<Impl> p_;
+  std::shared_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/purges.cpp
+++ b/src/control_api/purges.cpp
@@ -34,14 +34,14 @@
 
 pb::Purge purge_of(const base::Json& json) {
   pb::Purge purge;
-  purge.set_kind(json.at("kind").str());
-  purge.set_path(json.at(purge.kind() == "tag" ? "tag" : "path").str());
-  purge.set_host(json.at("host").str());
+  purge.set_kind(json.at("kind").string_or());
+  purge.set_path(json.at(purge.kind() == "tag" ? "tag" : "path").string_or());
+  purge.set_host(json.at("host").string_or());
   return purge;
 }
 }  // namespace
 
-base::Response put_purge(relay::Node& node, Purger& purger, Call& call) {
+base::Response put_purge(relay::Node& node, PurgeWriter& purger, ApiRequest& call) {
   auto body = parse_body(call.request.body, purge_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
   auto& json = std::get<base::Json>(body);
@@ -49,19 +49,19 @@
   if (call.path.size() > 2) purge.set_name(call.path[2]);
   if (purge.kind() != kWholeService && purge.path().empty())
     return validation_errors({{purge.kind() == "tag" ? "/tag" : "/path", "is missing"}});
-  auto service = json.at("service").str(traffic::kAllServices);
+  auto service = json.at("service").string_or(traffic::kAllServices);
   if (service == traffic::kAllServices && purge.kind() == kWholeService)
     return validation_errors({{"/service", "is missing"}});
   if (!purge.name().empty()) {
-    if (auto unheard = hear_majority(node)) return *unheard;
+    if (auto unheard = await_majority_contact(node)) return *unheard;
     if (auto other = other_service_with(node, purge.name(), service)) return name_taken(*other);
   }
   auto result = purger.put(service, purge);
   if (auto* error = std::get_if<PurgeError>(&result))
     return register_error(*error == PurgeError::no_majority ? consensus::RegisterError::no_majority
                                                             : consensus::RegisterError::fate_unknown);
-  auto& done = std::get<PurgeDone>(result);
-  if (done.clash) return name_taken(service);
+  auto& done = std::get<PurgeResult>(result);
+  if (done.conflict) return name_taken(service);
   return json_response(200, fmt::format(R"({{"purge":{},"number":{},"was_known":{}}})",
                                         base::quote(purge.name()), done.number, done.known));
 }
--- a/src/control_api/purges.hpp
+++ b/src/control_api/purges.hpp
@@ -7,6 +7,6 @@
 namespace dunlinwing::control_api {
 
 // PUT /v1/purges/NAME; POST /v1/purges, which purges anew each time.
-base::Response put_purge(relay::Node& node, Purger& purger, Call& call);
+base::Response put_purge(relay::Node& node, PurgeWriter& purger, ApiRequest& call);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/releases.cpp
+++ b/src/control_api/releases.cpp
@@ -15,7 +15,7 @@
 
 namespace dunlinwing::control_api {
 namespace {
-constexpr base::Log lg("control-api");
+constexpr base::Log logger("control-api");
 constexpr std::string_view kReleasePrefix = "release/";
 
 std::optional<consensus::VersionedValue> chosen(relay::Node& node, const std::string& key) {
@@ -25,9 +25,9 @@
   return found->second;
 }
 
-std::string course(const pb::Rollout& rollout, const std::string& kind, const std::string& name) {
-  for (auto& c : rollout.courses())
-    if (c.kind() == kind && c.release() == name) return message_json(c);
+std::string course(const pb::RolloutState& rollout, const std::string& kind, const std::string& name) {
+  for (auto& progress : rollout.releases())
+    if (progress.kind() == kind && progress.release() == name) return message_json(progress);
   return "null";
 }
 
@@ -35,11 +35,12 @@
                            bool with_document) {
   auto held = chosen(node, rollout::release_key(kind, name));
   if (!held) return error_response(404, "no such release");
-  pb::Act act;
-  if (auto stated = chosen(node, rollout::act_key(kind, name))) act.ParseFromString(stated->data);
-  auto rollout = rollout::read_rollout(node.state_cache().chosen());
+  pb::OperatorAction action;
+  if (auto stated = chosen(node, rollout::operator_action_key(kind, name)))
+    action.ParseFromString(stated->data);
+  auto rollout = rollout::read_rollout_state(node.state_cache().chosen());
   std::string body = fmt::format(R"({{"kind":{},"name":{},"course":{},"acts":{})", base::quote(kind),
-                                 base::quote(name), course(rollout, kind, name), message_json(act));
+                                 base::quote(name), course(rollout, kind, name), message_json(action));
   if (with_document) body += ",\"document\":" + held->data;
   return json_response(200, body + "}", held->version);
 }
@@ -66,23 +67,23 @@
 }
 
 // Whether the configuration has a version that serves the service now or served it before.
-bool keeps_a_version(const traffic::Service& service, const pb::ServiceState& state) {
+bool keeps_a_version(const traffic::ServiceConfiguration& service, const pb::ServiceState& state) {
   auto allowed = [&](const std::string& version) {
     return std::find(service.versions.begin(), service.versions.end(), version) != service.versions.end();
   };
   if (state.current().empty() || service.versions.empty() || allowed(state.current())) return true;
-  return std::any_of(state.kept().begin(), state.kept().end(), allowed);
+  return std::any_of(state.previous_versions().begin(), state.previous_versions().end(), allowed);
 }
 
 // A worker version goes into service by a move, on trial; never by a configuration that
 // leaves out the one in place. The response when this one does, or when that cannot be told.
 std::optional<base::Response> check_versions(relay::Node& node, const rollout::Release& release) {
-  auto read = traffic::read_layout(release.name, release.content);
-  auto* next = std::get_if<std::shared_ptr<const traffic::Layout>>(&read);
+  auto read = traffic::parse_routing_configuration(release.name, release.content);
+  auto* next = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&read);
   if (!next) return {};
   auto in_force = configuration_in_force(node);
   if (auto* response = std::get_if<base::Response>(&in_force)) return *response;
-  auto now = std::get<std::shared_ptr<const traffic::Layout>>(in_force);
+  auto now = std::get<std::shared_ptr<const traffic::RoutingConfiguration>>(in_force);
   for (auto& [name, service] : (*next)->services) {
     if (!now || !now->services.count(name)) continue;
     auto held = node.registers().read(rollout::service_key(name));
@@ -95,7 +96,8 @@
 }
 
 // The response when the name is taken, by the same document or by another.
-base::Response already_recorded(Call& call, const consensus::VersionedValue& held, const std::string& path) {
+base::Response already_recorded(ApiRequest& call, const consensus::VersionedValue& held,
+                                const std::string& path) {
   if (held.data == call.request.body && may_be_own_write(call.request, held.version))
     return json_response(200, fmt::format(R"({{"recorded":true,"was_known":true,"at":"{}"}})", path),
                          held.version);
@@ -104,12 +106,12 @@
 }
 }  // namespace
 
-base::Response put_release(relay::Node& node, Call& call) {
+base::Response put_release(relay::Node& node, ApiRequest& call) {
   auto &kind = call.path[2], &name = call.path[3];
   if (!rollout::is_kind(kind)) return error_response(404, "no such kind of release");
-  if (!rollout::good_name(name))
+  if (!rollout::is_valid_name(name))
     return error_response(422, "a release is named by letters, digits, '-', '_' and '.'");
-  auto release = rollout::read_release(kind, name, call.request.body);
+  auto release = rollout::parse_release(kind, name, call.request.body);
   if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&release))
     return validation_errors(*errors);
   auto path = fmt::format("/v1/releases/{}/{}", kind, name);
@@ -124,15 +126,15 @@
   auto written = node.registers().write(key, 0, call.request.body);
   if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
   if (auto* conflict = std::get_if<consensus::VersionConflict>(&written))
-    return already_recorded(call, conflict->now, path);
-  lg.info("Release {} {} was recorded.", kind, name);
+    return already_recorded(call, conflict->current, path);
+  logger.info("Release {} {} was recorded.", kind, name);
   auto response =
       json_response(202, fmt::format(R"({{"recorded":true,"was_known":false,"at":"{}"}})", path), 1);
   response.headers.emplace_back("Location", path);
   return response;
 }
 
-base::Response put_act(base::Ports& ports, relay::Node& node, Call& call) {
+base::Response put_operator_action(base::Ports& ports, relay::Node& node, ApiRequest& call) {
   auto &kind = call.path[2], &name = call.path[3], &what = call.path[4];
   std::string check = call.path.size() > 5 ? call.path[5] : "";
   bool waiver = what == "waivers" && std::any_of(std::begin(rollout::kChecks), std::end(rollout::kChecks),
@@ -141,22 +143,23 @@
     return error_response(404, "no such resource");
   auto body = parse_body(call.request.body, reason_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
-  auto reason = std::get<base::Json>(body).at("reason").str();
+  auto reason = std::get<base::Json>(body).at("reason").string_or();
   auto release = node.registers().read(rollout::release_key(kind, name));
   if (auto* error = std::get_if<consensus::RegisterError>(&release)) return register_error(*error);
   if (std::get<consensus::VersionedValue>(release).version == 0)
     return error_response(404, "no such release");
-  auto edit = [&](pb::Act& act) -> std::optional<base::Response> {
+  auto edit = [&](pb::OperatorAction& action) -> std::optional<base::Response> {
     if (waiver)
-      (*act.mutable_waived())[check] = reason;
+      (*action.mutable_waived())[check] = reason;
     else
-      (what == "express" ? *act.mutable_express() : *act.mutable_withdrawn()) = reason;
+      (what == "express" ? *action.mutable_express() : *action.mutable_withdrawn()) = reason;
     return {};
   };
-  return change_register<pb::Act>(ports, node, call, rollout::act_key(kind, name), edit);
+  return change_register<pb::OperatorAction>(ports, node, call, rollout::operator_action_key(kind, name),
+                                             edit);
 }
 
-base::Response get_releases(relay::Node& node, Call& call) {
+base::Response get_releases(relay::Node& node, ApiRequest& call) {
   auto& path = call.path;
   if (path.size() > 2 && !rollout::is_kind(path[2])) return error_response(404, "no such kind of release");
   if (path.size() == 4) return get_release(node, path[2], path[3], true);
--- a/src/control_api/releases.hpp
+++ b/src/control_api/releases.hpp
@@ -6,10 +6,10 @@
 namespace dunlinwing::control_api {
 
 // PUT /v1/releases/KIND/NAME. The same document again is acknowledged, another gets 409.
-base::Response put_release(relay::Node& node, Call& call);
+base::Response put_release(relay::Node& node, ApiRequest& call);
 // PUT /v1/releases/KIND/NAME/waivers/CHECK, …/withdrawal, …/express {"reason":…}
-base::Response put_act(base::Ports& ports, relay::Node& node, Call& call);
+base::Response put_operator_action(base::Ports& ports, relay::Node& node, ApiRequest& call);
 // GET /v1/releases, /v1/releases/KIND, /v1/releases/KIND/NAME
-base::Response get_releases(relay::Node& node, Call& call);
+base::Response get_releases(relay::Node& node, ApiRequest& call);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/replicas.cpp
+++ b/src/control_api/replicas.cpp
@@ -35,14 +35,14 @@
   return json_response(200, message_json(node.registers().set().message()), version);
 }
 
-base::Response put_replica(relay::Node& node, Call& call) {
-  auto body = parse_body(call.request.body, holder_schema());
+base::Response put_replica(relay::Node& node, ApiRequest& call) {
+  auto body = parse_body(call.request.body, replica_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
   auto& json = std::get<base::Json>(body);
-  bool add = json.at("holder").flag();
-  auto address = json.at("address").str();
+  bool add = json.at("holder").bool_or();
+  auto address = json.at("address").string_or();
   if (add && address.empty()) return validation_errors({{"/address", "is missing"}});
-  if (auto unheard = hear_majority(node)) return *unheard;
+  if (auto unheard = await_majority_contact(node)) return *unheard;
   auto& name = call.path[2];
   auto next = node.registers().set().current();
   bool present = consensus::contains_name(next, name);
@@ -51,7 +51,8 @@
     next.push_back({name, address});
   else
     std::erase_if(next, [&](auto& replica) { return replica.name == name; });
-  auto result = node.registers().change(next, [&] { return node.state_cache().names(node.config().bound); });
+  auto result =
+      node.registers().change(next, [&] { return node.state_cache().register_names(node.config().bound); });
   if (auto* error = std::get_if<consensus::ReplicaSetError>(&result)) return set_error(*error);
   return json_response(200, message_json(std::get<pb::ReplicaSet>(result)));
 }
--- a/src/control_api/replicas.hpp
+++ b/src/control_api/replicas.hpp
@@ -6,7 +6,7 @@
 namespace dunlinwing::control_api {
 
 // PUT /v1/holders/NAME {"holder":…,"address":…}. Takes as long as refilling needs.
-base::Response put_replica(relay::Node& node, Call& call);
+base::Response put_replica(relay::Node& node, ApiRequest& call);
 // GET /v1/holders
 base::Response get_replicas(relay::Node& node);
 
--- a/src/control_api/report.hpp
+++ b/src/control_api/report.hpp
@@ -5,7 +5,7 @@
 
 namespace dunlinwing::control_api {
 
-std::string metrics(relay::Node& n, TimePoint now);
-std::string status(relay::Node& n, TimePoint now);
+std::string metrics(relay::Node& node, TimePoint now);
+std::string status(relay::Node& node, TimePoint now);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/schemas.cpp
+++ b/src/control_api/schemas.cpp
@@ -3,7 +3,7 @@
 
 namespace dunlinwing::control_api {
 
-const base::Schema& beat_schema() {
+const base::Schema& heartbeat_schema() {
   static const base::Schema s(R"({
   "type":"object","required":["service","version","instance","zone","address","number","period_ms"],
   "properties":{
@@ -24,14 +24,14 @@
     "path":{"type":"string","pattern":"^/","maxLength":2048}}})");
   return s;
 }
-const base::Schema& move_schema() {
+const base::Schema& service_version_schema() {
   static const base::Schema s(R"({
   "type":"object","additionalProperties":false,"required":["version"],"properties":{
     "version":{"type":"string","minLength":1,"maxLength":64},
     "lift_quarantine":{"type":"boolean"}}})");
   return s;
 }
-const base::Schema& term_schema() {
+const base::Schema& version_rollout_schema() {
   static const base::Schema s(R"({
   "type":"object","additionalProperties":false,"required":["version","within_ms"],"properties":{
     "version":{"type":"string","minLength":1,"maxLength":64},
@@ -53,7 +53,7 @@
   return s;
 }
 
-const base::Schema& holder_schema() {
+const base::Schema& replica_schema() {
   static const base::Schema s(R"({
   "type":"object","additionalProperties":false,"required":["holder"],"properties":{
     "holder":{"type":"boolean"},"address":{"type":"string","minLength":3,"maxLength":64}}})");
--- a/src/control_api/schemas.hpp
+++ b/src/control_api/schemas.hpp
@@ -4,12 +4,12 @@
 
 namespace dunlinwing::control_api {
 
-const base::Schema& beat_schema();
+const base::Schema& heartbeat_schema();
 const base::Schema& purge_schema();
-const base::Schema& move_schema();
-const base::Schema& term_schema();
+const base::Schema& service_version_schema();
+const base::Schema& version_rollout_schema();
 const base::Schema& reason_schema();
 const base::Schema& drain_schema();
-const base::Schema& holder_schema();
+const base::Schema& replica_schema();
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/self.cpp
+++ b/src/control_api/self.cpp
@@ -15,14 +15,15 @@
 }
 }  // namespace
 
-base::Response self(relay::Node& n) {
-  auto& c = n.config();
-  auto& set = n.registers().set();
+base::Response node_identity(relay::Node& node) {
+  auto& config = node.config();
+  auto& set = node.registers().set();
   return json_response(
       200, fmt::format(
                R"({{"name":{},"zone":{},"peer_address":{},"disk":{},"epoch":{},"holders":{},"previous":{}}})",
-               base::quote(c.name), base::quote(c.zone), base::quote(c.peer_address), n.acceptor() != nullptr,
-               set.epoch(), replicas_json(set.current()), replicas_json(set.previous())));
+               base::quote(config.name), base::quote(config.zone), base::quote(config.peer_address),
+               node.acceptor() != nullptr, set.epoch(), replicas_json(set.current()),
+               replicas_json(set.previous())));
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/self.hpp
+++ b/src/control_api/self.hpp
@@ -6,6 +6,6 @@
 
 namespace dunlinwing::control_api {
 
-base::Response self(relay::Node& n);
+base::Response node_identity(relay::Node& node);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/services.cpp
+++ b/src/control_api/services.cpp
@@ -12,84 +12,87 @@
 
 namespace dunlinwing::control_api {
 namespace {
-using LayoutPtr = std::shared_ptr<const traffic::Layout>;
+using RoutingConfigurationPtr = std::shared_ptr<const traffic::RoutingConfiguration>;
 
-std::variant<LayoutPtr, base::Response> numbered_configuration(relay::Node& node, const std::string& data) {
-  pb::Order held;
+std::variant<RoutingConfigurationPtr, base::Response> numbered_configuration(relay::Node& node, const std::string& data) {
+  pb::NumberedConfiguration held;
   held.ParseFromString(data);
-  auto table = node.traffic().table();
-  if (table->order == held.number() && table->layout) return table->layout;
-  auto read = traffic::read_layout(traffic::order_name(held.number()), held.document());
-  if (auto* layout = std::get_if<LayoutPtr>(&read)) return *layout;
+  auto table = node.request_handler().snapshot();
+  if (table->configuration_number == held.number() && table->configuration) return table->configuration;
+  auto read = traffic::parse_routing_configuration(traffic::numbered_configuration_name(held.number()),
+                                                   held.document());
+  if (auto* layout = std::get_if<RoutingConfigurationPtr>(&read)) return *layout;
   return error_response(503, "the configuration in force cannot be read by this node's program");
 }
 }  // namespace
 
-std::variant<LayoutPtr, base::Response> configuration_in_force(relay::Node& node) {
-  auto read = node.registers().read(traffic::kOrderKey);
+std::variant<RoutingConfigurationPtr, base::Response> configuration_in_force(relay::Node& node) {
+  auto read = node.registers().read(traffic::kNumberedConfigurationKey);
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
   auto& held = std::get<consensus::VersionedValue>(read);
   if (held.version > 0) return numbered_configuration(node, held.data);
-  if (auto unheard = hear_majority(node)) return *unheard;
-  return node.traffic().table()->layout;
+  if (auto unheard = await_majority_contact(node)) return *unheard;
+  return node.request_handler().snapshot()->configuration;
 }
 
-std::variant<std::shared_ptr<const traffic::Service>, base::Response> service_for_version(
+std::variant<std::shared_ptr<const traffic::ServiceConfiguration>, base::Response> service_for_version(
     relay::Node& node, const std::string& name, const std::string& version) {
   auto in_force = configuration_in_force(node);
   if (auto* response = std::get_if<base::Response>(&in_force)) return *response;
-  auto layout = std::get<LayoutPtr>(in_force);
-  auto found =
-      layout ? layout->services.find(name) : std::map<std::string, traffic::Service>::const_iterator();
+  auto layout = std::get<RoutingConfigurationPtr>(in_force);
+  auto found = layout ? layout->services.find(name)
+                      : std::map<std::string, traffic::ServiceConfiguration>::const_iterator();
   if (!layout || found == layout->services.end())
     return error_response(404, "the layout in force has no such service");
   auto& versions = found->second.versions;
   if (!versions.empty() && std::find(versions.begin(), versions.end(), version) == versions.end())
     return validation_errors({{"/version", "the layout in force does not allow this version"}});
-  return std::shared_ptr<const traffic::Service>(layout, &found->second);
+  return std::shared_ptr<const traffic::ServiceConfiguration>(layout, &found->second);
 }
 
 std::variant<std::string, base::Response> version_in_place(base::Ports& ports, relay::Node& node,
                                                            const std::string& name,
-                                                           const traffic::Service& service,
+                                                           const traffic::ServiceConfiguration& service,
                                                            const std::string& except) {
   if (!service.versions.empty()) return service.versions.front();
-  if (auto unheard = hear_majority(node)) return *unheard;
-  return rollout::commonest(node.state_cache().statuses().workers(ports.clock.now()), name, except);
+  if (auto unheard = await_majority_contact(node)) return *unheard;
+  return rollout::most_common_version(node.state_cache().statuses().backend_instances(ports.clock.now()),
+                                      name, except);
 }
 
-base::Response put_service(base::Ports& ports, relay::Node& node, Call& call) {
+base::Response put_service(base::Ports& ports, relay::Node& node, ApiRequest& call) {
   auto& name = call.path[2];
-  auto body = parse_body(call.request.body, move_schema());
+  auto body = parse_body(call.request.body, service_version_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
   auto& json = std::get<base::Json>(body);
-  auto to = json.at("version").str();
+  auto to = json.at("version").string_or();
   auto looked_up = service_for_version(node, name, to);
   if (auto* response = std::get_if<base::Response>(&looked_up)) return *response;
-  auto service = std::get<std::shared_ptr<const traffic::Service>>(looked_up);
+  auto service = std::get<std::shared_ptr<const traffic::ServiceConfiguration>>(looked_up);
   auto edit = [&](pb::ServiceState& state) -> std::optional<base::Response> {
     if (state.switching())
-      return error_response(503, "the service is being switched to version " + state.trial() + "; ask again");
+      return error_response(503,
+                            "the service is being switched to version " + state.canary() + "; ask again");
     if (state.current().empty()) {
       auto current = version_in_place(ports, node, name, *service, to);
       if (auto* response = std::get_if<base::Response>(&current)) return *response;
       state.set_current(std::get<std::string>(current));
     }
     if (state.quarantined().count(to)) {
-      if (!json.at("lift_quarantine").flag())
+      if (!json.at("lift_quarantine").bool_or())
         return error_response(409, "the version is in quarantine: " + state.quarantined().at(to));
       state.mutable_quarantined()->erase(to);
     }
     if (state.current() == to)
-      rollout::drop_trial(state);
-    else if (state.trial() != to)
-      rollout::open_trial(state, to, Duration(0), service->deadline);
+      rollout::drop_canary(state);
+    else if (state.canary() != to)
+      rollout::start_canary(state, to, Duration(0), service->deadline);
     return {};
   };
   return change_register<pb::ServiceState>(ports, node, call, rollout::service_key(name), edit);
 }
 
-base::Response get_service(relay::Node& node, Call& call) {
+base::Response get_service(relay::Node& node, ApiRequest& call) {
   auto& chosen = node.state_cache().chosen();
   auto found = chosen.find(rollout::service_key(call.path[2]));
   if (found == chosen.end() || found->second.version == 0)
--- a/src/control_api/views.cpp
+++ b/src/control_api/views.cpp
@@ -37,19 +37,20 @@
   for (auto& member : node.state_cache().statuses().members(now)) members.insert(member.name);
   std::string list;
   for (auto& known : node.state_cache().statuses().all(now)) {
-    if (known.fact.zone().empty()) continue;
+    if (known.info.zone().empty()) continue;
     list += fmt::format(R"({}{{"name":{},"member":{},"age_ms":{},"facts":{}}})", list.empty() ? "" : ",",
                         base::quote(known.name), members.count(known.name) > 0, known.age.count(),
-                        message_json(known.fact));
+                        message_json(known.info));
   }
   return json_response(200, "{\"nodes\":[" + list + "]}");
 }
 
-base::Response list_workers(relay::Node& node, TimePoint now) {
+base::Response list_instances(relay::Node& node, TimePoint now) {
   std::string list;
-  for (auto& [instance, worker] : node.state_cache().statuses().workers(now)) {
-    list += fmt::format(R"({}{{"instance":{},"gone":{},"age_ms":{},"beat":{}}})", list.empty() ? "" : ",",
-                        base::quote(instance), worker.gone, worker.age.count(), message_json(worker.beat));
+  for (auto& [instance, worker] : node.state_cache().statuses().backend_instances(now)) {
+    list +=
+        fmt::format(R"({}{{"instance":{},"gone":{},"age_ms":{},"beat":{}}})", list.empty() ? "" : ",",
+                    base::quote(instance), worker.gone, worker.age.count(), message_json(worker.heartbeat));
   }
   return json_response(200, "{\"workers\":[" + list + "],\"departed\":[" + deregistered_names(node) + "]}");
 }
@@ -63,11 +64,11 @@
   auto& chosen = node.state_cache().chosen();
   auto found = chosen.find(rollout::kRolloutKey);
   uint64_t version = found == chosen.end() ? 0 : found->second.version;
-  return json_response(200, message_json(rollout::read_rollout(chosen)), version);
+  return json_response(200, message_json(rollout::read_rollout_state(chosen)), version);
 }
 
 base::Response get_assignment(relay::Node& node, const std::string& name) {
-  auto rollout = rollout::read_rollout(node.state_cache().chosen());
+  auto rollout = rollout::read_rollout_state(node.state_cache().chosen());
   auto found = rollout.nodes().find(name);
   if (found == rollout.nodes().end()) return error_response(404, "no such node");
   return json_response(200, message_json(found->second), found->second.generation());
--- a/src/control_api/views.hpp
+++ b/src/control_api/views.hpp
@@ -7,7 +7,7 @@
 namespace dunlinwing::control_api {
 
 base::Response list_nodes(relay::Node& node, TimePoint now);
-base::Response list_workers(relay::Node& node, TimePoint now);
+base::Response list_instances(relay::Node& node, TimePoint now);
 base::Response list_drains(relay::Node& node);
 base::Response list_purges(relay::Node& node);
 // GET /v1/assignments and /v1/assignments/NODE
--- a/src/membership/deregistered.cpp
+++ b/src/membership/deregistered.cpp
@@ -26,7 +26,7 @@
     if (std::holds_alternative<consensus::VersionedValue>(w)) return true;
     auto* s = std::get_if<consensus::VersionConflict>(&w);
     if (!s) return false;
-    now = s->now;
+    now = s->current;
   }
   return false;
 }
--- a/src/membership/leadership.cpp
+++ b/src/membership/leadership.cpp
@@ -7,16 +7,16 @@
 
 namespace dunlinwing::membership {
 namespace {
-constexpr base::Log lg("duty");
+constexpr base::Log logger("duty");
 }
 
 std::string leadership_key(const std::string& n) { return "duty/" + n; }
 
 struct Leadership::Impl {
-  base::Ports& ps;
+  base::Ports& ports;
   consensus::RegisterClient& registers;
   StateCache& state_cache;
-  std::string name, me, zone;
+  std::string name, node_name, zone;
   Duration span;
   bool leaving = false, resting = false;
   TimePoint end{0}, seen{0};
@@ -33,16 +33,16 @@
   // A member that could take over, in another zone when there is one.
   std::string understudy() const {
     std::string other;
-    for (auto& m : state_cache.statuses().members(ps.clock.now())) {
-      if (!m.fact.holder() || m.fact.drained() || m.name == me) continue;
-      if (m.fact.zone() != zone) return m.name;
+    for (auto& m : state_cache.statuses().members(ports.clock.now())) {
+      if (!m.info.replica() || m.info.drained() || m.name == node_name) continue;
+      if (m.info.zone() != zone) return m.name;
       if (other.empty()) other = m.name;
     }
     return other;
   }
 
   bool put(pb::LeaderLease p, uint64_t expect) {
-    TimePoint from = ps.clock.now();
+    TimePoint from = ports.clock.now();
     auto r = registers.write(leadership_key(name), expect, p.SerializeAsString());
     if (auto* h = std::get_if<consensus::VersionedValue>(&r)) {
       version = h->version;
@@ -58,87 +58,88 @@
   void renew() {
     pb::LeaderLease p = mine;
     p.set_renewals(p.renewals() + 1);
-    p.set_understudy(understudy());
+    p.set_standby(understudy());
     if (put(p, version)) return;
     auto g = registers.read(leadership_key(name));
     if (auto* h = std::get_if<consensus::VersionedValue>(&g)) {
       pb::LeaderLease now;
       now.ParseFromString(h->data);
-      if (now.holder() == me && now.term() == term) {
+      if (now.leader() == node_name && now.term() == term) {
         version = h->version;
         mine = now;
         return;
       }
       end = TimePoint(0);
-      lg.warn("{}: the leadership {} passed to {}.", me, name,
-              now.holder().empty() ? "nobody" : now.holder());
+      logger.warn("{}: the leadership {} passed to {}.", node_name, name,
+                  now.leader().empty() ? "nobody" : now.leader());
     }
   }
 
   void give_up() {
     pb::LeaderLease p = mine;
-    p.set_holder("");
+    p.set_leader("");
     put(p, version);
     end = TimePoint(0);
-    lg.info("{}: handed the leadership {} over to {}.", me, name, p.understudy());
+    logger.info("{}: handed the leadership {} over to {}.", node_name, name, p.standby());
   }
 
   void stand() {
     auto f = state_cache.chosen().find(leadership_key(name));
-    TimePoint now = ps.clock.now();
+    TimePoint now = ports.clock.now();
     uint64_t v = f == state_cache.chosen().end() ? 0 : f->second.version;
     pb::LeaderLease p = known();
     if (v != seen_version || seen == TimePoint(0)) {
       seen_version = v;
       seen = now;
-      if (!p.holder().empty()) return;
+      if (!p.leader().empty()) return;
     }
     Duration wait = span;
-    if (p.holder().empty()) wait = Duration(0);
-    if (p.holder().empty() && !p.understudy().empty() && p.understudy() != me) wait = span;
-    if (!p.holder().empty() && p.understudy() != me) wait = span * 3 / 2;
+    if (p.leader().empty()) wait = Duration(0);
+    if (p.leader().empty() && !p.standby().empty() && p.standby() != node_name) wait = span;
+    if (!p.leader().empty() && p.standby() != node_name) wait = span * 3 / 2;
     if (now - seen < wait) return;
     pb::LeaderLease n;
-    n.set_holder(me);
+    n.set_leader(node_name);
     n.set_term(p.term() + 1);
     n.set_span_ms(static_cast<uint64_t>(span.count()));
-    n.set_understudy(understudy());
-    if (put(n, v)) lg.info("{}: took the leadership {} under term {}.", me, name, n.term());
+    n.set_standby(understudy());
+    if (put(n, v)) logger.info("{}: took the leadership {} under term {}.", node_name, name, n.term());
   }
 };
 
-Leadership::Leadership(base::Ports& ps, consensus::RegisterClient& b, StateCache& m, std::string name,
-                       std::string me, std::string zone, Duration bound)
-    : p_(new Impl{ps, b, m, std::move(name), std::move(me), std::move(zone), bound * 2}) {}
+Leadership::Leadership(base::Ports& ports, consensus::RegisterClient& registers, StateCache& state_cache,
+                       std::string name, std::string node_name, std::string zone, Duration bound)
+    : impl_(new Impl{ports, registers, state_cache, std::move(name), std::move(node_name), std::move(zone),
+                     bound * 2}) {}
 Leadership::~Leadership() = default;
 
 void Leadership::start() {
-  p_->ps.tasks.spawn([p = p_] {
+  impl_->ports.tasks.spawn([p = impl_] {
     while (!p->leaving) {
-      bool had = p->ps.clock.now() < p->end;
+      bool had = p->ports.clock.now() < p->end;
       if (had && p->resting)
         p->give_up();
       else if (had)
         p->renew();
-      else if (p->state_cache.fresh() && !p->resting)
+      else if (p->state_cache.has_read_lease() && !p->resting)
         p->stand();
-      p->ps.clock.sleep(p->span / 8 +
-                        Duration(p->ps.random.below(static_cast<uint64_t>(p->span.count()) / 16 + 1)));
+      p->ports.clock.sleep(p->span / 8 +
+                           Duration(p->ports.random.below(static_cast<uint64_t>(p->span.count()) / 16 + 1)));
     }
   });
 }
 
-bool Leadership::held() const { return !p_->leaving && p_->ps.clock.now() < p_->end; }
-uint64_t Leadership::term() const { return p_->term; }
-pb::LeaderLease Leadership::known() const { return p_->known(); }
-Duration Leadership::span() const { return p_->span; }
+bool Leadership::held() const { return !impl_->leaving && impl_->ports.clock.now() < impl_->end; }
+uint64_t Leadership::term() const { return impl_->term; }
+pb::LeaderLease Leadership::known_lease() const { return impl_->known(); }
+Duration Leadership::span() const { return impl_->span; }
 
-void Leadership::rest(bool on) { p_->resting = on; }
+void Leadership::set_passive(bool on) { impl_->resting = on; }
 
 void Leadership::transfer() {
   bool had = held();
-  p_->leaving = true;
-  if (had) p_->give_up();
+  impl_->leaving = true;
+  if (had) impl_->give_up();
 }
 
 }  // namespace dunlinwing::membership
--- a/src/membership/replica_answers.hpp
+++ b/src/membership/replica_answers.hpp
@@ -10,25 +10,25 @@
 namespace dunlinwing::membership {
 
 // How long ago a replica last answered, and last answered as one that votes.
-struct Contact {
-  Duration since_answer{0}, since_vote{0};
+struct ReplicaContact {
+  Duration since_response{0}, since_vote{0};
 };
 
-class ReplicaAnswers {
+class ReplicaResponses {
  public:
   // `word_limit`: how long an answer counts, from the moment it was asked for. An older one may
   // come from a disk that was lost since.
-  explicit ReplicaAnswers(Duration word_limit) : word_limit_(word_limit) {}
+  explicit ReplicaResponses(Duration word_limit) : word_limit_(word_limit) {}
 
   // Takes an answer to what was asked at `asked`; the names of the registers that it tells of.
-  std::vector<std::string> take(const std::string& replica, const pb::PullReply& reply, TimePoint asked,
+  std::vector<std::string> take(const std::string& replica, const pb::PullResponse& reply, TimePoint asked,
                                 TimePoint now);
   // States in `pull` from where the replica is to go on telling.
-  void state_position(const std::string& replica, pb::Pull& pull) const;
+  void set_position(const std::string& replica, pb::PullRequest& pull) const;
   // The names of all registers that anyone told of.
   std::vector<std::string> names() const;
   // What a replica last told of a register; null: nothing.
-  const pb::RegisterState* told_by(const std::string& replica, const std::string& name) const;
+  const pb::RegisterState* reported_by(const std::string& replica, const std::string& name) const;
   // The latest state known for a register, when a quorum of `set` has accepted its ballot and
   // said so in time; else null.
   const pb::RegisterState* latest_at_quorum(const consensus::ReplicaSetView& set, const std::string& name,
@@ -36,7 +36,7 @@
   // Whether the replica answered as one that votes less than `within` ago.
   bool voted_within(const std::string& replica, TimePoint now, Duration within) const;
   // Counted from `since` for what never was, or was before.
-  Contact contact(const std::string& replica, TimePoint now, TimePoint since) const;
+  ReplicaContact contact(const std::string& replica, TimePoint now, TimePoint since) const;
 
  private:
   struct Answers {
--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -8,7 +8,7 @@
 
 namespace dunlinwing::membership {
 namespace {
-constexpr base::Log lg("repair");
+constexpr base::Log logger("repair");
 constexpr size_t kMostReplicas = 9, kFewestReplicas = 3;
 constexpr int kLooksPerBound = 8;      // how often each replica looks at the set
 constexpr int kTurnsPerBound = 4;      // the next replica by name acts a bound's fourth later
@@ -25,17 +25,17 @@
 // One plan in the making: the list so far, and what it is for.
 class Planner {
  public:
-  explicit Planner(const ClusterView& view) : view_(view), list_(view.set) {
+  explicit Planner(const ClusterView& view) : view_(view), list_(view.replicas) {
     for (auto& replica : list_)
       if (auto* node = find_node(view_, replica.name); node && !node->zone.empty()) ++zones_[node->zone];
   }
 
   std::optional<RepairStep> plan() {
-    if (count_voting(view_.set) < consensus::majority_of(view_.set.size())) return {};
+    if (count_voting(view_.replicas) < consensus::majority_of(view_.replicas.size())) return {};
     replace_lost();
     grow();
     drop_gone();
-    if (list_ == view_.set) return {};
+    if (list_ == view_.replicas) return {};
     return RepairStep{list_, why_};
   }
 
@@ -44,7 +44,7 @@
 
   bool votes(const consensus::Replica& replica) const {
     auto* node = find_node(view_, replica.name);
-    return node && node->votes && contains(view_.set, replica);
+    return node && node->votes && contains(view_.replicas, replica);
   }
 
   size_t count_voting(const ReplicaList& list) const {
@@ -54,7 +54,8 @@
   // A change may not depend on newcomers: a majority of the new list has to vote already.
   // Sets that are smaller than any tolerance needs grow all the same.
   bool safe(const ReplicaList& list) const {
-    return view_.set.size() < kFewestReplicas || count_voting(list) >= consensus::majority_of(list.size());
+    return view_.replicas.size() < kFewestReplicas ||
+           count_voting(list) >= consensus::majority_of(list.size());
   }
 
   // Why a member should give its place to a node that is at hand; nothing: it should not.
@@ -63,8 +64,9 @@
     if (!node) return {};
     if (node->leaving) return replica.name + " leaves";
     if (!node->address.empty() && node->address != replica.address) return replica.name + " has moved";
-    if (!node->votes && node->unanswered >= lost_after(view_.bound)) return replica.name + " is silent";
-    if (!node->votes && node->mute >= mute_too_long(view_.bound)) return replica.name + " cannot vote";
+    if (!node->votes && node->since_response >= lost_after(view_.bound)) return replica.name + " is silent";
+    if (!node->votes && node->non_voting >= non_voting_limit(view_.bound))
+      return replica.name + " cannot vote";
     return {};
   }
 
@@ -94,7 +96,7 @@
   }
 
   void replace_lost() {
-    for (auto& replica : view_.set) {
+    for (auto& replica : view_.replicas) {
       auto why = lost(replica);
       if (!why) continue;
       auto* node = find_node(view_, replica.name);
@@ -124,7 +126,7 @@
   }
 
   void drop_gone() {
-    for (auto& replica : view_.set) {
+    for (auto& replica : view_.replicas) {
       auto* node = find_node(view_, replica.name);
       bool gone = node && !node->votes && node->absent >= gone_after(view_.bound);
       if (!gone || !contains(list_, replica) || list_.size() <= std::max(wanted(), kFewestReplicas)) continue;
@@ -145,7 +147,7 @@
 }  // namespace
 
 std::optional<RepairStep> plan_repair(const ClusterView& view) {
-  if (view.tolerate < 1 || view.set.empty()) return {};
+  if (view.tolerate < 1 || view.replicas.empty()) return {};
   return Planner(view).plan();
 }
 
@@ -154,7 +156,7 @@
   consensus::RegisterClient& registers;
   StateCache& state_cache;
   consensus::Acceptor& acceptor;
-  std::string me;
+  std::string node_name;
   int tolerate;
   Duration bound;
   std::map<std::string, TimePoint> session_seen;  // when each node's session last stood, as seen here
@@ -169,18 +171,18 @@
     for (auto& replica : registers.set().current())
       nodes[replica.name] = {replica.name, "", replica.address, true};
     for (auto& member : state_cache.statuses().all(now))
-      if (!member.fact.zone().empty() && member.fact.disk()) nodes[member.name] = node_of(member);
+      if (!member.info.zone().empty() && member.info.disk()) nodes[member.name] = node_of(member);
     for (auto& member : state_cache.statuses().members(now)) {
       session_seen[member.name] = now;
       if (auto node = nodes.find(member.name); node != nodes.end())
-        node->second.present = !member.fact.drained();
+        node->second.present = !member.info.drained();
     }
     ClusterView out{registers.set().current(), {}, tolerate, bound};
     for (auto& [name, node] : nodes) {
       auto contact = state_cache.contact(name);
-      node.votes = state_cache.votes(name);
-      node.unanswered = contact.since_answer;
-      node.mute = contact.since_vote;
+      node.votes = state_cache.is_voting(name);
+      node.since_response = contact.since_response;
+      node.non_voting = contact.since_vote;
       node.absent = now - session_seen.emplace(name, now).first->second;
       out.nodes.push_back(node);
     }
@@ -188,8 +190,8 @@
   }
 
   static RepairNode node_of(const Member& member) {
-    RepairNode node{member.name, member.fact.zone(), member.fact.peer_address(), member.fact.disk()};
-    node.leaving = member.fact.leaving();
+    RepairNode node{member.name, member.info.zone(), member.info.peer_address(), member.info.disk()};
+    node.leaving = member.info.leaving();
     return node;
   }
 
@@ -199,10 +201,10 @@
     bool among = false;
     for (auto& replica : registers.set().all()) {
       auto* node = find_node(now, replica.name);
-      if (replica.name == me) among = true;
-      if (node && node->votes && node->present && replica.name < me) ++before;
+      if (replica.name == node_name) among = true;
+      if (node && node->votes && node->present && replica.name < node_name) ++before;
     }
-    if (!among || !state_cache.votes(me)) return {};
+    if (!among || !state_cache.is_voting(node_name)) return {};
     return before;
   }
 
@@ -215,7 +217,7 @@
   }
 
   consensus::RegisterNames names() {
-    return [this] { return state_cache.names(bound); };
+    return [this] { return state_cache.register_names(bound); };
   }
 
   void finish(const ClusterView& now) {
@@ -232,10 +234,11 @@
     auto from = ports.clock.now();
     auto result = registers.finish_change(names());
     if (auto* set = std::get_if<pb::ReplicaSet>(&result))
-      lg.info("{}: the replicas of epoch {} are in force, {} of them, in {} ms.", me, set->epoch(),
-              set->holders_size(), (ports.clock.now() - from).count());
+      logger.info("{}: the replicas of epoch {} are in force, {} of them, in {} ms.", node_name, set->epoch(),
+                  set->replicas_size(), (ports.clock.now() - from).count());
     else
-      lg.warn("{}: the change of epoch {} is not finished yet; the next look tries again.", me, epoch);
+      logger.warn("{}: the change of epoch {} is not finished yet; the next look tries again.", node_name,
+                  epoch);
   }
 
   void begin(const ClusterView& now) {
@@ -244,19 +247,19 @@
     if (!my_turn(fmt::format("{} {}", registers.set().epoch(), step->why), now)) return;
     auto result = registers.begin_change(step->replicas);
     if (auto* set = std::get_if<pb::ReplicaSet>(&result)) {
-      lg.info("{}: a change of the replicas begins, epoch {}: {}.", me, set->epoch(), step->why);
-      state_cache.hurry();
+      logger.info("{}: a change of the replicas begins, epoch {}: {}.", node_name, set->epoch(), step->why);
+      state_cache.pull_soon();
     } else {
-      lg.warn("{}: no change of the replicas ({}); the next look tries again.", me, step->why);
+      logger.warn("{}: no change of the replicas ({}); the next look tries again.", node_name, step->why);
     }
   }
 
   // What came by a refill is no vote for anybody until it is accepted here; and what was
   // written while this replica was away is not on its disk until it is written again.
   void catch_up() {
-    if (acceptor.mute()) return;
-    if (auto copied = acceptor.copied(); !copied.empty()) registers.rewrite(copied);
-    auto missing = state_cache.behind(me);
+    if (acceptor.non_voting()) return;
+    if (auto copied = acceptor.refilled_registers(); !copied.empty()) registers.rewrite(copied);
+    auto missing = state_cache.registers_behind(node_name);
     std::vector<std::string> still_missing;  // not just on their way
     for (auto& [name, round] : missing)
       if (auto before = behind.find(name); before != behind.end() && before->second == round)
@@ -266,7 +269,7 @@
   }
 
   void look() {
-    if (!state_cache.fresh()) {  // what was not seen is not absence
+    if (!state_cache.has_read_lease()) {  // what was not seen is not absence
       session_seen.clear();
       need.clear();
       return;
@@ -287,13 +290,13 @@
 };
 
 ReplicaRepair::ReplicaRepair(base::Ports& ports, consensus::RegisterClient& registers,
-                             StateCache& state_cache, consensus::Acceptor& acceptor, std::string me,
+                             StateCache& state_cache, consensus::Acceptor& acceptor, std::string node_name,
                              int tolerate, Duration bound)
     : impl_(std::make_shared<Impl>(Impl{ports,
                                         registers,
                                         state_cache,
                                         acceptor,
-                                        std::move(me),
+                                        std::move(node_name),
                                         tolerate,
                                         bound,
                                         {},
--- a/src/membership/replica_repair.hpp
+++ b/src/membership/replica_repair.hpp
@@ -17,13 +17,13 @@
   bool present = false;  // its session stands, and it is neither leaving nor drained
   bool leaving = false;  // it has said that it is about to end
   bool votes = false;
-  Duration unanswered{0};  // since it last answered
-  Duration mute{0};        // since it last answered as one that votes
-  Duration absent{0};      // since its session last stood
+  Duration since_response{0};  // since it last answered
+  Duration non_voting{0};      // since it last answered as one that votes
+  Duration absent{0};          // since its session last stood
 };
 
 struct ClusterView {
-  std::vector<consensus::Replica> set;
+  std::vector<consensus::Replica> replicas;
   std::vector<RepairNode> nodes;
   int tolerate = 1;  // disks that may be lost at once
   Duration bound{2000};
@@ -37,7 +37,7 @@
 // A replica that has not answered for so long gives its place to a node that is at hand.
 inline constexpr Duration lost_after(Duration bound) { return bound * 3 / 4; }
 // One that answers, but cannot vote (its disk fails, or is being refilled), does so later.
-inline constexpr Duration mute_too_long(Duration bound) { return bound * 2; }
+inline constexpr Duration non_voting_limit(Duration bound) { return bound * 2; }
 // With nobody to take its place, one more than needed is dropped after so long without a session.
 inline constexpr Duration gone_after(Duration bound) { return bound * 10; }
 
@@ -48,7 +48,7 @@
  public:
   // `me`: this node, which is a replica or may become one. `tolerate` 0: operators change the set.
   ReplicaRepair(base::Ports& ports, consensus::RegisterClient& registers, StateCache& state_cache,
-                consensus::Acceptor& acceptor, std::string me, int tolerate, Duration bound);
+                consensus::Acceptor& acceptor, std::string node_name, int tolerate, Duration bound);
   ~ReplicaRepair();
   void start();
   // Whether another node could take this one's place before it ends.
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -18,7 +18,7 @@
 
 namespace dunlinwing::membership {
 namespace {
-constexpr base::Log lg("membership");
+constexpr base::Log logger("membership");
 constexpr size_t kLargeFleet = 32;
 // In one reply: so much at the least, and for each known node more than it says of itself, for
 // what changes between two pulls must always fit.
@@ -26,15 +26,15 @@
 }  // namespace
 
 struct StateCache::Impl {
-  base::Ports& ps;
-  StateCacheConfig c;
+  base::Ports& ports;
+  StateCacheConfig config;
   consensus::RegisterClient& registers;
   consensus::Acceptor* mine;
   std::function<void(pb::NodeStatus&)> own;
   std::function<void()> seen;
   StatusTable statuses;
-  ReplicaAnswers answers;
-  Chosen chosen;
+  ReplicaResponses answers;
+  ChosenValues chosen;
   std::set<std::string> open;  // registers whose chosen value may have changed
   uint64_t incarnation = 0, count = 0, deregistered = 0;
   size_t first = 0;  // the replica asked first
@@ -54,28 +54,28 @@
     uint64_t epoch;
     std::vector<consensus::Replica> replicas;
     consensus::MemberFlags voting;  // those that answered whole and are not mute
-    std::vector<pb::PullReply> heard;
+    std::vector<pb::PullResponse> heard;
     bool more = false;  // some have not told everything yet
-    pb::Ask ask;
+    pb::PeerRequest ask;
   };
 
-  Impl(base::Ports& p, StateCacheConfig cc, consensus::RegisterClient& b, consensus::Acceptor* m,
+  Impl(base::Ports& ports, StateCacheConfig cc, consensus::RegisterClient& b, consensus::Acceptor* m,
        std::function<void(pb::NodeStatus&)> o, std::function<void()> s)
-      : ps(p),
-        c(std::move(cc)),
+      : ports(ports),
+        config(std::move(cc)),
         registers(b),
         mine(m),
         own(std::move(o)),
         seen(std::move(s)),
-        statuses(c.session()),
-        answers(c.word_limit()),
-        schedule(ps.random, c.pull()) {
-    first = static_cast<size_t>(ps.random.below(b.replicas().size()));
+        statuses(config.session_span()),
+        answers(config.response_lifetime()),
+        schedule(ports.random, config.pull_period()) {
+    first = static_cast<size_t>(ports.random.below(b.replicas().size()));
   }
 
   bool settle_open() {
     for (auto i = open.begin(); i != open.end();) {
-      auto* state = answers.latest_at_quorum(registers.set(), *i, ps.clock.now());
+      auto* state = answers.latest_at_quorum(registers.set(), *i, ports.clock.now());
       consensus::VersionedValue value;
       if (state) {
         value = {state->value().version(), state->value().data()};
@@ -95,18 +95,20 @@
   }
 
   // What must be passed on at once; the rest (counters, clocks, ages) may wait.
-  static std::string gist(const pb::NodeStatus& n) {
+  static std::string gist(const pb::NodeStatus& status) {
     pb::NodeStatus g;
-    *g.mutable_node() = n.node();
+    *g.mutable_node() = status.node();
     g.mutable_node()->clear_wall_ms();
     g.mutable_node()->clear_running();
     std::string s = g.SerializeAsString();
     for (auto& [k, v] :
-         std::map<std::string, std::string>(n.node().running().begin(), n.node().running().end()))
+         std::map<std::string, std::string>(status.node().running().begin(), status.node().running().end()))
       s += k + "=" + v + ";";
-    for (auto& t : n.trials()) s += fmt::format("{}:{}:{}{};", t.service(), t.number(), t.bad(), t.stopped());
-    for (auto& b : n.beats())
-      s += fmt::format("{}/{}{};", b.instance(), b.leaving() ? 0 : b.number(), b.leaving());
+    for (auto& t : status.canary_counts())
+      s += fmt::format("{}:{}:{}{};", t.service(), t.number(), t.bad(), t.aborted());
+    for (auto& heartbeat : status.heartbeats())
+      s += fmt::format("{}/{}{};", heartbeat.instance(), heartbeat.leaving() ? 0 : heartbeat.sequence(),
+                       heartbeat.leaving());
     return s;
   }
 
@@ -114,39 +116,39 @@
   PullResult reseat() {
     if (mine) mine->adopt(registers.set().message());
     for (auto& name : answers.names()) open.insert(name);
-    lg.info("{}: the holders are now those of epoch {}.", c.me, registers.set().epoch());
+    logger.info("{}: the holders are now those of epoch {}.", config.node_name, registers.set().epoch());
     return PullResult::failed;
   }
 
   // What this node says of itself, when it is due or has changed in what matters.
-  void state_own(pb::Pull& pull, TimePoint now) {
+  void state_own(pb::PullRequest& pull, TimePoint now) {
     if (!incarnation) return;
     pb::NodeStatus status;
-    status.set_source(c.me);
-    status.mutable_mark()->set_incarnation(incarnation);
+    status.set_source(config.node_name);
+    status.mutable_version()->set_incarnation(incarnation);
     own(status);
     auto key = gist(status);
-    if (now - said < c.bound / 4 && key == said_key) return;
+    if (now - said < config.bound / 4 && key == said_key) return;
     said = now;
     said_key = key;
-    status.mutable_mark()->set_count(++count);
+    status.mutable_version()->set_count(++count);
     statuses.merge(status, now);
-    *pull.mutable_own() = status;
+    *pull.mutable_own_status() = status;
   }
 
-  void take(Pull& pull, size_t index, const pb::PullReply& reply, TimePoint asked_at) {
+  void take(Pull& pull, size_t index, const pb::PullResponse& reply, TimePoint asked_at) {
     auto& replica = pull.replicas[index].name;
-    auto now = ps.clock.now();
+    auto now = ports.clock.now();
     // One that has not made the present set durable may still vote under the one before.
-    pull.voting[index] = !reply.mute() && !reply.more() && reply.adopted_epoch() >= pull.epoch;
+    pull.voting[index] = !reply.non_voting() && !reply.more() && reply.adopted_epoch() >= pull.epoch;
     pull.more |= reply.more();
     for (auto& name : answers.take(replica, reply, asked_at, now)) open.insert(name);
     for (auto& status : reply.statuses())
-      if (status.source() == c.me)
-        go_on_above(status.mark());
+      if (status.source() == config.node_name)
+        go_on_above(status.version());
       else
         statuses.merge(status, now);
-    registers.set().adopt(reply.set());
+    registers.set().adopt(reply.replica_set());
     pull.heard.push_back(reply);
   }
 
@@ -154,17 +156,17 @@
   bool ask(Pull& pull, const std::vector<size_t>& whom, Duration limit) {
     std::vector<consensus::Replica> to;
     for (auto i : whom) to.push_back(pull.replicas[i]);
-    *pull.ask.mutable_pull()->mutable_have() = statuses.marks();
+    *pull.ask.mutable_pull()->mutable_known_versions() = statuses.known_versions();
     auto make = [&](size_t k) {
-      pb::Ask one = pull.ask;
-      answers.state_position(to[k].name, *one.mutable_pull());
+      pb::PeerRequest one = pull.ask;
+      answers.set_position(to[k].name, *one.mutable_pull());
       return one;
     };
-    consensus::Local local;
-    if (mine) local = [this](const pb::Ask& a) { return answer(a); };
-    auto asked_at = ps.clock.now();
-    auto replies = consensus::ask_all(
-        ps, to, make, limit, [](auto&) { return false; }, c.me, local);
+    consensus::LocalReplica local;
+    if (mine) local = [this](const pb::PeerRequest& request) { return answer(request); };
+    auto asked_at = ports.clock.now();
+    auto replies = consensus::call_replicas(
+        ports, to, make, limit, [](auto&) { return false; }, config.node_name, local);
     bool any = false;
     for (size_t k = 0; k < replies.size(); ++k) {
       bool answered = replies[k] && replies[k]->has_pull();
@@ -184,7 +186,7 @@
     auto count = pull.replicas.size();
     first %= count;
     // A replica that answers late would only be asked twice.
-    if (!schedule.failing() && !ask(pull, {first}, c.pull() / 4)) first = (first + 1) % count;
+    if (!schedule.failing() && !ask(pull, {first}, config.pull_period() / 4)) first = (first + 1) % count;
     std::vector<size_t> rest, later;
     for (size_t k = 0; k < count; ++k)
       if (k || pull.heard.empty()) rest.push_back((first + k) % count);
@@ -197,30 +199,31 @@
       later.assign(rest.begin() + static_cast<std::ptrdiff_t>(need), rest.end());
       rest.resize(need);
     }
-    ask(pull, rest, c.pull());
-    if (!later.empty() && !has_quorum(pull) && !pull.more) ask(pull, later, c.pull());
+    ask(pull, rest, config.pull_period());
+    if (!later.empty() && !has_quorum(pull) && !pull.more) ask(pull, later, config.pull_period());
   }
 
   // Under which incarnation this node was known before; the next pull announces it.
   void find_incarnation(const Pull& pull) {
-    auto latest = statuses.mark(c.me);
+    auto latest = statuses.known_version(config.node_name);
     for (auto& reply : pull.heard)
       for (auto& status : reply.statuses())
-        if (status.source() == c.me && (!latest || newer(status.mark(), *latest))) latest = status.mark();
+        if (status.source() == config.node_name && (!latest || newer(status.version(), *latest)))
+          latest = status.version();
     incarnation = latest ? latest->incarnation() + 1 : 1;
   }
 
   // Others know a later status of this node than its own: one of its life before, which no replica
   // remembered when it began anew. They would take nothing that it says before it is above that.
-  void go_on_above(const pb::Mark& known) {
-    pb::Mark own_mark;
+  void go_on_above(const pb::StatusVersion& known) {
+    pb::StatusVersion own_mark;
     own_mark.set_incarnation(incarnation);
     own_mark.set_count(count);
     if (!incarnation || !newer(known, own_mark)) return;
     incarnation = known.incarnation() + 1;
     count = 0;
     said_key.clear();
-    lg.info("{}: goes on under incarnation {}.", c.me, incarnation);
+    logger.info("{}: goes on under incarnation {}.", config.node_name, incarnation);
   }
 
   // Whether a newer set of replicas is among what is chosen.
@@ -242,13 +245,13 @@
 
   PullResult once() {
     Pull pull;
-    pull.start = ps.clock.now();
+    pull.start = ports.clock.now();
     pull.replicas = registers.replicas();
     pull.epoch = registers.set().epoch();
     pull.voting.resize(pull.replicas.size());
     if (pull.replicas.empty()) return PullResult::failed;  // nobody has named the replicas yet
-    pull.ask.mutable_pull()->set_node(c.me);
-    pull.ask.mutable_pull()->set_most_bytes(
+    pull.ask.mutable_pull()->set_node(config.node_name);
+    pull.ask.mutable_pull()->set_max_bytes(
         std::max(kLeastBytesPulled, statuses.size() * kBytesPulledPerNode));
     state_own(*pull.ask.mutable_pull(), pull.start);
     ask_replicas(pull);
@@ -261,20 +264,20 @@
     if (!settle_open()) return PullResult::failed;
     if (chosen_set_is_newer(pull.epoch)) return reseat();
     follow_deregistered();
-    statuses.forget(ps.clock.now());
+    statuses.forget(ports.clock.now());
     // A pull that itself took longer than the read lease has proved nothing.
-    read_lease = (pull.start + c.read_lease()).count();
+    read_lease = (pull.start + config.read_lease_span()).count();
     seen();
     std::erase_if(waits, [&](auto& w) { return w.first <= pull.start ? (w.second->notify(), true) : false; });
     return PullResult::good;
   }
 
   // What the asker lacks, as far as it takes it in one reply; the rest is asked for next.
-  void add_statuses(const pb::Pull& asked_for, TimePoint now, pb::PullReply& reply) {
+  void add_statuses(const pb::PullRequest& asked_for, TimePoint now, pb::PullResponse& reply) {
     auto bytes = reply.ByteSizeLong();
-    for (auto& status : statuses.since(asked_for.have(), now)) {
+    for (auto& status : statuses.since(asked_for.known_versions(), now)) {
       bytes += status.ByteSizeLong();
-      if (asked_for.most_bytes() && bytes > asked_for.most_bytes() && reply.statuses_size() > 0)
+      if (asked_for.max_bytes() && bytes > asked_for.max_bytes() && reply.statuses_size() > 0)
         return reply.set_more(true);
       *reply.add_statuses() = status;
     }
@@ -282,52 +285,53 @@
 
   // A node that begins anew learns under which incarnation it was known, and one that has begun
   // too low learns that.
-  void tell_mark_of_asker(const pb::Pull& pull, pb::PullReply& reply) {
-    auto known = statuses.mark(pull.node());
-    if (!known || (pull.has_own() && !newer(*known, pull.own().mark()))) return;
+  void tell_mark_of_asker(const pb::PullRequest& pull, pb::PullResponse& reply) {
+    auto known = statuses.known_version(pull.node());
+    if (!known || (pull.has_own_status() && !newer(*known, pull.own_status().version()))) return;
     auto* status = reply.add_statuses();
     status->set_source(pull.node());
-    *status->mutable_mark() = *known;
-    status->set_age_ms(static_cast<uint64_t>(c.session().count()) * 2);
+    *status->mutable_version() = *known;
+    status->set_age_ms(static_cast<uint64_t>(config.session_span().count()) * 2);
   }
 
-  pb::Reply answer(const pb::Ask& a) {
-    pb::Reply out;
-    auto& q = a.pull();
+  pb::PeerResponse answer(const pb::PeerRequest& request) {
+    pb::PeerResponse out;
+    auto& q = request.pull();
     auto* r = out.mutable_pull();
-    TimePoint now = ps.clock.now();
-    if (q.has_own()) statuses.merge(q.own(), now);
-    statuses.note(q.have(), now);
+    TimePoint now = ports.clock.now();
+    if (q.has_own_status()) statuses.merge(q.own_status(), now);
+    statuses.note_known_versions(q.known_versions(), now);
     if (mine)
-      mine->changes(q.boot(), q.seen(), q.most_bytes(), *r);
+      mine->append_changes(q.boot_id(), q.position(), q.max_bytes(), *r);
     else
-      r->set_mute(true);
+      r->set_non_voting(true);
     add_statuses(q, now, *r);
     tell_mark_of_asker(q, *r);
     return out;
   }
 };
 
-StateCache::StateCache(base::Ports& ps, StateCacheConfig c, consensus::RegisterClient& b,
+StateCache::StateCache(base::Ports& ports, StateCacheConfig config, consensus::RegisterClient& registers,
                        consensus::Acceptor* m, std::function<void(pb::NodeStatus&)> own,
                        std::function<void()> seen)
-    : p_(std::make_shared<Impl>(ps, std::move(c), b, m, std::move(own), std::move(seen))) {}
+    : impl_(std::make_shared<Impl>(ports, std::move(config), registers, m, std::move(own), std::move(seen))) {
+}
 StateCache::~StateCache() = default;
 
 void StateCache::start() {
-  p_->ps.tasks.spawn([p = p_] {
+  impl_->ports.tasks.spawn([p = impl_] {
     for (;;) {
-      TimePoint from = p->ps.clock.now();
+      TimePoint from = p->ports.clock.now();
       p->asked = false;
       auto result = p->once();
-      bool was = std::exchange(p->told, p->ps.clock.now().count() < p->read_lease.load());
-      if (!was && p->told) p->began = p->ps.clock.now();
-      if (was && !p->told) lg.warn("{}: the read lease has lapsed.", p->c.me);
-      if (!was && p->told) lg.info("{}: the read lease stands.", p->c.me);
-      auto wait = p->schedule.after(result, p->ps.clock.now() - from);
-      p->ps.clock.sleep(wait.least);
+      bool was = std::exchange(p->told, p->ports.clock.now().count() < p->read_lease.load());
+      if (!was && p->told) p->began = p->ports.clock.now();
+      if (was && !p->told) logger.warn("{}: the read lease has lapsed.", p->config.node_name);
+      if (!was && p->told) logger.info("{}: the read lease stands.", p->config.node_name);
+      auto wait = p->schedule.after(result, p->ports.clock.now() - from);
+      p->ports.clock.sleep(wait.least);
       if (wait.usual > wait.least && !p->asked) {
-        p->rest = p->ps.tasks.condition();
+        p->rest = p->ports.tasks.condition();
         p->rest->wait(wait.usual - wait.least);
         p->rest.reset();
       }
@@ -335,51 +339,55 @@
   });
 }
 
-bool StateCache::once() { return p_->once() == PullResult::good; }
-bool StateCache::fresh() const { return p_->ps.clock.now().count() < p_->read_lease.load(); }
-TimePoint StateCache::read_lease_end() const { return TimePoint(p_->read_lease.load()); }
-const Chosen& StateCache::chosen() const { return p_->chosen; }
-StatusTable& StateCache::statuses() { return p_->statuses; }
-pb::Reply StateCache::answer(const pb::Ask& a) { return p_->answer(a); }
-uint64_t StateCache::incarnation() const { return p_->incarnation; }
-
-bool StateCache::settle(Duration limit) {
-  auto s = p_->ps.tasks.condition();
-  auto now = p_->ps.clock.now();
-  p_->waits.emplace_back(now, s);
-  hurry();
+bool StateCache::pull_once() { return impl_->once() == PullResult::good; }
+bool StateCache::has_read_lease() const {
+  return impl_->ports.clock.now().count() < impl_->read_lease.load();
+}
+TimePoint StateCache::read_lease_end() const { return TimePoint(impl_->read_lease.load()); }
+const ChosenValues& StateCache::chosen() const { return impl_->chosen; }
+StatusTable& StateCache::statuses() { return impl_->statuses; }
+pb::PeerResponse StateCache::handle_pull(const pb::PeerRequest& request) { return impl_->answer(request); }
+uint64_t StateCache::incarnation() const { return impl_->incarnation; }
+
+bool StateCache::await_pull(Duration limit) {
+  auto s = impl_->ports.tasks.condition();
+  auto now = impl_->ports.clock.now();
+  impl_->waits.emplace_back(now, s);
+  pull_soon();
   return s->wait(limit);
 }
 
-std::optional<std::vector<std::string>> StateCache::names(Duration limit) {
-  if (!settle(limit)) return {};
+std::optional<std::vector<std::string>> StateCache::register_names(Duration limit) {
+  if (!await_pull(limit)) return {};
   std::vector<std::string> out;
-  for (auto& [k, h] : p_->chosen) out.push_back(k);
+  for (auto& [k, h] : impl_->chosen) out.push_back(k);
   return out;
 }
 
-bool StateCache::votes(const std::string& replica) const {
-  return p_->answers.voted_within(replica, p_->ps.clock.now(), p_->c.bound / 4 + p_->c.pull() * 2);
+bool StateCache::is_voting(const std::string& replica) const {
+  return impl_->answers.voted_within(replica, impl_->ports.clock.now(),
+                                     impl_->config.bound / 4 + impl_->config.pull_period() * 2);
 }
 
-std::map<std::string, uint64_t> StateCache::behind(const std::string& replica) const {
+std::map<std::string, uint64_t> StateCache::registers_behind(const std::string& replica) const {
   std::map<std::string, uint64_t> names;
-  for (auto& [name, value] : p_->chosen) {
-    auto* best = p_->answers.latest_at_quorum(p_->registers.set(), name, p_->ps.clock.now());
+  for (auto& [name, value] : impl_->chosen) {
+    auto* best = impl_->answers.latest_at_quorum(impl_->registers.set(), name, impl_->ports.clock.now());
     if (!best) continue;
-    auto* own = p_->answers.told_by(replica, name);
-    if (!own || consensus::lower(own->accepted(), best->accepted())) names[name] = best->accepted().round();
+    auto* own = impl_->answers.reported_by(replica, name);
+    if (!own || consensus::is_lower(own->accepted(), best->accepted()))
+      names[name] = best->accepted().round();
   }
   return names;
 }
 
-Contact StateCache::contact(const std::string& replica) const {
-  return p_->answers.contact(replica, p_->ps.clock.now(), p_->began);
+ReplicaContact StateCache::contact(const std::string& replica) const {
+  return impl_->answers.contact(replica, impl_->ports.clock.now(), impl_->began);
 }
 
-void StateCache::hurry() {
-  p_->asked = true;
-  if (p_->rest) p_->rest->notify();
+void StateCache::pull_soon() {
+  impl_->asked = true;
+  if (impl_->rest) impl_->rest->notify();
 }
 
 }  // namespace dunlinwing::membership
--- a/src/membership/status_table.hpp
+++ b/src/membership/status_table.hpp
@@ -11,12 +11,12 @@
 
 struct Member {
   std::string name;
-  pb::NodeFact fact;
+  pb::NodeInfo info;
   Duration age{0};
 };
 
-struct WorkerFact {
-  pb::Beat beat;
+struct BackendInstanceStatus {
+  pb::Heartbeat heartbeat;
   Duration age{0};
   bool gone = false;  // leaving, or its beats are missing
 };
@@ -24,16 +24,17 @@
 class StatusTable {
  public:
   explicit StatusTable(Duration session) : session_(session) {}
-  bool merge(const pb::NodeStatus& n, TimePoint now);  // false when what is known is as new
-  std::vector<pb::NodeStatus> since(const google::protobuf::Map<std::string, pb::Mark>& have,
+  bool merge(const pb::NodeStatus& status, TimePoint now);  // false when what is known is as new
+  std::vector<pb::NodeStatus> since(const google::protobuf::Map<std::string, pb::StatusVersion>& have,
                                     TimePoint now) const;
-  google::protobuf::Map<std::string, pb::Mark> marks() const;
+  google::protobuf::Map<std::string, pb::StatusVersion> known_versions() const;
   // The highest version of a source's status that is known, or that an asker said it knows.
-  std::optional<pb::Mark> mark(const std::string& source) const;
-  void note(const google::protobuf::Map<std::string, pb::Mark>& known_to_asker, TimePoint now);
+  std::optional<pb::StatusVersion> known_version(const std::string& source) const;
+  void note_known_versions(const google::protobuf::Map<std::string, pb::StatusVersion>& known_to_asker,
+                           TimePoint now);
   std::vector<Member> members(TimePoint now) const;
   std::vector<Member> all(TimePoint now) const;
-  std::map<std::string, WorkerFact> workers(TimePoint now) const;
+  std::map<std::string, BackendInstanceStatus> backend_instances(TimePoint now) const;
   std::map<std::string, pb::NodeStatus> latest(TimePoint now) const;  // sessions that stand
   void deregistered(std::set<std::string> instances) { departed_ = std::move(instances); }
   size_t size() const { return by_.size(); }
@@ -47,16 +48,16 @@
   Duration session_;
   std::map<std::string, Entry> by_;
   struct Noted {
-    pb::Mark mark;
+    pb::StatusVersion mark;
     TimePoint heard{0};
   };
   std::map<std::string, Noted> noted_;  // known to askers, and later than what is known here
   std::set<std::string> departed_;      // as recorded: workers whose word to leave was taken
 };
 
-bool newer(const pb::Mark& a, const pb::Mark& b);
+bool newer(const pb::StatusVersion& a, const pb::StatusVersion& b);
 
 // How many periods a worker may miss before it is taken for gone.
-inline constexpr int kMissedBeats = 3;
+inline constexpr int kMissedHeartbeats = 3;
 
 }  // namespace dunlinwing::membership
--- a/src/relay/config.cpp
+++ b/src/relay/config.cpp
@@ -12,7 +12,7 @@
 constexpr int kOtherFiles = 200;
 }
 
-std::string_view config_schema() {
+std::string_view settings_schema() {
   return R"({
   "type":"object","additionalProperties":false,
   "required":["name","zone","listen","seeds"],
@@ -50,78 +50,84 @@
     "hold_scale":{"type":"number","minimum":1,"maximum":1000000}}})";
 }
 
-ConfigGot read_config(std::string_view text) {
-  static const base::Schema schema(config_schema());
+SettingsResult parse_settings(std::string_view text) {
+  static const base::Schema schema(settings_schema());
   auto p = base::Json::parse(text);
   if (auto* d = std::get_if<base::ValidationError>(&p)) return std::vector<base::ValidationError>{*d};
-  auto& j = std::get<base::Json>(p);
-  auto ds = schema.check(j);
-  Config c;
-  auto& n = c.node;
+  auto& json = std::get<base::Json>(p);
+  auto ds = schema.check(json);
+  Settings settings;
+  auto& n = settings.node;
   auto addr = [&](const std::string& at, const std::string& s) {
     if (!s.empty() && !wire::split_address(s)) ds.push_back({at, "is not IP:port"});
     return s;
   };
-  n.name = j.at("name").str();
-  n.zone = j.at("zone").str();
-  auto l = j.at("listen");
-  c.callers = addr("/listen/callers", l.at("callers").str());
-  c.control = addr("/listen/control", l.at("control").str());
-  n.peer_address = addr("/listen/peers", l.at("peers").str());
-  n.http_address = c.control;  // empty on a machine that takes no calls
-  for (auto& [k, v] : j.at("holders").members()) n.holders.push_back({k, addr("/holders/" + k, v.str())});
+  n.name = json.at("name").string_or();
+  n.zone = json.at("zone").string_or();
+  auto l = json.at("listen");
+  settings.client_address = addr("/listen/callers", l.at("callers").string_or());
+  settings.control_address = addr("/listen/control", l.at("control").string_or());
+  n.peer_address = addr("/listen/peers", l.at("peers").string_or());
+  n.http_address = settings.control_address;  // empty on a machine that takes no calls
+  for (auto& [k, v] : json.at("holders").members())
+    n.replicas.push_back({k, addr("/holders/" + k, v.string_or())});
   int i = 0;
-  for (auto& s : j.at("seeds").strs()) n.seeds.push_back(addr(fmt::format("/seeds/{}", i++), s));
+  for (auto& s : json.at("seeds").strings()) n.seeds.push_back(addr(fmt::format("/seeds/{}", i++), s));
   // A set that the settings name is the operators' to change, unless they say what to tolerate.
-  n.first_start = j.at("first_start").flag(!n.holders.empty());
-  n.tolerate = static_cast<int>(j.at("tolerate").num(n.holders.empty() ? 1 : 0));
-  c.data = j.at("data").str();
-  c.releases = j.at("releases").str();
-  n.shield = j.at("shield").flag();
-  c.threads = static_cast<int>(j.at("threads").num(c.threads));
-  c.log_level = j.at("log_level").str(c.log_level);
-  c.log_bytes = static_cast<size_t>(j.at("log_bytes").num(static_cast<int64_t>(c.log_bytes)));
-  n.bound = Duration(j.at("bound_ms").num(2000));
-  c.readiness = addr("/listen/readiness", l.at("readiness").str());
-  c.face = j.at("face").str("own");
-  auto span = [](const base::Json& v) { return Duration(static_cast<int64_t>(v.real() * 1000)); };
-  c.beat = span(j.at("beat_s"));
-  if (auto b = j.at("bounds"); j.has("bounds")) {
+  n.initial_boot = json.at("first_start").bool_or(!n.replicas.empty());
+  n.tolerate = static_cast<int>(json.at("tolerate").integer_or(n.replicas.empty() ? 1 : 0));
+  settings.data_directory = json.at("data").string_or();
+  settings.release_directory = json.at("releases").string_or();
+  n.shield = json.at("shield").bool_or();
+  settings.threads = static_cast<int>(json.at("threads").integer_or(settings.threads));
+  settings.log_level = json.at("log_level").string_or(settings.log_level);
+  settings.log_bytes =
+      static_cast<size_t>(json.at("log_bytes").integer_or(static_cast<int64_t>(settings.log_bytes)));
+  n.bound = Duration(json.at("bound_ms").integer_or(2000));
+  settings.readiness_address = addr("/listen/readiness", l.at("readiness").string_or());
+  settings.protocol_adapter = json.at("face").string_or("own");
+  auto span = [](const base::Json& v) { return Duration(static_cast<int64_t>(v.real_or() * 1000)); };
+  settings.heartbeat_period = span(json.at("beat_s"));
+  if (auto b = json.at("bounds"); json.has("bounds")) {
     // One bound serves all that must be heeded everywhere: the shortest of them.
     auto shortest = Duration::max();
     for (auto* k : {"layout_s", "leave_s", "purge_s"})
       if (b.has(k)) shortest = std::min(shortest, span(b.at(k)));
     if (shortest != Duration::max()) n.bound = shortest;
-    c.grace = span(b.at("grace_s"));
+    settings.grace = span(b.at("grace_s"));
     auto& s = n.system;
-    s.repeat_share = b.at("repeat_share").real(s.repeat_share);
-    s.repeat_allowance =
-        static_cast<int64_t>(b.at("repeat_allowance").real(static_cast<double>(s.repeat_allowance)));
-    s.trial_share_percent = static_cast<int64_t>(
-        b.at("trial_share").real(static_cast<double>(s.trial_share_percent) / 100) * 100);
-    s.bad_answers = static_cast<int64_t>(b.at("bad_answers").real(static_cast<double>(s.bad_answers)));
+    s.retry_ratio = b.at("repeat_share").real_or(s.retry_ratio);
+    s.retry_allowance =
+        static_cast<int64_t>(b.at("repeat_allowance").real_or(static_cast<double>(s.retry_allowance)));
+    s.canary_percent =
+        static_cast<int64_t>(b.at("trial_share").real_or(static_cast<double>(s.canary_percent) / 100) * 100);
+    s.max_canary_failures =
+        static_cast<int64_t>(b.at("bad_answers").real_or(static_cast<double>(s.max_canary_failures)));
   }
   // Of a machine's memory a quarter may be kept receipts and a quarter bodies under way.
   // Of the descriptors some are for files that the system opens beside ours.
-  c.sockets = static_cast<int>(std::max<int64_t>(0, j.at("descriptors").num(0) - kOtherFiles));
-  n.sockets = c.sockets;
+  settings.max_sockets =
+      static_cast<int>(std::max<int64_t>(0, json.at("descriptors").integer_or(0) - kOtherFiles));
+  n.max_sockets = settings.max_sockets;
   if (!n.shield)
     for (auto* k : {"callers", "control"})
       if (!l.has(k)) ds.push_back({std::string("/listen/") + k, "is missing"});
-  c.memory_mb = j.at("memory_mb").real(0);
-  if (c.memory_mb > 0) n.cache_bytes = static_cast<size_t>(c.memory_mb * (1 << 20) / 4);
-  if (j.has("cache_bytes")) n.cache_bytes = static_cast<size_t>(j.at("cache_bytes").num());
-  if (j.has("system")) {
-    for (auto& d : rollout::check_system(j.at("system"))) ds.push_back({"/system" + d.at, d.what});
-    n.system = rollout::read_system(j.at("system"), n.system);
+  settings.memory_mb = json.at("memory_mb").real_or(0);
+  if (settings.memory_mb > 0) n.max_cache_bytes = static_cast<size_t>(settings.memory_mb * (1 << 20) / 4);
+  if (json.has("cache_bytes")) n.max_cache_bytes = static_cast<size_t>(json.at("cache_bytes").integer_or());
+  if (json.has("system")) {
+    for (auto& d : rollout::check_system_options(json.at("system")))
+      ds.push_back({"/system" + d.pointer, d.message});
+    n.system = rollout::parse_system_options(json.at("system"), n.system);
   }
-  n.scale = j.at("hold_scale").real(1);
+  n.scale = json.at("hold_scale").real_or(1);
   bool named = false;
-  for (auto& h : n.holders) named |= h.name == n.name;
-  if (c.data.empty() && named) ds.push_back({"/holders/" + n.name, "a holder needs /data"});
-  if (n.holders.size() % 2 == 0 && !n.holders.empty()) ds.push_back({"/holders", "an odd number is needed"});
+  for (auto& h : n.replicas) named |= h.name == n.name;
+  if (settings.data_directory.empty() && named) ds.push_back({"/holders/" + n.name, "a holder needs /data"});
+  if (n.replicas.size() % 2 == 0 && !n.replicas.empty())
+    ds.push_back({"/holders", "an odd number is needed"});
   if (!ds.empty()) return ds;
-  return c;
+  return settings;
 }
 
 }  // namespace dunlinwing::relay
--- a/src/relay/config.hpp
+++ b/src/relay/config.hpp
@@ -6,20 +6,21 @@
 
 namespace dunlinwing::relay {
 
-struct Config {
+struct Settings {
   NodeConfig node;
-  std::string callers, control, readiness, data, releases, log_level = "info";
-  std::string face = "own";  // whose words callers, workers and operators are spoken to in
+  std::string client_address, control_address, readiness_address, data_directory, release_directory,
+      log_level = "info";
+  std::string protocol_adapter = "own";  // whose words callers, workers and operators are spoken to in
   int threads = 2;
-  Duration beat{0};      // how often workers beat, when their calls do not say it
-  Duration grace{0};     // from the word to stop until the process must have ended; 0: from the bound
-  int sockets = 0;       // that this process may have open at once; 0: not stated
-  double memory_mb = 0;  // of the machine, for this process; 0: not stated
+  Duration heartbeat_period{0};  // how often workers beat, when their calls do not say it
+  Duration grace{0};             // from the word to stop until the process must have ended; 0: from the bound
+  int max_sockets = 0;           // that this process may have open at once; 0: not stated
+  double memory_mb = 0;          // of the machine, for this process; 0: not stated
   size_t log_bytes = 4 << 20;
 };
 
-using ConfigGot = std::variant<Config, std::vector<base::ValidationError>>;
-ConfigGot read_config(std::string_view text);
-std::string_view config_schema();
+using SettingsResult = std::variant<Settings, std::vector<base::ValidationError>>;
+SettingsResult parse_settings(std::string_view text);
+std::string_view settings_schema();
 
 }  // namespace dunlinwing::relay
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -30,10 +30,10 @@
 namespace dw = dunlinwing;
 
 namespace {
-constexpr dw::base::Log lg("relay");
+constexpr dw::base::Log logger("relay");
 constexpr int kBadSettings = 2, kCannotStart = 3;
 
-std::optional<dw::relay::Config> settings() {
+std::optional<dw::relay::Settings> settings() {
   if (FLAGS_config.empty()) {
     std::cerr << "relay: --config names no file\n";
     return {};
@@ -45,13 +45,14 @@
     std::cerr << "relay: cannot read " << FLAGS_config << "\n";
     return {};
   }
-  auto g = dw::relay::read_config(b.str());
+  auto g = dw::relay::parse_settings(b.str());
   if (auto* ds = std::get_if<std::vector<dw::base::ValidationError>>(&g)) {
     for (auto& d : *ds)
-      std::cerr << "relay: " << FLAGS_config << ": " << (d.at.empty() ? "/" : d.at) << " " << d.what << "\n";
+      std::cerr << "relay: " << FLAGS_config << ": " << (d.pointer.empty() ? "/" : d.pointer) << " "
+                << d.message << "\n";
     return {};
   }
-  auto c = std::get<dw::relay::Config>(g);
+  auto c = std::get<dw::relay::Settings>(g);
   if (!FLAGS_name.empty()) c.node.name = FLAGS_name;
   if (!FLAGS_zone.empty()) c.node.zone = FLAGS_zone;
   if (!FLAGS_log_level.empty()) c.log_level = FLAGS_log_level;
@@ -65,13 +66,13 @@
 }
 
 struct App {
-  dw::relay::Config c;
-  dw::wire::Pool pool;
-  dw::wire::RealClock clock;
-  dw::wire::RealChance random;
+  dw::relay::Settings settings;
+  dw::wire::EventLoopPool pool;
+  dw::wire::SystemClock clock;
+  dw::wire::SystemRandom random;
   dw::relay::SocketBudget sockets;
-  dw::wire::PeerNet net;
-  dw::wire::HttpOrigin origin;
+  dw::wire::PeerClient net;
+  dw::wire::HttpClient origin;
   dw::base::Ports ports{clock, random, pool, net, origin};
   std::unique_ptr<dw::storage::AsyncDisk> disk;
   std::unique_ptr<dw::relay::Node> node;
@@ -79,32 +80,32 @@
   std::unique_ptr<dw::storage::DiskExecutor> hand;
   std::unique_ptr<dw::software::Artifacts> artifacts;
   std::unique_ptr<dw::software::Stager> stager;
-  std::unique_ptr<dw::control_api::Control> control;
+  std::unique_ptr<dw::control_api::Router> control;
   std::unique_ptr<dw::wire::HttpServer> callers, operators, readiness;
   int next = 0;
   bool ending = false;
 
-  explicit App(dw::relay::Config cc)
-      : c(std::move(cc)),
-        pool(c.threads),
-        sockets(dw::relay::share_sockets(c.sockets, !c.data.empty())),
+  explicit App(dw::relay::Settings cc)
+      : settings(std::move(cc)),
+        pool(settings.threads),
+        sockets(dw::relay::share_sockets(settings.max_sockets, !settings.data_directory.empty())),
         net(sockets.peers_asked),
         origin(16u << 20, sockets.upstream_idle) {}
 
   // Carried requests are traffic: they run on a traffic thread, not on control's.
-  dw::pb::Reply answer(const dw::pb::Ask& a) {
-    if (!a.has_carry()) return node->answer(a);
+  dw::pb::PeerResponse answer(const dw::pb::PeerRequest& request) {
+    if (!request.has_forward()) return node->handle_peer_request(request);
     if (pool.size() == 1) {
-      dw::pb::Reply r;
-      *r.mutable_carry() = node->carry(a.carry());
-      return r;
+      dw::pb::PeerResponse response;
+      *response.mutable_forward() = node->handle_forwarded(request.forward());
+      return response;
     }
     auto condition = pool.condition();
-    auto out = std::make_shared<dw::pb::Reply>();
+    auto out = std::make_shared<dw::pb::PeerResponse>();
     auto done = std::make_shared<std::atomic<bool>>(false);
     next = next + 1 < pool.size() ? next + 1 : 1;
-    pool.spawn_on(next, [this, a, out, done, condition] {
-      *out->mutable_carry() = node->carry(a.carry());
+    pool.spawn_on(next, [this, request, out, done, condition] {
+      *out->mutable_forward() = node->handle_forwarded(request.forward());
       *done = true;
       condition->notify();
     });
@@ -114,70 +115,75 @@
 
   std::optional<std::string> listen() {
     if (auto e = dw::wire::serve_peers(
-            pool, c.node.peer_address, [this](auto& a) { return answer(a); }, sockets.peers_served))
+            pool, settings.node.peer_address, [this](auto& a) { return answer(a); }, sockets.peers_served))
       return e;
-    if (c.callers.empty()) return {};
+    if (settings.client_address.empty()) return {};
     dw::wire::HttpLimits lim;
     lim.body_bytes = 8u << 20;
-    lim.bodies = c.memory_mb > 0 ? static_cast<size_t>(c.memory_mb * (1 << 20) / 4) : lim.bodies;
-    lim.most = sockets.operators;
+    lim.all_bodies_bytes = settings.memory_mb > 0 ? static_cast<size_t>(settings.memory_mb * (1 << 20) / 4)
+                                                  : lim.all_bodies_bytes;
+    lim.max_connections = sockets.operators;
     auto calls = lim;
-    calls.most = sockets.clients;
+    calls.max_connections = sockets.clients;
     callers = std::make_unique<dw::wire::HttpServer>(pool, "callers", calls,
-                                                     [this](auto& q) { return node->serve(q); });
-    dw::wire::HttpHandler product = [this](auto& q) { return control->answer(q); };
+                                                     [this](auto& q) { return node->handle(q); });
+    dw::wire::HttpHandler product = [this](auto& q) { return control->handle(q); };
     dw::wire::HttpHandler told = product;
-    if (c.face == "platform")
-      told = [this, product](auto& q) { return dw::platform::answer(q, c.beat, product); };
+    if (settings.protocol_adapter == "platform")
+      told = [this, product](auto& q) { return dw::platform::handle(q, settings.heartbeat_period, product); };
     operators = std::make_unique<dw::wire::HttpServer>(pool, "control", lim, told);
-    if (auto e = operators->listen(c.control, 0, 1)) return e;
-    if (!c.readiness.empty()) {
-      lim.most = sockets.readiness;
+    if (auto e = operators->listen(settings.control_address, 0, 1)) return e;
+    if (!settings.readiness_address.empty()) {
+      lim.max_connections = sockets.readiness;
       readiness = std::make_unique<dw::wire::HttpServer>(pool, "readiness", lim, told);
-      if (auto e = readiness->listen(c.readiness, 0, 1)) return e;
+      if (auto e = readiness->listen(settings.readiness_address, 0, 1)) return e;
     }
-    return callers->listen(c.callers, pool.size() > 1 ? 1 : 0, pool.size());
+    return callers->listen(settings.client_address, pool.size() > 1 ? 1 : 0, pool.size());
   }
 
   // The limits of callers' connections are the layout's.
   void follow_limits() {
-    std::shared_ptr<const dw::traffic::Layout> seen;
-    for (;; clock.sleep(c.node.bound / 8)) {
-      auto l = node->traffic().table()->layout;
-      if (!l || l == seen || !callers) continue;
-      seen = l;
+    std::shared_ptr<const dw::traffic::RoutingConfiguration> seen;
+    for (;; clock.sleep(settings.node.bound / 8)) {
+      auto configuration = node->request_handler().snapshot()->configuration;
+      if (!configuration || configuration == seen || !callers) continue;
+      seen = configuration;
       dw::wire::HttpLimits lim;
-      lim.head_bytes = static_cast<size_t>(l->head_bytes);
-      lim.body_bytes = static_cast<size_t>(l->body_bytes);
-      if (c.memory_mb > 0) lim.bodies = static_cast<size_t>(c.memory_mb * (1 << 20) / 4);
-      lim.most = sockets.clients;
-      lim.read = l->head_time;
-      lim.idle = l->idle_time;
-      callers->limits(lim);
+      lim.head_bytes = static_cast<size_t>(configuration->head_bytes);
+      lim.body_bytes = static_cast<size_t>(configuration->body_bytes);
+      if (settings.memory_mb > 0)
+        lim.all_bodies_bytes = static_cast<size_t>(settings.memory_mb * (1 << 20) / 4);
+      lim.max_connections = sockets.clients;
+      lim.head_timeout = configuration->head_time;
+      lim.idle_timeout = configuration->idle_time;
+      callers->set_limits(lim);
     }
   }
 
   void software(const std::string& program) {
     hand = std::make_unique<dw::storage::DiskExecutor>(pool);
-    if (!c.data.empty()) shelf = std::make_unique<dw::storage::ArtifactFiles>(c.data);
+    if (!settings.data_directory.empty())
+      shelf = std::make_unique<dw::storage::ArtifactFiles>(settings.data_directory);
     artifacts = std::make_unique<dw::software::Artifacts>(ports, node->registers(), node->state_cache(),
-                                                          c.node.name, shelf.get(), hand.get(), c.node.bound);
+                                                          settings.node.name, shelf.get(), hand.get(),
+                                                          settings.node.bound);
     node->artifacts(artifacts.get());
     dw::software::StagerPorts sp;
     sp.wanted = [this] { return node->wanted_software(); };
-    sp.defect = [this](auto& why) { node->software_defect(why); };
-    sp.sound = [this] {
-      return node->state_cache().fresh() && (node->ready() || !node->traffic().table()->layout);
+    sp.report_error = [this](auto& why) { node->report_software_error(why); };
+    sp.is_healthy = [this] {
+      return node->state_cache().has_read_lease() &&
+             (node->ready() || !node->request_handler().snapshot()->configuration);
     };
-    sp.crowded = [this] {
+    sp.too_many_restarting = [this] {
       // At most a third of the nodes may be out at once; a duty's pair goes one by one.
       size_t in = node->state_cache().statuses().members(clock.now()).size();
-      auto t = node->traffic().table();
-      return in * 3 < static_cast<size_t>(t->nodes) * 2;
+      auto snapshot = node->request_handler().snapshot();
+      return in * 3 < static_cast<size_t>(snapshot->nodes) * 2;
     };
-    sp.end = [this](int status) { finish(status); };
-    stager = std::make_unique<dw::software::Stager>(ports, *artifacts, *hand, sp, c.releases, program,
-                                                    c.node.bound);
+    sp.terminate = [this](int status) { finish(status); };
+    stager = std::make_unique<dw::software::Stager>(ports, *artifacts, *hand, sp, settings.release_directory,
+                                                    program, settings.node.bound);
   }
 
   void finish(int status) {
@@ -186,23 +192,23 @@
     }
     // The platform asks each second whether this node is ready, so callers go on
     // coming for as long; they are served until it has heard the no.
-    auto grace = c.grace > 0ms ? c.grace * 4 / 5 : c.node.bound * 2;
+    auto grace = settings.grace > 0ms ? settings.grace * 4 / 5 : settings.node.bound * 2;
     auto end = clock.now() + grace,
-         heard = clock.now() + (c.grace > 0ms ? c.grace * 9 / 20 : c.node.bound * 5 / 8);
-    lg.info("{}: asked to stop; draining.", c.node.name);
-    if (callers) callers->wind_down();
-    node->leave();
+         heard = clock.now() + (settings.grace > 0ms ? settings.grace * 9 / 20 : settings.node.bound * 5 / 8);
+    logger.info("{}: asked to stop; draining.", settings.node.name);
+    if (callers) callers->drain();
+    node->begin_shutdown();
     if (clock.now() < heard) clock.sleep(heard - clock.now());
-    node->traffic().drain();
+    node->request_handler().start_draining();
     if (callers) callers->close();
     if (callers) callers->close_idle();
     auto busy = [this] {
-      return node->traffic().running() > 0 || (callers && callers->running() > 0) ||
-             node->hands_over_replica();
+      return node->request_handler().running_requests() > 0 || (callers && callers->running_requests() > 0) ||
+             node->can_transfer_replica();
     };
     while (busy() && clock.now() < end) clock.sleep(10ms);
-    lg.info("{}: stopped.", c.node.name);
-    dw::wire::Pool::stop(status);
+    logger.info("{}: stopped.", settings.node.name);
+    dw::wire::EventLoopPool::stop(status);
   }
 };
 }  // namespace
@@ -224,47 +230,48 @@
   std::signal(SIGPIPE, SIG_IGN);
   App app(*c);
   if (c->node.scale > 1)
-    lg.warn("{}: HOLDS ARE DIVIDED BY {}. This is for trying things out, never for real machines.",
-            c->node.name, c->node.scale);
-  if (!c->data.empty()) {
-    auto f = dw::storage::open_folder(c->data);
+    logger.warn("{}: HOLDS ARE DIVIDED BY {}. This is for trying things out, never for real machines.",
+                c->node.name, c->node.scale);
+  if (!c->data_directory.empty()) {
+    auto f = dw::storage::open_folder(c->data_directory);
     if (auto* d = std::get_if<dw::storage::OpenError>(&f)) {
-      lg.error("{}: {}.", c->node.name, d->what);
+      logger.error("{}: {}.", c->node.name, d->what);
       return kCannotStart;
     }
     auto s = std::make_unique<dw::storage::SnapshotStore>(std::move(std::get<0>(f)), c->log_bytes);
     app.disk = std::make_unique<dw::storage::AsyncDisk>(std::move(s), app.pool);
   }
-  if (c->face == "platform") c->node.face = dw::platform::face();
+  if (c->protocol_adapter == "platform") c->node.protocol_adapter = dw::platform::protocol_adapter();
   app.node = std::make_unique<dw::relay::Node>(app.ports, c->node, app.disk.get());
   std::string program = argv[0];
   app.software(program.substr(program.rfind('/') + 1));
-  app.control = std::make_unique<dw::control_api::Control>(app.ports, *app.node);
+  app.control = std::make_unique<dw::control_api::Router>(app.ports, *app.node);
   if (auto e = app.listen()) {
-    lg.error("{}: {}.", c->node.name, *e);
+    logger.error("{}: {}.", c->node.name, *e);
     return kCannotStart;
   }
   boost::asio::signal_set sigs(app.pool.io(0), SIGTERM, SIGINT);
   sigs.async_wait([&](auto ec, int) {
     if (!ec) app.pool.spawn([&] { app.finish(0); });
   });
-  dw::relay::Reread reread(FLAGS_config, [&](auto seeds) { app.node->seeds(std::move(seeds)); });
+  dw::relay::SettingsReloader reread(FLAGS_config,
+                                     [&](auto seeds) { app.node->set_seeds(std::move(seeds)); });
   boost::asio::signal_set hups(app.pool.io(0), SIGHUP);
   std::function<void(boost::system::error_code, int)> on_hup = [&](auto ec, int) {
     if (ec) return;
-    app.pool.spawn([&] { reread.look(true); });
+    app.pool.spawn([&] { reread.check(true); });
     hups.async_wait(on_hup);
   };
   hups.async_wait(on_hup);
-  lg.info("{}: relay {} in zone {}; callers {}, control {}, peers {}.", c->node.name, dw::kSoftware,
-          c->node.zone, c->callers, c->control, c->node.peer_address);
+  logger.info("{}: relay {} in zone {}; callers {}, control {}, peers {}.", c->node.name, dw::kSoftware,
+              c->node.zone, c->client_address, c->control_address, c->node.peer_address);
   app.pool.run([&] {
     app.node->start();
     app.artifacts->start();
     app.pool.spawn([&] { app.follow_limits(); });
     app.stager->start();
     app.pool.spawn([&] {
-      for (;; app.clock.sleep(c->node.bound)) reread.look(false);
+      for (;; app.clock.sleep(c->node.bound)) reread.check(false);
     });
   });
 }
