--- a/src/relay/node.cpp
+++ b/src/relay/node.cpp
@@ -14,137 +14,145 @@
 
 namespace dunlinwing::relay {
 namespace {
-constexpr base::Log lg("relay");
+constexpr base::Log logger("relay");
 }
 
 struct Node::Impl {
-  base::Ports& ps;
-  NodeConfig c;
-  bool holder;
-  consensus::ReplicaSetView set;
+  base::Ports& ports;
+  NodeConfig config;
+  bool has_disk;
+  consensus::ReplicaSetView replica_set;
   std::unique_ptr<consensus::Acceptor> acceptor;
   consensus::RegisterClient registers;
   membership::StateCache state_cache;
   membership::Leadership leadership;
   membership::Discovery discovery;
   std::unique_ptr<membership::ReplicaRepair> replica_repair;  // null without a disk
-  rollout::Conductor conductor;
-  traffic::Traffic traffic;
+  rollout::RolloutController rollout_controller;
+  traffic::RequestHandler request_handler;
   std::atomic<bool> leaving{false}, drained{false};
-  std::map<std::string, std::pair<pb::Beat, TimePoint>> beats;
-  std::map<std::string, std::shared_ptr<const traffic::Layout>> layouts;
+  std::map<std::string, std::pair<pb::Heartbeat, TimePoint>> heartbeats;
+  std::map<std::string, std::shared_ptr<const traffic::RoutingConfiguration>> configurations;
   std::map<std::string, std::string> running;
-  std::string load_defect, soft_defect;
-  std::optional<software::Want> want_soft;
+  std::string load_error, software_error;
+  std::optional<software::SoftwareTarget> wanted_software;
   software::Artifacts* artifacts = nullptr;
-  traffic::Jury jury;
-  traffic::Orders orders;
-  TimePoint swept{0};
+  traffic::CanaryAnalysis canary_analysis;
+  traffic::NumberedConfigurationReader numbered_configuration;
+  TimePoint cache_swept{0};
   std::atomic<uint64_t> generation{0};
-  uint64_t beats_taken = 0, beats_missed = 0;
-  std::vector<std::string> unreached;  // at the last look, not more often than each half bound
-  TimePoint reached_at{0};
+  uint64_t heartbeats_accepted = 0, heartbeats_rejected = 0;
+  std::vector<std::string> unreachable;  // at the last look, not more often than each half bound
+  TimePoint reachability_checked{0};
 
   Impl(base::Ports& p, NodeConfig cc, base::Disk* disk)
-      : ps(p),
-        c(with_face(std::move(cc))),
-        holder(disk != nullptr),
-        set(c.holders),
-        acceptor(disk ? std::make_unique<consensus::Acceptor>(ps, *disk, c.name, set, c.bound / 4) : nullptr),
-        registers(ps, c.name, set, c.bound / 4,
-                  acceptor ? consensus::Local([this](const pb::Ask& a) { return acceptor->answer(a); })
-                           : consensus::Local()),
+      : ports(p),
+        config(with_face(std::move(cc))),
+        has_disk(disk != nullptr),
+        replica_set(config.replicas),
+        acceptor(disk ? std::make_unique<consensus::Acceptor>(ports, *disk, config.name, replica_set,
+                                                              config.bound / 4)
+                      : nullptr),
+        registers(ports, config.name, replica_set, config.bound / 4,
+                  acceptor ? consensus::LocalReplica(
+                                 [this](const pb::PeerRequest& request) { return acceptor->answer(request); })
+                           : consensus::LocalReplica()),
         state_cache(
-            ps, {c.name, c.bound}, registers, acceptor.get(), [this](pb::NodeStatus& n) { own(n); },
-            [this] { seen(); }),
-        leadership(ps, registers, state_cache, "rollout", c.name, c.zone, c.bound),
-        discovery(ps, {c.name, c.bound, c.first_start && c.holders.empty(), c.seeds}, registers, state_cache,
-                  acceptor.get()),
-        replica_repair(acceptor ? std::make_unique<membership::ReplicaRepair>(
-                                      ps, registers, state_cache, *acceptor, c.name, c.tolerate, c.bound)
+            ports, {config.name, config.bound}, registers, acceptor.get(),
+            [this](pb::NodeStatus& status) { fill_own_status(status); }, [this] { apply_state(); }),
+        leadership(ports, registers, state_cache, "rollout", config.name, config.zone, config.bound),
+        discovery(ports,
+                  {config.name, config.bound, config.initial_boot && config.replicas.empty(), config.seeds},
+                  registers, state_cache, acceptor.get()),
+        replica_repair(acceptor ? std::make_unique<membership::ReplicaRepair>(ports, registers, state_cache,
+                                                                              *acceptor, config.name,
+                                                                              config.tolerate, config.bound)
                                 : nullptr),
-        conductor(ps, registers, state_cache, leadership, {c.name, c.bound, c.scale}),
-        traffic(ps, *c.face, c.name, c.zone, [this] { return state_cache.fresh(); }) {
-    traffic.bound_cache(c.cache_bytes);
-    traffic.shots().bound_places(c.sockets > 0 ? c.sockets / 8 : 0);
+        rollout_controller(ports, registers, state_cache, leadership,
+                           {config.name, config.bound, config.scale}),
+        request_handler(ports, *config.protocol_adapter, config.name, config.zone,
+                        [this] { return state_cache.has_read_lease(); }) {
+    request_handler.set_cache_limit(config.max_cache_bytes);
+    request_handler.upstream_client().set_max_instances(config.max_sockets > 0 ? config.max_sockets / 8 : 0);
   }
 
-  static NodeConfig with_face(NodeConfig c) {
-    if (!c.face) c.face = traffic::own_face();
-    return c;
+  static NodeConfig with_face(NodeConfig config) {
+    if (!config.protocol_adapter) config.protocol_adapter = traffic::native_protocol_adapter();
+    return config;
   }
 
-  void own(pb::NodeStatus& n) {
-    TimePoint now = ps.clock.now();
-    auto* f = n.mutable_node();
-    f->set_zone(c.zone);
-    f->set_peer_address(c.peer_address);
-    f->set_http_address(c.http_address);
-    f->set_holder(holder && set.has(c.name));
-    f->set_disk(holder);
-    f->set_shield(c.shield);
+  void fill_own_status(pb::NodeStatus& status) {
+    TimePoint now = ports.clock.now();
+    auto* f = status.mutable_node();
+    f->set_zone(config.zone);
+    f->set_peer_address(config.peer_address);
+    f->set_http_address(config.http_address);
+    f->set_replica(has_disk && replica_set.has(config.name));
+    f->set_disk(has_disk);
+    f->set_shield(config.shield);
     f->set_ready(ready());
     f->set_generation(generation);
-    f->set_load_defect(load_defect.empty() ? soft_defect : load_defect);
+    f->set_load_error(load_error.empty() ? software_error : load_error);
     f->set_software(kSoftware);
-    f->set_wall_ms(ps.clock.wall_ms());
+    f->set_wall_ms(ports.clock.wall_ms());
     f->set_leaving(leaving);
     f->set_drained(drained);
     for (auto& [k, r] : running) (*f->mutable_running())[k] = r;
-    for (auto i = beats.begin(); i != beats.end();) {
+    for (auto i = heartbeats.begin(); i != heartbeats.end();) {
       auto& [b, at] = i->second;
       // Long kept past its end, so that no late echo brings the worker back.
-      if (now - at > Duration(b.period_ms()) * 20 + c.bound * 10) {
-        i = beats.erase(i);
+      if (now - at > Duration(b.period_ms()) * 20 + config.bound * 10) {
+        i = heartbeats.erase(i);
         continue;
       }
-      auto* x = n.add_beats();
+      auto* x = status.add_heartbeats();
       *x = b;
       x->set_age_ms(static_cast<uint64_t>((now - at).count()));
       ++i;
     }
-    n.set_beats_taken(beats_taken);
-    n.set_beats_missed(beats_missed);
-    traffic.say(n);
+    status.set_heartbeats_accepted(heartbeats_accepted);
+    status.set_heartbeats_rejected(heartbeats_rejected);
+    request_handler.report_status(status);
   }
 
-  std::shared_ptr<const traffic::Layout> layout(const std::string& name, std::string& why) {
-    if (auto f = layouts.find(name); f != layouts.end()) return f->second;
+  std::shared_ptr<const traffic::RoutingConfiguration> load_configuration(const std::string& name,
+                                                                          std::string& why) {
+    if (auto f = configurations.find(name); f != configurations.end()) return f->second;
     auto r = state_cache.chosen().find(rollout::release_key("layout", name));
     if (r == state_cache.chosen().end()) {
       why = "the release is not known here";
       return {};
     }
-    auto g = rollout::read_release("layout", name, r->second.data);
-    if (auto* d = std::get_if<std::vector<base::ValidationError>>(&g)) {
-      why = d->empty() ? "unreadable" : d->front().at + " " + d->front().what;
+    auto g = rollout::parse_release("layout", name, r->second.data);
+    if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&g)) {
+      why = errors->empty() ? "unreadable" : errors->front().pointer + " " + errors->front().message;
       return {};
     }
-    auto l = traffic::read_layout(name, std::get<rollout::Release>(g).content);
-    auto* x = std::get_if<std::shared_ptr<const traffic::Layout>>(&l);
+    auto l = traffic::parse_routing_configuration(name, std::get<rollout::Release>(g).content);
+    auto* x = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&l);
     if (!x) {
       why = "unreadable";
       return {};
     }
-    return layouts[name] = *x;
+    return configurations[name] = *x;
   }
 
-  void load(const pb::NodeAssign& a, traffic::Table& t) {
-    auto old = traffic.table();
-    t.layout = old->layout;
-    t.generation = old->generation;
-    t.system = old->system;
-    if (a.generation() < generation) return;
+  void load_assignment(const pb::NodeAssignment& assignment, traffic::RoutingSnapshot& snapshot) {
+    auto old = request_handler.snapshot();
+    snapshot.configuration = old->configuration;
+    snapshot.generation = old->generation;
+    snapshot.system = old->system;
+    if (assignment.generation() < generation) return;
     std::string why;
     auto want = [&](const char* kind) {
-      auto f = a.releases().find(kind);
-      return f == a.releases().end() ? std::string() : f->second;
+      auto f = assignment.releases().find(kind);
+      return f == assignment.releases().end() ? std::string() : f->second;
     };
     std::string lay = want("layout"), sys = want("system");
-    auto l = lay.empty() ? nullptr : layout(lay, why);
-    rollout::System s = c.system;
-    bool ok = lay.empty() || l;
-    if (!ok) load_defect = "layout/" + lay + ": " + why;
+    auto configuration = lay.empty() ? nullptr : load_configuration(lay, why);
+    rollout::SystemOptions s = config.system;
+    bool ok = lay.empty() || configuration;
+    if (!ok) load_error = "layout/" + lay + ": " + why;
     auto now_sys = running.find("system");
     if (ok && now_sys != running.end() && now_sys->second == sys) {
       s = old->system;  // releases do not change, so it need not be read again
@@ -152,47 +160,47 @@
       auto r = state_cache.chosen().find(rollout::release_key("system", sys));
       ok = r != state_cache.chosen().end();
       if (ok) {
-        auto g = rollout::read_release("system", sys, r->second.data);
+        auto g = rollout::parse_release("system", sys, r->second.data);
         if (auto* x = std::get_if<rollout::Release>(&g))
-          s = rollout::read_system(x->content, c.system);
+          s = rollout::parse_system_options(x->content, config.system);
         else
           ok = false;
       }
-      if (!ok) load_defect = "system/" + sys + ": not known or unreadable here";
+      if (!ok) load_error = "system/" + sys + ": not known or unreadable here";
     }
     if (!ok) return;  // what runs goes on running
-    load_defect.clear();
-    if (a.generation() > generation)
-      lg.info("{}: generation {} puts layout {} in force here.", c.name, a.generation(),
-              lay.empty() ? "(none)" : lay);
-    t.layout = l;
-    t.system = s;
-    t.generation = a.generation();
-    generation = a.generation();
+    load_error.clear();
+    if (assignment.generation() > generation)
+      logger.info("{}: generation {} puts layout {} in force here.", config.name, assignment.generation(),
+                  lay.empty() ? "(none)" : lay);
+    snapshot.configuration = configuration;
+    snapshot.system = s;
+    snapshot.generation = assignment.generation();
+    generation = assignment.generation();
     running.clear();
-    for (auto& [k, r] : a.releases())
+    for (auto& [k, r] : assignment.releases())
       if (k != "software") running[k] = r;
-    look_at_software(want("software"));
+    update_wanted_software(want("software"));
     base::Level lev;
     if (!sys.empty() && base::parse_level(s.log_level, lev)) base::set_level(lev);
   }
 
   // Software runs here when its version is this program's.
-  void look_at_software(const std::string& name) {
-    auto old = want_soft ? want_soft->name : std::string();
-    want_soft.reset();
-    if (name.empty()) return soft_defect.clear();
-    for (auto& [sha, w] : software::recorded(state_cache.chosen()))
-      if (w.name == name) want_soft = w;
-    if (want_soft && want_soft->version == kSoftware) {
+  void update_wanted_software(const std::string& name) {
+    auto old = wanted_software ? wanted_software->name : std::string();
+    wanted_software.reset();
+    if (name.empty()) return software_error.clear();
+    for (auto& [sha, w] : software::recorded_software(state_cache.chosen()))
+      if (w.name == name) wanted_software = w;
+    if (wanted_software && wanted_software->version == kSoftware) {
       running["software"] = name;
-      want_soft.reset();
+      wanted_software.reset();
     }
-    if (!want_soft || want_soft->name != old) soft_defect.clear();
+    if (!wanted_software || wanted_software->name != old) software_error.clear();
   }
 
-  bool stated_drained() const {
-    for (auto& k : {drain_key("node", c.name), drain_key("zone", c.zone)}) {
+  bool is_drained_by_operator() const {
+    for (auto& k : {drain_key("node", config.name), drain_key("zone", config.zone)}) {
       auto f = state_cache.chosen().find(k);
       pb::Drain d;
       if (f != state_cache.chosen().end() && d.ParseFromString(f->second.data) && d.drained()) return true;
@@ -200,94 +208,101 @@
     return false;
   }
 
-  void seen() {
-    TimePoint now = ps.clock.now();
-    bool was = drained.exchange(stated_drained());
+  void apply_state() {
+    TimePoint now = ports.clock.now();
+    bool was = drained.exchange(is_drained_by_operator());
     if (was != drained)
-      lg.info("{}: {}.", c.name, drained ? "drained; callers are sent elsewhere" : "no longer drained");
-    leadership.rest(drained);
-    auto t = std::make_shared<traffic::Table>();
-    auto roll = rollout::read_rollout(state_cache.chosen());
-    if (auto f = roll.nodes().find(c.name); f != roll.nodes().end())
-      load(f->second, *t);
+      logger.info("{}: {}.", config.name,
+                  drained ? "drained; callers are sent elsewhere" : "no longer drained");
+    leadership.set_passive(drained);
+    auto t = std::make_shared<traffic::RoutingSnapshot>();
+    auto roll = rollout::read_rollout_state(state_cache.chosen());
+    if (auto f = roll.nodes().find(config.name); f != roll.nodes().end())
+      load_assignment(f->second, *t);
     else
-      load(pb::NodeAssign(), *t);
+      load_assignment(pb::NodeAssignment(), *t);
     for (auto& [n, a] : roll.nodes()) {
-      t->assigned[n] = a.generation();
+      t->assigned_generations[n] = a.generation();
       if (auto f = a.releases().find("layout"); f != a.releases().end()) {
         std::string why;
-        if (auto l = layout(f->second, why)) t->layouts[f->second] = l;
+        if (auto configuration = load_configuration(f->second, why))
+          t->configurations[f->second] = configuration;
       }
     }
-    layouts = t->layouts;
-    if (auto& o = orders.look(state_cache.chosen()); o.number) {
-      if (o.number > traffic.table()->order) lg.info("{}: layout {} is in force here.", c.name, o.number);
-      t->order = t->generation = o.number;
-      t->layout = o.layout;
-      load_defect = o.layout ? "" : traffic::order_name(o.number) + ": unreadable";
+    configurations = t->configurations;
+    if (auto& o = numbered_configuration.read(state_cache.chosen()); o.number) {
+      if (o.number > request_handler.snapshot()->configuration_number)
+        logger.info("{}: layout {} is in force here.", config.name, o.number);
+      t->configuration_number = t->generation = o.number;
+      t->configuration = o.configuration;
+      load_error = o.configuration ? "" : traffic::numbered_configuration_name(o.number) + ": unreadable";
     }
-    if (t->layout) t->layouts[t->layout->name] = t->layout;
+    if (t->configuration) t->configurations[t->configuration->name] = t->configuration;
     std::vector<std::string> alive;
-    auto workers = state_cache.statuses().workers(now);
+    auto workers = state_cache.statuses().backend_instances(now);
     std::map<std::string, Duration> youngest;  // beat from each address: its earlier owners have ended
     for (auto& [i, w] : workers) {
-      auto [f, first] = youngest.emplace(w.beat.address(), w.age);
+      auto [f, first] = youngest.emplace(w.heartbeat.address(), w.age);
       if (!first) f->second = std::min(f->second, w.age);
     }
     for (auto& [i, w] : workers) {
-      auto& b = w.beat;
-      if (w.gone || w.age > youngest[b.address()]) continue;
+      auto& heartbeat = w.heartbeat;
+      if (w.gone || w.age > youngest[heartbeat.address()]) continue;
       alive.push_back(i);
-      t->workers[b.service()].push_back({i, b.service(), b.version(), b.zone(), b.address(),
-                                         static_cast<int>(b.capacity()),
-                                         b.cold_ms() ? now - w.age + Duration(b.cold_ms()) : TimePoint(0)});
+      t->backend_instances[heartbeat.service()].push_back(
+          {i, heartbeat.service(), heartbeat.version(), heartbeat.zone(), heartbeat.address(),
+           static_cast<int>(heartbeat.capacity()),
+           heartbeat.warm_up_ms() ? now - w.age + Duration(heartbeat.warm_up_ms()) : TimePoint(0)});
     }
-    if (now - swept >= c.bound / 2) {
-      swept = now;
-      traffic.sweep();
+    if (now - cache_swept >= config.bound / 2) {
+      cache_swept = now;
+      request_handler.evict_expired();
     }
     for (auto& [k, h] : state_cache.chosen()) {
-      if (k.starts_with("service/")) t->states[k.substr(8)].ParseFromString(h.data);
+      if (k.starts_with("service/")) t->service_states[k.substr(8)].ParseFromString(h.data);
       if (k.starts_with("share/")) {
-        pb::Shares sh;
-        sh.ParseFromString(h.data);
-        if (auto f = sh.milli().find(c.name); f != sh.milli().end())
-          t->shares[k.substr(6)] = f->second / 1000.0;
+        pb::RateQuotas quotas;
+        quotas.ParseFromString(h.data);
+        if (auto f = quotas.milli_requests().find(config.name); f != quotas.milli_requests().end())
+          t->rate_quotas[k.substr(6)] = f->second / 1000.0;
       }
       if (k.starts_with("purge/")) t->purges[k.substr(6)].ParseFromString(h.data);
     }
-    jury.hear(t->states, state_cache.statuses().latest(now), static_cast<uint64_t>(t->system.bad_answers));
-    t->given_up = jury.all_stopped();
-    traffic::settle(*t);
+    canary_analysis.update(t->service_states, state_cache.statuses().latest(now),
+                           static_cast<uint64_t>(t->system.max_canary_failures));
+    t->aborted_canaries = canary_analysis.aborted();
+    traffic::finalize_snapshot(*t);
     for (auto& m : state_cache.statuses().members(now))
-      if (m.fact.shield() && m.fact.ready()) t->shields.push_back({m.name, m.fact.peer_address()});
+      if (m.info.shield() && m.info.ready()) t->shields.push_back({m.name, m.info.peer_address()});
     t->nodes = std::max<int>(roll.nodes_size(), 1);
-    for (auto& [n, a] : roll.nodes()) t->rank += n < c.name;
-    traffic.shots().workers_known(alive);
-    traffic.swap(t);
+    for (auto& [n, a] : roll.nodes()) t->rank += n < config.name;
+    request_handler.upstream_client().retain_instances(alive);
+    request_handler.set_snapshot(t);
   }
 
   bool ready() const {
-    auto t = traffic.table();
-    return !leaving && !drained && state_cache.fresh() && t->layout &&
-           !traffic::overtaken(*t, c.name, t->generation);
+    auto snapshot = request_handler.snapshot();
+    return !leaving && !drained && state_cache.has_read_lease() && snapshot->configuration &&
+           !traffic::is_superseded(*snapshot, config.name, snapshot->generation);
   }
 };
 
-Node::Node(base::Ports& ps, NodeConfig c, base::Disk* disk) : p_(new Impl(ps, std::move(c), disk)) {}
+Node::Node(base::Ports& ports, NodeConfig config, base::Disk* disk)
+    : impl_(new Impl(ports, std::move(config), disk)) {}
 Node::~Node() = default;
 
 void Node::start() {
-  std::optional<pb::First> first;
-  if (p_->c.first_start) first.emplace();
-  if (first && p_->c.holders.empty()) first->mutable_seeds()->Assign(p_->c.seeds.begin(), p_->c.seeds.end());
-  if (p_->acceptor) p_->acceptor->start(first);
-  p_->state_cache.start();
-  p_->discovery.start();
-  if (p_->holder) {
-    p_->leadership.start();
-    p_->conductor.start();
-    p_->replica_repair->start();
+  std::optional<pb::InitialBoot> first;
+  if (impl_->config.initial_boot) first.emplace();
+  if (first && impl_->config.replicas.empty())
+    first->mutable_seeds()->Assign(impl_->config.seeds.begin(), impl_->config.seeds.end());
+  if (impl_->acceptor) impl_->acceptor->start(first);
+  impl_->state_cache.start();
+  impl_->discovery.start();
+  if (impl_->has_disk) {
+    impl_->leadership.start();
+    impl_->rollout_controller.start();
+    impl_->replica_repair->start();
   }
 }
 
@@ -295,100 +310,104 @@
   return "drain/" + what + "/" + name;
 }
 
-pb::Reply Node::answer(const pb::Ask& a) {
-  pb::Reply out;
-  switch (a.body_case()) {
-    case pb::Ask::kPull:
-      return p_->state_cache.answer(a);
-    case pb::Ask::kProbe:
-      if (p_->ps.clock.now() - p_->reached_at >= p_->c.bound / 2) {
-        p_->reached_at = p_->ps.clock.now();
-        p_->unreached = p_->traffic.unreached(p_->c.bound / 4);
+pb::PeerResponse Node::handle_peer_request(const pb::PeerRequest& request) {
+  pb::PeerResponse out;
+  switch (request.body_case()) {
+    case pb::PeerRequest::kPull:
+      return impl_->state_cache.handle_pull(request);
+    case pb::PeerRequest::kHealthCheck:
+      if (impl_->ports.clock.now() - impl_->reachability_checked >= impl_->config.bound / 2) {
+        impl_->reachability_checked = impl_->ports.clock.now();
+        impl_->unreachable = impl_->request_handler.unreachable_services(impl_->config.bound / 4);
       }
-      for (auto& s : p_->unreached) out.mutable_probe()->add_unreached(s);
-      out.mutable_probe()->set_ready(ready());
-      out.mutable_probe()->set_generation(p_->generation);
+      for (auto& s : impl_->unreachable) out.mutable_health_check()->add_unreachable(s);
+      out.mutable_health_check()->set_ready(ready());
+      out.mutable_health_check()->set_generation(impl_->generation);
       return out;
-    case pb::Ask::kChunk:
-    case pb::Ask::kFetch:
-      if (p_->artifacts) return p_->artifacts->answer(a);
-      out.set_defect("this node keeps no artifacts");
+    case pb::PeerRequest::kArtifactChunk:
+    case pb::PeerRequest::kArtifactRead:
+      if (impl_->artifacts) return impl_->artifacts->handle_peer_request(request);
+      out.set_error("this node keeps no artifacts");
       return out;
-    case pb::Ask::kPrepare:
-    case pb::Ask::kAccept:
-    case pb::Ask::kPeek:
-    case pb::Ask::kDump:
-    case pb::Ask::kAdopt:
-      if (p_->acceptor) return p_->acceptor->answer(a);
-      if (a.has_adopt()) {
-        p_->set.adopt(a.adopt().set());
-        out.mutable_vote()->set_yes(true);
+    case pb::PeerRequest::kPrepare:
+    case pb::PeerRequest::kAccept:
+    case pb::PeerRequest::kReadRegister:
+    case pb::PeerRequest::kSnapshot:
+    case pb::PeerRequest::kAdopt:
+      if (impl_->acceptor) return impl_->acceptor->answer(request);
+      if (request.has_adopt()) {
+        impl_->replica_set.adopt(request.adopt().replica_set());
+        out.mutable_vote()->set_granted(true);
         return out;
       }
-      out.set_defect("this node holds no state");
+      out.set_error("this node holds no state");
       return out;
     default:
-      out.set_defect("not understood");
+      out.set_error("not understood");
       return out;
   }
 }
 
-base::Response Node::serve(base::Request& q) { return p_->traffic.serve(q); }
-pb::CarryReply Node::carry(const pb::Carry& c) { return p_->traffic.carry(c); }
+base::Response Node::handle(base::Request& request) { return impl_->request_handler.handle(request); }
+pb::ForwardResponse Node::handle_forwarded(const pb::ForwardRequest& forward) {
+  return impl_->request_handler.handle_forwarded(forward);
+}
 
-bool Node::beat(const pb::Beat& b) {
-  if (!p_->state_cache.fresh() || p_->leaving) return ++p_->beats_missed, false;
-  auto& x = p_->beats[b.instance()];
+bool Node::accept_heartbeat(const pb::Heartbeat& heartbeat) {
+  if (!impl_->state_cache.has_read_lease() || impl_->leaving) return ++impl_->heartbeats_rejected, false;
+  auto& x = impl_->heartbeats[heartbeat.instance()];
   // What the fleet has heard of this worker before need not be waited for again.
-  bool same = x.first.number() && x.first.address() == b.address() && x.first.service() == b.service() &&
-              x.first.version() == b.version() && x.first.leaving() == b.leaving();
-  if (b.number() >= x.first.number()) {
+  bool same = x.first.sequence() && x.first.address() == heartbeat.address() &&
+              x.first.service() == heartbeat.service() && x.first.version() == heartbeat.version() &&
+              x.first.leaving() == heartbeat.leaving();
+  if (heartbeat.sequence() >= x.first.sequence()) {
     bool left = x.first.leaving();
-    x = {b, p_->ps.clock.now()};
+    x = {heartbeat, impl_->ports.clock.now()};
     if (left) x.first.set_leaving(true);
   }
-  bool known = (!b.leaving() || membership::deregister(p_->registers, b.instance())) &&
-               (same || p_->state_cache.settle(p_->c.bound / 2));
-  ++(known ? p_->beats_taken : p_->beats_missed);
+  bool known = (!heartbeat.leaving() || membership::deregister(impl_->registers, heartbeat.instance())) &&
+               (same || impl_->state_cache.await_pull(impl_->config.bound / 2));
+  ++(known ? impl_->heartbeats_accepted : impl_->heartbeats_rejected);
   return known;
 }
 
-bool Node::gone(const std::string& instance) {
-  if (!membership::deregister(p_->registers, instance)) return false;
-  p_->state_cache.hurry();
+bool Node::deregister_instance(const std::string& instance) {
+  if (!membership::deregister(impl_->registers, instance)) return false;
+  impl_->state_cache.pull_soon();
   return true;
 }
 
-bool Node::ready() const { return p_->ready(); }
+bool Node::ready() const { return impl_->ready(); }
 
-void Node::leave() {
-  p_->leaving = true;
-  p_->leadership.transfer();
-  p_->state_cache.settle(p_->c.bound / 2);  // tells the others that this node leaves
+void Node::begin_shutdown() {
+  impl_->leaving = true;
+  impl_->leadership.transfer();
+  impl_->state_cache.await_pull(impl_->config.bound / 2);  // tells the others that this node leaves
 }
 
-bool Node::hands_over_replica() const {
-  return p_->replica_repair && p_->set.has(p_->c.name) && p_->replica_repair->successor_at_hand();
+bool Node::can_transfer_replica() const {
+  return impl_->replica_repair && impl_->replica_set.has(impl_->config.name) &&
+         impl_->replica_repair->successor_at_hand();
 }
 
-const NodeConfig& Node::config() const { return p_->c; }
-membership::StateCache& Node::state_cache() { return p_->state_cache; }
-consensus::RegisterClient& Node::registers() { return p_->registers; }
-membership::Leadership& Node::leadership() { return p_->leadership; }
-consensus::Acceptor* Node::acceptor() { return p_->acceptor.get(); }
-void Node::seeds(std::vector<std::string> addresses) { p_->discovery.seeds(std::move(addresses)); }
-traffic::Traffic& Node::traffic() { return p_->traffic; }
-uint64_t Node::generation() const { return p_->generation; }
-std::optional<software::Want> Node::wanted_software() const { return p_->want_soft; }
-void Node::software_defect(const std::string& why) {
-  if (p_->soft_defect != why) lg.warn("{}: {}.", p_->c.name, why);
-  p_->soft_defect = why;
+const NodeConfig& Node::config() const { return impl_->config; }
+membership::StateCache& Node::state_cache() { return impl_->state_cache; }
+consensus::RegisterClient& Node::registers() { return impl_->registers; }
+membership::Leadership& Node::leadership() { return impl_->leadership; }
+consensus::Acceptor* Node::acceptor() { return impl_->acceptor.get(); }
+void Node::set_seeds(std::vector<std::string> addresses) { impl_->discovery.seeds(std::move(addresses)); }
+traffic::RequestHandler& Node::request_handler() { return impl_->request_handler; }
+uint64_t Node::generation() const { return impl_->generation; }
+std::optional<software::SoftwareTarget> Node::wanted_software() const { return impl_->wanted_software; }
+void Node::report_software_error(const std::string& why) {
+  if (impl_->software_error != why) logger.warn("{}: {}.", impl_->config.name, why);
+  impl_->software_error = why;
 }
-void Node::artifacts(software::Artifacts* a) { p_->artifacts = a; }
-software::Artifacts* Node::artifacts() { return p_->artifacts; }
-std::string Node::release() const {
-  auto l = p_->traffic.table()->layout;
-  return l ? l->name : std::string();
+void Node::artifacts(software::Artifacts* a) { impl_->artifacts = a; }
+software::Artifacts* Node::artifacts() { return impl_->artifacts; }
+std::string Node::configuration_name() const {
+  auto configuration = impl_->request_handler.snapshot()->configuration;
+  return configuration ? configuration->name : std::string();
 }
 
 }  // namespace dunlinwing::relay
--- a/src/relay/reread.cpp
+++ b/src/relay/reread.cpp
@@ -12,7 +12,7 @@
 
 namespace dunlinwing::relay {
 namespace {
-constexpr base::Log lg("relay");
+constexpr base::Log logger("relay");
 
 std::map<std::string, std::string> keys(std::string_view text) {
   std::map<std::string, std::string> out;
@@ -34,7 +34,7 @@
   return out;
 }
 
-struct Reread::Impl {
+struct SettingsReloader::Impl {
   std::string path;
   std::function<void(std::vector<std::string>)> seeds;
   using Print = std::tuple<int64_t, int64_t, int64_t, uint64_t>;
@@ -61,35 +61,36 @@
     seen = now;
     auto t = read();
     if (!t || (*t == text && !asked)) return;
-    auto g = read_config(*t);
+    auto g = parse_settings(*t);
     if (auto* ds = std::get_if<std::vector<base::ValidationError>>(&g)) {
       for (auto& d : *ds)
-        lg.error("{}: {} {}; the settings read before stay.", path, d.at.empty() ? "/" : d.at, d.what);
+        logger.error("{}: {} {}; the settings read before stay.", path, d.pointer.empty() ? "/" : d.pointer,
+                     d.message);
       return;
     }
-    auto c = std::get<Config>(g);
+    auto settings = std::get<Settings>(g);
     std::string rest;
     auto ks = changed_keys(text, *t);
     for (auto& k : ks)
       if (k != "seeds") rest += (rest.empty() ? "" : ", ") + k;
     text = *t;
-    if (!rest.empty()) lg.warn("{}: changed, and taken over only at the next start: {}.", path, rest);
+    if (!rest.empty()) logger.warn("{}: changed, and taken over only at the next start: {}.", path, rest);
     if (std::find(ks.begin(), ks.end(), "seeds") == ks.end()) {
-      if (asked) lg.info("{}: read again; the seeds are as they were.", path);
+      if (asked) logger.info("{}: read again; the seeds are as they were.", path);
       return;
     }
-    lg.info("{}: there are new seeds, {} of them.", path, c.node.seeds.size());
-    seeds(c.node.seeds);
+    logger.info("{}: there are new seeds, {} of them.", path, settings.node.seeds.size());
+    seeds(settings.node.seeds);
   }
 };
 
-Reread::Reread(std::string path, std::function<void(std::vector<std::string>)> seeds)
-    : p_(new Impl{std::move(path), std::move(seeds), {}, {}}) {
-  p_->seen = p_->print();
-  p_->text = p_->read().value_or("");
+SettingsReloader::SettingsReloader(std::string path, std::function<void(std::vector<std::string>)> seeds)
+    : impl_(new Impl{std::move(path), std::move(seeds), {}, {}}) {
+  impl_->seen = impl_->print();
+  impl_->text = impl_->read().value_or("");
 }
-Reread::~Reread() = default;
+SettingsReloader::~SettingsReloader() = default;
 
-void Reread::look(bool asked) { p_->look(asked); }
+void SettingsReloader::check(bool asked) { impl_->look(asked); }
 
 }  // namespace dunlinwing::relay
--- a/src/relay/reread.hpp
+++ b/src/relay/reread.hpp
@@ -9,15 +9,15 @@
 // The keys whose values differ between two valid settings, in the order of their names.
 std::vector<std::string> changed_keys(std::string_view before, std::string_view after);
 
-class Reread {
+class SettingsReloader {
  public:
-  Reread(std::string path, std::function<void(std::vector<std::string>)> seeds);
-  ~Reread();
-  void look(bool asked);  // `asked`: read it even when it looks the same
+  SettingsReloader(std::string path, std::function<void(std::vector<std::string>)> seeds);
+  ~SettingsReloader();
+  void check(bool asked);  // `asked`: read it even when it looks the same
 
  private:
   struct Impl;
-  std::unique_ptr<Impl> p_;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwing::relay
--- a/src/rollout/checks.hpp
+++ b/src/rollout/checks.hpp
@@ -8,11 +8,15 @@
 // The names by which operators waive them.
 inline constexpr const char* kChecks[] = {"beats", "worker-beats", "load", "defects", "probes", "evidence"};
 
-bool runs(const NodeSight& n, const pb::Course& c);
-bool runs_all(const pb::Course& c, const Sight& v, const pb::Rollout& s);
-void gather(pb::Course& c, const Sight& v, const pb::Rollout& s);
-std::optional<std::string> failed(const pb::Course& c, const Sight& v, const pb::Rollout& s, const Rules& r,
-                                  const pb::Act& act);
-std::optional<std::string> wanting(const pb::Course& c, const Rules& r, const pb::Act& act);
+bool runs_release(const NodeObservation& n, const pb::ReleaseProgress& progress);
+bool all_run_release(const pb::ReleaseProgress& progress, const FleetObservation& observation,
+                     const pb::RolloutState& state);
+void accumulate_evidence(pb::ReleaseProgress& progress, const FleetObservation& observation,
+                         const pb::RolloutState& state);
+std::optional<std::string> failed_check(const pb::ReleaseProgress& progress,
+                                        const FleetObservation& observation, const pb::RolloutState& state,
+                                        const RolloutRules& rules, const pb::OperatorAction& action);
+std::optional<std::string> missing_evidence(const pb::ReleaseProgress& progress, const RolloutRules& rules,
+                                            const pb::OperatorAction& action);
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/conductor.cpp
+++ b/src/rollout/conductor.cpp
@@ -16,7 +16,7 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr base::Log lg("rollout");
+constexpr base::Log logger("rollout");
 
 struct Count {
   uint64_t incarnation = 0, requests = 0, defects = 0, beats = 0;
@@ -28,47 +28,47 @@
 constexpr size_t kOthers = 3;      // nodes not on a release that are probed beside those on it
 
 // Whether the effects ask for a write, and whether it may not wait.
-std::pair<bool, bool> saving(const std::vector<Effect>& es) {
+std::pair<bool, bool> saving(const std::vector<Effect>& effects) {
   bool write = false, urgent = false;
-  for (auto& x : es)
-    if (auto* s = as<Save>(x)) {
+  for (auto& x : effects)
+    if (auto* s = as<PersistEffect>(x)) {
       write = true;
       urgent |= s->urgent;
     }
   return {write, urgent};
 }
 
-void tell(const std::vector<Effect>& es) {
-  for (auto& x : es)
-    if (auto* t = as<Tell>(x)) lg.info("{}", t->text);
+void tell(const std::vector<Effect>& effects) {
+  for (auto& x : effects)
+    if (auto* t = as<LogEffect>(x)) logger.info("{}", t->message);
 }
 }  // namespace
 
-pb::Rollout read_rollout(const membership::Chosen& c) {
-  pb::Rollout r;
-  if (auto f = c.find(kRolloutKey); f != c.end()) r.ParseFromString(f->second.data);
+pb::RolloutState read_rollout_state(const membership::ChosenValues& chosen) {
+  pb::RolloutState r;
+  if (auto f = chosen.find(kRolloutKey); f != chosen.end()) r.ParseFromString(f->second.data);
   return r;
 }
 
-std::optional<int64_t> median_wall(const std::vector<membership::Member>& ms) {
+std::optional<int64_t> median_wall_clock(const std::vector<membership::Member>& members) {
   std::vector<int64_t> w;
-  for (auto& m : ms)
-    if (m.fact.holder() && m.fact.wall_ms()) w.push_back(m.fact.wall_ms() + m.age.count());
+  for (auto& m : members)
+    if (m.info.replica() && m.info.wall_ms()) w.push_back(m.info.wall_ms() + m.age.count());
   if (w.empty()) return {};
   std::sort(w.begin(), w.end());
   return w[(w.size() - 1) / 2];
 }
 
-struct Conductor::Impl {
-  base::Ports& ps;
+struct RolloutController::Impl {
+  base::Ports& ports;
   consensus::RegisterClient& registers;
   membership::StateCache& state_cache;
   membership::Leadership& leadership;
-  ConductorConfig c;
-  Rules rules;
-  pb::Rollout state;
+  RolloutControllerConfig config;
+  RolloutRules rules;
+  pb::RolloutState state;
   uint64_t version = 0;
-  Fence fence;
+  LeadershipFence fence;
   bool loaded = false;
   size_t turn = 0;
   TimePoint last{0}, saved{0}, looked{0};
@@ -76,56 +76,57 @@
   std::map<std::string, std::pair<uint64_t, uint64_t>> probes;
   std::map<std::string, Release> releases;
   std::map<std::string, TimePoint> marks_seen;  // by entry of Rollout.forgotten: since when its mark is known
-  std::map<std::string, std::map<std::string, std::pair<uint64_t, Counts>>> bad;  // source -> service/version
+  std::map<std::string, std::map<std::string, std::pair<uint64_t, VersionTotals>>>
+      bad;  // source -> service/version
   struct Moment {
     TimePoint at;
     std::string service, version;
-    Counts n;
+    VersionTotals n;
   };
   std::vector<Moment> recent;
   std::map<std::string, std::pair<uint64_t, pb::ServiceState>> services;
   std::map<std::string, TimePoint> service_saved;
-  std::shared_ptr<const traffic::Layout> layout;
-  traffic::Orders orders;
-  Pacer pacer;
-  Settler settler;
-  Watch watch;
+  std::shared_ptr<const traffic::RoutingConfiguration> layout;
+  traffic::NumberedConfigurationReader orders;
+  RateAllocator pacer;
+  VersionInitializer settler;
+  VersionRolloutObserver watch;
 
-  Impl(base::Ports& p, consensus::RegisterClient& b, membership::StateCache& m, membership::Leadership& d,
-       ConductorConfig cc)
-      : ps(p),
+  Impl(base::Ports& ports, consensus::RegisterClient& b, membership::StateCache& m, membership::Leadership& d,
+       RolloutControllerConfig cc)
+      : ports(ports),
         registers(b),
         state_cache(m),
         leadership(d),
-        c(std::move(cc)),
+        config(std::move(cc)),
         fence(d),
-        pacer(p, b, m, c.bound),
-        settler(p, b, m, c.bound),
-        watch(c.bound) {
-    rules.scale = c.scale;
-    rules.bound = c.bound;
+        pacer(ports, b, m, config.bound),
+        settler(ports, b, m, config.bound),
+        watch(config.bound) {
+    rules.scale = config.scale;
+    rules.bound = config.bound;
   }
 
   // Whether the node runs a release that is still in its phases.
   bool on_trial(const std::string& node) const {
     auto n = state.nodes().find(node);
     if (n == state.nodes().end()) return false;
-    for (auto& co : state.courses()) {
-      if (co.phase() == pb::WAITING || finished(co.phase())) continue;
-      auto f = n->second.releases().find(co.kind());
-      if (f != n->second.releases().end() && f->second == co.release()) return true;
+    for (auto& progress : state.releases()) {
+      if (progress.phase() == pb::WAITING || is_finished(progress.phase())) continue;
+      auto f = n->second.releases().find(progress.kind());
+      if (f != n->second.releases().end() && f->second == progress.release()) return true;
     }
     return false;
   }
 
-  Sight look(TimePoint now, Duration dt) {
-    Sight v;
-    v.dt = dt;
-    auto wall = median_wall(state_cache.statuses().members(now));
-    v.quiet = wall && rules.system.quiet.open(*wall);
+  FleetObservation look(TimePoint now, Duration dt) {
+    FleetObservation observation;
+    observation.elapsed = dt;
+    auto wall = median_wall_clock(state_cache.statuses().members(now));
+    observation.in_quiet_hours = wall && rules.system.quiet_hours.contains(*wall);
     auto statuses = state_cache.statuses().latest(now);
-    auto read_lease = leadership.known();
-    std::map<std::string, NodeSight> by;
+    auto read_lease = leadership.known_lease();
+    std::map<std::string, NodeObservation> by;
     for (auto& [n, a] : state.nodes()) {
       by[n].name = n;
       by[n].zone = a.zone();
@@ -137,76 +138,76 @@
       s.zone = x.node().zone();
       s.present = !x.node().leaving();
       s.drained = x.node().drained();
-      s.keeper = x.node().holder() || n == read_lease.holder() || n == read_lease.understudy();
+      s.keeps_state = x.node().replica() || n == read_lease.leader() || n == read_lease.standby();
       for (auto& [k, rel] : x.node().running()) s.running[k] = rel;
-      s.load_defect = x.node().load_defect();
+      s.load_error = x.node().load_error();
       uint64_t rq = 0, df = 0;
-      for (auto& t : x.tallies()) {
+      for (auto& t : x.release_counts()) {
         rq += t.requests();
-        df += t.defects();
+        df += t.failures();
       }
       auto& k = counts[n];
-      if (k.incarnation == x.mark().incarnation()) {
+      if (k.incarnation == x.version().incarnation()) {
         s.requests = rq - std::min(rq, k.requests);
-        s.defects = df - std::min(df, k.defects);
-        s.beats = x.beats_taken() - std::min(x.beats_taken(), k.beats);
+        s.failures = df - std::min(df, k.defects);
+        s.heartbeats = x.heartbeats_accepted() - std::min(x.heartbeats_accepted(), k.beats);
       }
       double sec = looked == TimePoint(0)
                        ? 0
-                       : static_cast<double>(std::min<Duration>(now - looked, c.bound).count()) / 1000;
-      bool tried = on_trial(n), learns = !tried && sec > 0 && k.incarnation == x.mark().incarnation();
+                       : static_cast<double>(std::min<Duration>(now - looked, config.bound).count()) / 1000;
+      bool tried = on_trial(n), learns = !tried && sec > 0 && k.incarnation == x.version().incarnation();
       if (learns)
         k.usual += std::max(kLatest, 1.0 / static_cast<double>(++k.looks)) *
-                   (static_cast<double>(s.beats) / sec - k.usual);
+                   (static_cast<double>(s.heartbeats) / sec - k.usual);
       if ((tried || learns) && k.looks >= kLearnt)
-        s.beats_usual = static_cast<uint64_t>(k.usual * sec * 1000);
-      k = {x.mark().incarnation(), rq, df, x.beats_taken(), k.usual, k.looks};
+        s.heartbeats_usual = static_cast<uint64_t>(k.usual * sec * 1000);
+      k = {x.version().incarnation(), rq, df, x.heartbeats_accepted(), k.usual, k.looks};
       if (auto p = probes.find(n); p != probes.end()) {
-        std::tie(s.probes_ok, s.probes_bad) = p->second;
+        std::tie(s.checks_passed, s.checks_failed) = p->second;
         probes.erase(p);
       }
     }
     looked = now;
-    for (auto& [n, s] : by) v.nodes.push_back(s);
+    for (auto& [n, s] : by) observation.nodes.push_back(s);
     for (auto& [k, h] : state_cache.chosen()) {
       if (k.starts_with("release/")) {
         if (auto f = releases.find(k); f != releases.end()) continue;
         auto a = k.find('/', 8);
-        auto g = read_release(k.substr(8, a - 8), k.substr(a + 1), h.data);
+        auto g = parse_release(k.substr(8, a - 8), k.substr(a + 1), h.data);
         if (auto* r = std::get_if<Release>(&g)) releases[k] = *r;
       } else if (k.starts_with("act/")) {
-        v.acts["release/" + k.substr(4)].ParseFromString(h.data);
+        observation.operator_actions["release/" + k.substr(4)].ParseFromString(h.data);
       }
     }
-    v.releases = releases;
-    see_marks(now, v);
-    return v;
+    observation.releases = releases;
+    see_marks(now, observation);
+    return observation;
   }
 
   // A mark that has been known here for a bound was acknowledged before any fresh relay's latest
   // pull began, so a successor knows it too, whichever state of the rollout it reads.
-  void see_marks(TimePoint now, Sight& v) {
+  void see_marks(TimePoint now, FleetObservation& observation) {
     std::map<std::string, TimePoint> seen;
     for (auto& name : state.forgotten()) {
-      auto act = v.acts.find("release/" + name);
-      if (act == v.acts.end() || !act->second.forgotten()) continue;
+      auto act = observation.operator_actions.find("release/" + name);
+      if (act == observation.operator_actions.end() || !act->second.forgotten()) continue;
       auto before = marks_seen.find(name);
       auto since = seen[name] = before == marks_seen.end() ? now : before->second;
-      if (now - since > c.bound) v.marked.insert(name);
+      if (now - since > config.bound) observation.forgotten_everywhere.insert(name);
     }
     marks_seen = std::move(seen);
   }
 
   // Marks one course that is no longer kept; the next looks go on. Made twice it does no harm.
-  void mark_one(const Sight& v) {
+  void mark_one(const FleetObservation& observation) {
     for (auto& name : state.forgotten()) {
-      auto act = v.acts.find("release/" + name);
-      if (act != v.acts.end() && act->second.forgotten()) continue;
+      auto act = observation.operator_actions.find("release/" + name);
+      if (act != observation.operator_actions.end() && act->second.forgotten()) continue;
       auto key = "act/" + name;
       auto read = registers.read(key);
       auto* there = std::get_if<consensus::VersionedValue>(&read);
       if (!there || !leadership.held()) return;
-      pb::Act marked;
+      pb::OperatorAction marked;
       marked.ParseFromString(there->data);
       if (marked.forgotten()) return;  // the next pull tells of it
       marked.set_forgotten(true);
@@ -217,11 +218,11 @@
     }
   }
 
-  bool save(pb::Rollout next) {
+  bool save(pb::RolloutState next) {
     if (auto h = fence.write(registers, kRolloutKey, version, state.term(), next)) {
       version = h->version;
       state = next;
-      saved = ps.clock.now();
+      saved = ports.clock.now();
       return true;
     }
     loaded = false;  // read it anew before the next step
@@ -240,83 +241,85 @@
   }
 
   // Runs one event; what the reducer says is told only once it is recorded.
-  bool feed(const Event& e) {
-    auto o = step(state, e, rules);
-    auto [write, urgent] = saving(o.effects);
-    Duration flush = std::min<Duration>(c.bound * 5, Duration(static_cast<int64_t>(45000 / c.scale)));
-    if (write && !urgent && ps.clock.now() - saved < flush) {
-      state = o.state;
+  bool feed(const Event& event) {
+    auto result = step(state, event, rules);
+    auto [write, urgent] = saving(result.effects);
+    Duration flush =
+        std::min<Duration>(config.bound * 5, Duration(static_cast<int64_t>(45000 / config.scale)));
+    if (write && !urgent && ports.clock.now() - saved < flush) {
+      state = result.state;
       return true;
     }
-    if (write && !save(o.state)) return false;
-    tell(o.effects);
+    if (write && !save(result.state)) return false;
+    tell(result.effects);
     return true;
   }
 
   // Asks the nodes on a release under way, and a few others to compare with.
   void probe() {
     std::vector<membership::Member> on, off;
-    for (auto& m : state_cache.statuses().members(ps.clock.now()))
-      if (!m.fact.drained() && state.nodes().count(m.name)) (on_trial(m.name) ? on : off).push_back(m);
+    for (auto& m : state_cache.statuses().members(ports.clock.now()))
+      if (!m.info.drained() && state.nodes().count(m.name)) (on_trial(m.name) ? on : off).push_back(m);
     if (on.empty()) return;
     for (size_t i = 0; i < std::min(kOthers, off.size()); ++i) on.push_back(off[turn++ % off.size()]);
     for (auto& m : on) {
-      pb::Ask a;
-      a.mutable_probe();
-      ps.tasks.spawn([this, me = weak, a, m] {
+      pb::PeerRequest request;
+      request.mutable_health_check();
+      ports.tasks.spawn([this, me = weak, request, m] {
         auto hold = me.lock();
         if (!hold) return;
-        auto r = ps.net.ask(m.fact.peer_address(), a, c.bound / 2);
-        auto* x = std::get_if<pb::Reply>(&r);
-        bool ok = x && x->has_probe() && x->probe().ready() && x->probe().unreached().empty();
+        auto r = ports.peers.call(m.info.peer_address(), request, config.bound / 2);
+        auto* response = std::get_if<pb::PeerResponse>(&r);
+        bool ok = response && response->has_health_check() && response->health_check().ready() &&
+                  response->health_check().unreachable().empty();
         (ok ? probes[m.name].first : probes[m.name].second)++;
       });
     }
   }
 
-  std::shared_ptr<const traffic::Layout> layout_in_force() {
-    if (auto& o = orders.look(state_cache.chosen()); o.number) return o.layout;
+  std::shared_ptr<const traffic::RoutingConfiguration> layout_in_force() {
+    if (auto& o = orders.read(state_cache.chosen()); o.number) return o.configuration;
     auto f = state.in_force().find("layout");
     if (f == state.in_force().end()) return {};
     if (layout && layout->name == f->second) return layout;
     auto rel = releases.find(release_key("layout", f->second));
     if (rel == releases.end()) return {};
-    auto g = traffic::read_layout(f->second, rel->second.content);
-    auto* l = std::get_if<std::shared_ptr<const traffic::Layout>>(&g);
+    auto g = traffic::parse_routing_configuration(f->second, rel->second.content);
+    auto* l = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&g);
     return layout = l ? *l : nullptr;
   }
 
   void moves(TimePoint now, Duration dt) {
-    std::map<std::string, MoveSight> vs;
+    std::map<std::string, VersionRolloutObservation> vs;
     auto statuses = state_cache.statuses().latest(now);
     for (auto& [src, x] : statuses)
-      for (auto& b : x.bad()) {
+      for (auto& b : x.version_counts()) {
         auto& k = bad[src][b.service() + "/" + b.version() + "/" + b.route()];
-        Counts d{b.good(), b.bad()};
-        if (k.first == x.mark().incarnation()) {
+        VersionTotals d{b.good(), b.bad()};
+        if (k.first == x.version().incarnation()) {
           d.good -= std::min(d.good, k.second.good);
           d.bad -= std::min(d.bad, k.second.bad);
         }
-        k = {x.mark().incarnation(), {b.good(), b.bad()}};
+        k = {x.version().incarnation(), {b.good(), b.bad()}};
         if (!d.good && !d.bad) continue;
         auto& t = vs[b.service()].delta[b.version()];
         t.good += d.good;
         t.bad += d.bad;
         recent.push_back({now, b.service(), b.version(), d});
       }
-    std::erase_if(recent, [&](auto& m) { return now - m.at > c.bound * 30; });
-    watch.look(now, state_cache.chosen(), statuses, state_cache.statuses().workers(now));
+    std::erase_if(recent, [&](auto& m) { return now - m.at > config.bound * 30; });
+    watch.update(now, state_cache.chosen(), statuses, state_cache.statuses().backend_instances(now));
     if (!leadership.held()) return;
     for (auto& m : recent) {
-      auto add = [&](Counts& t) {
+      auto add = [&](VersionTotals& t) {
         t.good += m.n.good;
         t.bad += m.n.bad;
       };
       add(vs[m.service].minute[m.version]);
-      if (now - m.at <= c.bound * 5) add(vs[m.service].recent[m.version]);
+      if (now - m.at <= config.bound * 5) add(vs[m.service].recent[m.version]);
     }
-    for (auto& [i, w] : state_cache.statuses().workers(now))
-      if (!w.gone) vs[w.beat.service()].workers[w.beat.version()]++;
+    for (auto& [i, w] : state_cache.statuses().backend_instances(now))
+      if (!w.gone) vs[w.heartbeat.service()].instances[w.heartbeat.version()]++;
     for (auto& [k, h] : state_cache.chosen()) {
       if (!k.starts_with("service/")) continue;
       auto name = k.substr(8);
@@ -328,35 +331,35 @@
       }
       auto in_force = mine.second.term();
       if (!fence.allows(in_force)) continue;
-      auto& v = vs[name];
-      v.dt = dt;
+      auto& observation = vs[name];
+      observation.elapsed = dt;
       for (auto& [src, x] : statuses)
-        for (auto& t : x.trials())
-          v.given_up |= t.service() == name && t.number() == mine.second.trial_number() && t.stopped() &&
-                        !mine.second.trial().empty();
-      watch.tell(now, name, mine.second, v);
-      auto o = step(name, mine.second, v, rules);
-      auto [write, urgent] = saving(o.effects);
+        for (auto& t : x.canary_counts())
+          observation.aborted |= t.service() == name && t.number() == mine.second.canary_number() &&
+                                 t.aborted() && !mine.second.canary().empty();
+      watch.fill_observation(now, name, mine.second, observation);
+      auto result = step(name, mine.second, observation, rules);
+      auto [write, urgent] = saving(result.effects);
       // The first write under this term is never put off: it ends what was decided under others.
       bool takes_up = in_force < fence.term();
       if (write && !urgent && !takes_up &&
-          now - service_saved[name] < (o.state.within_ms() ? c.bound / 2 : c.bound)) {
-        mine.second = o.state;
+          now - service_saved[name] < (result.state.deadline_ms() ? config.bound / 2 : config.bound)) {
+        mine.second = result.state;
         continue;
       }
       if (write || takes_up) {
-        auto held = fence.write(registers, k, mine.first, in_force, o.state);
+        auto held = fence.write(registers, k, mine.first, in_force, result.state);
         if (!held) continue;  // the next pull tells what stands
-        mine = {held->version, o.state};
+        mine = {held->version, result.state};
         service_saved[name] = now;
       }
-      tell(o.effects);
+      tell(result.effects);
     }
   }
 
   void tick() {
-    TimePoint now = ps.clock.now();
-    if (!state_cache.fresh()) {
+    TimePoint now = ports.clock.now();
+    if (!state_cache.has_read_lease()) {
       last = TimePoint(0);
       return;
     }
@@ -364,55 +367,58 @@
     if (fence.begin()) {
       last = TimePoint(0);
       loaded = false;
-      settler.idle();
+      settler.reset();
     }
-    Duration dt = held && last != TimePoint(0) ? std::min<Duration>(now - last, c.bound) : Duration(0);
+    Duration dt = held && last != TimePoint(0) ? std::min<Duration>(now - last, config.bound) : Duration(0);
     last = held ? now : TimePoint(0);
     if (!held) {
-      state = read_rollout(state_cache.chosen());
+      state = read_rollout_state(state_cache.chosen());
       loaded = false;
-      settler.idle();
+      settler.reset();
       look(now, Duration(0));
       return moves(now, Duration(0));
     }
     if (!loaded && !reload()) return;
     if (!fence.allows(state.term())) return;
-    if (state.term() < fence.term() && !feed(TookDuty{fence.term()})) return;
+    if (state.term() < fence.term() && !feed(LeadershipAcquired{fence.term()})) return;
     if (auto a = state.in_force().find("system"); a != state.in_force().end())
       if (auto f = releases.find(release_key("system", a->second)); f != releases.end())
-        rules.system = read_system(f->second.content);
-    auto v = look(now, dt);
-    for (auto& [k, r] : v.releases) {
-      if (auto act = v.acts.find(k); act != v.acts.end() && act->second.forgotten()) continue;
-      bool known = std::any_of(state.courses().begin(), state.courses().end(),
+        rules.system = parse_system_options(f->second.content);
+    auto observation = look(now, dt);
+    for (auto& [k, r] : observation.releases) {
+      if (auto act = observation.operator_actions.find(k);
+          act != observation.operator_actions.end() && act->second.forgotten())
+        continue;
+      bool known = std::any_of(state.releases().begin(), state.releases().end(),
                                [&](auto& x) { return x.kind() == r.kind && x.release() == r.name; });
-      if (!known && !feed(Recorded{r})) return;
+      if (!known && !feed(ReleaseRecorded{r})) return;
     }
-    if (!feed(v)) return;
+    if (!feed(observation)) return;
     probe();
     settler.tick(layout_in_force(), fence);
     moves(now, dt);
     pacer.tick(now, state, releases, fence);
-    mark_one(v);
+    mark_one(observation);
   }
 
   std::weak_ptr<Impl> weak;
 };
 
-Conductor::Conductor(base::Ports& ps, consensus::RegisterClient& b, membership::StateCache& m,
-                     membership::Leadership& d, ConductorConfig c)
-    : p_(std::make_shared<Impl>(ps, b, m, d, std::move(c))) {
-  p_->weak = p_;
+RolloutController::RolloutController(base::Ports& ports, consensus::RegisterClient& registers,
+                                     membership::StateCache& state_cache, membership::Leadership& leadership,
+                                     RolloutControllerConfig config)
+    : impl_(std::make_shared<Impl>(ports, registers, state_cache, leadership, std::move(config))) {
+  impl_->weak = impl_;
 }
-Conductor::~Conductor() = default;
+RolloutController::~RolloutController() = default;
 
-void Conductor::tick() { p_->tick(); }
+void RolloutController::tick() { impl_->tick(); }
 
-void Conductor::start() {
-  p_->ps.tasks.spawn([p = p_] {
+void RolloutController::start() {
+  impl_->ports.tasks.spawn([p = impl_] {
     for (;;) {
       p->tick();
-      p->ps.clock.sleep(p->c.bound / 8);
+      p->ports.clock.sleep(p->config.bound / 8);
     }
   });
 }
--- a/src/rollout/conductor.hpp
+++ b/src/rollout/conductor.hpp
@@ -6,27 +6,28 @@
 
 namespace dunlinwing::rollout {
 
-struct ConductorConfig {
-  std::string me;
+struct RolloutControllerConfig {
+  std::string node_name;
   Duration bound{2000};
   double scale = 1;
 };
 
-class Conductor {
+class RolloutController {
  public:
-  Conductor(base::Ports& ps, consensus::RegisterClient& b, membership::StateCache& m,
-            membership::Leadership& d, ConductorConfig c);
-  ~Conductor();
+  RolloutController(base::Ports& ports, consensus::RegisterClient& registers,
+                    membership::StateCache& state_cache, membership::Leadership& leadership,
+                    RolloutControllerConfig config);
+  ~RolloutController();
   void start();
   void tick();  // one look and what follows from it
 
  private:
   struct Impl;
-  std::shared_ptr<Impl> p_;
+  std::shared_ptr<Impl> impl_;
 };
 
 inline constexpr const char* kRolloutKey = "rollout";
-pb::Rollout read_rollout(const membership::Chosen& c);
-std::optional<int64_t> median_wall(const std::vector<membership::Member>& ms);
+pb::RolloutState read_rollout_state(const membership::ChosenValues& chosen);
+std::optional<int64_t> median_wall_clock(const std::vector<membership::Member>& members);
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/fence.cpp
+++ b/src/rollout/fence.cpp
@@ -2,18 +2,18 @@
 
 namespace dunlinwing::rollout {
 
-bool may_replace(const LeaseSight& lease, uint64_t decided, uint64_t in_force) {
+bool may_replace(const LeaseObservation& lease, uint64_t decided, uint64_t in_force) {
   if (!lease.held) return false;
   if (lease.term != decided) return false;
   return in_force <= decided;
 }
 
-bool Fence::begin() {
+bool LeadershipFence::begin() {
   auto before = std::exchange(term_, leadership_.term());
   return before != term_;
 }
 
-bool Fence::allows(uint64_t in_force) const {
+bool LeadershipFence::allows(uint64_t in_force) const {
   return may_replace({leadership_.held(), leadership_.term()}, term_, in_force);
 }
 
--- a/src/rollout/fence.hpp
+++ b/src/rollout/fence.hpp
@@ -10,17 +10,17 @@
 namespace dunlinwing::rollout {
 
 // What is known right before a write.
-struct LeaseSight {
+struct LeaseObservation {
   bool held = false;
   uint64_t term = 0;
 };
 
 // Whether what was decided under `decided` may replace a value that carries `in_force`. Pure.
-bool may_replace(const LeaseSight& lease, uint64_t decided, uint64_t in_force);
+bool may_replace(const LeaseObservation& lease, uint64_t decided, uint64_t in_force);
 
-class Fence {
+class LeadershipFence {
  public:
-  explicit Fence(membership::Leadership& leadership) : leadership_(leadership) {}
+  explicit LeadershipFence(membership::Leadership& leadership) : leadership_(leadership) {}
   // Begins a look at the state: what is decided from here on belongs to the lease held now.
   // True when that lease is not the one of before, so that nothing seen earlier counts.
   bool begin();
--- a/src/rollout/moves.cpp
+++ b/src/rollout/moves.cpp
@@ -18,8 +18,8 @@
 bool worse(double a, double b) { return a > 2 * b + 0.01; }
 }  // namespace
 
-void prune_kept(pb::ServiceState& s, const std::map<std::string, int>& workers) {
-  auto* kept = s.mutable_kept();
+void prune_previous_versions(pb::ServiceState& state, const std::map<std::string, int>& workers) {
+  auto* kept = state.mutable_previous_versions();
   auto idle = [&](const std::string& version) {
     auto at = workers.find(version);
     return at == workers.end() || !at->second;
@@ -37,77 +37,79 @@
 
 std::string service_key(const std::string& s) { return "service/" + s; }
 
-MoveOutcome step(const std::string& name, const pb::ServiceState& s, const MoveSight& v, const Rules& r) {
-  if (!s.trial().empty() && s.within_ms()) return step_term(name, s, v, r);
-  MoveOutcome o{s, {}};
-  auto& n = o.state;
-  auto get = [](const std::map<std::string, Counts>& m, const std::string& k) {
+VersionRolloutStep step(const std::string& name, const pb::ServiceState& state,
+                        const VersionRolloutObservation& observation, const RolloutRules& rules) {
+  if (!state.canary().empty() && state.deadline_ms())
+    return step_with_deadline(name, state, observation, rules);
+  VersionRolloutStep result{state, {}};
+  auto& n = result.state;
+  auto get = [](const std::map<std::string, VersionTotals>& m, const std::string& k) {
     auto f = m.find(k);
-    return f == m.end() ? Counts{} : f->second;
+    return f == m.end() ? VersionTotals{} : f->second;
   };
-  auto tell = [&](std::string t) { o.effects.push_back(Tell{std::move(t)}); };
+  auto tell = [&](std::string t) { result.effects.push_back(LogEffect{std::move(t)}); };
   auto banish = [&](const std::string& ver, const std::string& why) {
     (*n.mutable_quarantined())[ver] = why;
-    n.set_why(fmt::format("version {} is in quarantine: {}", ver, why));
-    tell(fmt::format("Service {}: {}.", name, n.why()));
-    o.effects.push_back(Save{true});
+    n.set_reason(fmt::format("version {} is in quarantine: {}", ver, why));
+    tell(fmt::format("Service {}: {}.", name, n.reason()));
+    result.effects.push_back(PersistEffect{true});
   };
-  auto limit = static_cast<uint64_t>(r.system.bad_answers);
-  if (!n.trial().empty()) {
-    auto t = get(v.delta, n.trial()), f = get(v.delta, n.current());
+  auto limit = static_cast<uint64_t>(rules.system.max_canary_failures);
+  if (!n.canary().empty()) {
+    auto t = get(observation.delta, n.canary()), f = get(observation.delta, n.current());
     n.set_good(n.good() + t.good);
     n.set_bad(n.bad() + t.bad);
-    n.set_from_good(n.from_good() + f.good);
-    n.set_from_bad(n.from_bad() + f.bad);
-    n.set_held_ms(n.held_ms() + static_cast<uint64_t>(v.dt.count()));
-    double a = rate(n.good(), n.bad()), b = rate(n.from_good(), n.from_bad());
-    if (n.bad() >= limit || v.given_up) {
-      auto ver = n.trial();
-      n.clear_trial();
+    n.set_baseline_good(n.baseline_good() + f.good);
+    n.set_baseline_bad(n.baseline_bad() + f.bad);
+    n.set_held_ms(n.held_ms() + static_cast<uint64_t>(observation.elapsed.count()));
+    double a = rate(n.good(), n.bad()), b = rate(n.baseline_good(), n.baseline_bad());
+    if (n.bad() >= limit || observation.aborted) {
+      auto ver = n.canary();
+      n.clear_canary();
       banish(ver, fmt::format("{} bad answers of {} on trial, against {} of {}", n.bad(), n.good() + n.bad(),
-                              n.from_bad(), n.from_good() + n.from_bad()));
-    } else if (n.good() + n.bad() >= static_cast<uint64_t>(r.system.promote_requests) &&
+                              n.baseline_bad(), n.baseline_good() + n.baseline_bad()));
+    } else if (n.good() + n.bad() >= static_cast<uint64_t>(rules.system.promote_requests) &&
                Duration(static_cast<int64_t>(n.held_ms())) >=
-                   Duration(static_cast<int64_t>(static_cast<double>(r.system.promote_seconds) * 1000 /
-                                                 r.scale))) {
+                   Duration(static_cast<int64_t>(static_cast<double>(rules.system.promote_seconds) * 1000 /
+                                                 rules.scale))) {
       if (worse(a, b)) {
-        n.set_why("it answers worse than the version in place, and stays on trial");
+        n.set_reason("it answers worse than the version in place, and stays on trial");
       } else {
         auto old = n.current();
-        auto* k = n.mutable_kept();
-        k->erase(std::remove(k->begin(), k->end(), n.trial()), k->end());
-        if (std::find(k->begin(), k->end(), old) == k->end()) n.add_kept(old);
-        prune_kept(n, v.workers);
-        n.set_current(n.trial());
-        n.clear_trial();
-        n.set_why(fmt::format("promoted after {} requests, {} of them bad", n.good() + n.bad(), n.bad()));
-        tell(fmt::format("Service {}: version {} is {}.", name, n.current(), n.why()));
-        o.effects.push_back(Save{true});
+        auto* k = n.mutable_previous_versions();
+        k->erase(std::remove(k->begin(), k->end(), n.canary()), k->end());
+        if (std::find(k->begin(), k->end(), old) == k->end()) n.add_previous_versions(old);
+        prune_previous_versions(n, observation.instances);
+        n.set_current(n.canary());
+        n.clear_canary();
+        n.set_reason(fmt::format("promoted after {} requests, {} of them bad", n.good() + n.bad(), n.bad()));
+        tell(fmt::format("Service {}: version {} is {}.", name, n.current(), n.reason()));
+        result.effects.push_back(PersistEffect{true});
       }
     }
   }
   // Whether the version in place gave way to one it followed, over this span.
-  auto gave_way = [&](const std::map<std::string, Counts>& span) {
+  auto gave_way = [&](const std::map<std::string, VersionTotals>& span) {
     auto c = get(span, n.current());
     if (c.bad < limit) return false;
-    for (int i = n.kept_size() - 1; i >= 0; --i) {
-      auto k = n.kept(i);
-      auto w = v.workers.find(k);
+    for (int i = n.previous_versions_size() - 1; i >= 0; --i) {
+      auto k = n.previous_versions(i);
+      auto w = observation.instances.find(k);
       auto kc = get(span, k);
-      if (n.quarantined().count(k) || w == v.workers.end() || !w->second) continue;
+      if (n.quarantined().count(k) || w == observation.instances.end() || !w->second) continue;
       if (!worse(rate(c.good, c.bad), rate(kc.good, kc.bad))) continue;
       auto bad = n.current();
       n.set_current(k);
-      n.mutable_kept()->DeleteSubrange(i, 1);
+      n.mutable_previous_versions()->DeleteSubrange(i, 1);
       banish(bad, fmt::format("{} bad answers of {} after promotion", c.bad, c.good + c.bad));
       return true;
     }
     return false;
   };
-  if (!gave_way(v.recent)) gave_way(v.minute);
-  if (o.effects.empty() && !google::protobuf::util::MessageDifferencer::Equals(n, s))
-    o.effects.push_back(Save{false});
-  return o;
+  if (!gave_way(observation.recent)) gave_way(observation.minute);
+  if (result.effects.empty() && !google::protobuf::util::MessageDifferencer::Equals(n, state))
+    result.effects.push_back(PersistEffect{false});
+  return result;
 }
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/pacer.cpp
+++ b/src/rollout/pacer.cpp
@@ -9,21 +9,21 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr base::Log lg("shares");
+constexpr base::Log logger("shares");
 constexpr double kFresh = 0.3;   // the weight of the latest look at demand
 constexpr int kLooks = 3;        // before demand is known well enough
 constexpr int kAwayBounds = 15;  // a node away for less is expected back, and its share is kept for it
 constexpr int kAwayScarce = 5;   // the same, while more is asked elsewhere than the rate allows
 }  // namespace
 
-struct Pacer::Impl {
+struct RateAllocator::Impl {
   struct Seen {
     uint64_t incarnation = 0, asked = 0;
     double rate = 0;
     bool known = false;  // the rate
     TimePoint heard{0};
   };
-  base::Ports& ps;
+  base::Ports& ports;
   consensus::RegisterClient& registers;
   membership::StateCache& state_cache;
   Duration bound;
@@ -34,14 +34,14 @@
   std::map<std::string, TimePoint> fell;
   std::map<std::string, int64_t> rates;
   std::string rates_of;
-  traffic::Orders orders;
+  traffic::NumberedConfigurationReader orders;
 
   // The least rate that any layout assigned now states; a rate holds for all.
-  void read_rates(const pb::Rollout& r, const std::map<std::string, Release>& releases) {
-    if (auto& o = orders.look(state_cache.chosen()); o.number) {
+  void read_rates(const pb::RolloutState& r, const std::map<std::string, Release>& releases) {
+    if (auto& o = orders.read(state_cache.chosen()); o.number) {
       rates.clear();
-      if (o.layout)
-        for (auto& [k, s] : o.layout->services)
+      if (o.configuration)
+        for (auto& [k, s] : o.configuration->services)
           if (s.rate > 0) rates[k] = std::max<int64_t>(1, static_cast<int64_t>(s.rate));
       return;
     }
@@ -55,8 +55,8 @@
     for (auto& [n, x] : names) {
       auto rel = releases.find(release_key("layout", n));
       if (rel == releases.end()) return;
-      auto l = traffic::read_layout(n, rel->second.content);
-      auto* y = std::get_if<std::shared_ptr<const traffic::Layout>>(&l);
+      auto l = traffic::parse_routing_configuration(n, rel->second.content);
+      auto* y = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&l);
       if (!y) continue;
       for (auto& [k, s] : (*y)->services) {
         if (!s.rate) continue;
@@ -69,14 +69,15 @@
 
   // Writes the term into the shares, so that what was decided under an earlier one can no longer be
   // written. True when it is in them; the shares are as they were.
-  bool take_up(const std::string& svc, pb::Shares shares, uint64_t version, const Fence& fence) {
+  bool take_up(const std::string& svc, pb::RateQuotas shares, uint64_t version,
+               const LeadershipFence& fence) {
     if (!version || shares.term() == fence.term()) return fence.allows(shares.term());
-    fence.write(registers, share_key(svc), version, shares.term(), shares);
+    fence.write(registers, quota_key(svc), version, shares.term(), shares);
     return false;  // the next look finds what stands
   }
 
-  void tick(TimePoint now, const pb::Rollout& r, const std::map<std::string, Release>& releases,
-            const Fence& fence) {
+  void tick(TimePoint now, const pb::RolloutState& r, const std::map<std::string, Release>& releases,
+            const LeadershipFence& fence) {
     if (term != fence.term()) {
       term = fence.term();
       fell.clear();
@@ -91,79 +92,82 @@
     read_rates(r, releases);
     auto statuses = state_cache.statuses().latest(now);
     for (auto& [svc, rate] : rates) {
-      ShareSight v;
-      v.rate = rate;
-      v.bound = bound;
+      QuotaInput input;
+      input.rate = rate;
+      input.bound = bound;
       bool shields = false;
       for (auto& [n, x] : statuses) {
         if (x.node().zone().empty() || x.node().leaving()) continue;
         auto& s = seen[svc][n];
         for (auto& d : x.demands()) {
           if (d.service() != svc) continue;
-          if (s.incarnation == x.mark().incarnation()) {
-            double of_late = static_cast<double>(d.asked() - std::min(d.asked(), s.asked)) / dt;
+          if (s.incarnation == x.version().incarnation()) {
+            double of_late = static_cast<double>(d.requested() - std::min(d.requested(), s.asked)) / dt;
             s.rate += (s.known ? kFresh : 1) * (of_late - s.rate);
             s.known = true;
           }
-          s.asked = d.asked();
-          s.incarnation = x.mark().incarnation();
+          s.asked = d.requested();
+          s.incarnation = x.version().incarnation();
         }
         s.heard = now;
-        v.demand[n] = s.rate;
+        input.demand[n] = s.rate;
         shields |= x.node().shield() && x.node().ready();
       }
       // Shields fetch for all: while nobody has asked yet, they are thought to be asked most.
       double all = 0;
-      for (auto& [n, d] : v.demand) all += d;
+      for (auto& [n, d] : input.demand) all += d;
       if (shields && all < 1)
-        for (auto& [n, d] : v.demand)
+        for (auto& [n, d] : input.demand)
           if (statuses.at(n).node().shield()) d = 1;
       // A node that is restarted asks for as much as before once it is back; were its
       // share given away meanwhile, it would have to wait for others' to fall.
-      auto have = state_cache.chosen().find(share_key(svc));
-      pb::Shares sh;
-      if (have != state_cache.chosen().end()) sh.ParseFromString(have->second.data);
+      auto have = state_cache.chosen().find(quota_key(svc));
+      pb::RateQuotas quotas;
+      if (have != state_cache.chosen().end()) quotas.ParseFromString(have->second.data);
       auto version = have == state_cache.chosen().end() ? 0 : have->second.version;
-      if (!take_up(svc, sh, version, fence)) continue;
+      if (!take_up(svc, quotas, version, fence)) continue;
       double asked = 0;
-      for (auto& [n, d] : v.demand) asked += d;
+      for (auto& [n, d] : input.demand) asked += d;
       auto kept = bound * (asked > static_cast<double>(rate) ? kAwayScarce : kAwayBounds);
       double told = 0, held = 0;  // of those whose demand is known: it, and their shares
-      for (auto& [n, m] : sh.milli())
+      for (auto& [n, m] : quotas.milli_requests())
         if (auto& s = seen[svc][n]; s.known) told += s.rate, held += m;
-      for (auto& [n, m] : sh.milli()) {
+      for (auto& [n, m] : quotas.milli_requests()) {
         auto& s = seen[svc][n];
         if (s.heard == TimePoint(0)) s.heard = now;
         bool away = now - s.heard < kept;
-        if (!v.demand.count(n) && !away) continue;
+        if (!input.demand.count(n) && !away) continue;
         // Whose demand is not known asks as its share says.
-        v.demand[n] = s.known ? s.rate : m * (held > 0 ? told / held : 0.001);
+        input.demand[n] = s.known ? s.rate : m * (held > 0 ? told / held : 0.001);
       }
       auto& f = fell[svc];
       if (f == TimePoint(0)) f = now;
-      if (looks < kLooks && sh.milli_size() && sh.rate() <= static_cast<uint32_t>(rate)) continue;
-      v.since_fall = now - f;
-      write(svc, v, sh, version, fence);
+      if (looks < kLooks && quotas.milli_requests_size() && quotas.rate() <= static_cast<uint32_t>(rate))
+        continue;
+      input.since_decrease = now - f;
+      write(svc, input, quotas, version, fence);
     }
   }
 
-  void write(const std::string& svc, const ShareSight& v, const pb::Shares& have, uint64_t version,
-             const Fence& fence) {
-    auto o = step(have, v);
-    if (!o.fell && !o.rose) return;
+  void write(const std::string& svc, const QuotaInput& input, const pb::RateQuotas& have, uint64_t version,
+             const LeadershipFence& fence) {
+    auto o = step(have, input);
+    if (!o.decreased && !o.increased) return;
     // Whatever becomes of the write, what it lowers may have been lowered now.
-    bool written = fence.write(registers, share_key(svc), version, have.term(), o.shares).has_value();
-    if (o.fell || !written) fell[svc] = ps.clock.now();
-    lg.debug("Shares of {} were {} for {} nodes.", svc, o.fell ? "lowered" : "raised", o.shares.milli_size());
+    bool written = fence.write(registers, quota_key(svc), version, have.term(), o.quotas).has_value();
+    if (o.decreased || !written) fell[svc] = ports.clock.now();
+    logger.debug("Shares of {} were {} for {} nodes.", svc, o.decreased ? "lowered" : "raised",
+                 o.quotas.milli_requests_size());
   }
 };
 
-Pacer::Pacer(base::Ports& ps, consensus::RegisterClient& b, membership::StateCache& m, Duration bound)
-    : p_(new Impl{ps, b, m, bound}) {}
-Pacer::~Pacer() = default;
-void Pacer::tick(TimePoint now, const pb::Rollout& r, const std::map<std::string, Release>& rs,
-                 const Fence& fence) {
-  p_->tick(now, r, rs, fence);
+RateAllocator::RateAllocator(base::Ports& ports, consensus::RegisterClient& registers,
+                             membership::StateCache& state_cache, Duration bound)
+    : impl_(new Impl{ports, registers, state_cache, bound}) {}
+RateAllocator::~RateAllocator() = default;
+void RateAllocator::tick(TimePoint now, const pb::RolloutState& r, const std::map<std::string, Release>& rs,
+                         const LeadershipFence& fence) {
+  impl_->tick(now, r, rs, fence);
 }
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/pacer.hpp
+++ b/src/rollout/pacer.hpp
@@ -6,16 +6,17 @@
 
 namespace dunlinwing::rollout {
 
-class Pacer {
+class RateAllocator {
  public:
-  Pacer(base::Ports& ps, consensus::RegisterClient& b, membership::StateCache& m, Duration bound);
-  ~Pacer();
-  void tick(TimePoint now, const pb::Rollout& r, const std::map<std::string, Release>& releases,
-            const Fence& fence);
+  RateAllocator(base::Ports& ports, consensus::RegisterClient& registers, membership::StateCache& state_cache,
+                Duration bound);
+  ~RateAllocator();
+  void tick(TimePoint now, const pb::RolloutState& r, const std::map<std::string, Release>& releases,
+            const LeadershipFence& fence);
 
  private:
   struct Impl;
-  std::unique_ptr<Impl> p_;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/reducer.hpp
+++ b/src/rollout/reducer.hpp
@@ -11,63 +11,63 @@
 
 namespace dunlinwing::rollout {
 
-struct NodeSight {
+struct NodeObservation {
   std::string name, zone;
-  bool present = false;  // its session stands
-  bool drained = false;  // takes no callers, so it gives no evidence
-  bool keeper = false;   // a holder, or one of a duty's pair
+  bool present = false;      // its session stands
+  bool drained = false;      // takes no callers, so it gives no evidence
+  bool keeps_state = false;  // a holder, or one of a duty's pair
   std::map<std::string, std::string> running;
-  std::string load_defect;
-  uint64_t requests = 0, defects = 0;  // since the last sight
-  uint64_t probes_ok = 0, probes_bad = 0;
-  uint64_t beats = 0,
-           beats_usual =
+  std::string load_error;
+  uint64_t requests = 0, failures = 0;  // since the last sight
+  uint64_t checks_passed = 0, checks_failed = 0;
+  uint64_t heartbeats = 0,
+           heartbeats_usual =
                0;  // of workers taken here since the last sight; thousandths usual before the release
 };
 
-struct Recorded {
+struct ReleaseRecorded {
   Release release;
 };
-struct Sight {
-  Duration dt{0};  // observed under the read_lease since the last sight
-  bool quiet = true;
-  std::vector<NodeSight> nodes;
-  std::map<std::string, Release> releases;  // by register name
-  std::map<std::string, pb::Act> acts;      // by release register name
+struct FleetObservation {
+  Duration elapsed{0};  // observed under the read_lease since the last sight
+  bool in_quiet_hours = true;
+  std::vector<NodeObservation> nodes;
+  std::map<std::string, Release> releases;                     // by register name
+  std::map<std::string, pb::OperatorAction> operator_actions;  // by release register name
   // Entries of Rollout.forgotten whose mark in their act register every leader must know by now.
-  std::set<std::string> marked;
+  std::set<std::string> forgotten_everywhere;
 };
-struct TookDuty {
+struct LeadershipAcquired {
   uint64_t term = 0;
 };
-using Event = std::variant<TookDuty, Recorded, Sight>;
+using Event = std::variant<LeadershipAcquired, ReleaseRecorded, FleetObservation>;
 
-struct Tell {
-  std::string text;
+struct LogEffect {
+  std::string message;
 };
-struct Save {
+struct PersistEffect {
   bool urgent = false;  // an assignment changed; else only time was recorded
 };
-using Effect = std::variant<Tell, Save>;
+using Effect = std::variant<LogEffect, PersistEffect>;
 
-struct Rules {
+struct RolloutRules {
   double scale = 1;  // holds are divided by it; only the fleet runner sets it
   Duration bound{2000};
-  System system;
+  SystemOptions system;
   Duration hold(const Release& r, pb::Phase p) const;
-  Duration settle() const { return bound; }
+  Duration settle_time() const { return bound; }
   // Software restarts its machine, which may be away for a while.
   Duration absence(const std::string& kind) const { return kind == "software" ? bound * 20 : Duration(0); }
 };
 
-struct Outcome {
-  pb::Rollout state;
+struct StepResult {
+  pb::RolloutState state;
   std::vector<Effect> effects;
 };
 
-Outcome step(const pb::Rollout& s, const Event& e, const Rules& r);
+StepResult step(const pb::RolloutState& state, const Event& event, const RolloutRules& rules);
 
-const pb::Course* active(const pb::Rollout& s, const std::string& kind);
-bool finished(pb::Phase p);
+const pb::ReleaseProgress* active_release(const pb::RolloutState& state, const std::string& kind);
+bool is_finished(pb::Phase p);
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/release.cpp
+++ b/src/rollout/release.cpp
@@ -38,36 +38,44 @@
   return {24h, 24h};
 }
 
-bool good_name(std::string_view n) {
+bool is_valid_name(std::string_view n) {
   return !n.empty() && n.size() <= 64 && n[0] != '.' &&
          n.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == n.npos;
 }
 
 std::string release_key(std::string_view k, std::string_view n) { return fmt::format("release/{}/{}", k, n); }
-std::string act_key(std::string_view k, std::string_view n) { return fmt::format("act/{}/{}", k, n); }
+std::string operator_action_key(std::string_view k, std::string_view n) {
+  return fmt::format("act/{}/{}", k, n);
+}
 
-ReleaseGot read_release(const std::string& kind, const std::string& name, std::string_view text) {
+ReleaseResult parse_release(const std::string& kind, const std::string& name, std::string_view text) {
   static const base::Schema env(kSchema), soft(kSoftware);
   auto p = base::Json::parse(text);
   if (auto* d = std::get_if<base::ValidationError>(&p)) return std::vector<base::ValidationError>{*d};
-  auto& j = std::get<base::Json>(p);
-  auto ds = env.check(j);
-  auto c = j.at("content");
+  auto& json = std::get<base::Json>(p);
+  auto ds = env.check(json);
+  auto c = json.at("content");
   auto under = [&](std::vector<base::ValidationError> more) {
-    for (auto& d : more) ds.push_back({"/content" + d.at, d.what});
+    for (auto& d : more) ds.push_back({"/content" + d.pointer, d.message});
   };
   if (kind == "layout") {
-    auto l = traffic::read_layout(name, c);
-    if (auto* d = std::get_if<std::vector<base::ValidationError>>(&l)) under(*d);
+    auto l = traffic::parse_routing_configuration(name, c);
+    if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&l)) under(*errors);
   } else if (kind == "system") {
-    under(check_system(c));
+    under(check_system_options(c));
   } else {
     under(soft.check(c));
   }
-  Release r{kind, name, std::string(text), minimum(kind), j.at("express").str(), j.at("supersedes").str(), c};
+  Release r{kind,
+            name,
+            std::string(text),
+            minimum(kind),
+            json.at("express").string_or(),
+            json.at("supersedes").string_or(),
+            c};
   auto longer = [&](const char* k, Duration& h) {
-    if (!j.at("holds").has(k)) return;
-    Duration want = std::chrono::minutes(j.at("holds").at(k).num());
+    if (!json.at("holds").has(k)) return;
+    Duration want = std::chrono::minutes(json.at("holds").at(k).integer_or());
     if (want < h)
       ds.push_back({std::string("/holds/") + k,
                     fmt::format("is shorter than the minimum of {} min",
--- a/src/rollout/release.hpp
+++ b/src/rollout/release.hpp
@@ -20,12 +20,12 @@
   base::Json content;
 };
 
-using ReleaseGot = std::variant<Release, std::vector<base::ValidationError>>;
+using ReleaseResult = std::variant<Release, std::vector<base::ValidationError>>;
 // Checks the envelope and, by kind, the content.
-ReleaseGot read_release(const std::string& kind, const std::string& name, std::string_view text);
+ReleaseResult parse_release(const std::string& kind, const std::string& name, std::string_view text);
 
 std::string release_key(std::string_view kind, std::string_view name);  // the register's name
-std::string act_key(std::string_view kind, std::string_view name);
-bool good_name(std::string_view n);
+std::string operator_action_key(std::string_view kind, std::string_view name);
+bool is_valid_name(std::string_view n);
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/shares.cpp
+++ b/src/rollout/shares.cpp
@@ -12,11 +12,11 @@
 constexpr double kFloor = 0.2;    // of the rate, spread evenly, so that no relay starts from nothing
 constexpr double kChange = 0.15;  // smaller wishes are not worth a write
 
-std::map<std::string, uint32_t> wish(const ShareSight& v) {
+std::map<std::string, uint32_t> wish(const QuotaInput& input) {
   std::vector<std::pair<double, std::string>> by;
-  for (auto& [n, d] : v.demand) by.emplace_back(d, n);
+  for (auto& [n, d] : input.demand) by.emplace_back(d, n);
   std::stable_sort(by.begin(), by.end(), [](auto& a, auto& b) { return a.first > b.first; });
-  auto rate = static_cast<double>(v.rate);
+  auto rate = static_cast<double>(input.rate);
   auto most = std::max<size_t>(1, static_cast<size_t>(rate / 2.5));
   if (by.size() > most) by.resize(most);
   double all = 0, n = static_cast<double>(by.size());
@@ -31,30 +31,30 @@
 }
 }  // namespace
 
-std::string share_key(const std::string& s) { return "share/" + s; }
+std::string quota_key(const std::string& s) { return "share/" + s; }
 
-ShareStep step(const pb::Shares& s, const ShareSight& v) {
-  ShareStep o{s, false, false};
-  auto want = wish(v);
-  auto& have = *o.shares.mutable_milli();
-  uint64_t sum = 0, cap = static_cast<uint64_t>(v.rate) * 1000;
-  bool shrink = s.rate() > static_cast<uint32_t>(v.rate);
-  for (auto& [n, m] : s.milli()) {
+QuotaStep step(const pb::RateQuotas& quotas, const QuotaInput& input) {
+  QuotaStep o{quotas, false, false};
+  auto want = wish(input);
+  auto& have = *o.quotas.mutable_milli_requests();
+  uint64_t sum = 0, cap = static_cast<uint64_t>(input.rate) * 1000;
+  bool shrink = quotas.rate() > static_cast<uint32_t>(input.rate);
+  for (auto& [n, m] : quotas.milli_requests()) {
     auto f = want.find(n);
     uint32_t w = f == want.end() ? 0 : f->second;
     if (w < m && (shrink || w == 0 || w < m * (1 - kChange))) {
       have[n] = w;
-      o.fell = true;
+      o.decreased = true;
     }
   }
-  if (o.fell) {
-    for (auto& [n, m] : s.milli())
+  if (o.decreased) {
+    for (auto& [n, m] : quotas.milli_requests())
       if (!have[n]) have.erase(n);
-    o.shares.set_rate(static_cast<uint32_t>(v.rate));
+    o.quotas.set_rate(static_cast<uint32_t>(input.rate));
     return o;
   }
-  if (v.since_fall < v.bound) return o;
-  for (auto& [n, m] : s.milli()) sum += m;
+  if (input.since_decrease < input.bound) return o;
+  for (auto& [n, m] : quotas.milli_requests()) sum += m;
   for (auto& [n, w] : want) {
     uint32_t m = have.count(n) ? have[n] : 0;
     if (w <= m * (1 + kChange)) continue;
@@ -62,9 +62,9 @@
     if (!add) continue;
     have[n] = static_cast<uint32_t>(m + add);
     sum += add;
-    o.rose = true;
+    o.increased = true;
   }
-  o.shares.set_rate(static_cast<uint32_t>(v.rate));
+  o.quotas.set_rate(static_cast<uint32_t>(input.rate));
   return o;
 }
 
--- a/src/rollout/shares.hpp
+++ b/src/rollout/shares.hpp
@@ -6,19 +6,19 @@
 
 namespace dunlinwing::rollout {
 
-struct ShareSight {
+struct QuotaInput {
   int64_t rate = 0;                      // requests a second over the fleet
-  Duration since_fall{0};                // since shares last fell, as the duty's holder knows
+  Duration since_decrease{0};            // since shares last fell, as the duty's holder knows
   Duration bound{2000};                  // after this every relay has taken a fall to heart
   std::map<std::string, double> demand;  // by node present: requests a second asked of late
 };
 
-struct ShareStep {
-  pb::Shares shares;
-  bool fell = false, rose = false;
+struct QuotaStep {
+  pb::RateQuotas quotas;
+  bool decreased = false, increased = false;
 };
 
-ShareStep step(const pb::Shares& s, const ShareSight& v);
-std::string share_key(const std::string& service);
+QuotaStep step(const pb::RateQuotas& quotas, const QuotaInput& input);
+std::string quota_key(const std::string& service);
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/system.cpp
+++ b/src/rollout/system.cpp
@@ -3,7 +3,7 @@
 
 namespace dunlinwing::rollout {
 
-std::string_view system_schema() {
+std::string_view system_options_schema() {
   return R"({
   "type":"object","additionalProperties":false,"properties":{
     "log_level":{"type":"string","enum":["debug","info","warn","error"]},
@@ -20,41 +20,42 @@
 }
 
 namespace {
-int minute(const base::Json& j, const char* k) {
-  auto s = j.at("quiet_hours").at(k).str();
+int minute(const base::Json& json, const char* k) {
+  auto s = json.at("quiet_hours").at(k).string_or();
   return s.size() == 5 ? std::stoi(s.substr(0, 2)) * 60 + std::stoi(s.substr(3)) : 0;
 }
 }  // namespace
 
-std::vector<base::ValidationError> check_system(const base::Json& j) {
-  static const base::Schema s(system_schema());
-  auto ds = s.check(j);
+std::vector<base::ValidationError> check_system_options(const base::Json& json) {
+  static const base::Schema s(system_options_schema());
+  auto ds = s.check(json);
   if (!ds.empty()) return ds;
   for (auto* k : {"from", "to"})
-    if (j.has("quiet_hours") && minute(j, k) > 24 * 60)
+    if (json.has("quiet_hours") && minute(json, k) > 24 * 60)
       ds.push_back({std::string("/quiet_hours/") + k, "is no time of the day"});
   return ds;
 }
 
-bool Quiet::open(int64_t wall_ms) const {
-  if (from_min == to_min) return true;
+bool QuietHours::contains(int64_t wall_ms) const {
+  if (start_minute == end_minute) return true;
   int64_t day = 86400000, ms = ((wall_ms % day) + day) % day;
   int m = static_cast<int>(ms / 60000);
-  return from_min < to_min ? m >= from_min && m < to_min : m >= from_min || m < to_min;
+  return start_minute < end_minute ? m >= start_minute && m < end_minute
+                                   : m >= start_minute || m < end_minute;
 }
 
-System read_system(const base::Json& j, const System& base) {
-  System s = base;
-  s.log_level = j.at("log_level").str(s.log_level);
-  auto n = [&](const char* k, int64_t& v) { v = j.at(k).num(v); };
-  n("repeat_allowance", s.repeat_allowance);
-  n("trial_share_percent", s.trial_share_percent);
-  n("bad_answers", s.bad_answers);
+SystemOptions parse_system_options(const base::Json& json, const SystemOptions& base) {
+  SystemOptions s = base;
+  s.log_level = json.at("log_level").string_or(s.log_level);
+  auto n = [&](const char* k, int64_t& v) { v = json.at(k).integer_or(v); };
+  n("repeat_allowance", s.retry_allowance);
+  n("trial_share_percent", s.canary_percent);
+  n("bad_answers", s.max_canary_failures);
   n("promote_requests", s.promote_requests);
   n("promote_seconds", s.promote_seconds);
-  n("defect_ratio_percent", s.defect_ratio_percent);
+  n("defect_ratio_percent", s.failure_ratio_percent);
   n("evidence_requests", s.evidence_requests);
-  if (j.has("quiet_hours")) s.quiet = {minute(j, "from"), minute(j, "to")};
+  if (json.has("quiet_hours")) s.quiet_hours = {minute(json, "from"), minute(json, "to")};
   return s;
 }
 
--- a/src/rollout/versions.cpp
+++ b/src/rollout/versions.cpp
@@ -11,29 +11,30 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr base::Log lg("rollout");
+constexpr base::Log logger("rollout");
 constexpr int kGoneBounds = 5;
 }  // namespace
 
-std::string commonest(const Workers& ws, const std::string& service, const std::string& except) {
+std::string most_common_version(const BackendInstances& ws, const std::string& service,
+                                const std::string& except) {
   std::map<std::string, int> n;
   for (auto& [i, w] : ws)
-    if (!w.gone && w.beat.service() == service) ++n[w.beat.version()];
+    if (!w.gone && w.heartbeat.service() == service) ++n[w.heartbeat.version()];
   std::string best;
   for (auto& [v, k] : n)
     if (v != except && (best.empty() || k > n[best])) best = v;
   return best.empty() && n.count(except) ? except : best;
 }
 
-struct Settler::Impl {
-  base::Ports& ps;
+struct VersionInitializer::Impl {
+  base::Ports& ports;
   consensus::RegisterClient& registers;
   membership::StateCache& state_cache;
   Duration bound;
   std::string settled;  // the layout of which all is known to be in place
-  std::shared_ptr<const traffic::Layout> now;
-  const Fence* fence = nullptr;           // of the tick under way
-  std::map<std::string, TimePoint> gone;  // since when no worker of the version in place beats
+  std::shared_ptr<const traffic::RoutingConfiguration> now;
+  const LeadershipFence* fence = nullptr;  // of the tick under way
+  std::map<std::string, TimePoint> gone;   // since when no worker of the version in place beats
 
   pb::ServiceState state(const std::string& name, uint64_t& version) {
     pb::ServiceState st;
@@ -42,82 +43,84 @@
     if (version) st.ParseFromString(h->second.data);
     return st;
   }
-  bool write(const std::string& name, uint64_t version, pb::ServiceState st) {
-    return fence->write(registers, service_key(name), version, st.term(), st).has_value();
+  bool write(const std::string& name, uint64_t version, pb::ServiceState state) {
+    return fence->write(registers, service_key(name), version, state.term(), state).has_value();
   }
 
   void settle() {
-    auto ws = state_cache.statuses().workers(ps.clock.now());
+    auto ws = state_cache.statuses().backend_instances(ports.clock.now());
     bool all = true;
     for (auto& [name, s] : now->services) {
       uint64_t version = 0;
       auto st = state(name, version);
       if (!st.current().empty()) continue;
-      auto v = s.versions.empty() ? commonest(ws, name, st.trial()) : s.versions.front();
-      if (v.empty() || v == st.trial()) {
+      auto v = s.versions.empty() ? most_common_version(ws, name, st.canary()) : s.versions.front();
+      if (v.empty() || v == st.canary()) {
         all = false;  // none beats yet
         continue;
       }
       st.set_current(v);
       if (!write(name, version, st)) return;  // the next tick looks again
-      if (s.versions.empty()) lg.info("Service {}: version {} is in place, as its workers say.", name, v);
+      if (s.versions.empty()) logger.info("Service {}: version {} is in place, as its workers say.", name, v);
     }
-    for (auto& [k, h] : membership::Chosen(state_cache.chosen())) {
+    for (auto& [k, h] : membership::ChosenValues(state_cache.chosen())) {
       pb::ServiceState st;
       if (!k.starts_with("service/") || now->services.count(k.substr(8)) || !st.ParseFromString(h.data) ||
           st.current().empty())
         continue;
       st.clear_current();
-      st.clear_kept();
-      drop_trial(st);
+      st.clear_previous_versions();
+      drop_canary(st);
       if (!write(k.substr(8), h.version, st)) return;
     }
     if (all) settled = now->name;
   }
 
   void replace() {
-    auto ws = state_cache.statuses().workers(ps.clock.now());
+    auto ws = state_cache.statuses().backend_instances(ports.clock.now());
     for (auto& [name, s] : now->services) {
       if (!s.versions.empty()) continue;
       uint64_t version = 0;
       auto st = state(name, version);
       std::map<std::string, int> n;
       for (auto& [i, w] : ws)
-        if (!w.gone && w.beat.service() == name && !st.quarantined().count(w.beat.version()))
-          ++n[w.beat.version()];
-      if (st.current().empty() || !st.trial().empty() || n.empty() || n.count(st.current())) {
+        if (!w.gone && w.heartbeat.service() == name && !st.quarantined().count(w.heartbeat.version()))
+          ++n[w.heartbeat.version()];
+      if (st.current().empty() || !st.canary().empty() || n.empty() || n.count(st.current())) {
         gone.erase(name);
         continue;
       }
-      auto [f, fresh] = gone.emplace(name, ps.clock.now());
+      auto [f, fresh] = gone.emplace(name, ports.clock.now());
       if (fresh)
-        lg.warn("Service {}: no worker of version {} beats any more, and others do.", name, st.current());
-      if (ps.clock.now() - f->second < bound * kGoneBounds) continue;
+        logger.warn("Service {}: no worker of version {} beats any more, and others do.", name, st.current());
+      if (ports.clock.now() - f->second < bound * kGoneBounds) continue;
       auto to =
           std::max_element(n.begin(), n.end(), [](auto& a, auto& b) { return a.second < b.second; })->first;
-      lg.warn("Service {}: version {} takes the place of {}, which is gone.", name, to, st.current());
+      logger.warn("Service {}: version {} takes the place of {}, which is gone.", name, to, st.current());
       st.set_current(to);
       if (write(name, version, st)) gone.erase(name);
     }
   }
 };
 
-Settler::Settler(base::Ports& ps, consensus::RegisterClient& b, membership::StateCache& m, Duration bound)
-    : p_(new Impl{ps, b, m, bound, {}, {}, nullptr, {}}) {}
-Settler::~Settler() = default;
+VersionInitializer::VersionInitializer(base::Ports& ports, consensus::RegisterClient& registers,
+                                       membership::StateCache& state_cache, Duration bound)
+    : impl_(new Impl{ports, registers, state_cache, bound, {}, {}, nullptr, {}}) {}
+VersionInitializer::~VersionInitializer() = default;
 
-void Settler::idle() {
-  p_->settled.clear();
-  p_->gone.clear();
+void VersionInitializer::reset() {
+  impl_->settled.clear();
+  impl_->gone.clear();
 }
 
-void Settler::tick(std::shared_ptr<const traffic::Layout> layout, const Fence& fence) {
-  auto& p = *p_;
+void VersionInitializer::tick(std::shared_ptr<const traffic::RoutingConfiguration> layout,
+                              const LeadershipFence& fence) {
+  auto& impl = *impl_;
   if (!layout) return;
-  p.fence = &fence;
-  p.now = std::move(layout);
-  if (p.settled != p.now->name) p.settle();
-  p.replace();
+  impl.fence = &fence;
+  impl.now = std::move(layout);
+  if (impl.settled != impl.now->name) impl.settle();
+  impl.replace();
 }
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/versions.hpp
+++ b/src/rollout/versions.hpp
@@ -6,22 +6,24 @@
 
 namespace dunlinwing::rollout {
 
-using Workers = std::map<std::string, membership::WorkerFact>;
+using BackendInstances = std::map<std::string, membership::BackendInstanceStatus>;
 // The version that most workers of the service beat with, others than `except` first; empty: none beats.
-std::string commonest(const Workers& ws, const std::string& service, const std::string& except = {});
+std::string most_common_version(const BackendInstances& ws, const std::string& service,
+                                const std::string& except = {});
 
-class Settler {
+class VersionInitializer {
  public:
-  Settler(base::Ports& ps, consensus::RegisterClient& b, membership::StateCache& m, Duration bound);
-  ~Settler();
+  VersionInitializer(base::Ports& ports, consensus::RegisterClient& registers,
+                     membership::StateCache& state_cache, Duration bound);
+  ~VersionInitializer();
   // While the leadership is held: records what is in place, and what takes the place of a version that is
   // gone.
-  void tick(std::shared_ptr<const traffic::Layout> in_force, const Fence& fence);
-  void idle();  // the leadership is not held
+  void tick(std::shared_ptr<const traffic::RoutingConfiguration> in_force, const LeadershipFence& fence);
+  void reset();  // the leadership is not held
 
  private:
   struct Impl;
-  std::unique_ptr<Impl> p_;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/watch.cpp
+++ b/src/rollout/watch.cpp
@@ -9,62 +9,64 @@
 
 namespace dunlinwing::rollout {
 
-void Watch::look(TimePoint now, const membership::Chosen& chosen,
-                 const std::map<std::string, pb::NodeStatus>& statuses,
-                 const std::map<std::string, membership::WorkerFact>& workers) {
+void VersionRolloutObserver::update(TimePoint now, const membership::ChosenValues& chosen,
+                                    const std::map<std::string, pb::NodeStatus>& statuses,
+                                    const std::map<std::string, membership::BackendInstanceStatus>& workers) {
   std::map<std::string, pb::ServiceState> states;
-  std::map<std::string, std::vector<traffic::Worker>> by;
+  std::map<std::string, std::vector<traffic::BackendInstance>> by;
   std::map<std::string, std::map<std::string, int>> warm_by;
   std::set<std::string> cold, warm;
   for (auto& [i, w] : workers) {
     if (w.gone) continue;
-    by[w.beat.service()].push_back({i, w.beat.service(), w.beat.version(), {}, {}, 1});
-    if (Duration(w.beat.cold_ms()) > w.age)
+    by[w.heartbeat.service()].push_back({i, w.heartbeat.service(), w.heartbeat.version(), {}, {}, 1});
+    if (Duration(w.heartbeat.warm_up_ms()) > w.age)
       cold.insert(i);
     else
-      ++warm_by[w.beat.service()][w.beat.version()];
+      ++warm_by[w.heartbeat.service()][w.heartbeat.version()];
   }
   for (auto& [k, h] : chosen) {
     if (!k.starts_with("service/")) continue;
     auto name = k.substr(8);
-    auto& s = states[name];
-    s.ParseFromString(h.data);
-    if (s.trial().empty() || !s.within_ms()) {
+    auto& state = states[name];
+    state.ParseFromString(h.data);
+    if (state.canary().empty() || !state.deadline_ms()) {
       cases_.erase(name);
       continue;
     }
     auto& c = cases_[name];
-    if (c.number != s.trial_number()) {
-      c = {s.trial_number(), {}, {}, {}, {}};
-      c.asked = last_ == TimePoint(0) ? now - Duration(static_cast<int64_t>(s.held_ms())) - bound_ * 3
-                                      : last_ - bound_ / 8;
+    if (c.number != state.canary_number()) {
+      c = {state.canary_number(), {}, {}, {}, {}};
+      c.requested = last_ == TimePoint(0) ? now - Duration(static_cast<int64_t>(state.held_ms())) - bound_ * 3
+                                          : last_ - bound_ / 8;
     }
-    auto asked = traffic::trial_workers(by[name], s.trial(), true);
+    auto asked = traffic::canary_instances(by[name], state.canary(), true);
     bool any_cold = std::any_of(asked.begin(), asked.end(), [&](auto& w) { return cold.count(w.instance); });
     if (asked.empty() || any_cold)
-      c.warm = TimePoint(0);
-    else if (c.warm == TimePoint(0))
-      c.warm = now;
-    if (c.warm != TimePoint(0) && now - c.warm >= bound_ / 4) warm.insert(name);
-    if (!s.switching())
-      c.switching = TimePoint(0);
-    else if (c.switching == TimePoint(0))
-      c.switching = now;
-    c.warm_workers = warm_by[name];
+      c.warm_since = TimePoint(0);
+    else if (c.warm_since == TimePoint(0))
+      c.warm_since = now;
+    if (c.warm_since != TimePoint(0) && now - c.warm_since >= bound_ / 4) warm.insert(name);
+    if (!state.switching())
+      c.switch_seen = TimePoint(0);
+    else if (c.switch_seen == TimePoint(0))
+      c.switch_seen = now;
+    c.warm_instances = warm_by[name];
   }
-  docket_.hear(states, statuses, warm);
+  docket_.update(states, statuses, warm);
   last_ = now;
 }
 
-void Watch::tell(TimePoint now, const std::string& service, const pb::ServiceState& s, MoveSight& v) const {
+void VersionRolloutObserver::fill_observation(TimePoint now, const std::string& service,
+                                              const pb::ServiceState& state,
+                                              VersionRolloutObservation& observation) const {
   auto f = cases_.find(service);
-  if (f == cases_.end() || f->second.number != s.trial_number()) return;
+  if (f == cases_.end() || f->second.number != state.canary_number()) return;
   auto& c = f->second;
-  v.asked = now - c.asked;
-  v.switching = c.switching == TimePoint(0) ? Duration(0) : now - c.switching;
-  v.warm = c.warm_workers;
-  v.all_warm = c.warm != TimePoint(0) && now - c.warm >= bound_ / 4;
-  v.seen = docket_.at(service);
+  observation.since_requested = now - c.requested;
+  observation.since_switch = c.switch_seen == TimePoint(0) ? Duration(0) : now - c.switch_seen;
+  observation.warm_instances = c.warm_instances;
+  observation.all_warm = c.warm_since != TimePoint(0) && now - c.warm_since >= bound_ / 4;
+  observation.sample = docket_.at(service);
 }
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/watch.hpp
+++ b/src/rollout/watch.hpp
@@ -7,24 +7,25 @@
 
 namespace dunlinwing::rollout {
 
-class Watch {
+class VersionRolloutObserver {
  public:
-  explicit Watch(Duration bound) : bound_(bound) {}
-  void look(TimePoint now, const membership::Chosen& chosen,
-            const std::map<std::string, pb::NodeStatus>& statuses,
-            const std::map<std::string, membership::WorkerFact>& workers);
-  void tell(TimePoint now, const std::string& service, const pb::ServiceState& s, MoveSight& v) const;
+  explicit VersionRolloutObserver(Duration bound) : bound_(bound) {}
+  void update(TimePoint now, const membership::ChosenValues& chosen,
+              const std::map<std::string, pb::NodeStatus>& statuses,
+              const std::map<std::string, membership::BackendInstanceStatus>& workers);
+  void fill_observation(TimePoint now, const std::string& service, const pb::ServiceState& state,
+                        VersionRolloutObservation& observation) const;
 
  private:
-  struct Case {
+  struct ObservedRollout {
     uint64_t number = 0;
-    TimePoint asked{0}, warm{0}, switching{0};
-    std::map<std::string, int> warm_workers;
+    TimePoint requested{0}, warm_since{0}, switch_seen{0};
+    std::map<std::string, int> warm_instances;
   };
   Duration bound_;
   TimePoint last_{0};
-  std::map<std::string, Case> cases_;
-  traffic::Docket docket_;
+  std::map<std::string, ObservedRollout> cases_;
+  traffic::CanaryStatistics docket_;
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/simulation/origin.hpp
+++ b/src/simulation/origin.hpp
@@ -7,16 +7,17 @@
 
 class SimOrigin final : public base::Origin {
  public:
-  SimOrigin(Fleet& f, LifePtr l) : f_(f), l_(std::move(l)) {}
-  bool reach(const std::string& addr, Duration) override;
-  std::variant<base::Response, base::AttemptError> send(const std::string& addr, const base::Request& q,
+  SimOrigin(Fleet& fleet, ProcessRunPtr process) : fleet_(fleet), process_(std::move(process)) {}
+  bool can_connect(const std::string& address, Duration) override;
+  std::variant<base::Response, base::AttemptError> send(const std::string& address,
+                                                        const base::Request& request,
                                                         const base::AttemptRules& rules) override;
 
  private:
-  std::variant<base::Response, base::AttemptError> relay(const std::string& name, const base::Request& q,
-                                                         Duration limit);
-  Fleet& f_;
-  LifePtr l_;
+  std::variant<base::Response, base::AttemptError> relay(const std::string& name,
+                                                         const base::Request& request, Duration limit);
+  Fleet& fleet_;
+  ProcessRunPtr process_;
 };
 
 }  // namespace dunlinwing::simulation
--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -6,158 +6,166 @@
 
 void Clock::sleep(Duration s) {
   Wait w;
-  w_.wait(l_, s, w);
+  world_.wait(process_, s, w);
 }
 
 namespace {
 class SimSpot final : public base::Condition {
  public:
-  SimSpot(World& w, LifePtr l) : w_(w), l_(std::move(l)) {}
-  bool wait(Duration s) override { return w_.wait(l_, s, wait_); }
-  void notify() override { w_.notify(wait_); }
+  SimSpot(World& world, ProcessRunPtr process) : world_(world), process_(std::move(process)) {}
+  bool wait(Duration s) override { return world_.wait(process_, s, wait_); }
+  void notify() override { world_.notify(wait_); }
 
  private:
-  World& w_;
-  LifePtr l_;
+  World& world_;
+  ProcessRunPtr process_;
   Wait wait_;
 };
 }  // namespace
 
-std::shared_ptr<base::Condition> Tasks::condition() { return std::make_shared<SimSpot>(w_, l_); }
+std::shared_ptr<base::Condition> Tasks::condition() { return std::make_shared<SimSpot>(world_, process_); }
 
-std::variant<pb::Reply, base::NetError> Net::ask(const std::string& addr, const pb::Ask& a, Duration limit) {
+std::variant<pb::PeerResponse, base::PeerError> Net::call(const std::string& address,
+                                                          const pb::PeerRequest& request, Duration limit) {
   struct Talk {
-    std::optional<pb::Reply> reply;
+    std::optional<pb::PeerResponse> reply;
     bool refused = false;
     Wait wait;
   };
   auto t = std::make_shared<Talk>();
-  auto back = [this, t, from = l_->host](const std::string& to, std::optional<pb::Reply> r) {
-    if (w_.cut_off(to, from)) return void(++w_.met["cut"]);
-    if (w_.random(w_.weather.loss_permille)) return void(++w_.met["loss"]);
-    Duration d = w_.weather.least +
-                 Duration(w_.below(static_cast<uint64_t>((w_.weather.most - w_.weather.least).count()) + 1));
-    w_.after(d, [this, t, r = std::move(r)] {
+  auto back = [this, t, from = process_->host](const std::string& to, std::optional<pb::PeerResponse> r) {
+    if (world_.is_partitioned(to, from)) return void(++world_.faults_met["cut"]);
+    if (world_.random(world_.weather.loss_permille)) return void(++world_.faults_met["loss"]);
+    Duration d =
+        world_.weather.min_delay +
+        Duration(world_.below(
+            static_cast<uint64_t>((world_.weather.max_delay - world_.weather.min_delay).count()) + 1));
+    world_.after(d, [this, t, r = std::move(r)] {
       if (t->reply || t->refused) return;
       if (r)
         t->reply = r;
       else
         t->refused = true;
-      w_.notify(t->wait);
+      world_.notify(t->wait);
     });
   };
-  auto f = d_.find(addr);
-  auto host = f == d_.end() ? std::string() : f->second.host;
+  auto f = directory_.find(address);
+  auto host = f == directory_.end() ? std::string() : f->second.host;
   auto send = [&] {
-    ++w_.messages;
-    w_.bytes += a.ByteSizeLong();
-    if (w_.cut_off(l_->host, host)) return void(++w_.met["cut"]);
-    if (w_.random(w_.weather.loss_permille)) return void(++w_.met["loss"]);
-    Duration d = w_.weather.least +
-                 Duration(w_.below(static_cast<uint64_t>((w_.weather.most - w_.weather.least).count()) + 1));
+    ++world_.messages;
+    world_.bytes += request.ByteSizeLong();
+    if (world_.is_partitioned(process_->host, host)) return void(++world_.faults_met["cut"]);
+    if (world_.random(world_.weather.loss_permille)) return void(++world_.faults_met["loss"]);
+    Duration d =
+        world_.weather.min_delay +
+        Duration(world_.below(
+            static_cast<uint64_t>((world_.weather.max_delay - world_.weather.min_delay).count()) + 1));
     // What a frozen host is sent waits in its sockets until the thaw.
     auto arrive = std::make_shared<std::function<void()>>();
-    *arrive = [this, addr, a, host, back, arrive] {
-      auto p = d_.find(addr);
-      if (p == d_.end() || !p->second.life || p->second.life->dead) return back(host, {});
-      if (w_.frozen(host)) return w_.after(Duration(50), *arrive);
-      w_.spawn(p->second.life, [this, answer = p->second.answer, a, back, host] {
-        auto r = answer(a);
-        ++w_.messages;
-        w_.bytes += r.ByteSizeLong();
-        back(host, std::move(r));
+    *arrive = [this, address, request, host, back, arrive] {
+      auto p = directory_.find(address);
+      if (p == directory_.end() || !p->second.life || p->second.life->dead) return back(host, {});
+      if (world_.frozen(host)) return world_.after(Duration(50), *arrive);
+      world_.spawn(p->second.life, [this, answer = p->second.answer, request, back, host] {
+        auto response = answer(request);
+        ++world_.messages;
+        world_.bytes += response.ByteSizeLong();
+        back(host, std::move(response));
       });
     };
-    w_.after(d, *arrive);
+    world_.after(d, *arrive);
   };
   send();
-  if (w_.random(w_.weather.twice_permille)) {
-    ++w_.met["twice"];
+  if (world_.random(world_.weather.duplicate_permille)) {
+    ++world_.faults_met["twice"];
     send();
   }
-  TimePoint end = w_.now() + limit;
-  while (!t->reply && !t->refused && w_.now() < end) w_.wait(l_, end - w_.now(), t->wait);
+  TimePoint end = world_.now() + limit;
+  while (!t->reply && !t->refused && world_.now() < end) world_.wait(process_, end - world_.now(), t->wait);
   if (t->reply) return *t->reply;
-  return t->refused ? base::NetError::unreachable : base::NetError::timed_out;
+  return t->refused ? base::PeerError::unreachable : base::PeerError::timed_out;
 }
 
-std::variant<std::string, storage::ReadError> MemFiles::read(const std::string& n) {
-  auto f = p_.files.find(n);
-  if (f == p_.files.end()) return storage::ReadError::missing;
+std::variant<std::string, storage::ReadError> MemoryFiles::read(const std::string& n) {
+  auto f = contents_.files.find(n);
+  if (f == contents_.files.end()) return storage::ReadError::missing;
   return f->second;
 }
 
-bool MemFiles::replace(const std::string& n, const std::string& b) {
-  if (p_.failing) return false;
-  if (p_.full) {  // it was cut to nothing before the first byte was refused
-    p_.files[n].clear();
+bool MemoryFiles::replace(const std::string& n, const std::string& b) {
+  if (contents_.failing) return false;
+  if (contents_.full) {  // it was cut to nothing before the first byte was refused
+    contents_.files[n].clear();
     return false;
   }
-  auto k = std::min(room, b.size());
+  auto k = std::min(remaining_bytes, b.size());
   if (k == 0 && !b.empty()) return false;
-  p_.files[n] = b.substr(0, k);
-  if (room != std::string::npos) room -= k;
+  contents_.files[n] = b.substr(0, k);
+  if (remaining_bytes != std::string::npos) remaining_bytes -= k;
   return k == b.size();
 }
 
-bool MemFiles::append(const std::string& n, const std::string& b) {
-  if (p_.failing) return false;
-  if (p_.full) {  // the last block had some room left
-    p_.files[n] += b.substr(0, b.size() / 2);
+bool MemoryFiles::append(const std::string& n, const std::string& b) {
+  if (contents_.failing) return false;
+  if (contents_.full) {  // the last block had some room left
+    contents_.files[n] += b.substr(0, b.size() / 2);
     return false;
   }
-  auto k = std::min(room, b.size());
-  p_.files[n] += b.substr(0, k);
-  if (room != std::string::npos) room -= k;
+  auto k = std::min(remaining_bytes, b.size());
+  contents_.files[n] += b.substr(0, k);
+  if (remaining_bytes != std::string::npos) remaining_bytes -= k;
   return k == b.size();
 }
 
-Disk::Disk(World& w, LifePtr l, Platter& p) : w_(w), l_(std::move(l)), p_(p) {
-  auto f = std::make_unique<MemFiles>(p);
+Disk::Disk(World& world, ProcessRunPtr process, DiskContents& contents)
+    : world_(world), process_(std::move(process)), contents_(contents) {
+  auto f = std::make_unique<MemoryFiles>(contents);
   f_ = f.get();
   s_ = std::make_unique<storage::SnapshotStore>(std::move(f), 16384);
 }
 
 std::optional<base::DiskError> Disk::timed(const std::function<std::optional<base::DiskError>()>& write) {
-  Duration d = p_.least + Duration(w_.below(static_cast<uint64_t>((p_.most - p_.least).count()) + 1));
-  if (d > Duration(100)) ++w_.met["slow_disk"];
+  Duration d = contents_.min_latency +
+               Duration(world_.below(
+                   static_cast<uint64_t>((contents_.max_latency - contents_.min_latency).count()) + 1));
+  if (d > Duration(100)) ++world_.faults_met["slow_disk"];
   try {
     Wait w;
-    w_.wait(l_, d, w);
-    while (p_.stalled_until > w_.now()) {
-      ++w_.met["stalled_disk"];
-      w_.wait(l_, p_.stalled_until - w_.now(), w);
+    world_.wait(process_, d, w);
+    while (contents_.stalled_until > world_.now()) {
+      ++world_.faults_met["stalled_disk"];
+      world_.wait(process_, contents_.stalled_until - world_.now(), w);
     }
-  } catch (const Dead&) {
-    auto dice = w_.below(3);
-    if (dice == 0) f_->room = 0;
-    if (dice == 1) f_->room = w_.below(64);
-    ++w_.met[dice == 1 ? "torn_write" : "crash_in_write"];
+  } catch (const ProcessKilled&) {
+    auto dice = world_.below(3);
+    if (dice == 0) f_->remaining_bytes = 0;
+    if (dice == 1) f_->remaining_bytes = world_.below(64);
+    ++world_.faults_met[dice == 1 ? "torn_write" : "crash_in_write"];
     write();
     throw;
   }
-  if (p_.full) ++w_.met["full_disk"];
-  if (p_.failing) ++w_.met["refusing_disk"];
+  if (contents_.full) ++world_.faults_met["full_disk"];
+  if (contents_.failing) ++world_.faults_met["refusing_disk"];
   return write();
 }
 
-std::optional<base::DiskError> Disk::save(const std::vector<pb::Record>& rs,
-                                          const std::function<pb::Image()>& whole) {
-  auto error = timed([&] { return s_->save(rs, whole); });
-  if (!error && w_.synced)
-    for (auto& r : rs) w_.synced(l_->host, r);
+std::optional<base::DiskError> Disk::save(const std::vector<pb::LogRecord>& records,
+                                          const std::function<pb::Snapshot()>& whole) {
+  auto error = timed([&] { return s_->save(records, whole); });
+  if (!error && world_.synced)
+    for (auto& r : records) world_.synced(process_->host, r);
   return error;
 }
 
-std::optional<base::DiskError> Disk::rewrite(const pb::Image& whole) {
+std::optional<base::DiskError> Disk::rewrite(const pb::Snapshot& whole) {
   auto error = timed([&] { return s_->rewrite(whole); });
   if (error) return error;
-  ++w_.met["disk_back"];
-  if (!w_.synced) return {};
-  for (auto& slot : whole.slots()) {
-    pb::Record r;
-    *r.mutable_slot() = slot;
-    w_.synced(l_->host, r);
+  ++world_.faults_met["disk_back"];
+  if (!world_.synced) return {};
+  for (auto& slot : whole.registers()) {
+    pb::LogRecord r;
+    *r.mutable_register_state() = slot;
+    world_.synced(process_->host, r);
   }
   return {};
 }
--- a/src/simulation/ports.hpp
+++ b/src/simulation/ports.hpp
@@ -8,97 +8,100 @@
 
 class Clock final : public base::Clock {
  public:
-  Clock(World& w, LifePtr l, int64_t* wall) : w_(w), l_(std::move(l)), wall_(wall) {}
-  TimePoint now() override { return w_.now(); }
-  int64_t wall_ms() override { return w_.now().count() + *wall_; }
+  Clock(World& world, ProcessRunPtr process, int64_t* wall)
+      : world_(world), process_(std::move(process)), wall_(wall) {}
+  TimePoint now() override { return world_.now(); }
+  int64_t wall_ms() override { return world_.now().count() + *wall_; }
   void sleep(Duration s) override;
 
  private:
-  World& w_;
-  LifePtr l_;
+  World& world_;
+  ProcessRunPtr process_;
   int64_t* wall_;
 };
 
 class Random final : public base::Random {
  public:
-  explicit Random(World& w) : w_(w) {}
-  uint64_t draw() override { return w_.draw(); }
+  explicit Random(World& world) : world_(world) {}
+  uint64_t draw() override { return world_.draw(); }
 
  private:
-  World& w_;
+  World& world_;
 };
 
 class Tasks final : public base::Tasks {
  public:
-  Tasks(World& w, LifePtr l) : w_(w), l_(std::move(l)) {}
-  void spawn(std::function<void()> f) override { w_.spawn(l_, std::move(f)); }
+  Tasks(World& world, ProcessRunPtr process) : world_(world), process_(std::move(process)) {}
+  void spawn(std::function<void()> f) override { world_.spawn(process_, std::move(f)); }
   std::shared_ptr<base::Condition> condition() override;
 
  private:
-  World& w_;
-  LifePtr l_;
+  World& world_;
+  ProcessRunPtr process_;
 };
 
 // What stands at an address: its process, when one lives, and how it answers.
 struct Peer {
   std::string host;
-  LifePtr life;
-  std::function<pb::Reply(const pb::Ask&)> answer;
+  ProcessRunPtr life;
+  std::function<pb::PeerResponse(const pb::PeerRequest&)> answer;
 };
 using Directory = std::map<std::string, Peer>;
 
-class Net final : public base::Net {
+class Net final : public base::PeerTransport {
  public:
-  Net(World& w, LifePtr l, Directory& d) : w_(w), l_(std::move(l)), d_(d) {}
-  std::variant<pb::Reply, base::NetError> ask(const std::string& addr, const pb::Ask& a,
-                                              Duration limit) override;
+  Net(World& world, ProcessRunPtr process, Directory& d)
+      : world_(world), process_(std::move(process)), directory_(d) {}
+  std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
+                                                       const pb::PeerRequest& request,
+                                                       Duration limit) override;
 
  private:
-  World& w_;
-  LifePtr l_;
-  Directory& d_;
+  World& world_;
+  ProcessRunPtr process_;
+  Directory& directory_;
 };
 
 // Bytes that outlive the process. A write under way when it dies is lost,
 // done, or torn.
-struct Platter {
+struct DiskContents {
   std::map<std::string, std::string> files;
-  Duration least{1}, most{4};
+  Duration min_latency{1}, max_latency{4};
   bool failing = false;        // refuses every write and sync
   bool full = false;           // takes no more bytes: a write leaves a part of them, or none
   TimePoint stalled_until{0};  // answers nothing before then
 };
 
-class MemFiles final : public storage::Files {
+class MemoryFiles final : public storage::Files {
  public:
-  explicit MemFiles(Platter& p) : p_(p) {}
+  explicit MemoryFiles(DiskContents& contents) : contents_(contents) {}
   std::variant<std::string, storage::ReadError> read(const std::string& n) override;
   bool replace(const std::string& n, const std::string& b) override;
   bool append(const std::string& n, const std::string& b) override;
-  bool sync_folder() override { return !p_.failing; }
+  bool sync_folder() override { return !contents_.failing; }
   std::string place() const override { return "memory"; }
-  size_t room = std::string::npos;  // bytes that still reach the platter
+  size_t remaining_bytes = std::string::npos;  // bytes that still reach the platter
 
  private:
-  Platter& p_;
+  DiskContents& contents_;
 };
 
 class Disk final : public base::Disk {
  public:
-  Disk(World& w, LifePtr l, Platter& p);
-  base::Loaded load() override { return s_->load(); }
-  std::optional<base::DiskError> save(const std::vector<pb::Record>& rs,
-                                      const std::function<pb::Image()>& whole) override;
-  std::optional<base::DiskError> rewrite(const pb::Image& whole) override;
+  Disk(World& world, ProcessRunPtr process, DiskContents& contents);
+  base::LoadedSnapshot load() override { return s_->load(); }
+  std::optional<base::DiskError> save(const std::vector<pb::LogRecord>& records,
+                                      const std::function<pb::Snapshot()>& whole) override;
+  std::optional<base::DiskError> rewrite(const pb::Snapshot& whole) override;
 
  private:
   // Lets the disk's time pass, then runs the write; a process that dies meanwhile leaves it
   // done, torn or not begun.
   std::optional<base::DiskError> timed(const std::function<std::optional<base::DiskError>()>& write);
-  World& w_;
-  LifePtr l_;
-  Platter& p_;
-  MemFiles* f_;
+  World& world_;
+  ProcessRunPtr process_;
+  DiskContents& contents_;
+  MemoryFiles* f_;
   std::unique_ptr<storage::SnapshotStore> s_;
 };
 
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -46,33 +46,33 @@
   check_ = nullptr;
 }
 
-void World::spawn(const LifePtr& l, std::function<void()> f) {
-  ++l->fibers;
-  bf::fiber(bf::launch::post, [l, f = std::move(f)] {
+void World::spawn(const ProcessRunPtr& process, std::function<void()> f) {
+  ++process->fibers;
+  bf::fiber(bf::launch::post, [process, f = std::move(f)] {
     try {
-      if (!l->dead) f();
-    } catch (const Dead&) {
+      if (!process->dead) f();
+    } catch (const ProcessKilled&) {
     }
-    --l->fibers;
+    --process->fibers;
   }).detach();
 }
 
-bool World::wait(const LifePtr& l, Duration s, Wait& w) {
-  if (l->dead) throw Dead{};
-  w.life = l;
+bool World::wait(const ProcessRunPtr& process, Duration s, Wait& w) {
+  if (process->dead) throw ProcessKilled{};
+  w.life = process;
   if (!w.woken) {
     w.fiber = bf::context::active();
     w.due = false;
     auto turn = w.turn = ++turns_;
-    l->waits.insert(&w);
-    at(now_ + std::max(s, Duration(0)), [this, l, &w, turn] {
-      if (l->waits.count(&w) && w.turn == turn) resume(&w);
+    process->waits.insert(&w);
+    at(now_ + std::max(s, Duration(0)), [this, process, &w, turn] {
+      if (process->waits.count(&w) && w.turn == turn) resume(&w);
     });
     while (!w.due) bf::context::active()->suspend();
-    l->waits.erase(&w);
+    process->waits.erase(&w);
     w.fiber = nullptr;
   }
-  if (l->dead) throw Dead{};
+  if (process->dead) throw ProcessKilled{};
   return std::exchange(w.woken, false);
 }
 
@@ -93,20 +93,20 @@
   if (w.fiber) resume(&w);
 }
 
-void World::kill(const LifePtr& l) {
-  l->dead = true;
-  frozen_.erase(l->host);
-  for (auto* w : std::set<Wait*>(l->waits)) resume(w);
+void World::kill(const ProcessRunPtr& process) {
+  process->dead = true;
+  frozen_.erase(process->host);
+  for (auto* w : std::set<Wait*>(process->waits)) resume(w);
 }
 
 void World::freeze(const std::string& h, TimePoint until) {
   frozen_[h] = until;
-  ++met["freeze"];
+  ++faults_met["freeze"];
   journal.push_back(
       fmt::format(R"({{"t":"frozen","machine":"{}","until":{},"at":{}}})", h, until.count(), now_.count()));
 }
 
-void World::cut(const std::string& from, const std::string& to) {
+void World::partition(const std::string& from, const std::string& to) {
   cuts_.insert({from, to});
   if (std::exchange(cut_told_, now_) != now_)
     journal.push_back(fmt::format(R"({{"t":"cut","at":{}}})", now_.count()));
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -10,20 +10,20 @@
 
 namespace dunlinwing::simulation {
 
-struct Dead {};  // thrown in the fibers of a process that was killed
+struct ProcessKilled {};  // thrown in the fibers of a process that was killed
 
 // One run of one process: what its fibers wait on dies with it.
-struct Life {
+struct ProcessRun {
   std::string host;
   bool dead = false;
   int fibers = 0;
   std::set<struct Wait*> waits;
 };
-using LifePtr = std::shared_ptr<Life>;
+using ProcessRunPtr = std::shared_ptr<ProcessRun>;
 
-struct Weather {  // what the network does to messages
-  int loss_permille = 0, twice_permille = 0;
-  Duration least{1}, most{3};
+struct NetworkConditions {  // what the network does to messages
+  int loss_permille = 0, duplicate_permille = 0;
+  Duration min_delay{1}, max_delay{3};
 };
 
 class World {
@@ -41,21 +41,23 @@
   void run(TimePoint until, std::function<void()> check, std::function<void()> first);
   uint64_t steps() const { return steps_; }
 
-  void spawn(const LifePtr& l, std::function<void()> f);
-  bool wait(const LifePtr& l, Duration s, struct Wait& w);  // true when woken
+  void spawn(const ProcessRunPtr& process, std::function<void()> f);
+  bool wait(const ProcessRunPtr& process, Duration s, struct Wait& w);  // true when woken
   void notify(struct Wait& w);
-  void kill(const LifePtr& l);
+  void kill(const ProcessRunPtr& process);
   void freeze(const std::string& host, TimePoint until);
   bool frozen(const std::string& host) const;
 
-  void cut(const std::string& from, const std::string& to);
-  void join(const std::string& a, const std::string& b) { cuts_.erase({a, b}), cuts_.erase({b, a}); }
-  void mend() { cuts_.clear(); }
-  bool cut_off(const std::string& from, const std::string& to) const { return cuts_.count({from, to}) > 0; }
-  Weather weather;
-  std::map<std::string, uint64_t> met;  // faults that a run in truth met
-  uint64_t messages = 0, bytes = 0;     // between hosts, both ways
-  std::function<void(const std::string& host, const pb::Record&)>
+  void partition(const std::string& from, const std::string& to);
+  void heal(const std::string& a, const std::string& b) { cuts_.erase({a, b}), cuts_.erase({b, a}); }
+  void heal_all() { cuts_.clear(); }
+  bool is_partitioned(const std::string& from, const std::string& to) const {
+    return cuts_.count({from, to}) > 0;
+  }
+  NetworkConditions weather;
+  std::map<std::string, uint64_t> faults_met;  // faults that a run in truth met
+  uint64_t messages = 0, bytes = 0;            // between hosts, both ways
+  std::function<void(const std::string& host, const pb::LogRecord&)>
       synced;                        // told of each record once it is on a disk
   std::vector<std::string> journal;  // lines as the stand-ins write them
 
@@ -76,7 +78,7 @@
 };
 
 struct Wait {
-  LifePtr life;
+  ProcessRunPtr life;
   void* fiber = nullptr;
   bool woken = false, due = false;
   uint64_t turn = 0;  // tells a late timer from this one's
--- a/src/software/artifacts.hpp
+++ b/src/software/artifacts.hpp
@@ -7,33 +7,36 @@
 
 namespace dunlinwing::software {
 
-struct Want {  // a software release as a relay needs it
+struct SoftwareTarget {  // a software release as a relay needs it
   std::string name, version, sha256;
   uint64_t bytes = 0;
 };
 // The recorded software releases, by digest.
-std::map<std::string, Want> recorded(const membership::Chosen& c);
+std::map<std::string, SoftwareTarget> recorded_software(const membership::ChosenValues& chosen);
 
-enum class PieceError { unknown_artifact, gap, no_majority };
+enum class ChunkError { unknown_artifact, gap, no_majority };
 
 class Artifacts {
  public:
   // `shelf` is null on a machine that holds no state.
-  Artifacts(base::Ports& ps, consensus::RegisterClient& b, membership::StateCache& m, std::string me,
-            storage::ArtifactFiles* shelf, storage::DiskExecutor* hand, Duration bound);
+  Artifacts(base::Ports& ports, consensus::RegisterClient& registers, membership::StateCache& state_cache,
+            std::string node_name, storage::ArtifactFiles* shelf, storage::DiskExecutor* hand,
+            Duration bound);
   ~Artifacts();
-  void start();                        // begins to repair
-  pb::Reply answer(const pb::Ask& a);  // chunk and fetch, on a holder
-  std::variant<pb::Piece, PieceError> put(const std::string& sha, uint64_t offset, const std::string& data);
-  std::variant<pb::Piece, PieceError> look(const std::string& sha);  // what a majority holds
+  void start();                                                          // begins to repair
+  pb::PeerResponse handle_peer_request(const pb::PeerRequest& request);  // chunk and fetch, on a holder
+  std::variant<pb::ArtifactChunkResponse, ChunkError> append(const std::string& sha, uint64_t offset,
+                                                             const std::string& data);
+  std::variant<pb::ArtifactChunkResponse, ChunkError> progress(
+      const std::string& sha);  // what a majority holds
   // Fetches the whole to a file from whichever holders have it.
-  bool fetch(const Want& w, const std::string& path, storage::DiskExecutor& hand);
+  bool fetch(const SoftwareTarget& w, const std::string& path, storage::DiskExecutor& hand);
 
  private:
   struct Impl;
-  std::shared_ptr<Impl> p_;
+  std::shared_ptr<Impl> impl_;
 };
 
-inline constexpr uint32_t kPiece = 1 << 20;
+inline constexpr uint32_t kChunkBytes = 1 << 20;
 
 }  // namespace dunlinwing::software
--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -9,13 +9,13 @@
 
 namespace dunlinwing::software {
 namespace {
-constexpr base::Log lg("software");
+constexpr base::Log logger("software");
 constexpr int kProofBounds = 15;  // within so many bounds a new program must prove itself
 constexpr int kSoundBounds = 2;   // and be sound for so long without a break
 }  // namespace
 
 struct Stager::Impl {
-  base::Ports& ps;
+  base::Ports& ports;
   Artifacts& artifacts;
   storage::DiskExecutor& hand;
   StagerPorts sp;
@@ -44,22 +44,23 @@
 
   // The program named in `next` is this one: it has so long to prove itself.
   void prove(const std::string& sha) {
-    lg.info("This program, {}, is new here and has to prove itself.", program);
-    TimePoint end = ps.clock.now() + bound * kProofBounds, since = ps.clock.now();
-    while (ps.clock.now() < end) {
-      if (!sp.sound()) since = ps.clock.now();
-      if (ps.clock.now() - since >= bound * kSoundBounds) {
+    logger.info("This program, {}, is new here and has to prove itself.", program);
+    TimePoint end = ports.clock.now() + bound * kProofBounds, since = ports.clock.now();
+    while (ports.clock.now() < end) {
+      if (!sp.is_healthy()) since = ports.clock.now();
+      if (ports.clock.now() - since >= bound * kSoundBounds) {
         if (!put("current", program)) break;
         drop_next();
-        lg.info("This program, {}, has proved itself.", program);
+        logger.info("This program, {}, has proved itself.", program);
         return;
       }
-      ps.clock.sleep(bound / 8);
+      ports.clock.sleep(bound / 8);
     }
-    lg.error("This program, {}, did not prove itself; the machine goes back to the last good one.", program);
+    logger.error("This program, {}, did not prove itself; the machine goes back to the last good one.",
+                 program);
     refuse(sha);
     drop_next();
-    sp.end(kGoBack);
+    sp.terminate(kGoBack);
   }
 
   void settle_next() {
@@ -71,15 +72,15 @@
     auto sp1 = n.find(' ');
     auto name = n.substr(0, sp1), sha = sp1 == n.npos ? "" : n.substr(sp1 + 1);
     if (name == program) return prove(sha);
-    lg.warn("The staged program {} did not come up; it is refused here.", name);
+    logger.warn("The staged program {} did not come up; it is refused here.", name);
     refuse(sha);
     drop_next();
   }
 
-  void stage(const Want& w) {
+  void stage(const SoftwareTarget& w) {
     auto name = "relay-" + w.version;
     if (text("refused").find(w.sha256) != std::string::npos)
-      return sp.defect("software/" + w.name + ": it was tried here and did not prove itself");
+      return sp.report_error("software/" + w.name + ": it was tried here and did not prove itself");
     auto part = file("staging");
     if (!artifacts.fetch(w, part, hand)) return;  // not all there yet; it will be tried again
     bool right = false, put_up = false;
@@ -89,30 +90,30 @@
       put_up = ::chmod(part.c_str(), 0750) == 0 && ::rename(part.c_str(), file(name.c_str()).c_str()) == 0 &&
                storage::sync_dir(dir);
     });
-    if (!right) return sp.defect("software/" + w.name + ": what came has another digest");
-    if (!put_up) return sp.defect("software/" + w.name + ": it cannot be staged in the release folder");
-    while (sp.crowded()) ps.clock.sleep(bound / 2);
+    if (!right) return sp.report_error("software/" + w.name + ": what came has another digest");
+    if (!put_up) return sp.report_error("software/" + w.name + ": it cannot be staged in the release folder");
+    while (sp.too_many_restarting()) ports.clock.sleep(bound / 2);
     if (!put("next", name + " " + w.sha256))
-      return sp.defect("software/" + w.name + ": the release folder cannot be written");
-    lg.info("{} is staged; this process ends so that it can be started.", name);
-    sp.end(kStartNext);
+      return sp.report_error("software/" + w.name + ": the release folder cannot be written");
+    logger.info("{} is staged; this process ends so that it can be started.", name);
+    sp.terminate(kStartNext);
   }
 };
 
-Stager::Stager(base::Ports& ps, Artifacts& a, storage::DiskExecutor& h, StagerPorts sp, std::string dir,
+Stager::Stager(base::Ports& ports, Artifacts& a, storage::DiskExecutor& h, StagerPorts sp, std::string dir,
                std::string program, Duration bound)
-    : p_(new Impl{ps, a, h, std::move(sp), std::move(dir), std::move(program), bound}) {}
+    : impl_(new Impl{ports, a, h, std::move(sp), std::move(dir), std::move(program), bound}) {}
 Stager::~Stager() = default;
 
 void Stager::start() {
-  p_->ps.tasks.spawn([p = p_] {
+  impl_->ports.tasks.spawn([p = impl_] {
     if (!p->dir.empty()) p->settle_next();
     for (;;) {
-      p->ps.clock.sleep(p->bound / 2);
+      p->ports.clock.sleep(p->bound / 2);
       auto w = p->sp.wanted();
       if (!w) continue;
       if (p->dir.empty())
-        p->sp.defect("software/" + w->name + ": no release folder is set for this machine");
+        p->sp.report_error("software/" + w->name + ": no release folder is set for this machine");
       else
         p->stage(*w);
     }
--- a/src/storage/artifact_files.cpp
+++ b/src/storage/artifact_files.cpp
@@ -76,15 +76,15 @@
 
 std::string ArtifactFiles::path(const std::string& sha) const { return dir_ + "/artifact." + sha; }
 
-Kept ArtifactFiles::look(const std::string& sha) const {
+ArtifactProgress ArtifactFiles::progress(const std::string& sha) const {
   if (auto n = size_of(path(sha))) return {*n, true};
   return {size_of(path(sha) + ".part").value_or(0), false};
 }
 
-std::optional<Kept> ArtifactFiles::put(const std::string& sha, uint64_t offset, const std::string& data,
-                                       uint64_t total) {
-  auto k = look(sha);
-  if (k.whole || offset + data.size() <= k.bytes) return k;
+std::optional<ArtifactProgress> ArtifactFiles::append(const std::string& sha, uint64_t offset,
+                                                      const std::string& data, uint64_t total) {
+  auto k = progress(sha);
+  if (k.complete || offset + data.size() <= k.bytes) return k;
   if (offset > k.bytes || offset + data.size() > total) return {};
   auto part = path(sha) + ".part";
   {
@@ -104,12 +104,12 @@
   if (sha256_hex_of(part) != sha) return begin_again(part);
   if (::rename(part.c_str(), path(sha).c_str()) != 0) return {};
   if (!sync_dir(dir_)) return begin_again(path(sha));
-  return Kept{k.bytes, true};
+  return ArtifactProgress{k.bytes, true};
 }
 
 std::string ArtifactFiles::read(const std::string& sha, uint64_t offset, uint32_t bytes) const {
-  auto k = look(sha);
-  Fd f{::open((k.whole ? path(sha) : path(sha) + ".part").c_str(), O_RDONLY | O_CLOEXEC)};
+  auto k = progress(sha);
+  Fd f{::open((k.complete ? path(sha) : path(sha) + ".part").c_str(), O_RDONLY | O_CLOEXEC)};
   if (f.n < 0 || offset >= k.bytes) return {};
   std::string out(std::min<uint64_t>(bytes, k.bytes - offset), '\0');
   auto n = ::pread(f.n, out.data(), out.size(), static_cast<off_t>(offset));
--- a/src/storage/artifact_files.hpp
+++ b/src/storage/artifact_files.hpp
@@ -5,18 +5,19 @@
 
 namespace dunlinwing::storage {
 
-struct Kept {
+struct ArtifactProgress {
   uint64_t bytes = 0;
-  bool whole = false;
+  bool complete = false;
 };
 
 // Blocking; every write is synced before it returns.
 class ArtifactFiles {
  public:
   explicit ArtifactFiles(std::string dir) : dir_(std::move(dir)) {}
-  Kept look(const std::string& sha) const;
+  ArtifactProgress progress(const std::string& sha) const;
   // Null when the piece does not follow what is there, or cannot be written.
-  std::optional<Kept> put(const std::string& sha, uint64_t offset, const std::string& data, uint64_t total);
+  std::optional<ArtifactProgress> append(const std::string& sha, uint64_t offset, const std::string& data,
+                                         uint64_t total);
   std::string read(const std::string& sha, uint64_t offset, uint32_t bytes) const;
   std::string path(const std::string& sha) const;
 
--- a/src/storage/async_disk.hpp
+++ b/src/storage/async_disk.hpp
@@ -6,16 +6,16 @@
 
 class AsyncDisk final : public base::Disk {
  public:
-  AsyncDisk(std::unique_ptr<base::Disk> d, base::Tasks& t) : d_(std::move(d)), hand_(t) {}
-  base::Loaded load() override { return d_->load(); }  // blocks; called before the pool runs
+  AsyncDisk(std::unique_ptr<base::Disk> d, base::Tasks& tasks) : d_(std::move(d)), hand_(tasks) {}
+  base::LoadedSnapshot load() override { return d_->load(); }  // blocks; called before the pool runs
   // The image is made on the caller's thread, since tables belong to the caller.
-  std::optional<base::DiskError> save(const std::vector<pb::Record>& rs,
-                                      const std::function<pb::Image()>& whole) override {
+  std::optional<base::DiskError> save(const std::vector<pb::LogRecord>& records,
+                                      const std::function<pb::Snapshot()>& whole) override {
     std::optional<base::DiskError> r;
-    hand_.run([&, image = whole()] { r = d_->save(rs, [&] { return image; }); });
+    hand_.run([&, image = whole()] { r = d_->save(records, [&] { return image; }); });
     return r;
   }
-  std::optional<base::DiskError> rewrite(const pb::Image& whole) override {
+  std::optional<base::DiskError> rewrite(const pb::Snapshot& whole) override {
     std::optional<base::DiskError> error;
     hand_.run([&] { error = d_->rewrite(whole); });
     return error;
--- a/src/storage/disk_executor.cpp
+++ b/src/storage/disk_executor.cpp
@@ -17,7 +17,7 @@
 
 struct DiskExecutor::Impl {
   base::Tasks& tasks;
-  std::mutex m;
+  std::mutex mutex;
   std::condition_variable cv;
   std::deque<std::shared_ptr<Job>> jobs;
   bool stop = false;
@@ -25,46 +25,46 @@
 
   explicit Impl(base::Tasks& ts) : tasks(ts) {}
   void work() {
-    std::unique_lock l(m);
+    std::unique_lock lock(mutex);
     for (;;) {
-      cv.wait(l, [&] { return stop || !jobs.empty(); });
+      cv.wait(lock, [&] { return stop || !jobs.empty(); });
       if (stop) return;
       auto j = jobs.front();
       jobs.pop_front();
-      l.unlock();
+      lock.unlock();
       j->f();
-      l.lock();
+      lock.lock();
       j->done = true;
       j->condition->notify();
     }
   }
 };
 
-DiskExecutor::DiskExecutor(base::Tasks& t) : p_(std::make_unique<Impl>(t)) {
-  p_->t = std::thread([this] { p_->work(); });
+DiskExecutor::DiskExecutor(base::Tasks& tasks) : impl_(std::make_unique<Impl>(tasks)) {
+  impl_->t = std::thread([this] { impl_->work(); });
 }
 
 DiskExecutor::~DiskExecutor() {
   {
-    std::lock_guard l(p_->m);
-    p_->stop = true;
+    std::lock_guard lock(impl_->mutex);
+    impl_->stop = true;
   }
-  p_->cv.notify_all();
-  p_->t.join();
+  impl_->cv.notify_all();
+  impl_->t.join();
 }
 
 void DiskExecutor::run(std::function<void()> f) {
   auto j = std::make_shared<Job>();
   j->f = std::move(f);
-  j->condition = p_->tasks.condition();
+  j->condition = impl_->tasks.condition();
   {
-    std::lock_guard l(p_->m);
-    p_->jobs.push_back(j);
+    std::lock_guard lock(impl_->mutex);
+    impl_->jobs.push_back(j);
   }
-  p_->cv.notify_one();
+  impl_->cv.notify_one();
   for (;;) {
     j->condition->wait(Duration(3600000));
-    std::lock_guard l(p_->m);
+    std::lock_guard lock(impl_->mutex);
     if (j->done) return;
   }
 }
--- a/src/storage/disk_executor.hpp
+++ b/src/storage/disk_executor.hpp
@@ -7,13 +7,13 @@
 
 class DiskExecutor {
  public:
-  explicit DiskExecutor(base::Tasks& t);
+  explicit DiskExecutor(base::Tasks& tasks);
   ~DiskExecutor();
   void run(std::function<void()> job);
 
  private:
   struct Impl;
-  std::unique_ptr<Impl> p_;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwing::storage
--- a/src/storage/snapshot_store.cpp
+++ b/src/storage/snapshot_store.cpp
@@ -21,7 +21,7 @@
 
 namespace dunlinwing::storage {
 namespace {
-constexpr base::Log lg("disk");
+constexpr base::Log logger("disk");
 constexpr uint32_t kMark = 0x64774c31;
 constexpr size_t kHead = 16;
 constexpr char kMarked = '+';  // behind the serial in a log: a record must follow before the pair is in use
@@ -98,7 +98,7 @@
     return confirmed;
   }
 
-  bool swap(const pb::Image& im) {
+  bool swap(const pb::Snapshot& im) {
     if (!confirm()) return false;
     int k = 1 - cur;
     auto number = std::to_string(serial + 1);
@@ -109,7 +109,7 @@
     if (!files->replace(part("slot", k), slot)) return false;
     if (!files->sync_folder()) return false;
     if (!stands(part("log", k), log) || !stands(part("slot", k), slot)) return false;
-    pb::Record mark;  // what it says the image says already
+    pb::LogRecord mark;  // what it says the image says already
     mark.set_stage(im.stage());
     auto framed_mark = frame(mark.SerializeAsString());
     if (!files->append(part("log", k), framed_mark)) return false;
@@ -121,16 +121,16 @@
   }
 };
 
-SnapshotStore::SnapshotStore(std::unique_ptr<Files> f, size_t log_bytes) : p_(std::make_unique<Impl>()) {
-  p_->files = std::move(f);
-  p_->log_bytes = log_bytes;
+SnapshotStore::SnapshotStore(std::unique_ptr<Files> f, size_t log_bytes) : impl_(std::make_unique<Impl>()) {
+  impl_->files = std::move(f);
+  impl_->log_bytes = log_bytes;
 }
 SnapshotStore::~SnapshotStore() = default;
 
 namespace {
 struct Half {
   uint64_t serial = 0;
-  pb::Image image;
+  pb::Snapshot image;
   bool doubt = false;
 };
 
@@ -193,92 +193,92 @@
   // Disks written by programs that made no mark have none behind their serial either.
   if (rs[0].back() == kMarked && !was_in_use(fs, k, rs)) return {};
   std::map<std::string, pb::RegisterState> m;
-  for (auto& s : h.image.slots()) m[s.name()] = s;
+  for (auto& state : h.image.registers()) m[state.name()] = state;
   for (size_t i = 1; i < rs.size(); ++i) {
-    pb::Record r;
+    pb::LogRecord r;
     if (!r.ParseFromString(rs[i])) {
       h.doubt = true;
       return h;
     }
-    if (r.has_slot())
-      m[r.slot().name()] = r.slot();
-    else if (r.has_set())
-      *h.image.mutable_set() = r.set();
+    if (r.has_register_state())
+      m[r.register_state().name()] = r.register_state();
+    else if (r.has_replica_set())
+      *h.image.mutable_replica_set() = r.replica_set();
     else
       h.image.set_stage(r.stage());
-    if (r.has_first()) *h.image.mutable_first() = r.first();
+    if (r.has_initial_boot()) *h.image.mutable_initial_boot() = r.initial_boot();
   }
-  h.image.clear_slots();
-  for (auto& [n, s] : m) *h.image.add_slots() = s;
+  h.image.clear_registers();
+  for (auto& [n, s] : m) *h.image.add_registers() = s;
   return h;
 }
 }  // namespace
 
-base::Loaded SnapshotStore::load() {
-  auto& p = *p_;
+base::LoadedSnapshot SnapshotStore::load() {
+  auto& impl = *impl_;
   Distrust distrust;
   std::optional<Half> best;
   for (int k = 0; k < 2; ++k) {
-    auto h = half(*p.files, k, distrust);
+    auto h = half(*impl.files, k, distrust);
     if (h && (!best || h->serial > best->serial)) {
       best = h;
-      p.cur = k;
+      impl.cur = k;
     }
   }
-  base::Loaded out;
+  base::LoadedSnapshot out;
   if (best) {
-    out.image = best->image;
-    out.doubt = best->doubt;
-    p.serial = best->serial;
-    p.confirmed = false;
+    out.snapshot = best->image;
+    out.possibly_lost = best->doubt;
+    impl.serial = best->serial;
+    impl.confirmed = false;
     // A slot that was being written when the machine died is damaged without
     // loss, for the other is whole and its log went on. Had the damaged one
     // been in use, its log would hold the mark at least.
-    if (distrust.damaged) out.doubt |= was_in_use(*p.files, 1 - p.cur);
+    if (distrust.damaged) out.possibly_lost |= was_in_use(*impl.files, 1 - impl.cur);
   } else if (distrust.damaged) {
-    out.doubt = true;
+    out.possibly_lost = true;
   }
-  out.doubt |= distrust.unread;
-  if (out.doubt) {
-    lg.error("What was synced to {} can no longer be read whole. It casts no vote until refilled.",
-             p.files->place());
-    out.image = pb::Image();
+  out.possibly_lost |= distrust.unread;
+  if (out.possibly_lost) {
+    logger.error("What was synced to {} can no longer be read whole. It casts no vote until refilled.",
+                 impl.files->place());
+    out.snapshot = pb::Snapshot();
   }
   // A damaged pair left behind would be doubted again at the next start: both are made anew.
-  bool written = p.swap(out.image) && (!out.doubt || p.swap(out.image));
+  bool written = impl.swap(out.snapshot) && (!out.possibly_lost || impl.swap(out.snapshot));
   if (!written) {
-    lg.error("The first image could not be written to {}.", p.files->place());
-    p.broken = true;
+    logger.error("The first image could not be written to {}.", impl.files->place());
+    impl.broken = true;
     out.unwritten = true;
   }
   return out;
 }
 
-std::optional<base::DiskError> SnapshotStore::save(const std::vector<pb::Record>& rs,
-                                                   const std::function<pb::Image()>& whole) {
-  auto& p = *p_;
-  if (p.broken) return base::DiskError::failed;
+std::optional<base::DiskError> SnapshotStore::save(const std::vector<pb::LogRecord>& records,
+                                                   const std::function<pb::Snapshot()>& whole) {
+  auto& impl = *impl_;
+  if (impl.broken) return base::DiskError::failed;
   std::string b;
-  for (auto& r : rs) b += frame(r.SerializeAsString());
+  for (auto& r : records) b += frame(r.SerializeAsString());
   bool ok;
-  if (p.log_now + b.size() > p.log_bytes) {
-    ok = p.swap(whole());
+  if (impl.log_now + b.size() > impl.log_bytes) {
+    ok = impl.swap(whole());
   } else {
-    ok = p.files->append(Impl::part("log", p.cur), b);
-    p.log_now += b.size();
+    ok = impl.files->append(Impl::part("log", impl.cur), b);
+    impl.log_now += b.size();
   }
   if (ok) return {};
-  p.broken = true;
-  lg.error("A write to {} failed. This replica does not vote until a whole image is written.",
-           p.files->place());
+  impl.broken = true;
+  logger.error("A write to {} failed. This replica does not vote until a whole image is written.",
+               impl.files->place());
   return base::DiskError::failed;
 }
 
-std::optional<base::DiskError> SnapshotStore::rewrite(const pb::Image& whole) {
-  auto& p = *p_;
-  p.broken = true;  // a pair half written may be loaded already, so the old log may not grow
-  if (!p.swap(whole)) return base::DiskError::failed;
-  p.broken = false;
+std::optional<base::DiskError> SnapshotStore::rewrite(const pb::Snapshot& whole) {
+  auto& impl = *impl_;
+  impl.broken = true;  // a pair half written may be loaded already, so the old log may not grow
+  if (!impl.swap(whole)) return base::DiskError::failed;
+  impl.broken = false;
   return {};
 }
 
--- a/src/storage/snapshot_store.hpp
+++ b/src/storage/snapshot_store.hpp
@@ -22,14 +22,14 @@
  public:
   SnapshotStore(std::unique_ptr<Files> f, size_t log_bytes);
   ~SnapshotStore() override;
-  base::Loaded load() override;
-  std::optional<base::DiskError> save(const std::vector<pb::Record>& rs,
-                                      const std::function<pb::Image()>& whole) override;
-  std::optional<base::DiskError> rewrite(const pb::Image& whole) override;
+  base::LoadedSnapshot load() override;
+  std::optional<base::DiskError> save(const std::vector<pb::LogRecord>& records,
+                                      const std::function<pb::Snapshot()>& whole) override;
+  std::optional<base::DiskError> rewrite(const pb::Snapshot& whole) override;
 
  private:
   struct Impl;
-  std::unique_ptr<Impl> p_;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwing::storage
--- a/src/traffic/budget.cpp
+++ b/src/traffic/budget.cpp
@@ -14,19 +14,19 @@
 constexpr double kLateMs = 100;   // a turn missed by more is taken anew
 }  // namespace
 
-int repeat_part(int64_t allowance, int nodes, int rank) {
+int retry_allowance_of_node(int64_t allowance, int nodes, int rank) {
   auto all = static_cast<int64_t>(kMargin * static_cast<double>(allowance));
   int64_t n = std::max(nodes, 1);
   return static_cast<int>(all / n + (rank < all % n));
 }
 
-void Repeats::sent(const std::string& s, double earns) {
-  std::lock_guard l(m_);
+void RetryBudget::record_request(const std::string& s, double earns) {
+  std::lock_guard lock(mutex_);
   earned_[s] += earns;
 }
 
-bool Repeats::grant(const std::string& s, int part) {
-  std::lock_guard l(m_);
+bool RetryBudget::try_acquire(const std::string& s, int part) {
+  std::lock_guard lock(mutex_);
   auto& e = earned_[s];
   e = std::min(e, static_cast<double>(part));
   if (e < 1) return false;
@@ -34,8 +34,9 @@
   return true;
 }
 
-std::variant<Turn, Duration> Pace::reserve(const std::string& s, double share, Duration most) {
-  std::lock_guard l(m_);
+std::variant<RateReservation, Duration> RateLimiter::reserve(const std::string& s, double share,
+                                                             Duration most) {
+  std::lock_guard lock(mutex_);
   auto now = static_cast<double>(clock_.now().count());
   if (share <= 0) return most;
   double gap = 1000.0 / share;
@@ -44,11 +45,11 @@
   double wait = at - now;
   if (wait > static_cast<double>(most.count())) return Duration(static_cast<int64_t>(wait));
   n = at + gap;
-  return Turn{Duration(static_cast<int64_t>(wait + 0.999)), at, share};
+  return RateReservation{Duration(static_cast<int64_t>(wait + 0.999)), at, share};
 }
 
-bool Pace::stands(const Turn& t, double share) const {
-  return share >= t.share * 0.999 && static_cast<double>(clock_.now().count()) <= t.due_ms + kLateMs;
+bool RateLimiter::is_valid(const RateReservation& t, double share) const {
+  return share >= t.quota * 0.999 && static_cast<double>(clock_.now().count()) <= t.due_ms + kLateMs;
 }
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/docket.hpp
+++ b/src/traffic/docket.hpp
@@ -7,53 +7,57 @@
 
 namespace dunlinwing::traffic {
 
-struct Tally {
-  uint64_t good = 0, bad = 0, slow = 0, took_ms = 0;
-  uint64_t all() const { return good + bad; }
-  uint64_t poor() const { return bad + slow; }  // failed, or far slower than usual
-  double rate() const { return all() ? static_cast<double>(poor()) / static_cast<double>(all()) : 0; }
-  double mean() const { return all() ? static_cast<double>(took_ms) / static_cast<double>(all()) : 0; }
-  Tally& operator+=(const Tally& o);
+struct OutcomeCounts {
+  uint64_t good = 0, bad = 0, slow = 0, total_ms = 0;
+  uint64_t total() const { return good + bad; }
+  uint64_t failed_or_slow() const { return bad + slow; }  // failed, or far slower than usual
+  double failure_rate() const {
+    return total() ? static_cast<double>(failed_or_slow()) / static_cast<double>(total()) : 0;
+  }
+  double mean_ms() const {
+    return total() ? static_cast<double>(total_ms) / static_cast<double>(total()) : 0;
+  }
+  OutcomeCounts& operator+=(const OutcomeCounts& o);
 };
-using ByRoute = std::map<std::string, Tally>;
-Tally sum(const ByRoute& r);
+using ByRoute = std::map<std::string, OutcomeCounts>;
+OutcomeCounts sum(const ByRoute& r);
 
-struct Seen {
-  ByRoute trial, old;            // since the trial began
-  ByRoute warm_trial, warm_old;  // since its workers were warm
-  ByRoute switched;              // by the version on trial since its switch, when it has all the load
+struct CanarySample {
+  ByRoute canary, baseline;            // since the trial began
+  ByRoute warm_canary, warm_baseline;  // since its workers were warm
+  ByRoute after_switch;                // by the version on trial since its switch, when it has all the load
 };
 
-class Docket {
+class CanaryStatistics {
  public:
   using States = std::map<std::string, pb::ServiceState>;
   // `warm`: services whose trial has warm workers now.
-  void hear(const States& states, const std::map<std::string, pb::NodeStatus>& statuses,
-            const std::set<std::string>& warm = {});
-  const Seen& at(const std::string& service) const;
+  void update(const States& states, const std::map<std::string, pb::NodeStatus>& statuses,
+              const std::set<std::string>& warm = {});
+  const CanarySample& at(const std::string& service) const;
 
  private:
-  struct Case {
+  struct Canary {
     uint64_t number = 0;
     bool warm = false;
-    Seen seen;
+    CanarySample sample;
   };
-  std::map<std::string, Case> cases_;
+  std::map<std::string, Canary> cases_;
   // By source: its incarnation, and its rows as last heard.
-  std::map<std::string, std::pair<uint64_t, std::map<std::vector<std::string>, Tally>>> last_;
+  std::map<std::string, std::pair<uint64_t, std::map<std::vector<std::string>, OutcomeCounts>>> last_;
   bool began_ = false;
 };
 
 // Whether the trial is so plainly worse, as a whole or on some route, that nothing more need be seen.
-bool plainly_worse(const Seen& s);
+bool is_clearly_worse(const CanarySample& s);
 // What on some route is worse, with evidence enough to end the trial. Empty: nothing.
-std::string worse(const Seen& s);
+std::string regression(const CanarySample& s);
 // Whether there is more evidence than a verdict needs.
-bool ample(const Seen& s);
+bool has_ample_evidence(const CanarySample& s);
 // What speaks against promotion yet, or for good: too little evidence on a route, more
 // failures or slower answers than of the version in place. Empty: nothing does.
-std::string objection(const Seen& s);
+std::string promotion_blocker(const CanarySample& s);
 /// What, seen in the switch, ends it on a route too rare for `worse`. Empty: nothing.
-std::string refuted(const Seen& s);
+std::string regression_after_switch(const CanarySample& s);
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/face.cpp
+++ b/src/traffic/face.cpp
@@ -10,7 +10,7 @@
 
 namespace dunlinwing::traffic {
 
-void strip_hop(std::vector<std::pair<std::string, std::string>>& hs) {
+void strip_hop_by_hop(std::vector<std::pair<std::string, std::string>>& headers) {
   static const char* const hop[] = {"Connection",
                                     "Keep-Alive",
                                     "Proxy-Connection",
@@ -23,108 +23,116 @@
                                     "Content-Length",
                                     "Proxy-Authorization"};
   std::vector<std::string> named;
-  for (auto& [k, v] : hs)
-    if (base::same_word(k, "Connection"))
-      for (auto& w : base::words(v, ',')) named.push_back(w);
-  std::erase_if(hs, [&](auto& h) {
+  for (auto& [k, v] : headers)
+    if (base::equals_ignore_case(k, "Connection"))
+      for (auto& w : base::split_list(v, ',')) named.push_back(w);
+  std::erase_if(headers, [&](auto& h) {
     for (auto* n : hop)
-      if (base::same_word(h.first, n)) return true;
+      if (base::equals_ignore_case(h.first, n)) return true;
     for (auto& n : named)
-      if (base::same_word(h.first, n)) return true;
+      if (base::equals_ignore_case(h.first, n)) return true;
     return false;
   });
 }
 
 namespace {
 bool ours(const std::string& name) {
-  return name.size() > 11 && base::same_word(std::string_view(name).substr(0, 11), "Dunlinwing-");
+  return name.size() > 11 && base::equals_ignore_case(std::string_view(name).substr(0, 11), "Dunlinwing-");
 }
 
-void strip(std::vector<std::pair<std::string, std::string>>& hs) {
-  strip_hop(hs);
-  std::erase_if(hs, [](auto& h) { return ours(h.first); });
+void strip(std::vector<std::pair<std::string, std::string>>& headers) {
+  strip_hop_by_hop(headers);
+  std::erase_if(headers, [](auto& h) { return ours(h.first); });
 }
 
-class Own final : public Face {
+class Own final : public ProtocolAdapter {
  public:
-  Asked read(const base::Request&, base::Random& c) const override { return {base::token(c), {}}; }
-
-  void dress(base::Request& q, const Dress& d) const override {
-    strip(q.headers);
-    q.headers.emplace_back("Via", "1.1 dunlinwing");
-    q.headers.emplace_back("Dunlinwing-Request", q.id);
-    q.headers.emplace_back("Dunlinwing-Service", d.worker.service);
-    q.headers.emplace_back("Dunlinwing-Version", d.worker.version);
-    q.headers.emplace_back("Dunlinwing-Instance", d.worker.instance);
-    q.headers.emplace_back("Dunlinwing-Relay", d.relay);
-    q.headers.emplace_back("Dunlinwing-Generation", std::to_string(d.generation));
+  RequestIdentity read_identity(const base::Request&, base::Random& random) const override {
+    return {base::random_token(random), {}};
   }
 
-  bool mine(const base::Response& r, const std::string& id) const override {
-    return base::header(r.headers, "Dunlinwing-Request") == id;
+  void prepare_request(base::Request& request, const AttemptContext& d) const override {
+    strip(request.headers);
+    request.headers.emplace_back("Via", "1.1 dunlinwing");
+    request.headers.emplace_back("Dunlinwing-Request", request.id);
+    request.headers.emplace_back("Dunlinwing-Service", d.instance.service);
+    request.headers.emplace_back("Dunlinwing-Version", d.instance.version);
+    request.headers.emplace_back("Dunlinwing-Instance", d.instance.instance);
+    request.headers.emplace_back("Dunlinwing-Relay", d.entry_node);
+    request.headers.emplace_back("Dunlinwing-Generation", std::to_string(d.generation));
   }
 
-  bool nameless(const base::Response& r) const override {
-    return base::header(r.headers, "Dunlinwing-Request").empty();
+  bool is_response_to(const base::Response& response, const std::string& id) const override {
+    return base::header(response.headers, "Dunlinwing-Request") == id;
+  }
+
+  bool names_no_request(const base::Response& response) const override {
+    return base::header(response.headers, "Dunlinwing-Request").empty();
   }
 
   // Whether what came back is the named worker's own whole answer to this request.
-  Look look(const base::Response& r, const Worker& w, const base::Request& q) const override {
-    auto is = [&](const char* h, const std::string& v) { return base::header(r.headers, h) == v; };
-    bool this_one = mine(r, q.id) && !base::header(r.headers, "Dunlinwing-Instance").empty();
-    if (r.status == 421)
-      return this_one && is("Dunlinwing-Outcome", "not-run") ? Look::elsewhere : Look::broken;
-    if (!is("Dunlinwing-Service", w.service) || !is("Dunlinwing-Version", w.version) ||
-        !is("Dunlinwing-Instance", w.instance) || !mine(r, q.id))
-      return Look::broken;
-    if (r.status == 503 && is("Dunlinwing-Outcome", "not-run")) return Look::not_run;
-    auto d = base::header(r.headers, "Content-Digest");
-    if (auto i = d.find("sha-256=:"); i != d.npos && q.method != "HEAD") {
+  ResponseClass classify(const base::Response& response, const BackendInstance& instance,
+                         const base::Request& request) const override {
+    auto is = [&](const char* h, const std::string& v) { return base::header(response.headers, h) == v; };
+    bool this_one = is_response_to(response, request.id) &&
+                    !base::header(response.headers, "Dunlinwing-Instance").empty();
+    if (response.status == 421)
+      return this_one && is("Dunlinwing-Outcome", "not-run") ? ResponseClass::wrong_instance
+                                                             : ResponseClass::invalid;
+    if (!is("Dunlinwing-Service", instance.service) || !is("Dunlinwing-Version", instance.version) ||
+        !is("Dunlinwing-Instance", instance.instance) || !is_response_to(response, request.id))
+      return ResponseClass::invalid;
+    if (response.status == 503 && is("Dunlinwing-Outcome", "not-run")) return ResponseClass::not_executed;
+    auto d = base::header(response.headers, "Content-Digest");
+    if (auto i = d.find("sha-256=:"); i != d.npos && request.method != "HEAD") {
       auto e = d.find(':', i + 9);
-      if (e == d.npos || d.substr(i + 9, e - i - 9) != base::sha256_base64(r.body)) return Look::broken;
+      if (e == d.npos || d.substr(i + 9, e - i - 9) != base::sha256_base64(response.body))
+        return ResponseClass::invalid;
     }
-    return r.status >= 500 ? Look::answered_badly : Look::good;
+    return response.status >= 500 ? ResponseClass::failed : ResponseClass::good;
   }
 
-  std::optional<Load> load(const base::Response& r) const override {
-    auto h = base::header(r.headers, "Dunlinwing-Load");
+  std::optional<BackendLoad> reported_load(const base::Response& response) const override {
+    auto h = base::header(response.headers, "Dunlinwing-Load");
     int n = 0;
     if (std::from_chars(h.data(), h.data() + h.size(), n).ec != std::errc()) return {};
-    return Load{n, 0, 0};
+    return BackendLoad{n, 0, 0};
   }
 
-  std::vector<std::string> tags(const base::Response&) const override { return {}; }
+  std::vector<std::string> cache_tags(const base::Response&) const override { return {}; }
 
-  base::Response say(int status, const std::string& why, Outcome o,
-                     std::optional<Duration> back) const override {
-    base::Response r{status, {{"Content-Type", "application/json"}, {"Cache-Control", "no-store"}}, {}};
-    if (o != Outcome::none)
-      r.headers.emplace_back("Dunlinwing-Outcome", o == Outcome::not_run ? "not-run" : "unknown");
+  base::Response local_response(int status, const std::string& why, ExecutionStatus o,
+                                std::optional<Duration> back) const override {
+    base::Response response{
+        status, {{"Content-Type", "application/json"}, {"Cache-Control", "no-store"}}, {}};
+    if (o != ExecutionStatus::none)
+      response.headers.emplace_back("Dunlinwing-Outcome",
+                                    o == ExecutionStatus::not_executed ? "not-run" : "unknown");
     if (back)
-      r.headers.emplace_back("Retry-After",
-                             std::to_string(std::max<int64_t>(1, (back->count() + 999) / 1000)));
-    r.body = fmt::format("{{\"defect\":{}}}\n", base::quote(why));
-    return r;
+      response.headers.emplace_back("Retry-After",
+                                    std::to_string(std::max<int64_t>(1, (back->count() + 999) / 1000)));
+    response.body = fmt::format("{{\"defect\":{}}}\n", base::quote(why));
+    return response;
   }
 
-  void clean(base::Response& r) const override {
-    strip(r.headers);
-    r.headers.emplace_back("Via", "1.1 dunlinwing");
+  void strip_internal_headers(base::Response& response) const override {
+    strip(response.headers);
+    response.headers.emplace_back("Via", "1.1 dunlinwing");
   }
 
-  void send(base::Response& r, const std::string&, uint64_t generation) const override {
-    if (generation) r.headers.emplace_back("Dunlinwing-Generation", std::to_string(generation));
+  void finish_response(base::Response& response, const std::string&, uint64_t generation) const override {
+    if (generation) response.headers.emplace_back("Dunlinwing-Generation", std::to_string(generation));
   }
 };
 }  // namespace
 
-bool is_unasked_part(const base::Request& q, const base::Response& r) {
-  auto asked = [&](const char* name) { return !base::header(q.headers, name).empty(); };
-  if (r.status == 206) return !asked("Range");
-  if (r.status == 304) return !asked("If-None-Match") && !asked("If-Modified-Since");
+bool is_unrequested_partial(const base::Request& request, const base::Response& response) {
+  auto asked = [&](const char* name) { return !base::header(request.headers, name).empty(); };
+  if (response.status == 206) return !asked("Range");
+  if (response.status == 304) return !asked("If-None-Match") && !asked("If-Modified-Since");
   return false;
 }
 
-std::unique_ptr<Face> own_face() { return std::make_unique<Own>(); }
+std::unique_ptr<ProtocolAdapter> native_protocol_adapter() { return std::make_unique<Own>(); }
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/fills.hpp
+++ b/src/traffic/fills.hpp
@@ -10,57 +10,60 @@
 
 namespace dunlinwing::traffic {
 
-struct ServeCounts {
-  std::atomic<uint64_t> requests{0}, defects{0}, turned_away{0}, unknown{0}, hits{0}, fills{0}, carried{0};
+struct RequestCounters {
+  std::atomic<uint64_t> requests{0}, failures{0}, rejected{0}, unknown{0}, cache_hits{0}, cache_fetches{0},
+      forwarded{0};
 };
 
 // What is to be said to a caller, or that the request is to be matched anew.
-struct Way {
-  base::Response receipt;
-  Outcome outcome = Outcome::none;
-  bool overtaken = false, left = false, doubt = false;
-  Duration back{0};  // when turned away
+struct RequestOutcome {
+  base::Response response;
+  ExecutionStatus execution = ExecutionStatus::none;
+  bool superseded = false, possibly_sent = false, possibly_executed = false;
+  Duration retry_after{0};  // when turned away
 };
 
-struct Ways {
-  base::Ports& ps;
-  const Face& face;
+struct OutcomeBuilder {
+  base::Ports& ports;
+  const ProtocolAdapter& adapter;
   // Turned away, with when to come back, spread so that a crowd does not return at once.
-  Way away(int status, const std::string& why, Duration back = Duration(0)) const;
-  Way unknown(const std::string& why) const;
-  Way of(Fetched&& f) const;
+  RequestOutcome rejected(int status, const std::string& why, Duration back = Duration(0)) const;
+  RequestOutcome unknown(const std::string& why) const;
+  RequestOutcome from(UpstreamResult&& result) const;
 };
 
-class Fills {
+class CachedRequestHandler {
  public:
-  Fills(base::Ports& ps, const Face& face, std::string me, std::function<bool()> fresh,
-        std::function<TablePtr()> table, UpstreamClient& shots, ServeCounts& counts);
-  Way cached(const Work& w);
+  CachedRequestHandler(base::Ports& ports, const ProtocolAdapter& adapter, std::string node_name,
+                       std::function<bool()> fresh, std::function<RoutingSnapshotPtr()> table,
+                       UpstreamClient& shots, RequestCounters& counts);
+  RequestOutcome handle(const RequestContext& context);
   // What is kept for this request, usable or not.
-  cache::ItemPtr kept(const Work& w);
-  bool usable(const cache::ItemPtr& i, const Work& w, TimePoint now) const;
-  static Duration lifetime(const Work& w);
-  void bound(size_t bytes) { most_ = bytes; }
-  void sweep() { cache_.sweep(ps_.clock.now()); }
+  cache::CachedResponsePtr lookup(const RequestContext& context);
+  bool is_usable(const cache::CachedResponsePtr& cached, const RequestContext& context, TimePoint now) const;
+  static Duration configured_lifetime(const RequestContext& context);
+  void set_cache_limit(size_t bytes) { max_bytes_ = bytes; }
+  void evict_expired() { cache_.evict_expired(ports_.clock.now()); }
   size_t bytes() const { return cache_.bytes(); }
 
  private:
   void shield_failed(const std::string& address);
-  std::string shield_for(const Table& t, const std::string& key);
-  std::pair<Way, cache::ItemPtr> fill(const Work& w, const std::string& key);
+  std::string shield_for(const RoutingSnapshot& snapshot, const std::string& key);
+  std::pair<RequestOutcome, cache::CachedResponsePtr> fetch(const RequestContext& context,
+                                                            const std::string& key);
 
-  base::Ports& ps_;
-  const Face& face_;
-  Ways ways_;
-  std::string me_;
-  std::function<bool()> fresh_;
-  std::function<TablePtr()> table_;
-  UpstreamClient& shots_;
-  ServeCounts& n_;
+  base::Ports& ports_;
+  const ProtocolAdapter& adapter_;
+  OutcomeBuilder outcomes_;
+  std::string node_name_;
+  std::function<bool()> has_read_lease_;
+  std::function<RoutingSnapshotPtr()> snapshot_;
+  UpstreamClient& upstream_client_;
+  RequestCounters& counters_;
   cache::Cache cache_;
-  size_t most_ = SIZE_MAX;
-  std::mutex m_;
-  std::map<std::string, TimePoint> resting_;  // shields, until when
+  size_t max_bytes_ = SIZE_MAX;
+  std::mutex mutex_;
+  std::map<std::string, TimePoint> shield_backoff_;  // shields, until when
 };
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/jury.cpp
+++ b/src/traffic/jury.cpp
@@ -6,31 +6,31 @@
 
 namespace dunlinwing::traffic {
 
-void Jury::hear(const std::map<std::string, pb::ServiceState>& states,
-                const std::map<std::string, pb::NodeStatus>& statuses, uint64_t limit) {
-  docket_.hear(states, statuses);
+void CanaryAnalysis::update(const std::map<std::string, pb::ServiceState>& states,
+                            const std::map<std::string, pb::NodeStatus>& statuses, uint64_t limit) {
+  statistics_.update(states, statuses);
   for (auto& [name, s] : states) {
-    auto& c = cases_[name];
-    if (s.trial().empty()) {
-      stopped_.erase(name);
+    auto& c = canaries_[name];
+    if (s.canary().empty()) {
+      aborted_.erase(name);
       continue;
     }
-    if (c.number != s.trial_number()) {
-      c = {s.trial_number(), {}};
-      stopped_.erase(name);
+    if (c.number != s.canary_number()) {
+      c = {s.canary_number(), {}};
+      aborted_.erase(name);
     }
     bool told = false;
     for (auto& [src, n] : statuses)
-      for (auto& t : n.trials()) {
+      for (auto& t : n.canary_counts()) {
         if (t.service() != name || t.number() != c.number) continue;
-        auto& b = c.bad[{src, n.mark().incarnation()}];
+        auto& b = c.bad[{src, n.version().incarnation()}];
         b = std::max(b, t.bad());
-        told |= t.stopped();
+        told |= t.aborted();
       }
     uint64_t sum = 0;
     for (auto& [k, b] : c.bad) sum += b;
-    told |= s.within_ms() && plainly_worse(docket_.at(name));
-    if (told || std::max(sum, s.bad()) >= limit) stopped_.insert(name);
+    told |= s.deadline_ms() && is_clearly_worse(statistics_.at(name));
+    if (told || std::max(sum, s.bad()) >= limit) aborted_.insert(name);
   }
 }
 
--- a/src/traffic/jury.hpp
+++ b/src/traffic/jury.hpp
@@ -9,22 +9,22 @@
 
 namespace dunlinwing::traffic {
 
-class Jury {
+class CanaryAnalysis {
  public:
   // `states` by service; `statuses` by source, this relay's own among them.
-  void hear(const std::map<std::string, pb::ServiceState>& states,
-            const std::map<std::string, pb::NodeStatus>& statuses, uint64_t limit);
-  bool stopped(const std::string& service) const { return stopped_.count(service) > 0; }
-  const std::set<std::string>& all_stopped() const { return stopped_; }
+  void update(const std::map<std::string, pb::ServiceState>& states,
+              const std::map<std::string, pb::NodeStatus>& statuses, uint64_t limit);
+  bool is_aborted(const std::string& service) const { return aborted_.count(service) > 0; }
+  const std::set<std::string>& aborted() const { return aborted_; }
 
  private:
-  struct Case {
+  struct Canary {
     uint64_t number = 0;
     std::map<std::pair<std::string, uint64_t>, uint64_t> bad;  // by source and incarnation
   };
-  std::map<std::string, Case> cases_;
-  Docket docket_;
-  std::set<std::string> stopped_;
+  std::map<std::string, Canary> canaries_;
+  CanaryStatistics statistics_;
+  std::set<std::string> aborted_;
 };
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/layout.cpp
+++ b/src/traffic/layout.cpp
@@ -13,7 +13,7 @@
 
 namespace dunlinwing::traffic {
 
-std::string_view layout_schema() {
+std::string_view routing_configuration_schema() {
   return R"({
   "type":"object","additionalProperties":false,"required":["services","routes"],
   "properties":{
@@ -57,74 +57,75 @@
       "cache_bytes":{"type":"integer","minimum":0,"maximum":4294967296}}}}})";
 }
 
-const Route* Layout::match(std::string_view method, std::string_view host, std::string_view target,
-                           bool& other) const {
+const RouteConfiguration* RoutingConfiguration::match(std::string_view method, std::string_view host,
+                                                      std::string_view target, bool& other) const {
   auto path = target.substr(0, target.find('?'));
   host = host.substr(0, host.rfind(':'));
   other = false;
-  for (auto& r : routes) {
-    if (!r.host.empty() && !base::same_word(r.host, host)) continue;
-    if (path.substr(0, r.prefix.size()) != r.prefix) continue;
-    if (r.methods.empty() || ranges::any_of(r.methods, [&](auto& m) { return m == method; })) {
+  for (auto& route : routes) {
+    if (!route.host.empty() && !base::equals_ignore_case(route.host, host)) continue;
+    if (path.substr(0, route.prefix.size()) != route.prefix) continue;
+    if (route.methods.empty() || ranges::any_of(route.methods, [&](auto& m) { return m == method; })) {
       other = false;
-      return &r;
+      return &route;
     }
     other = true;
   }
   return nullptr;
 }
 
-LayoutGot read_layout(const std::string& name, const base::Json& j) {
-  static const base::Schema schema(layout_schema());
-  auto defects = schema.check(j);
+RoutingConfigurationResult parse_routing_configuration(const std::string& name, const base::Json& json) {
+  static const base::Schema schema(routing_configuration_schema());
+  auto defects = schema.check(json);
   auto names_ok = [](const std::string& s) {
     return !s.empty() && s.size() <= 64 &&
            s.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == s.npos;
   };
-  auto ms_of = [](const base::Json& v) { return Duration(static_cast<int64_t>(std::ceil(v.real()))); };
-  auto l = std::make_shared<Layout>();
+  auto ms_of = [](const base::Json& v) { return Duration(static_cast<int64_t>(std::ceil(v.real_or()))); };
+  auto l = std::make_shared<RoutingConfiguration>();
   l->name = name;
-  l->text = j.text();
-  for (auto& [k, v] : j.at("services").members()) {
+  l->text = json.text();
+  for (auto& [k, v] : json.at("services").members()) {
     if (!names_ok(k))
       defects.push_back({"/services/" + k, "a service is named by letters, digits, -, _ and ."});
-    Service s;
+    ServiceConfiguration s;
     s.name = k;
-    s.versions = v.at("versions").strs();
-    s.deadline = Duration(v.at("deadline_ms").num(s.deadline.count()));
-    s.waitlist = static_cast<int>(v.at("waitlist").num(s.waitlist));
-    s.inflight = static_cast<int>(v.at("inflight").num(s.inflight));
-    s.rate = v.at("rate").real(0);
-    s.connections = static_cast<int>(v.at("connections").num(0));
-    s.probe = v.at("probe").str();
-    s.safe_repeats = v.at("safe_repeats").flag(true);
-    s.lifetime_s = v.at("cache").at("lifetime_s").num(0);
+    s.versions = v.at("versions").strings();
+    s.deadline = Duration(v.at("deadline_ms").integer_or(s.deadline.count()));
+    s.max_waiting = static_cast<int>(v.at("waitlist").integer_or(s.max_waiting));
+    s.max_in_flight = static_cast<int>(v.at("inflight").integer_or(s.max_in_flight));
+    s.rate = v.at("rate").real_or(0);
+    s.max_connections = static_cast<int>(v.at("connections").integer_or(0));
+    s.health_check_path = v.at("probe").string_or();
+    s.retry_idempotent = v.at("safe_repeats").bool_or(true);
+    s.cache_lifetime_s = v.at("cache").at("lifetime_s").integer_or(0);
     l->services[k] = s;
   }
   int i = 0;
   std::map<std::string, int> once;
-  for (auto& r : j.at("routes").items()) {
-    Route x;
-    x.name = r.at("name").str();
-    x.host = r.at("host").str();
-    x.prefix = r.at("prefix").str();
-    x.methods = r.at("methods").strs();
-    auto kind = r.at("kind").str();
-    x.kind = kind == "safe"        ? Kind::safe
-             : kind == "unsafe"    ? Kind::unsafe
-             : kind == "cacheable" ? Kind::cacheable
-                                   : Kind::by_method;
+  for (auto& r : json.at("routes").items()) {
+    RouteConfiguration x;
+    x.name = r.at("name").string_or();
+    x.host = r.at("host").string_or();
+    x.prefix = r.at("prefix").string_or();
+    x.methods = r.at("methods").strings();
+    auto kind = r.at("kind").string_or();
+    x.kind = kind == "safe"        ? RequestKind::safe
+             : kind == "unsafe"    ? RequestKind::unsafe
+             : kind == "cacheable" ? RequestKind::cacheable
+                                   : RequestKind::by_method;
     x.timeout = ms_of(r.at("timeout_ms"));
-    x.aim = ms_of(r.at("aim_ms"));
-    x.priority = static_cast<int>(r.at("priority").num(0));
-    x.shots = static_cast<int>(r.at("shots").num(x.shots));
-    x.keep = ms_of(r.at("keep_ms"));
+    x.latency_target = ms_of(r.at("aim_ms"));
+    x.priority = static_cast<int>(r.at("priority").integer_or(0));
+    x.max_attempts = static_cast<int>(r.at("shots").integer_or(x.max_attempts));
+    x.cache_lifetime = ms_of(r.at("keep_ms"));
     auto here = [&](const char* k) { return fmt::format("/routes/{}/{}", i, k); };
     if (r.has("service") == r.has("split"))
       defects.push_back({here("service"), "a route names either a service or a split"});
-    if (r.has("service")) x.split = {{r.at("service").str(), 1.0}};
-    for (auto& w : r.at("split").items()) x.split.emplace_back(w.at("service").str(), w.at("weight").real());
-    for (auto& [svc, w] : x.split)
+    if (r.has("service")) x.weighted_services = {{r.at("service").string_or(), 1.0}};
+    for (auto& w : r.at("split").items())
+      x.weighted_services.emplace_back(w.at("service").string_or(), w.at("weight").real_or());
+    for (auto& [svc, w] : x.weighted_services)
       if (!l->services.count(svc)) defects.push_back({here("service"), "names no service of this layout"});
     auto ms = x.methods.empty() ? std::vector<std::string>{"*"} : x.methods;
     for (auto& m : ms)
@@ -135,24 +136,24 @@
   }
   for (auto& [k, s] : l->services)
     if (!s.versions.empty() && !ranges::any_of(l->routes, [&](auto& r) {
-          return ranges::any_of(r.split, [&](auto& x) { return x.first == k; });
+          return ranges::any_of(r.weighted_services, [&](auto& x) { return x.first == k; });
         }))
       defects.push_back({"/services/" + k, "no route leads to it"});
   if (!defects.empty()) return defects;
   std::stable_sort(l->routes.begin(), l->routes.end(),
                    [](auto& a, auto& b) { return a.prefix.size() > b.prefix.size(); });
-  l->body_bytes = j.at("limits").at("body_bytes").num(l->body_bytes);
-  l->cache_bytes = j.at("limits").at("cache_bytes").num(l->cache_bytes);
-  l->head_bytes = j.at("limits").at("head_bytes").num(l->head_bytes);
-  l->head_time = Duration(j.at("limits").at("head_ms").num(l->head_time.count()));
-  l->idle_time = Duration(j.at("limits").at("idle_ms").num(l->idle_time.count()));
-  return std::shared_ptr<const Layout>(l);
+  l->body_bytes = json.at("limits").at("body_bytes").integer_or(l->body_bytes);
+  l->cache_bytes = json.at("limits").at("cache_bytes").integer_or(l->cache_bytes);
+  l->head_bytes = json.at("limits").at("head_bytes").integer_or(l->head_bytes);
+  l->head_time = Duration(json.at("limits").at("head_ms").integer_or(l->head_time.count()));
+  l->idle_time = Duration(json.at("limits").at("idle_ms").integer_or(l->idle_time.count()));
+  return std::shared_ptr<const RoutingConfiguration>(l);
 }
 
-LayoutGot read_layout(const std::string& name, std::string_view text) {
+RoutingConfigurationResult parse_routing_configuration(const std::string& name, std::string_view text) {
   auto p = base::Json::parse(text);
   if (auto* d = std::get_if<base::ValidationError>(&p)) return std::vector<base::ValidationError>{*d};
-  return read_layout(name, std::get<base::Json>(p));
+  return parse_routing_configuration(name, std::get<base::Json>(p));
 }
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/load_balancer.cpp
+++ b/src/traffic/load_balancer.cpp
@@ -36,14 +36,14 @@
 struct LoadBalancer::Impl {
   base::Clock& clock;
   base::Random& random;
-  mutable std::mutex m;
+  mutable std::mutex mutex;
   std::map<std::string, State> by;
   std::map<std::string, double> pace;  // by service
   std::string relay;
 
-  uint64_t lot(const Worker& w) {
-    auto& s = by[w.instance];
-    if (!s.lot) s.lot = std::hash<std::string>()(relay + "\n" + w.instance) | 1;
+  uint64_t lot(const BackendInstance& instance) {
+    auto& s = by[instance.instance];
+    if (!s.lot) s.lot = std::hash<std::string>()(relay + "\n" + instance.instance) | 1;
     return s.lot;
   }
 
@@ -55,20 +55,22 @@
     double told = s.told * std::exp(-static_cast<double>((now - s.told_at).count()) / kFadeMs);
     return std::max(told, static_cast<double>(s.running)) + 1;
   }
-  double fill(const Worker& w, TimePoint now) {
-    auto& s = by[w.instance];
-    return load(s, now) / std::max(s.slots ? s.slots : w.capacity, 1);
+  double fill(const BackendInstance& instance, TimePoint now) {
+    auto& s = by[instance.instance];
+    return load(s, now) / std::max(s.slots ? s.slots : instance.capacity, 1);
   }
-  double one(const Worker& w, TimePoint now) {
-    auto& s = by[w.instance];
-    double t = s.pace > 0 ? s.pace : usual(w.service) > 0 ? usual(w.service) : kUnknownMs;
-    return w.cold_until > now ? t * kCold : t;
+  double one(const BackendInstance& instance, TimePoint now) {
+    auto& s = by[instance.instance];
+    double t = s.pace > 0 ? s.pace : usual(instance.service) > 0 ? usual(instance.service) : kUnknownMs;
+    return instance.cold_until > now ? t * kCold : t;
   }
-  double wait(const Worker& w, TimePoint now) { return one(w, now) * std::max(0.0, fill(w, now) - 1); }
-  double expected(const Worker& w, TimePoint now) {
-    auto& s = by[w.instance];
-    double one = this->one(w, now);
-    double f = fill(w, now);
+  double wait(const BackendInstance& instance, TimePoint now) {
+    return one(instance, now) * std::max(0.0, fill(instance, now) - 1);
+  }
+  double expected(const BackendInstance& instance, TimePoint now) {
+    auto& s = by[instance.instance];
+    double one = this->one(instance, now);
+    double f = fill(instance, now);
     double t = one * (1 + kFull * std::min(f, 1.0) + std::max(0.0, f - 1));
     if (s.running && now - s.progress > std::max(kSilentLeast, Duration(static_cast<int64_t>(one * kSilent))))
       t *= 16;
@@ -76,68 +78,69 @@
   }
 };
 
-LoadBalancer::LoadBalancer(base::Clock& c, base::Random& r) : p_(new Impl{c, r, {}, {}, {}, {}}) {}
+LoadBalancer::LoadBalancer(base::Clock& clock, base::Random& r) : impl_(new Impl{clock, r, {}, {}, {}, {}}) {}
 LoadBalancer::~LoadBalancer() = default;
 
-std::optional<Choice> LoadBalancer::choose(const std::vector<Worker>& ws, const std::vector<std::string>& vs,
-                                           const std::string& zone, const std::vector<std::string>& tried,
-                                           size_t few) {
-  std::lock_guard l(p_->m);
-  TimePoint now = p_->clock.now();
-  std::vector<const Worker*> fit, near, aside;
-  for (auto& w : ws) {
-    if (std::find(vs.begin(), vs.end(), w.version) == vs.end()) continue;
-    if (std::find(tried.begin(), tried.end(), w.instance) != tried.end()) continue;
-    auto& s = p_->by[w.instance];
+std::optional<BackendSelection> LoadBalancer::choose(const std::vector<BackendInstance>& instances,
+                                                     const std::vector<std::string>& vs,
+                                                     const std::string& zone,
+                                                     const std::vector<std::string>& tried, size_t few) {
+  std::lock_guard lock(impl_->mutex);
+  TimePoint now = impl_->clock.now();
+  std::vector<const BackendInstance*> fit, near, aside;
+  for (auto& instance : instances) {
+    if (std::find(vs.begin(), vs.end(), instance.version) == vs.end()) continue;
+    if (std::find(tried.begin(), tried.end(), instance.instance) != tried.end()) continue;
+    auto& s = impl_->by[instance.instance];
     if (s.aside > now || ((s.fails >= kFailsAside || s.unsent >= kUnsentAside) && s.trying)) {
-      aside.push_back(&w);
+      aside.push_back(&instance);
       continue;
     }
-    fit.push_back(&w);
+    fit.push_back(&instance);
   }
   if (fit.empty()) fit = aside;
   if (fit.empty()) return {};
   if (fit.size() > few) {
     std::nth_element(fit.begin(), fit.begin() + static_cast<std::ptrdiff_t>(few), fit.end(),
-                     [&](auto* a, auto* b) { return p_->lot(*a) < p_->lot(*b); });
+                     [&](auto* a, auto* b) { return impl_->lot(*a) < impl_->lot(*b); });
     fit.resize(few);
   }
   for (auto* w : fit)
     if (w->zone == zone) near.push_back(w);
   // The best of a few drawn by lot: the very best for all would be everybody's choice at once.
-  auto pick = [&](std::vector<const Worker*> v) {
-    const Worker* best = nullptr;
+  auto pick = [&](std::vector<const BackendInstance*> v) {
+    const BackendInstance* best = nullptr;
     double least = 0;
     for (size_t i = 0; i < kLook && i < v.size(); ++i) {
-      std::swap(v[i], v[i + p_->random.below(v.size() - i)]);
-      double t = p_->expected(*v[i], now);
+      std::swap(v[i], v[i + impl_->random.below(v.size() - i)]);
+      double t = impl_->expected(*v[i], now);
       if (!best || t < least) best = v[i], least = t;
     }
     return best;
   };
-  const Worker* w = near.empty() ? nullptr : pick(near);
-  if (!w || p_->fill(*w, now) > kRoom) {
+  const BackendInstance* w = near.empty() ? nullptr : pick(near);
+  if (!w || impl_->fill(*w, now) > kRoom) {
     auto* o = pick(fit);
-    if (!w || p_->expected(*o, now) < p_->expected(*w, now)) w = o;
+    if (!w || impl_->expected(*o, now) < impl_->expected(*w, now)) w = o;
   }
-  auto& s = p_->by[w->instance];
+  auto& s = impl_->by[w->instance];
   if (s.fails >= kFailsAside || s.unsent >= kUnsentAside) s.trying = true;
-  return Choice{*w, Duration(static_cast<int64_t>(p_->expected(*w, now))),
-                Duration(static_cast<int64_t>(p_->wait(*w, now)))};
+  return BackendSelection{*w, Duration(static_cast<int64_t>(impl_->expected(*w, now))),
+                          Duration(static_cast<int64_t>(impl_->wait(*w, now)))};
 }
 
-void LoadBalancer::name(const std::string& relay) { p_->relay = relay; }
+void LoadBalancer::set_node_name(const std::string& relay) { impl_->relay = relay; }
 
-void LoadBalancer::began(const Worker& w) {
-  std::lock_guard l(p_->m);
-  auto& s = p_->by[w.instance];
-  if (!s.running++) s.progress = p_->clock.now();
+void LoadBalancer::attempt_started(const BackendInstance& instance) {
+  std::lock_guard lock(impl_->mutex);
+  auto& s = impl_->by[instance.instance];
+  if (!s.running++) s.progress = impl_->clock.now();
 }
 
-void LoadBalancer::ended(const Worker& w, const Ended& e) {
-  std::lock_guard l(p_->m);
-  auto& s = p_->by[w.instance];
-  TimePoint now = p_->clock.now();
+void LoadBalancer::attempt_finished(const BackendInstance& instance, const AttemptReport& e) {
+  std::lock_guard lock(impl_->mutex);
+  auto& s = impl_->by[instance.instance];
+  TimePoint now = impl_->clock.now();
   s.running = std::max(0, s.running - 1);
   s.trying = false;
   if (e.good || e.load) s.progress = now;
@@ -147,10 +150,10 @@
     s.told_at = now;
     if (e.load->slots > 0) s.slots = e.load->slots;
   }
-  if (e.good && e.took > Duration(0) && !(e.load && e.load->waiting > 0) && w.cold_until <= now) {
-    auto learn = [&](double& x) { x += (x > 0 ? kLearn : 1) * (static_cast<double>(e.took.count()) - x); };
+  if (e.good && e.latency > Duration(0) && !(e.load && e.load->waiting > 0) && instance.cold_until <= now) {
+    auto learn = [&](double& x) { x += (x > 0 ? kLearn : 1) * (static_cast<double>(e.latency.count()) - x); };
     learn(s.pace);
-    learn(p_->pace[w.service]);
+    learn(impl_->pace[instance.service]);
   }
   if (e.good) {
     s.fails = s.unsent = s.rounds = 0;
@@ -162,24 +165,24 @@
   ++s.rounds;
 }
 
-void LoadBalancer::elsewhere(const Worker& w) {
-  std::lock_guard l(p_->m);
-  auto& s = p_->by[w.instance];
+void LoadBalancer::mark_wrong_instance(const BackendInstance& instance) {
+  std::lock_guard lock(impl_->mutex);
+  auto& s = impl_->by[instance.instance];
   s.fails = kFailsAside;
   s.rounds = kMostDoublings;
-  s.aside = p_->clock.now() + kAside * (1 << kMostDoublings);
+  s.aside = impl_->clock.now() + kAside * (1 << kMostDoublings);
 }
 
-void LoadBalancer::forget(const std::vector<std::string>& alive) {
-  std::lock_guard l(p_->m);
-  std::erase_if(p_->by, [&](auto& x) {
+void LoadBalancer::retain(const std::vector<std::string>& alive) {
+  std::lock_guard lock(impl_->mutex);
+  std::erase_if(impl_->by, [&](auto& x) {
     return !x.second.running && std::find(alive.begin(), alive.end(), x.first) == alive.end();
   });
 }
 
-Duration LoadBalancer::usual(const std::string& service) const {
-  std::lock_guard l(p_->m);
-  return Duration(static_cast<int64_t>(p_->usual(service)));
+Duration LoadBalancer::typical_latency(const std::string& service) const {
+  std::lock_guard lock(impl_->mutex);
+  return Duration(static_cast<int64_t>(impl_->usual(service)));
 }
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/load_balancer.hpp
+++ b/src/traffic/load_balancer.hpp
@@ -11,39 +11,39 @@
 
 namespace dunlinwing::traffic {
 
-struct Choice {
-  Worker worker;
+struct BackendSelection {
+  BackendInstance instance;
   Duration expected{0};  // until its answer
-  Duration wait{0};      // the part of it spent behind others there
+  Duration queueing{0};  // the part of it spent behind others there
 };
 
-struct Ended {
+struct AttemptReport {
   bool good = false, unsent = false;
-  std::optional<Load> load;
-  Duration took{0};
+  std::optional<BackendLoad> load;
+  Duration latency{0};
 };
 
 class LoadBalancer {
  public:
-  LoadBalancer(base::Clock& c, base::Random& r);
+  LoadBalancer(base::Clock& clock, base::Random& r);
   ~LoadBalancer();
   // Null when no worker of these versions is left that is not in `tried`. Of more than
   // `few` that fit, this relay uses its own few, the same as long as they fit.
-  std::optional<Choice> choose(const std::vector<Worker>& ws, const std::vector<std::string>& versions,
-                               const std::string& zone, const std::vector<std::string>& tried,
-                               size_t few = SIZE_MAX);
-  void name(const std::string& relay);  // by which this relay's few are drawn
-  void began(const Worker& w);
-  void ended(const Worker& w, const Ended& e);
+  std::optional<BackendSelection> choose(const std::vector<BackendInstance>& instances,
+                                         const std::vector<std::string>& versions, const std::string& zone,
+                                         const std::vector<std::string>& tried, size_t few = SIZE_MAX);
+  void set_node_name(const std::string& relay);  // by which this relay's few are drawn
+  void attempt_started(const BackendInstance& instance);
+  void attempt_finished(const BackendInstance& instance, const AttemptReport& e);
   // Somebody else stands at its address: it is left alone until it is known again.
-  void elsewhere(const Worker& w);
-  void forget(const std::vector<std::string>& alive);
+  void mark_wrong_instance(const BackendInstance& instance);
+  void retain(const std::vector<std::string>& alive);
   // What an answer of this service usually takes; 0 while nothing is known.
-  Duration usual(const std::string& service) const;
+  Duration typical_latency(const std::string& service) const;
 
  private:
   struct Impl;
-  std::unique_ptr<Impl> p_;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/order.cpp
+++ b/src/traffic/order.cpp
@@ -6,22 +6,22 @@
 
 namespace dunlinwing::traffic {
 namespace {
-constexpr base::Log lg("layout");
+constexpr base::Log logger("layout");
 }
 
-std::string order_name(uint64_t n) { return "order-" + std::to_string(n); }
+std::string numbered_configuration_name(uint64_t n) { return "order-" + std::to_string(n); }
 
-const Standing& Orders::look(const membership::Chosen& c) {
-  auto f = c.find(kOrderKey);
-  if (f == c.end() || f->second.version == version_) return now_;
-  version_ = f->second.version;
-  pb::Order o;
-  if (!o.ParseFromString(f->second.data) || o.number() <= now_.number) return now_;
-  auto g = read_layout(order_name(o.number()), o.document());
-  auto* l = std::get_if<std::shared_ptr<const Layout>>(&g);
-  if (!l) lg.error("Layout {} cannot be read here.", o.number());
-  now_ = {o.number(), l ? *l : nullptr};
-  return now_;
+const ActiveConfiguration& NumberedConfigurationReader::read(const membership::ChosenValues& chosen) {
+  auto f = chosen.find(kNumberedConfigurationKey);
+  if (f == chosen.end() || f->second.version == register_version_) return active_;
+  register_version_ = f->second.version;
+  pb::NumberedConfiguration o;
+  if (!o.ParseFromString(f->second.data) || o.number() <= active_.number) return active_;
+  auto g = parse_routing_configuration(numbered_configuration_name(o.number()), o.document());
+  auto* l = std::get_if<std::shared_ptr<const RoutingConfiguration>>(&g);
+  if (!l) logger.error("Layout {} cannot be read here.", o.number());
+  active_ = {o.number(), l ? *l : nullptr};
+  return active_;
 }
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/order.hpp
+++ b/src/traffic/order.hpp
@@ -7,23 +7,23 @@
 
 namespace dunlinwing::traffic {
 
-inline constexpr const char* kOrderKey = "order";
+inline constexpr const char* kNumberedConfigurationKey = "order";
 
-struct Standing {
+struct ActiveConfiguration {
   uint64_t number = 0;  // 0: none was ever stated
-  std::shared_ptr<const Layout> layout;
+  std::shared_ptr<const RoutingConfiguration> configuration;
 };
 
 // Reads the register when its version has changed.
-class Orders {
+class NumberedConfigurationReader {
  public:
-  const Standing& look(const membership::Chosen& c);
+  const ActiveConfiguration& read(const membership::ChosenValues& chosen);
 
  private:
-  uint64_t version_ = 0;
-  Standing now_;
+  uint64_t register_version_ = 0;
+  ActiveConfiguration active_;
 };
 
-std::string order_name(uint64_t number);  // of its layout, in tallies and carries
+std::string numbered_configuration_name(uint64_t number);  // of its layout, in tallies and carries
 
 }  // namespace dunlinwing::traffic
