--- a/src/traffic/serve.cpp
+++ b/src/traffic/serve.cpp
@@ -7,230 +7,264 @@
 
 namespace dunlinwing::traffic {
 
-struct Traffic::Impl {
-  base::Ports& ps;
-  const Face& face;
-  std::string me, zone;
-  std::function<bool()> fresh;
-  std::shared_ptr<const Table> table = std::make_shared<Table>();
-  UpstreamClient shots;
-  ServeCounts n;
-  Ways ways;
-  Fills fills;
+struct RequestHandler::Impl {
+  base::Ports& ports;
+  const ProtocolAdapter& adapter;
+  std::string node_name, zone;
+  std::function<bool()> has_read_lease;
+  std::shared_ptr<const RoutingSnapshot> snapshot = std::make_shared<RoutingSnapshot>();
+  UpstreamClient upstream_client;
+  RequestCounters counters;
+  OutcomeBuilder outcomes;
+  CachedRequestHandler cached_requests;
   std::atomic<bool> draining{false};
-  mutable std::mutex m;
-  std::map<std::string, std::pair<uint64_t, uint64_t>> tallies;
+  mutable std::mutex mutex;
+  std::map<std::string, std::pair<uint64_t, uint64_t>> release_counts;
 
-  Impl(base::Ports& p, const Face& fa, std::string a, std::string z, std::function<bool()> f)
-      : ps(p),
-        face(fa),
-        me(std::move(a)),
+  Impl(base::Ports& p, const ProtocolAdapter& fa, std::string a, std::string z, std::function<bool()> f)
+      : ports(p),
+        adapter(fa),
+        node_name(std::move(a)),
         zone(z),
-        fresh(f),
-        shots(p, fa, me, z, f, [this] { return now_table(); }),
-        ways{p, fa},
-        fills(
-            p, fa, me, f, [this] { return now_table(); }, shots, n) {}
+        has_read_lease(f),
+        upstream_client(p, fa, node_name, z, f, [this] { return current_snapshot(); }),
+        outcomes{p, fa},
+        cached_requests(
+            p, fa, node_name, f, [this] { return current_snapshot(); }, upstream_client, counters) {}
 
-  TablePtr now_table() const { return std::atomic_load(&table); }
+  RoutingSnapshotPtr current_snapshot() const { return std::atomic_load(&snapshot); }
 
-  void tally(const std::string& release, bool defect) {
-    ++n.requests;
-    if (defect) ++n.defects;
-    std::lock_guard l(m);
-    auto& t = tallies[release];
+  void count_response(const std::string& release, bool defect) {
+    ++counters.requests;
+    if (defect) ++counters.failures;
+    std::lock_guard lock(mutex);
+    auto& t = release_counts[release];
     ++t.first;
     t.second += defect;
   }
 
   // One of the route's services, by weight.
-  const Service* split(const Layout& l, const Route& r) const {
+  const ServiceConfiguration* select_service(const RoutingConfiguration& configuration,
+                                             const RouteConfiguration& route) const {
     double all = 0;
-    for (auto& [k, w] : r.split) all += w;
+    for (auto& [k, w] : route.weighted_services) all += w;
     if (all <= 0) return nullptr;
-    double at = r.split.size() > 1 ? all * static_cast<double>(ps.random.below(1 << 20)) / (1 << 20) : 0;
-    for (auto& [k, w] : r.split) {
-      if (w > 0 && at < w) return &l.services.at(k);
+    double at = route.weighted_services.size() > 1
+                    ? all * static_cast<double>(ports.random.below(1 << 20)) / (1 << 20)
+                    : 0;
+    for (auto& [k, w] : route.weighted_services) {
+      if (w > 0 && at < w) return &configuration.services.at(k);
       at -= w;
     }
-    for (auto& [k, w] : r.split)
-      if (w > 0) return &l.services.at(k);
+    for (auto& [k, w] : route.weighted_services)
+      if (w > 0) return &configuration.services.at(k);
     return nullptr;
   }
 };
 
-Traffic::Traffic(base::Ports& ps, const Face& face, std::string me, std::string zone,
-                 std::function<bool()> fresh)
-    : p_(new Impl(ps, face, std::move(me), std::move(zone), std::move(fresh))) {}
-Traffic::~Traffic() = default;
+RequestHandler::RequestHandler(base::Ports& ports, const ProtocolAdapter& adapter, std::string node_name,
+                               std::string zone, std::function<bool()> fresh)
+    : impl_(new Impl(ports, adapter, std::move(node_name), std::move(zone), std::move(fresh))) {}
+RequestHandler::~RequestHandler() = default;
 
-base::Response Traffic::serve(base::Request& q) {
-  auto& p = *p_;
-  auto arrived = p.ps.clock.now();
-  auto asked = p.face.read(q, p.ps.random);
-  q.id = asked.id;
-  auto host = base::header(q.headers, "Host");
-  TablePtr t;
-  Way w;
+base::Response RequestHandler::handle(base::Request& request) {
+  auto& impl = *impl_;
+  auto arrived = impl.ports.clock.now();
+  auto asked = impl.adapter.read_identity(request, impl.ports.random);
+  request.id = asked.id;
+  auto host = base::header(request.headers, "Host");
+  RoutingSnapshotPtr snapshot;
+  RequestOutcome outcome;
   uint64_t under = 0;  // the generation that decided the answer
   for (bool again = false, doubt = false;;) {
-    t = p.now_table();
-    if (p.draining || !p.fresh() || !t->layout || overtaken(*t, p.me, t->generation)) {
-      const char* why = p.draining ? "this node is draining" : "this node is not ready";
-      w = doubt ? p.ways.unknown(why) : p.ways.away(503, why);
+    snapshot = impl.current_snapshot();
+    if (impl.draining || !impl.has_read_lease() || !snapshot->configuration ||
+        is_superseded(*snapshot, impl.node_name, snapshot->generation)) {
+      const char* why = impl.draining ? "this node is draining" : "this node is not ready";
+      outcome = doubt ? impl.outcomes.unknown(why) : impl.outcomes.rejected(503, why);
       under = 0;
     } else {
-      under = t->generation;
-      w = [&]() -> Way {
-        auto& lay = *t->layout;
-        if (static_cast<int64_t>(q.body.size()) > lay.body_bytes)
-          return p.ways.away(413, "the body is longer than the layout allows");
+      under = snapshot->generation;
+      outcome = [&]() -> RequestOutcome {
+        auto& configuration = *snapshot->configuration;
+        if (static_cast<int64_t>(request.body.size()) > configuration.body_bytes)
+          return impl.outcomes.rejected(413, "the body is longer than the layout allows");
         bool other = false;
-        auto* route = lay.match(q.method, host, q.target, other);
+        auto* route = configuration.match(request.method, host, request.target, other);
         if (!route)
-          return other ? p.ways.away(405, "no route takes this method")
-                       : p.ways.away(404, "no route leads there");
-        auto* s = p.split(lay, *route);
-        if (!s) return p.ways.away(503, "no service of this route has any weight");
-        Duration most = route->timeout > Duration(0) ? route->timeout : s->deadline;
-        if (asked.left) most = std::min(most, *asked.left);
-        Work x{t,       t->layout,      s,    route,         q,    route->host.empty() ? "" : route->host,
-               arrived, arrived + most, p.me, t->generation, again};
-        bool keep = Fills::lifetime(x) > Duration(0) &&
-                    (route->kind == Kind::by_method || route->kind == Kind::cacheable);
-        if (keep && cache::may_ask_cache(q, route->keep > Duration(0))) return p.fills.cached(x);
-        return p.ways.of(p.shots.run(x));
+          return other ? impl.outcomes.rejected(405, "no route takes this method")
+                       : impl.outcomes.rejected(404, "no route leads there");
+        auto* service = impl.select_service(configuration, *route);
+        if (!service) return impl.outcomes.rejected(503, "no service of this route has any weight");
+        Duration most = route->timeout > Duration(0) ? route->timeout : service->deadline;
+        if (asked.remaining) most = std::min(most, *asked.remaining);
+        RequestContext x{snapshot,       snapshot->configuration,
+                         service,        route,
+                         request,        route->host.empty() ? "" : route->host,
+                         arrived,        arrived + most,
+                         impl.node_name, snapshot->generation,
+                         again};
+        bool keep = CachedRequestHandler::configured_lifetime(x) > Duration(0) &&
+                    (route->kind == RequestKind::by_method || route->kind == RequestKind::cacheable);
+        if (keep && cache::is_cacheable_request(request, route->cache_lifetime > Duration(0)))
+          return impl.cached_requests.handle(x);
+        return impl.outcomes.from(impl.upstream_client.execute(x));
       }();
-      again |= w.left;
-      doubt |= w.doubt;
-      if (w.overtaken) continue;  // a newer layout came in force while it waited
+      again |= outcome.possibly_sent;
+      doubt |= outcome.possibly_executed;
+      if (outcome.superseded) continue;  // a newer layout came in force while it waited
       // What was turned away after an earlier way may have had it run is not promised.
-      if (doubt && w.outcome == Outcome::not_run) w = p.ways.unknown("an earlier way may have had it run");
+      if (doubt && outcome.execution == ExecutionStatus::not_executed)
+        outcome = impl.outcomes.unknown("an earlier way may have had it run");
     }
     break;
   }
-  if (w.outcome == Outcome::not_run) ++p.n.turned_away;
-  if (w.outcome == Outcome::unknown) ++p.n.unknown;
-  int st = w.receipt.status;
-  if (under) p.tally(t->layout->name, st >= 500 || st == 404 || st == 405 || st == 413);
-  p.face.send(w.receipt, q.id, under);
-  return std::move(w.receipt);
+  if (outcome.execution == ExecutionStatus::not_executed) ++impl.counters.rejected;
+  if (outcome.execution == ExecutionStatus::unknown) ++impl.counters.unknown;
+  int st = outcome.response.status;
+  if (under)
+    impl.count_response(snapshot->configuration->name, st >= 500 || st == 404 || st == 405 || st == 413);
+  impl.adapter.finish_response(outcome.response, request.id, under);
+  return std::move(outcome.response);
 }
 
-pb::CarryReply Traffic::carry(const pb::Carry& c) {
-  auto& p = *p_;
-  pb::CarryReply out;
-  auto t = p.now_table();
+pb::ForwardResponse RequestHandler::handle_forwarded(const pb::ForwardRequest& forward) {
+  auto& impl = *impl_;
+  pb::ForwardResponse out;
+  auto snapshot = impl.current_snapshot();
   auto no = [&](const char* why) {
-    out.set_not_run(true);
-    out.set_why(why);
+    out.set_not_executed(true);
+    out.set_reason(why);
     return out;
   };
-  if (p.draining || !p.fresh()) return no("this node is not ready");
-  auto l = t->layouts.find(c.release());
-  if (l == t->layouts.end()) return no("this node lacks the layout");
-  auto s = l->second->services.find(c.service());
+  if (impl.draining || !impl.has_read_lease()) return no("this node is not ready");
+  auto l = snapshot->configurations.find(forward.configuration());
+  if (l == snapshot->configurations.end()) return no("this node lacks the layout");
+  auto s = l->second->services.find(forward.service());
   if (s == l->second->services.end()) return no("the layout has no such service");
-  if (purge_least(purge_number(*t, c.service()), c.purge_seen()) != c.purge_seen())
+  if (min_purge_number(purge_number(*snapshot, forward.service()), forward.known_purge_number()) !=
+      forward.known_purge_number())
     return no("this node lacks a purge");
-  Work w{t, l->second, &s->second, nullptr, {}, {}, p.ps.clock.now(), {}, c.relay(), c.generation()};
-  w.deadline = w.arrived + Duration(c.left_ms());
-  w.q.method = "GET";
-  w.q.target = c.target();
-  for (auto& h : c.headers()) w.q.headers.emplace_back(h.name(), h.value());
-  w.q.id = p.face.read(w.q, p.ps.random).id;
+  RequestContext context{snapshot,
+                         l->second,
+                         &s->second,
+                         nullptr,
+                         {},
+                         {},
+                         impl.ports.clock.now(),
+                         {},
+                         forward.entry_node(),
+                         forward.generation()};
+  context.deadline = context.arrived + Duration(forward.remaining_ms());
+  context.request.method = "GET";
+  context.request.target = forward.target();
+  for (auto& h : forward.headers()) context.request.headers.emplace_back(h.name(), h.value());
+  context.request.id = impl.adapter.read_identity(context.request, impl.ports.random).id;
   bool other = false;
-  w.route = l->second->match("GET", base::header(w.q.headers, "Host"), c.target(), other);
-  if (!w.route) return no("the layout has no such route");
-  w.host = w.route->host;
-  auto way = p.fills.cached(w);
-  auto& r = way.receipt;
-  auto i = p.fills.kept(w);
-  out.set_status(static_cast<uint32_t>(r.status));
-  out.set_not_run(way.outcome == Outcome::not_run && !way.left);
-  out.set_turned_away(out.not_run() && !way.overtaken);
-  out.set_back_ms(static_cast<uint64_t>(way.back.count()));
-  out.set_unknown(way.outcome == Outcome::unknown || way.left);
-  for (auto& [k, v] : r.headers) {
+  context.route =
+      l->second->match("GET", base::header(context.request.headers, "Host"), forward.target(), other);
+  if (!context.route) return no("the layout has no such route");
+  context.host = context.route->host;
+  auto way = impl.cached_requests.handle(context);
+  auto& response = way.response;
+  auto cached = impl.cached_requests.lookup(context);
+  out.set_status(static_cast<uint32_t>(response.status));
+  out.set_not_executed(way.execution == ExecutionStatus::not_executed && !way.possibly_sent);
+  out.set_rejected(out.not_executed() && !way.superseded);
+  out.set_retry_after_ms(static_cast<uint64_t>(way.retry_after.count()));
+  out.set_outcome_unknown(way.execution == ExecutionStatus::unknown || way.possibly_sent);
+  for (auto& [k, v] : response.headers) {
     auto* h = out.add_headers();
     h->set_name(k);
     h->set_value(v);
   }
-  out.set_body(r.body);
-  if (p.fills.usable(i, w, p.ps.clock.now()) && i->receipt.body == r.body) {
+  out.set_body(response.body);
+  if (impl.cached_requests.is_usable(cached, context, impl.ports.clock.now()) &&
+      cached->response.body == response.body) {
     out.set_cacheable(true);
-    out.set_age_ms(static_cast<uint64_t>(std::max<int64_t>(0, (p.ps.clock.now() - i->born).count())));
-    out.set_life_ms(static_cast<uint64_t>(i->life.count()));
-    out.set_fill_purge(i->purge);
-    out.set_version(i->version);
+    out.set_age_ms(
+        static_cast<uint64_t>(std::max<int64_t>(0, (impl.ports.clock.now() - cached->generated_at).count())));
+    out.set_lifetime_ms(static_cast<uint64_t>(cached->lifetime.count()));
+    out.set_purge_number(cached->purge_number);
+    out.set_version(cached->version);
   } else {
-    out.set_fill_purge(purge_number(*t, c.service()));
+    out.set_purge_number(purge_number(*snapshot, forward.service()));
   }
   return out;
 }
 
-std::vector<std::string> Traffic::unreached(Duration limit) {
+std::vector<std::string> RequestHandler::unreachable_services(Duration limit) {
   std::vector<std::string> out;
-  auto t = p_->now_table();
-  if (!t->layout) return out;
-  for (auto& [name, s] : t->layout->services) {
-    auto f = t->workers.find(name);
-    if (f == t->workers.end() || f->second.empty()) continue;
-    Route any;
-    Work w{t,      t->layout,    &s, &any, {}, {}, p_->ps.clock.now(), p_->ps.clock.now() + limit,
-           p_->me, t->generation};
-    if (!p_->shots.reaches(w, limit)) out.push_back(name);
+  auto snapshot = impl_->current_snapshot();
+  if (!snapshot->configuration) return out;
+  for (auto& [name, s] : snapshot->configuration->services) {
+    auto f = snapshot->backend_instances.find(name);
+    if (f == snapshot->backend_instances.end() || f->second.empty()) continue;
+    RouteConfiguration any;
+    RequestContext context{snapshot,
+                           snapshot->configuration,
+                           &s,
+                           &any,
+                           {},
+                           {},
+                           impl_->ports.clock.now(),
+                           impl_->ports.clock.now() + limit,
+                           impl_->node_name,
+                           snapshot->generation};
+    if (!impl_->upstream_client.can_reach(context, limit)) out.push_back(name);
   }
   return out;
 }
 
-void Traffic::swap(TablePtr t) { std::atomic_store(&p_->table, std::move(t)); }
-TablePtr Traffic::table() const { return p_->now_table(); }
-void Traffic::drain() { p_->draining = true; }
-int Traffic::running() { return p_->shots.running(); }
-const ServeCounts& Traffic::counts() const { return p_->n; }
-UpstreamClient& Traffic::shots() { return p_->shots; }
-void Traffic::bound_cache(size_t bytes) { p_->fills.bound(bytes); }
-void Traffic::sweep() { p_->fills.sweep(); }
-size_t Traffic::cache_bytes() const { return p_->fills.bytes(); }
+void RequestHandler::set_snapshot(RoutingSnapshotPtr snapshot) {
+  std::atomic_store(&impl_->snapshot, std::move(snapshot));
+}
+RoutingSnapshotPtr RequestHandler::snapshot() const { return impl_->current_snapshot(); }
+void RequestHandler::start_draining() { impl_->draining = true; }
+int RequestHandler::running_requests() { return impl_->upstream_client.running_requests(); }
+const RequestCounters& RequestHandler::counters() const { return impl_->counters; }
+UpstreamClient& RequestHandler::upstream_client() { return impl_->upstream_client; }
+void RequestHandler::set_cache_limit(size_t bytes) { impl_->cached_requests.set_cache_limit(bytes); }
+void RequestHandler::evict_expired() { impl_->cached_requests.evict_expired(); }
+size_t RequestHandler::cache_bytes() const { return impl_->cached_requests.bytes(); }
 
-void Traffic::say(pb::NodeStatus& n) const {
-  std::lock_guard l(p_->m);
-  for (auto& [k, t] : p_->tallies) {
-    auto* x = n.add_tallies();
+void RequestHandler::report_status(pb::NodeStatus& status) const {
+  std::lock_guard lock(impl_->mutex);
+  for (auto& [k, t] : impl_->release_counts) {
+    auto* x = status.add_release_counts();
     x->set_release(k);
     x->set_requests(t.first);
-    x->set_defects(t.second);
+    x->set_failures(t.second);
   }
-  for (auto& [k, c] : p_->shots.counts()) {
-    auto* x = n.add_bad();
+  for (auto& [k, c] : impl_->upstream_client.counts()) {
+    auto* x = status.add_version_counts();
     x->set_service(k.service);
     x->set_version(k.version);
     x->set_route(k.route);
     x->set_good(c.good);
     x->set_bad(c.bad);
     x->set_slow(c.slow);
-    x->set_took_ms(c.took_ms);
+    x->set_total_ms(c.total_ms);
   }
-  auto t = p_->now_table();
-  for (auto& [k, c] : p_->shots.trials()) {
-    auto* x = n.add_trials();
+  auto snapshot = impl_->current_snapshot();
+  for (auto& [k, c] : impl_->upstream_client.canary_failures()) {
+    auto* x = status.add_canary_counts();
     x->set_service(k);
     x->set_number(c.first);
     x->set_bad(c.second);
   }
-  for (auto& s : t->given_up) {
-    auto f = t->states.find(s);
-    if (f == t->states.end()) continue;
-    auto* x = n.add_trials();
+  for (auto& s : snapshot->aborted_canaries) {
+    auto f = snapshot->service_states.find(s);
+    if (f == snapshot->service_states.end()) continue;
+    auto* x = status.add_canary_counts();
     x->set_service(s);
-    x->set_number(f->second.trial_number());
-    x->set_stopped(true);
+    x->set_number(f->second.canary_number());
+    x->set_aborted(true);
   }
-  for (auto& [k, a] : p_->shots.asked()) {
-    auto* x = n.add_demands();
+  for (auto& [k, a] : impl_->upstream_client.rate_demand()) {
+    auto* x = status.add_demands();
     x->set_service(k);
-    x->set_asked(a);
+    x->set_requested(a);
   }
 }
 
--- a/src/traffic/trial.cpp
+++ b/src/traffic/trial.cpp
@@ -12,19 +12,20 @@
 constexpr int64_t kOne = 100;
 }  // namespace
 
-std::vector<Worker> trial_workers(const std::vector<Worker>& ws, const std::string& version, bool term) {
-  std::vector<Worker> v;
-  for (auto& w : ws)
-    if (w.version == version) v.push_back(w);
+std::vector<BackendInstance> canary_instances(const std::vector<BackendInstance>& instances,
+                                              const std::string& version, bool term) {
+  std::vector<BackendInstance> v;
+  for (auto& instance : instances)
+    if (instance.version == version) v.push_back(instance);
   if (!term) return v;
   std::sort(v.begin(), v.end(), [](auto& a, auto& b) { return a.instance < b.instance; });
   if (v.size() > kAsked) v.resize(kAsked);
   return v;
 }
 
-std::vector<Worker> worker_in_turn(const std::vector<Worker>& workers, const std::string& version,
-                                   uint64_t turn) {
-  std::vector<Worker> warm;
+std::vector<BackendInstance> instance_in_turn(const std::vector<BackendInstance>& workers,
+                                              const std::string& version, uint64_t turn) {
+  std::vector<BackendInstance> warm;
   for (auto& worker : workers)
     if (worker.version == version && worker.cold_until == TimePoint(0)) warm.push_back(worker);
   if (warm.empty()) return {};
@@ -32,55 +33,59 @@
   return {warm[turn % warm.size()]};
 }
 
-std::vector<Worker> Trials::grant(const Table& t, const std::string& service, const std::string& version,
-                                  const std::string& route) {
-  auto st = t.states.find(service);
-  auto ws = t.workers.find(service);
-  if (version.empty() || st == t.states.end() || ws == t.workers.end() || t.given_up.count(service))
+std::vector<BackendInstance> CanaryAdmission::admit(const RoutingSnapshot& snapshot,
+                                                    const std::string& service, const std::string& version,
+                                                    const std::string& route) {
+  auto st = snapshot.service_states.find(service);
+  auto instances = snapshot.backend_instances.find(service);
+  if (version.empty() || st == snapshot.service_states.end() ||
+      instances == snapshot.backend_instances.end() || snapshot.aborted_canaries.count(service))
     return {};
-  bool term = st->second.within_ms() > 0;
-  auto v = trial_workers(ws->second, version, term);
+  bool term = st->second.deadline_ms() > 0;
+  auto v = canary_instances(instances->second, version, term);
   if (v.empty()) return {};
-  auto share = static_cast<int>(t.system.trial_share_percent);
-  Part p{share, share, 0};
+  auto share = static_cast<int>(snapshot.system.canary_percent);
+  ShareParameters p{share, share, 0};
   if (term) {
-    p.earn = std::min(share, kTermPercent);
+    p.earn = std::min(share, kDeadlinePercent);
     p.spend = static_cast<int>(st->second.percent());
-    if (p.spend >= p.earn) p.ahead = repeat_part(kAhead, t.nodes, t.rank);
+    if (p.spend >= p.earn)
+      p.initial_credit = retry_allowance_of_node(kInitialCredit, snapshot.nodes, snapshot.rank);
   }
-  if (!grant(service, st->second.trial_number(), version, term ? route : std::string(), p)) return {};
+  if (!admit(service, st->second.canary_number(), version, term ? route : std::string(), p)) return {};
   if (!term) return v;
-  auto turn = next_turn(service, t.rank);
+  auto turn = next_turn(service, snapshot.rank);
   if (!turn) return v;
-  auto one = worker_in_turn(ws->second, version, *turn);
+  auto one = instance_in_turn(instances->second, version, *turn);
   return one.empty() ? v : one;
 }
 
-std::optional<uint64_t> Trials::next_turn(const std::string& service, int rank) {
-  std::lock_guard l(m_);
-  auto& share = by_[service];
+std::optional<uint64_t> CanaryAdmission::next_turn(const std::string& service, int rank) {
+  std::lock_guard lock(mutex_);
+  auto& share = shares_[service];
   if (!share.burst_over) return {};
   // Relays of few trial requests each begin at different workers.
   return share.turn++ + static_cast<uint64_t>(rank);
 }
 
-bool Trials::grant(const std::string& service, uint64_t number, const std::string& version,
-                   const std::string& route, Part p) {
-  std::lock_guard l(m_);
-  auto& s = by_[service];
+bool CanaryAdmission::admit(const std::string& service, uint64_t number, const std::string& version,
+                            const std::string& route, ShareParameters p) {
+  std::lock_guard lock(mutex_);
+  auto& s = shares_[service];
   if (s.number != number || s.version != version) s = {number, version};
   s.earned += p.earn;
-  if (p.ahead && !s.ahead) s.earned += p.ahead * kOne;
-  s.ahead |= p.ahead > 0;
+  if (p.initial_credit && !s.initial_credit_given) s.earned += p.initial_credit * kOne;
+  s.initial_credit_given |= p.initial_credit > 0;
   bool spares = p.spend < p.earn;
-  if (spares) s.sparing += p.spend;
-  auto& mine = s.by[route];
+  if (spares) s.reserved += p.spend;
+  auto& mine = s.requests_by_route[route];
   if (!spares && s.earned < kOne) s.burst_over = true;
-  if (s.earned < kOne || (spares && s.sparing < kOne)) return false;
-  bool least = std::all_of(s.by.begin(), s.by.end(), [&](auto& x) { return mine <= x.second; });
-  if (!least && (spares ? s.sparing : s.earned) < 2 * kOne) return false;  // left for a route that had fewer
+  if (s.earned < kOne || (spares && s.reserved < kOne)) return false;
+  bool least = std::all_of(s.requests_by_route.begin(), s.requests_by_route.end(),
+                           [&](auto& x) { return mine <= x.second; });
+  if (!least && (spares ? s.reserved : s.earned) < 2 * kOne) return false;  // left for a route that had fewer
   s.earned -= kOne;
-  if (spares) s.sparing -= kOne;
+  if (spares) s.reserved -= kOne;
   ++mine;
   return true;
 }
--- a/src/traffic/trial.hpp
+++ b/src/traffic/trial.hpp
@@ -10,47 +10,48 @@
 
 // Of the tenth that the rule leaves to a move with a term, and of the fifty beyond it,
 // which may be spent ahead; while its workers are cold and answers say little, less.
-inline constexpr int kTermPercent = 8, kColdPercent = 3;
-inline constexpr int64_t kAhead = 20;
+inline constexpr int kDeadlinePercent = 8, kColdPercent = 3;
+inline constexpr int64_t kInitialCredit = 20;
 
 // Of a move with a term two workers of the new version are asked first, the first two by
 // name, so that they have something to do. All relays choose alike, from the same statuses.
-std::vector<Worker> trial_workers(const std::vector<Worker>& ws, const std::string& version, bool term);
+std::vector<BackendInstance> canary_instances(const std::vector<BackendInstance>& instances,
+                                              const std::string& version, bool term);
 
 /// Returns the worker whose turn it is with trial request number `turn`: every warm worker of
 /// the version has its turn, however fast it is and wherever it stands. Empty: all are cold.
-std::vector<Worker> worker_in_turn(const std::vector<Worker>& workers, const std::string& version,
-                                   uint64_t turn);
+std::vector<BackendInstance> instance_in_turn(const std::vector<BackendInstance>& workers,
+                                              const std::string& version, uint64_t turn);
 
-class Trials {
+class CanaryAdmission {
  public:
   // The workers among which a granted request is placed; none when it is not granted.
   // Once what had been saved for warm workers is spent, each warm worker is asked in turn.
-  std::vector<Worker> grant(const Table& t, const std::string& service, const std::string& version,
-                            const std::string& route);
+  std::vector<BackendInstance> admit(const RoutingSnapshot& snapshot, const std::string& service,
+                                     const std::string& version, const std::string& route);
 
   // The bare share: the n-th trial request needs n times the full share before, but for
   // `ahead`, which is given once. Below its share no more than `spend` is used, and the
   // rest saved. Routes that had few trial requests come first; others take what they leave.
-  struct Part {
-    int earn = 0, spend = 0, ahead = 0;
+  struct ShareParameters {
+    int earn = 0, spend = 0, initial_credit = 0;
   };
-  bool grant(const std::string& service, uint64_t number, const std::string& version,
-             const std::string& route, Part p);
+  bool admit(const std::string& service, uint64_t number, const std::string& version,
+             const std::string& route, ShareParameters p);
 
  private:
   struct Share {
     uint64_t number = 0;
     std::string version;
-    int64_t earned = 0, sparing = 0;  // hundredths of a request, not yet spent
-    bool ahead = false;
+    int64_t earned = 0, reserved = 0;  // hundredths of a request, not yet spent
+    bool initial_credit_given = false;
     bool burst_over = false;  // what was saved for warm workers is spent
     uint64_t turn = 0;        // of the next worker, once the burst is over
-    std::map<std::string, uint64_t> by;
+    std::map<std::string, uint64_t> requests_by_route;
   };
   std::optional<uint64_t> next_turn(const std::string& service, int rank);  // empty: still in the burst
-  std::mutex m_;
-  std::map<std::string, Share> by_;
+  std::mutex mutex_;
+  std::map<std::string, Share> shares_;
 };
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/upstream_client.cpp
+++ b/src/traffic/upstream_client.cpp
@@ -21,276 +21,302 @@
 // How far past its aim an answer may be expected to be while it is still worth its place, by rank.
 constexpr double kPatience[] = {3.0, 2.0, 1.3};
 
-Fetched turned_away(std::string why, Duration back = Duration(0)) {
-  Fetched f{Fate::not_run, {}, {}, std::move(why)};
-  f.back = back;
-  return f;
+UpstreamResult turned_away(std::string why, Duration back = Duration(0)) {
+  UpstreamResult result{AttemptOutcome::not_executed, {}, {}, std::move(why)};
+  result.retry_after = back;
+  return result;
 }
 
 bool plainly_safe(const std::string& m) { return m == "GET" || m == "HEAD" || m == "OPTIONS"; }
 }  // namespace
 
-bool Work::safe() const {
-  if (route->kind == Kind::by_method) return plainly_safe(q.method) && service->safe_repeats;
-  return route->kind != Kind::unsafe;
+bool RequestContext::is_idempotent() const {
+  if (route->kind == RequestKind::by_method) return plainly_safe(request.method) && service->retry_idempotent;
+  return route->kind != RequestKind::unsafe;
 }
 
 struct UpstreamClient::Impl {
-  base::Ports& ps;
-  const Face& face;
+  base::Ports& ports;
+  const ProtocolAdapter& adapter;
   std::string zone;
-  std::function<bool()> fresh;
-  std::function<TablePtr()> table;
-  LoadBalancer places;
-  Trials trials;
-  Repeats repeats;
-  Pace pace;
-  Waitlists waits;
-  mutable std::mutex m;
-  std::map<CountKey, VersionCount> counts;
-  std::map<std::string, uint64_t> asked;
-  std::map<std::string, std::pair<uint64_t, uint64_t>> on_trial;  // number, bad answers
-  std::atomic<uint64_t> again{0};
-  int most_places = 0;
+  std::function<bool()> has_read_lease;
+  std::function<RoutingSnapshotPtr()> snapshot;
+  LoadBalancer load_balancer;
+  CanaryAdmission canary_admission;
+  RetryBudget retry_budget;
+  RateLimiter rate_limiter;
+  AdmissionQueues admission_queues;
+  mutable std::mutex mutex;
+  std::map<OutcomeKey, VersionOutcomes> counts;
+  std::map<std::string, uint64_t> rate_demand;
+  std::map<std::string, std::pair<uint64_t, uint64_t>> canary_failures;  // number, bad answers
+  std::atomic<uint64_t> retries{0};
+  int max_instances = 0;
 
-  Impl(base::Ports& p, const Face& fa, std::string z, std::function<bool()> f, std::function<TablePtr()> t)
-      : ps(p),
-        face(fa),
+  Impl(base::Ports& p, const ProtocolAdapter& fa, std::string z, std::function<bool()> f,
+       std::function<RoutingSnapshotPtr()> t)
+      : ports(p),
+        adapter(fa),
         zone(std::move(z)),
-        fresh(std::move(f)),
-        table(std::move(t)),
-        places(p.clock, p.random),
-        pace(p.clock),
-        waits(p) {}
+        has_read_lease(std::move(f)),
+        snapshot(std::move(t)),
+        load_balancer(p.clock, p.random),
+        rate_limiter(p.clock),
+        admission_queues(p) {}
 
-  void count(const Work& w, const Worker& to, bool good, Duration took) {
-    auto t = table();
-    auto st = t->states.find(to.service);
-    auto usual = places.usual(to.service);
+  void record_outcome(const RequestContext& context, const BackendInstance& instance, bool good,
+                      Duration took) {
+    auto t = snapshot();
+    auto st = t->service_states.find(instance.service);
+    auto usual = load_balancer.typical_latency(instance.service);
     bool slow = good && usual > Duration(0) && took > std::max(usual * kSlow, kSlowLeast);
-    std::lock_guard l(m);
-    auto& c = counts[{to.service, to.version, w.route->label()}];
+    std::lock_guard lock(mutex);
+    auto& c = counts[{instance.service, instance.version, context.route->label()}];
     (good ? c.good : c.bad)++;
     c.slow += slow;
-    c.took_ms += static_cast<uint64_t>(took.count());
-    if (st == t->states.end() || st->second.trial() != to.version) return;
-    auto& x = on_trial[to.service];
-    if (x.first != st->second.trial_number()) x = {st->second.trial_number(), 0};
+    c.total_ms += static_cast<uint64_t>(took.count());
+    if (st == t->service_states.end() || st->second.canary() != instance.version) return;
+    auto& x = canary_failures[instance.service];
+    if (x.first != st->second.canary_number()) x = {st->second.canary_number(), 0};
     x.second += !good;
   }
 
   // How long until it makes sense to come back, when the wait at the best place found is not worth it.
-  std::optional<Duration> too_full(const Work& w, const Choice& c) const {
-    if (w.route->aim <= Duration(0)) return {};
-    Duration one = c.expected - c.wait;
-    auto rank = static_cast<size_t>(std::min<int>(w.route->priority, std::size(kPatience) - 1));
-    Duration most = std::max(
-        Duration(static_cast<int64_t>(static_cast<double>(w.route->aim.count()) * kPatience[rank])) - one,
-        one);
-    Duration left = w.deadline - ps.clock.now();
-    if (c.wait <= most && c.wait + one < left) return {};
-    return std::max(c.wait - most, Duration(0)) + one / 2;
+  std::optional<Duration> overload_retry_after(const RequestContext& context,
+                                               const BackendSelection& c) const {
+    if (context.route->latency_target <= Duration(0)) return {};
+    Duration one = c.expected - c.queueing;
+    auto rank = static_cast<size_t>(std::min<int>(context.route->priority, std::size(kPatience) - 1));
+    Duration most =
+        std::max(Duration(static_cast<int64_t>(static_cast<double>(context.route->latency_target.count()) *
+                                               kPatience[rank])) -
+                     one,
+                 one);
+    Duration left = context.deadline - ports.clock.now();
+    if (c.queueing <= most && c.queueing + one < left) return {};
+    return std::max(c.queueing - most, Duration(0)) + one / 2;
   }
 
-  double share(const std::string& service) {
-    auto t = table();
-    auto f = t->shares.find(service);
-    return f == t->shares.end() ? 0 : f->second;
+  double rate_quota(const std::string& service) {
+    auto t = snapshot();
+    auto f = t->rate_quotas.find(service);
+    return f == t->rate_quotas.end() ? 0 : f->second;
   }
 
   // Waits for this request's turn at a paced origin. When none comes in time: how long it would have been.
-  std::optional<Duration> await_turn(const Work& w) {
-    auto& s = *w.service;
+  std::optional<Duration> await_rate_limit(const RequestContext& context) {
+    auto& service = *context.service;
     for (;;) {
       // A turn that comes too late for the aim is not worth waiting for.
-      Duration most = w.start_by() - ps.clock.now();
-      if (w.route->aim > Duration(0)) most = std::min(most, w.route->aim * 3 / 4);
-      auto r = pace.reserve(s.name, share(s.name), most);
-      auto* t = std::get_if<Turn>(&r);
+      Duration most = context.start_deadline() - ports.clock.now();
+      if (context.route->latency_target > Duration(0))
+        most = std::min(most, context.route->latency_target * 3 / 4);
+      auto r = rate_limiter.reserve(service.name, rate_quota(service.name), most);
+      auto* t = std::get_if<RateReservation>(&r);
       if (!t) return std::get<Duration>(r);
-      if (t->wait > Duration(0)) ps.clock.sleep(t->wait);
-      if (pace.stands(*t, share(s.name))) return {};
+      if (t->wait > Duration(0)) ports.clock.sleep(t->wait);
+      if (rate_limiter.is_valid(*t, rate_quota(service.name))) return {};
     }
   }
 
   // Of many workers each relay of a large fleet uses a few, so that its connections
   // are used often enough to be kept, and each worker is used by a few relays.
-  size_t few(const Table& t, size_t workers) const {
-    size_t n = std::max<size_t>(kLeastPlaces, (workers * kRelaysOfAll + static_cast<size_t>(t.nodes) - 1) /
-                                                  static_cast<size_t>(std::max(t.nodes, 1)));
-    return most_places > 0 ? std::min(n, std::max(kLeastPlaces, static_cast<size_t>(most_places))) : n;
+  size_t subset_size(const RoutingSnapshot& snapshot, size_t workers) const {
+    size_t n =
+        std::max<size_t>(kLeastPlaces, (workers * kRelaysOfAll + static_cast<size_t>(snapshot.nodes) - 1) /
+                                           static_cast<size_t>(std::max(snapshot.nodes, 1)));
+    return max_instances > 0 ? std::min(n, std::max(kLeastPlaces, static_cast<size_t>(max_instances))) : n;
   }
 
-  std::optional<Choice> pick(const Work& w, const std::vector<std::string>& tried, bool probe = false) {
-    auto t = table();  // the latest: a worker that left since is not chosen
-    auto f = t->workers.find(w.service->name);
-    if (f == t->workers.end()) return {};
-    auto st = t->states.find(w.service->name);
-    auto v = versions(*w.service, st == t->states.end() ? nullptr : &st->second);
+  std::optional<BackendSelection> select_backend(const RequestContext& context,
+                                                 const std::vector<std::string>& tried, bool probe = false) {
+    auto t = snapshot();  // the latest: a worker that left since is not chosen
+    auto f = t->backend_instances.find(context.service->name);
+    if (f == t->backend_instances.end()) return {};
+    auto st = t->service_states.find(context.service->name);
+    auto v = eligible_versions(*context.service, st == t->service_states.end() ? nullptr : &st->second);
     if (!probe)
-      if (auto ws = trials.grant(*t, w.service->name, v.trial, w.route->label()); !ws.empty())
-        if (auto x = places.choose(ws, {v.trial}, zone, tried)) return x;
-    return places.choose(f->second, v.open, zone, tried, few(*t, f->second.size()));
+      if (auto instances =
+              canary_admission.admit(*t, context.service->name, v.canary, context.route->label());
+          !instances.empty())
+        if (auto x = load_balancer.choose(instances, {v.canary}, zone, tried)) return x;
+    return load_balancer.choose(f->second, v.open, zone, tried, subset_size(*t, f->second.size()));
   }
 };
 
-UpstreamClient::UpstreamClient(base::Ports& ps, const Face& face, std::string me, std::string zone,
-                               std::function<bool()> fresh, std::function<TablePtr()> table)
-    : p_(new Impl(ps, face, std::move(zone), std::move(fresh), std::move(table))) {
-  p_->places.name(me);
+UpstreamClient::UpstreamClient(base::Ports& ports, const ProtocolAdapter& adapter, std::string node_name,
+                               std::string zone, std::function<bool()> fresh,
+                               std::function<RoutingSnapshotPtr()> table)
+    : impl_(new Impl(ports, adapter, std::move(zone), std::move(fresh), std::move(table))) {
+  impl_->load_balancer.set_node_name(node_name);
 }
 UpstreamClient::~UpstreamClient() = default;
 
-bool UpstreamClient::repeat_allowed(const Work& w) {
-  auto t = p_->table();
-  if (!p_->repeats.grant(w.service->name, repeat_part(t->system.repeat_allowance, t->nodes, t->rank)))
+bool UpstreamClient::try_acquire_retry(const RequestContext& context) {
+  auto snapshot = impl_->snapshot();
+  if (!impl_->retry_budget.try_acquire(
+          context.service->name,
+          retry_allowance_of_node(snapshot->system.retry_allowance, snapshot->nodes, snapshot->rank)))
     return false;
-  ++p_->again;
+  ++impl_->retries;
   return true;
 }
 
-bool UpstreamClient::reaches(const Work& w, Duration limit) {
+bool UpstreamClient::can_reach(const RequestContext& context, Duration limit) {
   std::vector<std::string> tried;
   for (int i = 0; i < 2; ++i) {
-    auto to = p_->pick(w, tried, true);
+    auto to = impl_->select_backend(context, tried, true);
     if (!to) return false;
-    if (p_->ps.origin.reach(to->worker.address, limit)) return true;
-    tried.push_back(to->worker.instance);
+    if (impl_->ports.origin.can_connect(to->instance.address, limit)) return true;
+    tried.push_back(to->instance.instance);
   }
   return false;
 }
 
-void UpstreamClient::sent(const std::string& s) { p_->repeats.sent(s, p_->table()->system.repeat_share); }
+void UpstreamClient::record_request(const std::string& s) {
+  impl_->retry_budget.record_request(s, impl_->snapshot()->system.retry_ratio);
+}
 
-std::map<std::string, uint64_t> UpstreamClient::asked() const {
-  std::lock_guard l(p_->m);
-  return p_->asked;
+std::map<std::string, uint64_t> UpstreamClient::rate_demand() const {
+  std::lock_guard lock(impl_->mutex);
+  return impl_->rate_demand;
 }
 
-Fetched UpstreamClient::run(const Work& w) {
-  auto& p = *p_;
-  auto& s = *w.service;
-  if (s.rate > 0) {
-    std::lock_guard l(p.m);
-    ++p.asked[s.name];
+UpstreamResult UpstreamClient::execute(const RequestContext& context) {
+  auto& impl = *impl_;
+  auto& service = *context.service;
+  if (service.rate > 0) {
+    std::lock_guard lock(impl.mutex);
+    ++impl.rate_demand[service.name];
   }
-  auto& clock = p.ps.clock;
-  switch (p.waits.enter(s.name, s.inflight, s.waitlist, w.start_by())) {
-    case Entry::full:
-      return turned_away("the waitlist is full", p.waits.drained_in(s.name));
-    case Entry::too_late:
-      return turned_away("its deadline cannot be met", p.waits.drained_in(s.name));
-    case Entry::in:
+  auto& clock = impl.ports.clock;
+  switch (impl.admission_queues.admit(service.name, service.max_in_flight, service.max_waiting,
+                                      context.start_deadline())) {
+    case AdmissionResult::queue_full:
+      return turned_away("the waitlist is full", impl.admission_queues.drain_time(service.name));
+    case AdmissionResult::too_late:
+      return turned_away("its deadline cannot be met", impl.admission_queues.drain_time(service.name));
+    case AdmissionResult::admitted:
       break;
   }
   struct Out {
-    Impl& p;
+    Impl& impl;
     const std::string& s;
     TimePoint from;
-    ~Out() { p.waits.leave(s, p.ps.clock.now() - from); }
-  } out{p, s.name, clock.now()};
+    ~Out() { impl.admission_queues.release(s, impl.ports.clock.now() - from); }
+  } out{impl, service.name, clock.now()};
 
   std::vector<std::string> tried;
-  Fetched last = turned_away("no worker of an allowed version is known");
+  UpstreamResult last = turned_away("no worker of an allowed version is known");
   bool left = false, doubt = false;  // as in Fetched
   auto fail = [&](std::string why) {
-    last = turned_away(std::move(why), p.places.usual(s.name));
-    if (doubt) last.fate = Fate::unknown;
+    last = turned_away(std::move(why), impl.load_balancer.typical_latency(service.name));
+    if (doubt) last.outcome = AttemptOutcome::unknown;
   };
-  bool must_pay = w.again;
+  bool must_pay = context.is_retry;
   int shots = 0;
-  for (int i = 0; i < kMostTries && shots < w.route->shots; ++i) {
-    if (must_pay && !repeat_allowed(w)) {
+  for (int i = 0; i < kMostTries && shots < context.route->max_attempts; ++i) {
+    if (must_pay && !try_acquire_retry(context)) {
       if (i == 0) last = turned_away("the repeat budget is used up");
       break;
     }
-    if (s.rate > 0) {
-      if (auto late = p.await_turn(w)) {
+    if (service.rate > 0) {
+      if (auto late = impl.await_rate_limit(context)) {
         if (!left) last = turned_away("the origin's rate is used up", *late);
         break;
       }
     }
-    if (overtaken(*p.table(), w.relay, w.generation)) {
-      last = {Fate::overtaken, {}, {}, "a newer layout is in force"};
+    if (is_superseded(*impl.snapshot(), context.entry_node, context.generation)) {
+      last = {AttemptOutcome::superseded, {}, {}, "a newer layout is in force"};
       break;
     }
-    auto c = p.pick(w, tried);
+    auto c = impl.select_backend(context, tried);
     if (!c) break;
     if (!left && i == 0)
-      if (auto late = p.too_full(w, *c)) return turned_away("its aim is out of reach here", *late);
-    auto& to = c->worker;
-    tried.push_back(to.instance);
-    base::Request q = w.q;
-    Duration limit = w.deadline - clock.now();
-    p.face.dress(q, {to, w.relay, w.generation, limit});
-    if (limit <= (left ? Duration(0) : w.span() / (2 * kWorkPart))) {
-      if (!left) last.why = "its deadline has passed";
+      if (auto late = impl.overload_retry_after(context, *c))
+        return turned_away("its aim is out of reach here", *late);
+    auto& instance = c->instance;
+    tried.push_back(instance.instance);
+    base::Request request = context.request;
+    Duration limit = context.deadline - clock.now();
+    impl.adapter.prepare_request(request, {instance, context.entry_node, context.generation, limit});
+    if (limit <= (left ? Duration(0) : context.time_budget() / (2 * kWorkPart))) {
+      if (!left) last.reason = "its deadline has passed";
       break;
     }
-    if (!p.fresh()) {
+    if (!impl.has_read_lease()) {
       if (!left) last = turned_away("what this node knows is too old");
       break;
     }
     base::AttemptRules rules(limit);
-    rules.connect = limit / kConnectPart;
-    rules.safe = w.safe();
-    rules.mine = [&](const base::Response& r) { return p.face.mine(r, q.id); };
-    rules.nameless = [&](const base::Response& r) { return p.face.nameless(r); };
-    if (s.connections > 0)
-      rules.most = std::max(1, static_cast<int>(kCapPart * s.connections / std::max(p.table()->nodes, 1)));
-    p.places.began(to);
+    rules.connect_timeout = limit / kConnectPart;
+    rules.idempotent = context.is_idempotent();
+    rules.is_own_response = [&](const base::Response& response) {
+      return impl.adapter.is_response_to(response, request.id);
+    };
+    rules.is_anonymous = [&](const base::Response& response) {
+      return impl.adapter.names_no_request(response);
+    };
+    if (service.max_connections > 0)
+      rules.max_connections = std::max(
+          1, static_cast<int>(kCapPart * service.max_connections / std::max(impl.snapshot()->nodes, 1)));
+    impl.load_balancer.attempt_started(instance);
     TimePoint from = clock.now();
-    auto r = p.ps.origin.send(to.address, q, rules);
+    auto r = impl.ports.origin.send(instance.address, request, rules);
     Duration took = clock.now() - from;
     auto* a = std::get_if<base::Response>(&r);
-    Look l = a ? p.face.look(*a, to, q) : Look::broken;
-    if (a && is_unasked_part(q, *a)) l = Look::broken;
+    ResponseClass l = a ? impl.adapter.classify(*a, instance, request) : ResponseClass::invalid;
+    if (a && is_unrequested_partial(request, *a)) l = ResponseClass::invalid;
     auto* d = std::get_if<base::AttemptError>(&r);
     bool unsent = d && *d == base::AttemptError::unsent;
-    if (d && *d == base::AttemptError::not_run) l = Look::not_run;
-    bool declined = l == Look::not_run || l == Look::elsewhere;
-    if (!must_pay && !unsent) sent(s.name);
-    p.places.ended(
-        to, {l == Look::good || declined, unsent, a && l != Look::broken ? p.face.load(*a) : std::nullopt,
-             l == Look::good ? took : Duration(0)});
-    if (l == Look::elsewhere) p.places.elsewhere(to);
-    if (!unsent && !declined) p.count(w, to, l == Look::good, took);
+    if (d && *d == base::AttemptError::not_run) l = ResponseClass::not_executed;
+    bool declined = l == ResponseClass::not_executed || l == ResponseClass::wrong_instance;
+    if (!must_pay && !unsent) record_request(service.name);
+    impl.load_balancer.attempt_finished(
+        instance, {l == ResponseClass::good || declined, unsent,
+                   a && l != ResponseClass::invalid ? impl.adapter.reported_load(*a) : std::nullopt,
+                   l == ResponseClass::good ? took : Duration(0)});
+    if (l == ResponseClass::wrong_instance) impl.load_balancer.mark_wrong_instance(instance);
+    if (!unsent && !declined) impl.record_outcome(context, instance, l == ResponseClass::good, took);
     left |= !unsent;
     doubt |= !unsent && !declined;
     shots += !unsent;
-    if (l == Look::good || (l == Look::answered_badly && (!w.safe() || shots >= w.route->shots)))
-      return {Fate::answered, std::move(*a), to.version, {}};
+    if (l == ResponseClass::good ||
+        (l == ResponseClass::failed && (!context.is_idempotent() || shots >= context.route->max_attempts)))
+      return {AttemptOutcome::answered, std::move(*a), instance.version, {}};
     if (unsent) {
       fail("no worker could be reached");
       continue;  // nothing was sent, so this was no send and the next is no repeat
     }
-    if (l == Look::answered_badly)
-      last = {Fate::answered, std::move(*a), to.version, {}};
+    if (l == ResponseClass::failed)
+      last = {AttemptOutcome::answered, std::move(*a), instance.version, {}};
     else if (declined)
       fail("a worker said that it did not run it, and no other took it");
     else
       fail(a ? "the answer was not the worker's own whole answer" : "no whole answer came");
-    if (!w.safe() && !declined) break;
+    if (!context.is_idempotent() && !declined) break;
     must_pay = true;
   }
-  last.left = left;
-  last.doubt = doubt;
+  last.possibly_sent = left;
+  last.possibly_executed = doubt;
   return last;
 }
 
-std::map<CountKey, VersionCount> UpstreamClient::counts() const {
-  std::lock_guard l(p_->m);
-  return p_->counts;
+std::map<OutcomeKey, VersionOutcomes> UpstreamClient::counts() const {
+  std::lock_guard lock(impl_->mutex);
+  return impl_->counts;
+}
+std::map<std::string, std::pair<uint64_t, uint64_t>> UpstreamClient::canary_failures() const {
+  std::lock_guard lock(impl_->mutex);
+  return impl_->canary_failures;
 }
-std::map<std::string, std::pair<uint64_t, uint64_t>> UpstreamClient::trials() const {
-  std::lock_guard l(p_->m);
-  return p_->on_trial;
+std::pair<int, int> UpstreamClient::load(const std::string& s) { return impl_->admission_queues.load(s); }
+int UpstreamClient::running_requests() { return impl_->admission_queues.running_requests(); }
+uint64_t UpstreamClient::retries() const { return impl_->retries; }
+Duration UpstreamClient::typical_latency(const std::string& s) const {
+  return impl_->load_balancer.typical_latency(s);
 }
-std::pair<int, int> UpstreamClient::load(const std::string& s) { return p_->waits.load(s); }
-int UpstreamClient::running() { return p_->waits.running(); }
-uint64_t UpstreamClient::repeats() const { return p_->again; }
-Duration UpstreamClient::usual(const std::string& s) const { return p_->places.usual(s); }
-void UpstreamClient::bound_places(int m) { p_->most_places = m; }
-void UpstreamClient::workers_known(const std::vector<std::string>& a) { p_->places.forget(a); }
+void UpstreamClient::set_max_instances(int m) { impl_->max_instances = m; }
+void UpstreamClient::retain_instances(const std::vector<std::string>& a) { impl_->load_balancer.retain(a); }
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/waitlist.cpp
+++ b/src/traffic/waitlist.cpp
@@ -7,67 +7,67 @@
 
 namespace dunlinwing::traffic {
 
-Entry Waitlists::enter(const std::string& s, int inflight, int longest, TimePoint start_by) {
+AdmissionResult AdmissionQueues::admit(const std::string& s, int inflight, int longest, TimePoint start_by) {
   auto w = std::make_shared<Waiter>();
   Duration left;
   {
-    std::lock_guard l(m_);
-    auto& t = by_[s];
+    std::lock_guard lock(mutex_);
+    auto& t = queues_[s];
     t.limit = inflight;
-    if (t.running < t.limit && t.waits.empty()) {
+    if (t.running < t.limit && t.waiters.empty()) {
       ++t.running;
-      return Entry::in;
+      return AdmissionResult::admitted;
     }
-    left = start_by - ps_.clock.now();
-    if (static_cast<int>(t.waits.size()) >= longest) return Entry::full;
-    double wait = t.took_ms * static_cast<double>(t.waits.size() + 1) / std::max(t.limit, 1);
-    if (left <= Duration(0) || wait > static_cast<double>(left.count())) return Entry::too_late;
-    w->condition = ps_.tasks.condition();
-    t.waits.push_back(w);
+    left = start_by - ports_.clock.now();
+    if (static_cast<int>(t.waiters.size()) >= longest) return AdmissionResult::queue_full;
+    double wait = t.latency_ms * static_cast<double>(t.waiters.size() + 1) / std::max(t.limit, 1);
+    if (left <= Duration(0) || wait > static_cast<double>(left.count())) return AdmissionResult::too_late;
+    w->condition = ports_.tasks.condition();
+    t.waiters.push_back(w);
   }
   for (;;) {
     w->condition->wait(left);
-    std::lock_guard l(m_);
-    if (w->in) return Entry::in;
-    left = start_by - ps_.clock.now();
+    std::lock_guard lock(mutex_);
+    if (w->admitted) return AdmissionResult::admitted;
+    left = start_by - ports_.clock.now();
     if (left > Duration(0)) continue;
-    auto& q = by_[s].waits;
+    auto& q = queues_[s].waiters;
     q.erase(std::remove(q.begin(), q.end(), w), q.end());
-    return Entry::too_late;
+    return AdmissionResult::too_late;
   }
 }
 
-void Waitlists::leave(const std::string& s, Duration took) {
-  std::lock_guard l(m_);
-  auto& t = by_[s];
+void AdmissionQueues::release(const std::string& s, Duration took) {
+  std::lock_guard lock(mutex_);
+  auto& t = queues_[s];
   --t.running;
-  t.took_ms += (static_cast<double>(took.count()) - t.took_ms) / 16;
-  while (t.running < t.limit && !t.waits.empty()) {
-    auto w = t.waits.front();
-    t.waits.pop_front();
-    w->in = true;
+  t.latency_ms += (static_cast<double>(took.count()) - t.latency_ms) / 16;
+  while (t.running < t.limit && !t.waiters.empty()) {
+    auto w = t.waiters.front();
+    t.waiters.pop_front();
+    w->admitted = true;
     ++t.running;
     w->condition->notify();
   }
 }
 
-Duration Waitlists::drained_in(const std::string& s) {
-  std::lock_guard l(m_);
-  auto& t = by_[s];
+Duration AdmissionQueues::drain_time(const std::string& s) {
+  std::lock_guard lock(mutex_);
+  auto& t = queues_[s];
   return Duration(
-      static_cast<int64_t>(t.took_ms * static_cast<double>(t.waits.size() + 1) / std::max(t.limit, 1)));
+      static_cast<int64_t>(t.latency_ms * static_cast<double>(t.waiters.size() + 1) / std::max(t.limit, 1)));
 }
 
-std::pair<int, int> Waitlists::load(const std::string& s) {
-  std::lock_guard l(m_);
-  auto& t = by_[s];
-  return {t.running, static_cast<int>(t.waits.size())};
+std::pair<int, int> AdmissionQueues::load(const std::string& s) {
+  std::lock_guard lock(mutex_);
+  auto& t = queues_[s];
+  return {t.running, static_cast<int>(t.waiters.size())};
 }
 
-int Waitlists::running() {
-  std::lock_guard l(m_);
+int AdmissionQueues::running_requests() {
+  std::lock_guard lock(mutex_);
   int n = 0;
-  for (auto& [k, t] : by_) n += t.running + static_cast<int>(t.waits.size());
+  for (auto& [k, t] : queues_) n += t.running + static_cast<int>(t.waiters.size());
   return n;
 }
 
--- a/src/traffic/waitlist.hpp
+++ b/src/traffic/waitlist.hpp
@@ -8,31 +8,31 @@
 
 namespace dunlinwing::traffic {
 
-enum class Entry { in, full, too_late };
+enum class AdmissionResult { admitted, queue_full, too_late };
 
-class Waitlists {
+class AdmissionQueues {
  public:
-  explicit Waitlists(base::Ports& ps) : ps_(ps) {}
-  Entry enter(const std::string& service, int inflight, int longest, TimePoint start_by);
-  void leave(const std::string& service, Duration took);
+  explicit AdmissionQueues(base::Ports& ports) : ports_(ports) {}
+  AdmissionResult admit(const std::string& service, int inflight, int longest, TimePoint start_by);
+  void release(const std::string& service, Duration took);
   // How long it will be until those now waiting have had their places.
-  Duration drained_in(const std::string& service);
+  Duration drain_time(const std::string& service);
   std::pair<int, int> load(const std::string& service);  // running, waiting
-  int running();
+  int running_requests();
 
  private:
   struct Waiter {
     std::shared_ptr<base::Condition> condition;
-    bool in = false, gone = false;
+    bool admitted = false, abandoned = false;
   };
-  struct List {
+  struct Queue {
     int running = 0, limit = 1;
-    double took_ms = 0;  // of late, smoothed
-    std::deque<std::shared_ptr<Waiter>> waits;
+    double latency_ms = 0;  // of late, smoothed
+    std::deque<std::shared_ptr<Waiter>> waiters;
   };
-  base::Ports& ps_;
-  std::mutex m_;
-  std::map<std::string, List> by_;
+  base::Ports& ports_;
+  std::mutex mutex_;
+  std::map<std::string, Queue> queues_;
 };
 
 }  // namespace dunlinwing::traffic
--- a/src/wire/http_origin.hpp
+++ b/src/wire/http_origin.hpp
@@ -5,22 +5,23 @@
 
 namespace dunlinwing::wire {
 
-class HttpOrigin final : public base::Origin {
+class HttpClient final : public base::Origin {
  public:
   // Answers' bodies beyond `body_bytes` are not taken; `kept` idle connections at most.
-  explicit HttpOrigin(size_t body_bytes, size_t kept = 512);
-  ~HttpOrigin() override;
-  bool reach(const std::string& addr, Duration limit) override;
-  std::variant<base::Response, base::AttemptError> send(const std::string& addr, const base::Request& q,
+  explicit HttpClient(size_t body_bytes, size_t kept = 512);
+  ~HttpClient() override;
+  bool can_connect(const std::string& address, Duration limit) override;
+  std::variant<base::Response, base::AttemptError> send(const std::string& address,
+                                                        const base::Request& request,
                                                         const base::AttemptRules& r) override;
-  int idle() const;                         // connections kept
-  int held(const std::string& addr) const;  // connections to it, in use or kept
+  int idle() const;                                      // connections kept
+  int connections_to(const std::string& address) const;  // connections to it, in use or kept
 
   struct Impl;
 
  private:
-  size_t most_;
-  std::shared_ptr<Impl> p_;
+  size_t max_body_bytes_;
+  std::shared_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwing::wire
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -20,7 +20,7 @@
 using Parser = http::request_parser<http::string_body>;
 
 namespace {
-constexpr base::Log lg("http");
+constexpr base::Log logger("http");
 constexpr Duration kLinger(1000);        // in which a client that was turned away may go on sending
 constexpr size_t kMostLinger = 1 << 20;  // and how much
 constexpr size_t kBodyRoom = 32 << 10;
@@ -62,23 +62,23 @@
 }
 
 template <class M>
-void take_head(const M& m, base::Request& q) {
-  q.method = std::string(m.method_string());
-  q.target = std::string(m.target());
-  q.headers.reserve(std::distance(m.begin(), m.end()) + 8);
-  for (auto& f : m) q.headers.emplace_back(std::string(f.name_string()), std::string(f.value()));
+void take_head(const M& m, base::Request& request) {
+  request.method = std::string(m.method_string());
+  request.target = std::string(m.target());
+  request.headers.reserve(std::distance(m.begin(), m.end()) + 8);
+  for (auto& f : m) request.headers.emplace_back(std::string(f.name_string()), std::string(f.value()));
 }
 
 bool ours(std::string_view k) {
   for (auto* n : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length"})
-    if (base::same_word(k, n)) return true;
+    if (base::equals_ignore_case(k, n)) return true;
   return false;
 }
 
 enum class Step { idle, head, body, work, write, linger };
 
 struct Talk {
-  std::shared_ptr<Line> l;
+  std::shared_ptr<Connection> connection;
   Step step = Step::idle;
   TimePoint since{0};
   Duration idle_limit{0};  // as it was when the client was last told, or could know, of it
@@ -86,14 +86,14 @@
 
   // At rest between requests, and no byte of the next one has come, the system's own buffer
   // included: a process that lags may not have read it yet.
-  bool at_rest() const { return step == Step::idle && l->still(); }
+  bool at_rest() const { return step == Step::idle && connection->is_idle_in_system(); }
   std::list<Talk*>::iterator at;
 };
 
 // The connections of one thread; only that thread touches them.
 struct Lane {
   std::list<Talk*> all;
-  Alarm sweep;
+  Timer sweep;
   std::atomic<int> n{0};
 };
 
@@ -103,7 +103,7 @@
 }  // namespace
 
 struct HttpServer::Impl : std::enable_shared_from_this<Impl> {
-  Pool& pool;
+  EventLoopPool& pool;
   std::string name;
   std::atomic<std::shared_ptr<const HttpLimits>> lim;
   HttpHandler h;
@@ -114,13 +114,13 @@
   std::shared_ptr<base::Condition> room;  // where the accepting fiber waits for a connection to end
   std::atomic<bool> crowded{false};
 
-  Impl(Pool& p, std::string n, HttpLimits l, HttpHandler f)
+  Impl(EventLoopPool& p, std::string n, HttpLimits l, HttpHandler f)
       : pool(p), name(std::move(n)), lim(std::make_shared<const HttpLimits>(l)), h(std::move(f)) {
     for (int i = 0; i < p.size(); ++i) lanes.push_back(std::make_unique<Lane>());
   }
 
   void accept(int from, int to);
-  void talk(Lane& lane, Line::Socket s);
+  void talk(Lane& lane, Connection::Socket s);
   bool turn(Talk& t);
   bool refuse(Talk& t, int status, const std::string& why);
   bool answer(Talk& t, const base::Response& a, bool head, unsigned version, bool keep, const HttpLimits& l);
@@ -134,25 +134,25 @@
   }
 };
 
-HttpServer::HttpServer(Pool& pool, std::string name, HttpLimits l, HttpHandler h)
-    : p_(std::make_shared<Impl>(pool, std::move(name), l, std::move(h))) {}
+HttpServer::HttpServer(EventLoopPool& pool, std::string name, HttpLimits l, HttpHandler h)
+    : impl_(std::make_shared<Impl>(pool, std::move(name), l, std::move(h))) {}
 HttpServer::~HttpServer() = default;
-int HttpServer::running() const { return p_->running; }
-int HttpServer::open() const { return p_->open; }
-void HttpServer::limits(HttpLimits l) { p_->lim = std::make_shared<const HttpLimits>(l); }
-void HttpServer::wind_down() { p_->last = true; }
+int HttpServer::running_requests() const { return impl_->running; }
+int HttpServer::open_connections() const { return impl_->open; }
+void HttpServer::set_limits(HttpLimits l) { impl_->lim = std::make_shared<const HttpLimits>(l); }
+void HttpServer::drain() { impl_->last = true; }
 
 void HttpServer::close_idle() {
-  p_->each_lane([](Lane& l) {
+  impl_->each_lane([](Lane& l) {
     for (auto* t : l.all)
-      if (t->at_rest()) t->l->stop();
+      if (t->at_rest()) t->connection->interrupt();
   });
 }
 
 void HttpServer::close() {
-  p_->closing = true;
-  p_->pool.spawn_on(0, [p = p_] {
-    Ec ec;
+  impl_->closing = true;
+  impl_->pool.spawn_on(0, [p = impl_] {
+    ErrorCode ec;
     if (p->acc) p->acc->close(ec);
     if (p->room) p->room->notify();
   });
@@ -163,13 +163,13 @@
   Talk* old = nullptr;
   for (auto* t : lane.all)
     if (t->step == Step::idle && (!old || t->since < old->since) && t->at_rest()) old = t;
-  if (old) old->l->stop();
+  if (old) old->connection->interrupt();
   return old;
 }
 
 void HttpServer::Impl::watch(Lane& lane) {
   auto l = lim.load();
-  auto least = std::min({l->idle, l->read, l->body, l->write}) / 4;
+  auto least = std::min({l->idle_timeout, l->head_timeout, l->body_timeout, l->write_timeout}) / 4;
   auto in = std::clamp(least, kSweepLeast, kSweepMost);
   lane.sweep.set(std::chrono::steady_clock::now() + in, [this, &lane] { sweep(lane); });
 }
@@ -178,23 +178,24 @@
   auto l = lim.load();
   auto t0 = now();
   for (auto* t : lane.all) {
-    auto bound = t->step == Step::idle     ? std::max(l->idle, t->idle_limit)
-                 : t->step == Step::head   ? l->read
-                 : t->step == Step::body   ? l->body
-                 : t->step == Step::write  ? l->write
+    auto bound = t->step == Step::idle     ? std::max(l->idle_timeout, t->idle_limit)
+                 : t->step == Step::head   ? l->head_timeout
+                 : t->step == Step::body   ? l->body_timeout
+                 : t->step == Step::write  ? l->write_timeout
                  : t->step == Step::linger ? kLinger
                                            : Duration::max();
     bool reads = t->step != Step::write;
-    if (t0 - t->since < bound || t->l->stopped() || (reads && !t->l->waits())) continue;  // what came counts
+    if (t0 - t->since < bound || t->connection->is_interrupted() || (reads && !t->connection->is_reading()))
+      continue;  // what came counts
     if (t->step == Step::idle && !t->at_rest()) continue;
     t->slow = t->step == Step::head || t->step == Step::body;
-    t->l->stop();
+    t->connection->interrupt();
   }
   if (!lane.all.empty()) watch(lane);
 }
 
-void HttpServer::Impl::talk(Lane& lane, Line::Socket s) {
-  Talk t{std::make_shared<Line>(std::move(s))};
+void HttpServer::Impl::talk(Lane& lane, Connection::Socket s) {
+  Talk t{std::make_shared<Connection>(std::move(s))};
   t.at = lane.all.insert(lane.all.end(), &t);
   ++lane.n;
   if (lane.all.size() == 1) watch(lane);
@@ -203,7 +204,7 @@
   lane.all.erase(t.at);
   --lane.n;
   if (lane.all.empty()) lane.sweep.clear();
-  t.l->close();
+  t.connection->close();
   --open;
   if (crowded) room->notify();
 }
@@ -214,7 +215,7 @@
   base::Response a{
       status, {{"Content-Type", "application/json"}}, fmt::format("{{\"defect\":\"{}\"}}\n", why)};
   if (status == 503) a.headers.emplace_back("Retry-After", kComeBackSeconds);
-  t.l->go_on();
+  t.connection->clear_interrupt();
   if (answer(t, a, false, 11, false, *lim.load())) linger(t);
   return false;
 }
@@ -222,12 +223,12 @@
 void HttpServer::Impl::linger(Talk& t) {
   t.step = Step::linger;
   t.since = now();
-  t.l->close_send();
-  size_t n = t.l->got().size();
-  t.l->use(n);
-  while (n < kMostLinger && !t.l->fill(kBodyRoom)) {
-    n += t.l->got().size();
-    t.l->use(t.l->got().size());
+  t.connection->shutdown_send();
+  size_t n = t.connection->buffered().size();
+  t.connection->consume(n);
+  while (n < kMostLinger && !t.connection->read_more(kBodyRoom)) {
+    n += t.connection->buffered().size();
+    t.connection->consume(t.connection->buffered().size());
   }
 }
 
@@ -255,38 +256,39 @@
     line("Connection", "close");
   else if (version < 11)
     line("Connection", "keep-alive");
-  if (keep && l.tell_idle && l.idle >= Duration(1000))
-    line("Keep-Alive", fmt::format("timeout={}", l.idle.count() / 1000));
+  if (keep && l.advertise_idle && l.idle_timeout >= Duration(1000))
+    line("Keep-Alive", fmt::format("timeout={}", l.idle_timeout.count() / 1000));
   out += "\r\n";
   t.step = Step::write;
   t.since = now();
-  return !t.l->send(out, head || bare || same ? std::string_view() : a.body, [&t] { t.since = now(); });
+  return !t.connection->write(out, head || bare || same ? std::string_view() : a.body,
+                              [&t] { t.since = now(); });
 }
 
 // One request and its answer; false when the connection is to end.
 bool HttpServer::Impl::turn(Talk& t) {
-  Line& l = *t.l;
-  t.step = l.got().empty() ? Step::idle : Step::head;
+  Connection& connection = *t.connection;
+  t.step = connection.buffered().empty() ? Step::idle : Step::head;
   t.since = now();
   Parser par;
   par.eager(true);
   auto at = lim.load();
-  t.idle_limit = at->idle;
+  t.idle_limit = at->idle_timeout;
   par.header_limit(static_cast<uint32_t>(std::min<size_t>(at->head_bytes, UINT32_MAX)));
   par.body_limit(at->body_bytes);
-  base::Request q;
+  base::Request request;
   BodyReservation held;
   bool headed = false;
   bool ended_as_idle = false;  // but bytes of a request had been read already
   for (;;) {
-    while (!par.is_done() && !l.got().empty()) {
-      Ec ec;
-      size_t before = l.got().size();
+    while (!par.is_done() && !connection.buffered().empty()) {
+      ErrorCode ec;
+      size_t before = connection.buffered().size();
       if (!headed) par.eager(false);
-      l.use(par.put(asio::buffer(l.got().data(), before), ec));
+      connection.consume(par.put(asio::buffer(connection.buffered().data(), before), ec));
       if (ec == http::error::need_more) {
         ec = {};
-        if (l.got().size() == before) break;
+        if (connection.buffered().size() == before) break;
       }
       if (ec) {
         int st = ec == http::error::body_limit ? 413 : ec == http::error::header_limit ? 431 : 400;
@@ -300,41 +302,43 @@
         if (auto w = misframed(par.get())) return refuse(t, 400, *w);
         auto len = par.content_length();
         if (len && *len > at->body_bytes) return refuse(t, 413, "body limit exceeded");
-        if (len && !held.grow_to(*len, at->bodies)) return refuse(t, 503, "too many bodies at once");
-        take_head(par.get(), q);  // before any trailer
+        if (len && !held.grow_to(*len, at->all_bodies_bytes))
+          return refuse(t, 503, "too many bodies at once");
+        take_head(par.get(), request);  // before any trailer
         if (!par.is_done() && par.get().version() >= 11 &&
-            base::same_word(std::string_view(par.get()[http::field::expect]), "100-continue") &&
-            l.send("HTTP/1.1 100 Continue\r\n\r\n"))
+            base::equals_ignore_case(std::string_view(par.get()[http::field::expect]), "100-continue") &&
+            connection.write("HTTP/1.1 100 Continue\r\n\r\n"))
           return false;
       }
     }
-    if (headed && !held.grow_to(par.get().body().size(), at->bodies))
+    if (headed && !held.grow_to(par.get().body().size(), at->all_bodies_bytes))
       return refuse(t, 503, "too many bodies at once");
     if (par.is_done()) break;
-    bool first = l.got().empty() && !headed && t.step == Step::idle;
-    auto ec = l.fill(headed ? kBodyRoom : Line::kRoom);
+    bool first = connection.buffered().empty() && !headed && t.step == Step::idle;
+    auto ec = connection.read_more(headed ? kBodyRoom : Connection::kReadSize);
     if (ec && t.slow) return refuse(t, 408, "the request did not come in time");
     if (ec) return false;
     if (first) {
       t.step = Step::head;
       t.since = now();
       // They may lie in our own buffer while the reactor has yet to tell that they came.
-      ended_as_idle = l.stopped();
-      l.go_on();
+      ended_as_idle = connection.is_interrupted();
+      connection.clear_interrupt();
     }
   }
   auto m = par.release();
-  q.body = std::move(m.body());
+  request.body = std::move(m.body());
   t.step = Step::work;
   ++running;
   struct Run {
     std::atomic<int>& n;
     ~Run() { --n; }
   } run{running};
-  auto a = h(q);
+  auto a = h(request);
   bool keep = m.keep_alive() && !closing && !last && !crowded && !ended_as_idle;
   if (!answer(t, a, m.method() == http::verb::head, m.version(), keep, *lim.load())) return false;
-  if (!keep && !l.got().empty()) linger(t);  // closing with bytes unread would take the answer back
+  if (!keep && !connection.buffered().empty())
+    linger(t);  // closing with bytes unread would take the answer back
   return keep;
 }
 
@@ -347,14 +351,15 @@
     if (closing) return;
     if (ec) {
       if (now() - told > Duration(10000)) {
-        lg.warn("A connection to {} was lost while being taken: {}.", name, ec.message());
+        logger.warn("A connection to {} was lost while being taken: {}.", name, ec.message());
         told = now();
       }
       each_lane([](Lane& l) { evict(l); });
-      RealClock().sleep(kNoDescriptors);
+      SystemClock().sleep(kNoDescriptors);
       continue;
     }
-    for (size_t most; (most = lim.load()->most) > 0 && open >= static_cast<int>(most) && !closing;) {
+    for (size_t most;
+         (most = lim.load()->max_connections) > 0 && open >= static_cast<int>(most) && !closing;) {
       crowded = true;
       auto fullest =
           std::max_element(lanes.begin(), lanes.end(), [](auto& a, auto& b) { return a->n < b->n; });
@@ -363,26 +368,26 @@
       room->wait(Duration(1000));
       crowded = false;
     }
-    settle(*s);
+    configure_socket(*s);
     ++open;
     pool.spawn_on(i, [me = shared_from_this(), i, s] { me->talk(*me->lanes[i], std::move(*s)); });
   }
 }
 
-std::optional<std::string> HttpServer::listen(const std::string& addr, int from, int to) {
-  auto at = split_address(addr);
+std::optional<std::string> HttpServer::listen(const std::string& address, int from, int to) {
+  auto at = split_address(address);
   if (!at) return "the address is not IP:port";
   if (to <= from) to = from + 1;
-  if (to > p_->pool.size()) to = p_->pool.size(), from = std::min(from, to - 1);
-  Ec ec;
-  p_->acc = std::make_shared<tcp::acceptor>(p_->pool.io(0));
+  if (to > impl_->pool.size()) to = impl_->pool.size(), from = std::min(from, to - 1);
+  ErrorCode ec;
+  impl_->acc = std::make_shared<tcp::acceptor>(impl_->pool.io(0));
   tcp::endpoint ep(asio::ip::make_address(at->ip), at->port);
-  p_->acc->open(ep.protocol(), ec);
-  if (!ec) p_->acc->set_option(asio::socket_base::reuse_address(true), ec);
-  if (!ec) p_->acc->bind(ep, ec);
-  if (!ec) p_->acc->listen(1024, ec);
-  if (ec) return fmt::format("cannot listen on {}: {}", addr, ec.message());
-  p_->pool.spawn_on(0, [p = p_, from, to] {
+  impl_->acc->open(ep.protocol(), ec);
+  if (!ec) impl_->acc->set_option(asio::socket_base::reuse_address(true), ec);
+  if (!ec) impl_->acc->bind(ep, ec);
+  if (!ec) impl_->acc->listen(1024, ec);
+  if (ec) return fmt::format("cannot listen on {}: {}", address, ec.message());
+  impl_->pool.spawn_on(0, [p = impl_, from, to] {
     p->room = p->pool.condition();
     p->accept(from, to);
   });
--- a/src/wire/line.hpp
+++ b/src/wire/line.hpp
@@ -10,52 +10,52 @@
 namespace dunlinwing::wire {
 
 // What each of our connections is set to: no delay, and not stuck behind a cut.
-void settle(boost::asio::ip::tcp::socket& s);
+void configure_socket(boost::asio::ip::tcp::socket& s);
 
-class Line : public std::enable_shared_from_this<Line> {
+class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using Socket = boost::asio::ip::tcp::socket;
-  explicit Line(Socket s) : s_(std::move(s)) {}
+  explicit Connection(Socket s) : socket_(std::move(s)) {}
 
   // A connection to IP:port, or why there is none by `end`.
-  static std::pair<std::shared_ptr<Line>, Ec> to(const std::string& addr,
-                                                 std::chrono::steady_clock::time_point end);
+  static std::pair<std::shared_ptr<Connection>, ErrorCode> connect(const std::string& address,
+                                                                   std::chrono::steady_clock::time_point end);
 
-  std::string_view got() const { return {buf_.data() + from_, to_ - from_}; }
-  void use(size_t n) { from_ += n; }
-  Ec fill(size_t room = kRoom);  // parks until more bytes are here, at most `room`
+  std::string_view buffered() const { return {buffer_.data() + begin_, end_ - begin_}; }
+  void consume(size_t n) { begin_ += n; }
+  ErrorCode read_more(size_t room = kReadSize);  // parks until more bytes are here, at most `room`
   // Sends both parts as one; `moved` is called as bytes go, if they do not go at once.
-  Ec send(std::string_view a, std::string_view b = {}, const std::function<void()>& moved = {});
-  size_t sent() const { return sent_; }  // bytes of the last `send` that left
+  ErrorCode write(std::string_view a, std::string_view b = {}, const std::function<void()>& moved = {});
+  size_t bytes_written() const { return bytes_written_; }  // bytes of the last `send` that left
   // Whether bytes, or the end, were there before the last `send` was whole.
-  bool answered_early() const { return early_; }
-
-  void arm(size_t room = kRoom);           // leaves a read pending
-  bool waits() const { return reading_; }  // for bytes, or their end
-  bool quiet() const;                      // armed, and nothing came: no byte, no end
-  bool still() const;                      // the same, asked of the system now
-  void when_woken(std::function<void()> f) {
-    woken_ = std::move(f);
+  bool received_during_write() const { return received_during_write_; }
+
+  void start_read(size_t room = kReadSize);     // leaves a read pending
+  bool is_reading() const { return reading_; }  // for bytes, or their end
+  bool is_idle() const;                         // armed, and nothing came: no byte, no end
+  bool is_idle_in_system() const;               // the same, asked of the system now
+  void on_read_done(std::function<void()> f) {
+    on_read_done_ = std::move(f);
   }  // runs when a pending read ends unawaited
 
-  void stop();  // whoever waits on it, now or next, gets `operation_aborted`
-  bool stopped() const { return stop_; }
-  void go_on() { stop_ = false; }
+  void interrupt();  // whoever waits on it, now or next, gets `operation_aborted`
+  bool is_interrupted() const { return interrupted_; }
+  void clear_interrupt() { interrupted_ = false; }
   void close();
-  void abort();  // closes at once: what was not delivered is dropped, the other side sees a reset
-  void close_send();
-  Socket& socket() { return s_; }
+  void reset();  // closes at once: what was not delivered is dropped, the other side sees a reset
+  void shutdown_send();
+  Socket& socket() { return socket_; }
 
-  static constexpr size_t kRoom = 2048;
+  static constexpr size_t kReadSize = 2048;
 
  private:
-  Socket s_;
-  std::string buf_;
-  size_t from_ = 0, to_ = 0, sent_ = 0;
-  bool reading_ = false, stop_ = false, early_ = false;
-  Ec ec_;
+  Socket socket_;
+  std::string buffer_;
+  size_t begin_ = 0, end_ = 0, bytes_written_ = 0;
+  bool reading_ = false, interrupted_ = false, received_during_write_ = false;
+  ErrorCode error_;
   boost::fibers::context* waiter_ = nullptr;
-  std::function<void()> woken_;
+  std::function<void()> on_read_done_;
 };
 
 }  // namespace dunlinwing::wire
--- a/src/wire/loop.cpp
+++ b/src/wire/loop.cpp
@@ -28,7 +28,7 @@
 namespace bf = boost::fibers;
 
 namespace {
-constexpr base::Log lg("wire");
+constexpr base::Log logger("wire");
 
 class List final : public bf::algo::algorithm {
  public:
@@ -63,7 +63,7 @@
       boost::this_fiber::yield();  // one that is always woken must not keep the others out
     } else if (s > Duration(0)) {
       auto* me = parked_ = bf::context::active();
-      Alarm a;
+      Timer a;
       a.set(std::chrono::steady_clock::now() + s, [this] { go(); });
       while (parked_) me->suspend();
     }
@@ -88,17 +88,17 @@
 };
 }  // namespace
 
-struct Alarms {
-  std::multimap<Alarm::At, Alarm*> all;
-  static Alarms& mine() {
-    thread_local Alarms a;
+struct Timers {
+  std::multimap<Timer::TimePoint, Timer*> all;
+  static Timers& mine() {
+    thread_local Timers a;
     return a;
   }
-  bool ring(Alarm::At now) {
+  bool ring(Timer::TimePoint now) {
     bool any = false;
     for (; !all.empty() && all.begin()->first <= now; any = true) {
       auto* a = all.begin()->second;
-      auto f = std::move(a->f_);
+      auto f = std::move(a->callback_);
       a->clear();
       f();
     }
@@ -106,15 +106,15 @@
   }
 };
 
-void Alarm::set(At at, std::function<void()> f) {
+void Timer::set(TimePoint at, std::function<void()> f) {
   clear();
-  f_ = std::move(f);
-  it_ = Alarms::mine().all.emplace(at, this);
-  on_ = true;
+  callback_ = std::move(f);
+  entry_ = Timers::mine().all.emplace(at, this);
+  armed_ = true;
 }
 
-void Alarm::clear() {
-  if (std::exchange(on_, false)) Alarms::mine().all.erase(it_);
+void Timer::clear() {
+  if (std::exchange(armed_, false)) Timers::mine().all.erase(entry_);
 }
 
 namespace {
@@ -176,26 +176,26 @@
   return ::recv(fd, &c, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-struct Pool::Impl {
+struct EventLoopPool::Impl {
   std::vector<std::unique_ptr<asio::io_context>> io;
   std::vector<std::thread> ts;
 };
 
-Pool::Pool(int n) : p_(std::make_unique<Impl>()) {
-  for (int i = 0; i < n; ++i) p_->io.push_back(std::make_unique<asio::io_context>(1));
+EventLoopPool::EventLoopPool(int n) : impl_(std::make_unique<Impl>()) {
+  for (int i = 0; i < n; ++i) impl_->io.push_back(std::make_unique<asio::io_context>(1));
 }
 
-Pool::~Pool() = default;
-int Pool::size() const { return static_cast<int>(p_->io.size()); }
-asio::io_context& Pool::io(int i) { return *p_->io[i]; }
-asio::io_context& Pool::here() { return *tls_io; }
+EventLoopPool::~EventLoopPool() = default;
+int EventLoopPool::size() const { return static_cast<int>(impl_->io.size()); }
+asio::io_context& EventLoopPool::io(int i) { return *impl_->io[i]; }
+asio::io_context& EventLoopPool::here() { return *tls_io; }
 
 namespace {
 // Each pool thread's main fiber parks for good; its work is done by others.
 void body(asio::io_context& io, const std::function<void()>& first) {
   tls_io = &io;
   auto guard = asio::make_work_guard(io);
-  auto& alarms = Alarms::mine();
+  auto& alarms = Timers::mine();
   int rounds = 0;
   auto idle = [&] {
     rounds = 0;
@@ -219,40 +219,40 @@
 }
 }  // namespace
 
-void Pool::run(std::function<void()> first) {
-  for (int i = 1; i < size(); ++i) p_->ts.emplace_back([this, i] { body(io(i), {}); });
+void EventLoopPool::run(std::function<void()> first) {
+  for (int i = 1; i < size(); ++i) impl_->ts.emplace_back([this, i] { body(io(i), {}); });
   body(io(0), first);
   stop(0);  // never reached: its main fiber is parked
 }
 
-void Pool::stop(int code) { ::_exit(code); }
+void EventLoopPool::stop(int code) { ::_exit(code); }
 
-void Pool::spawn_on(int i, std::function<void()> f) {
+void EventLoopPool::spawn_on(int i, std::function<void()> f) {
   if (tls_io == &io(i)) return launch(std::move(f));
   asio::post(io(i), [f = std::move(f)]() mutable { launch(std::move(f)); });
 }
 
-void Pool::spawn(std::function<void()> f) { launch(std::move(f)); }
+void EventLoopPool::spawn(std::function<void()> f) { launch(std::move(f)); }
 
-std::shared_ptr<base::Condition> make_spot() { return std::make_shared<RealSpot>(*tls_io); }
-std::shared_ptr<base::Condition> Pool::condition() { return make_spot(); }
+std::shared_ptr<base::Condition> make_condition() { return std::make_shared<RealSpot>(*tls_io); }
+std::shared_ptr<base::Condition> EventLoopPool::condition() { return make_condition(); }
 
-TimePoint RealClock::now() {
+TimePoint SystemClock::now() {
   timespec t{};
   clock_gettime(CLOCK_BOOTTIME, &t);
   return TimePoint(t.tv_sec * 1000 + t.tv_nsec / 1000000);
 }
 
-int64_t RealClock::wall_ms() {
+int64_t SystemClock::wall_ms() {
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
   return t.tv_sec * 1000LL + t.tv_nsec / 1000000;
 }
 
-void RealClock::sleep(Duration s) {
+void SystemClock::sleep(Duration s) {
   auto* me = bf::context::active();
   bool up = false;
-  Alarm a;
+  Timer a;
   a.set(std::chrono::steady_clock::now() + s, [&] {
     up = true;
     bf::context::active()->schedule(me);
@@ -260,10 +260,10 @@
   while (!up) me->suspend();
 }
 
-uint64_t RealChance::draw() {
+uint64_t SystemRandom::draw() {
   thread_local std::mt19937_64 g = [] {
     uint64_t s[4];
-    if (getrandom(s, sizeof s, 0) != sizeof s) lg.warn("The system gave no randomness.");
+    if (getrandom(s, sizeof s, 0) != sizeof s) logger.warn("The system gave no randomness.");
     std::seed_seq q(std::begin(s), std::end(s));
     return std::mt19937_64(q);
   }();
--- a/src/wire/loop.hpp
+++ b/src/wire/loop.hpp
@@ -13,7 +13,7 @@
 
 namespace dunlinwing::wire {
 
-using Ec = boost::system::error_code;
+using ErrorCode = boost::system::error_code;
 
 // Runs fibers on the calling thread; `idle` is called when none is ready and
 // must make progress or block; `poll` is called once a round.
@@ -21,10 +21,10 @@
 
 // Parks the calling fiber until `f`'s handler has run on this same thread.
 template <class... T, class F>
-std::tuple<Ec, T...> await(F&& f) {
-  std::optional<std::tuple<Ec, T...>> out;
+std::tuple<ErrorCode, T...> await(F&& f) {
+  std::optional<std::tuple<ErrorCode, T...>> out;
   auto* me = boost::fibers::context::active();
-  f([&out, me](Ec e, T... t) {
+  f([&out, me](ErrorCode e, T... t) {
     out.emplace(e, std::move(t)...);
     boost::fibers::context::active()->schedule(me);
   });
@@ -34,33 +34,33 @@
 
 // Runs something once, on this thread and between fibers, at a given time. It
 // costs no system call: the loop looks for the earliest before it sleeps.
-class Alarm {
+class Timer {
  public:
-  using At = std::chrono::steady_clock::time_point;
-  Alarm() = default;
-  Alarm(const Alarm&) = delete;
-  Alarm& operator=(const Alarm&) = delete;
-  ~Alarm() { clear(); }
-  void set(At at, std::function<void()> f);  // `f` must not wait
+  using TimePoint = std::chrono::steady_clock::time_point;
+  Timer() = default;
+  Timer(const Timer&) = delete;
+  Timer& operator=(const Timer&) = delete;
+  ~Timer() { clear(); }
+  void set(TimePoint at, std::function<void()> f);  // `f` must not wait
   void clear();
 
  private:
-  friend struct Alarms;
-  bool on_ = false;
-  std::multimap<At, Alarm*>::iterator it_;
-  std::function<void()> f_;
+  friend struct Timers;
+  bool armed_ = false;
+  std::multimap<TimePoint, Timer*>::iterator entry_;
+  std::function<void()> callback_;
 };
 
 // Whether a kept connection is still whole: open, and nothing came unasked.
 bool still_idle(int fd);
 
-std::shared_ptr<base::Condition> make_spot();  // of the calling thread
+std::shared_ptr<base::Condition> make_condition();  // of the calling thread
 
 // A pool of threads. Thread 0 carries control, the others carry traffic.
-class Pool final : public base::Tasks {
+class EventLoopPool final : public base::Tasks {
  public:
-  explicit Pool(int n);
-  ~Pool() override;
+  explicit EventLoopPool(int n);
+  ~EventLoopPool() override;
   int size() const;
   boost::asio::io_context& io(int i);
   [[noreturn]] void run(std::function<void()> first);  // `first` runs as a fiber of thread 0
@@ -73,17 +73,17 @@
 
  private:
   struct Impl;
-  std::unique_ptr<Impl> p_;
+  std::unique_ptr<Impl> impl_;
 };
 
-class RealClock final : public base::Clock {
+class SystemClock final : public base::Clock {
  public:
   TimePoint now() override;  // CLOCK_BOOTTIME
   int64_t wall_ms() override;
   void sleep(Duration s) override;
 };
 
-class RealChance final : public base::Random {
+class SystemRandom final : public base::Random {
  public:
   uint64_t draw() override;
 };
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -19,7 +19,7 @@
 using tcp = asio::ip::tcp;
 
 namespace {
-constexpr base::Log lg("peer");
+constexpr base::Log logger("peer");
 constexpr uint32_t kMostFrame = 32u << 20;
 constexpr std::chrono::seconds kServerIdle(30);  // without a byte from the peer
 constexpr std::chrono::seconds kReplyMoves(5);
@@ -36,20 +36,20 @@
 }
 
 // Writes `m`, and behind it the fields of `more`: read as one message they are merged.
-Ec write_frame(Line& l, const google::protobuf::MessageLite& m,
-               const google::protobuf::MessageLite* more = nullptr) {
+ErrorCode write_frame(Connection& connection, const google::protobuf::MessageLite& m,
+                      const google::protobuf::MessageLite* more = nullptr) {
   std::string b(4, '\0');
   m.AppendToString(&b);
   if (more) more->AppendToString(&b);
   auto n = static_cast<uint32_t>(b.size() - 4);
   for (int i = 0; i < 4; ++i) b[i] = static_cast<char>(n >> (24 - 8 * i));
-  return l.send(b);
+  return connection.write(b);
 }
 
 template <class M>
-Ec read_frame(Line& l, M& m, const std::function<void()>& moved = {}) {
+ErrorCode read_frame(Connection& connection, M& m, const std::function<void()>& moved = {}) {
   for (size_t need = 4;;) {
-    auto g = l.got();
+    auto g = connection.buffered();
     if (g.size() >= 4) {
       auto b = reinterpret_cast<const unsigned char*>(g.data());
       uint32_t n = uint32_t(b[0]) << 24 | uint32_t(b[1]) << 16 | uint32_t(b[2]) << 8 | b[3];
@@ -58,10 +58,11 @@
     }
     if (g.size() >= need) {
       bool ok = m.ParseFromArray(g.data() + 4, static_cast<int>(need - 4));
-      l.use(need);
-      return ok ? Ec() : make_error_code(boost::system::errc::bad_message);
+      connection.consume(need);
+      return ok ? ErrorCode() : make_error_code(boost::system::errc::bad_message);
     }
-    if (auto ec = l.fill(std::clamp(need - g.size(), Line::kRoom, kFrameRoom))) return ec;
+    if (auto ec = connection.read_more(std::clamp(need - g.size(), Connection::kReadSize, kFrameRoom)))
+      return ec;
     if (moved) moved();
   }
 }
@@ -72,13 +73,13 @@
 struct Server {
   PeerHandler h;
   size_t most, open = 0;
-  std::list<std::shared_ptr<Line>> waiting;
+  std::list<std::shared_ptr<Connection>> waiting;
   std::shared_ptr<base::Condition> door;
 
   bool crowded() const { return open * 2 > most; }
   void make_room() {
     if (open < most || waiting.empty()) return;
-    waiting.front()->stop();
+    waiting.front()->interrupt();
     waiting.pop_front();
   }
   void left() {
@@ -87,30 +88,30 @@
   }
 };
 
-void talk(const std::shared_ptr<Line>& l, Server& s) {
+void talk(const std::shared_ptr<Connection>& connection, Server& s) {
   auto& h = s.h;
-  Alarm silent;
-  auto in = [&](std::chrono::seconds s) { silent.set(now() + s, [&] { l->stop(); }); };
+  Timer silent;
+  auto in = [&](std::chrono::seconds s) { silent.set(now() + s, [&] { connection->interrupt(); }); };
   for (bool again = false;; again = true) {
-    pb::Ask a;
+    pb::PeerRequest request;
     in(kServerIdle);
-    auto here = again ? s.waiting.insert(s.waiting.end(), l) : s.waiting.end();
+    auto here = again ? s.waiting.insert(s.waiting.end(), connection) : s.waiting.end();
     bool waits = again;
     auto began = [&] {
-      if (std::exchange(waits, false) && !l->stopped()) s.waiting.erase(here);
+      if (std::exchange(waits, false) && !connection->is_interrupted()) s.waiting.erase(here);
     };
-    if (!l->got().empty()) began();
-    auto ec = read_frame(*l, a, [&] {
+    if (!connection->buffered().empty()) began();
+    auto ec = read_frame(*connection, request, [&] {
       began();
       in(kServerIdle);
     });
     began();
     if (ec) return;
     silent.clear();
-    auto r = h(a);
-    r.set_number(a.number());
+    auto response = h(request);
+    response.set_request_id(request.request_id());
     in(kReplyMoves);
-    if (write_frame(*l, r) || s.crowded()) return;
+    if (write_frame(*connection, response) || s.crowded()) return;
   }
 }
 }  // namespace
@@ -126,48 +127,51 @@
   return a;
 }
 
-std::variant<pb::Reply, base::NetError> PeerNet::ask(const std::string& addr, const pb::Ask& a,
-                                                     Duration limit) {
+std::variant<pb::PeerResponse, base::PeerError> PeerClient::call(const std::string& address,
+                                                                 const pb::PeerRequest& request,
+                                                                 Duration limit) {
   auto end = now() + limit;
   auto& connections = peer_connections();
-  auto [l, reused] = connections.borrow(addr, end, most_);
-  if (!l) return base::NetError::unreachable;
-  Alarm late;
-  late.set(end, [line = l] { line->stop(); });
-  pb::Ask name;
-  name.set_number(next_number());
-  pb::Reply r;
-  auto ec = write_frame(*l, a, &name);
+  auto [l, reused] = connections.borrow(address, end, max_connections_);
+  if (!l) return base::PeerError::unreachable;
+  Timer late;
+  late.set(end, [line = l] { line->interrupt(); });
+  pb::PeerRequest name;
+  name.set_request_id(next_number());
+  pb::PeerResponse response;
+  auto ec = write_frame(*l, request, &name);
   bool sent = !ec;
-  if (sent) ec = read_frame(*l, r);
+  if (sent) ec = read_frame(*l, response);
   late.clear();
-  bool others = r.number() && r.number() != name.number();  // 0: an older process, which repeats none
-  if (ec || others || !l->got().empty()) {
-    bool timed = l->stopped();
-    connections.discard(addr, l, most_);
+  bool others = response.request_id() &&
+                response.request_id() != name.request_id();  // 0: an older process, which repeats none
+  if (ec || others || !l->buffered().empty()) {
+    bool timed = l->is_interrupted();
+    connections.discard(address, l, max_connections_);
     // A kept connection may have been ended for room just now. Asks may come twice, but for requests carried.
-    if (ec && reused && !timed && l->got().empty() && !a.has_carry())
-      return ask(addr, a, std::chrono::duration_cast<Duration>(end - now()));
-    if (!ec) return base::NetError::garbled;
-    return sent && timed                            ? base::NetError::timed_out
-           : ec == boost::system::errc::bad_message ? base::NetError::garbled
-                                                    : base::NetError::broken;
+    if (ec && reused && !timed && l->buffered().empty() && !request.has_forward())
+      return call(address, request, std::chrono::duration_cast<Duration>(end - now()));
+    if (!ec) return base::PeerError::malformed;
+    return sent && timed                            ? base::PeerError::timed_out
+           : ec == boost::system::errc::bad_message ? base::PeerError::malformed
+                                                    : base::PeerError::broken;
   }
-  connections.give_back(addr, std::move(l), most_);
-  return r;
+  connections.give_back(address, std::move(l), max_connections_);
+  return response;
 }
 
-std::optional<std::string> serve_peers(Pool& pool, const std::string& addr, PeerHandler h, size_t most) {
-  auto at = split_address(addr);
+std::optional<std::string> serve_peers(EventLoopPool& pool, const std::string& address, PeerHandler h,
+                                       size_t most) {
+  auto at = split_address(address);
   if (!at) return "the peer address is not IP:port";
-  Ec ec;
+  ErrorCode ec;
   auto acc = std::make_shared<tcp::acceptor>(pool.io(0));
   tcp::endpoint ep(asio::ip::make_address(at->ip), at->port);
   acc->open(ep.protocol(), ec);
   if (!ec) acc->set_option(asio::socket_base::reuse_address(true), ec);
   if (!ec) acc->bind(ep, ec);
   if (!ec) acc->listen(1024, ec);
-  if (ec) return fmt::format("cannot listen on {}: {}", addr, ec.message());
+  if (ec) return fmt::format("cannot listen on {}: {}", address, ec.message());
   pool.spawn_on(0, [&pool, acc, s0 = std::make_shared<Server>(Server{std::move(h), most})] {
     s0->door = pool.condition();
     for (;;) {
@@ -176,13 +180,13 @@
       tcp::socket s(pool.io(0));
       auto [ec] = await<>([&](auto k) { acc->async_accept(s, std::move(k)); });
       if (ec) {
-        lg.warn("A peer's connection was lost while being taken: {}.", ec.message());
-        RealClock().sleep(Duration(50));
+        logger.warn("A peer's connection was lost while being taken: {}.", ec.message());
+        SystemClock().sleep(Duration(50));
         continue;
       }
-      settle(s);
+      configure_socket(s);
       ++s0->open;
-      pool.spawn([l = std::make_shared<Line>(std::move(s)), s0] {
+      pool.spawn([l = std::make_shared<Connection>(std::move(s)), s0] {
         talk(l, *s0);
         l->close();
         s0->left();
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -6,22 +6,23 @@
 
 namespace dunlinwing::wire {
 
-class PeerNet final : public base::Net {
+class PeerClient final : public base::PeerTransport {
  public:
   // At most `most` connections to other relays are open at once, for each thread that asks.
-  explicit PeerNet(size_t most = 4096) : most_(most) {}
-  std::variant<pb::Reply, base::NetError> ask(const std::string& addr, const pb::Ask& a,
-                                              Duration limit) override;
+  explicit PeerClient(size_t most = 4096) : max_connections_(most) {}
+  std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
+                                                       const pb::PeerRequest& request,
+                                                       Duration limit) override;
 
  private:
-  size_t most_;
+  size_t max_connections_;
 };
 
-using PeerHandler = std::function<pb::Reply(const pb::Ask&)>;
+using PeerHandler = std::function<pb::PeerResponse(const pb::PeerRequest&)>;
 
 // Takes peers' connections on thread 0. Returns a line of text when the
 // address cannot be had. Beyond `most` connections those that are idle longest end.
-std::optional<std::string> serve_peers(Pool& pool, const std::string& addr, PeerHandler h,
+std::optional<std::string> serve_peers(EventLoopPool& pool, const std::string& address, PeerHandler h,
                                        size_t most = 4096);
 
 struct Address {
--- a/src/wire/peer_connections.cpp
+++ b/src/wire/peer_connections.cpp
@@ -23,13 +23,13 @@
   return count;
 }
 
-std::shared_ptr<Line> PeerConnections::take_idle(Relay& relay) {
+std::shared_ptr<Connection> PeerConnections::take_idle(Relay& relay) {
   auto now = Clock::now();
   while (!relay.idle.empty()) {
     auto latest = std::move(relay.idle.back());
     relay.idle.pop_back();
-    if (now - latest.since < kKeptIdle && latest.line->still()) return latest.line;
-    latest.line->close();
+    if (now - latest.since < kKeptIdle && latest.connection->is_idle_in_system()) return latest.connection;
+    latest.connection->close();
   }
   return nullptr;
 }
@@ -47,28 +47,28 @@
   while (open() >= most) {
     auto* relay = longest_idle();
     if (!relay) return false;
-    relay->idle.front().line->close();
+    relay->idle.front().connection->close();
     relay->idle.erase(relay->idle.begin());
   }
   return true;
 }
 
-PeerConnections::Loan PeerConnections::borrow(const std::string& address, Clock::time_point end,
-                                              size_t most) {
+PeerConnections::Lease PeerConnections::borrow(const std::string& address, Clock::time_point end,
+                                               size_t most) {
   prune(Clock::now());
   for (;;) {
     auto& relay = relays_[address];
     if (relay.lent < most_lent(most)) {
-      if (auto line = take_idle(relay)) {
+      if (auto connection = take_idle(relay)) {
         ++relay.lent;
         ++lent_;
-        return {line, true};
+        return {connection, true};
       }
       if (make_room(most)) break;
     }
     auto now = Clock::now();
     if (now >= end) return {};
-    auto waiter = waiters_.insert(waiters_.end(), {address, make_spot()});
+    auto waiter = waiters_.insert(waiters_.end(), {address, make_condition()});
     waiter->condition->wait(std::chrono::ceil<Duration>(end - now));
     waiters_.erase(waiter);
     if (Clock::now() >= end) {
@@ -78,24 +78,26 @@
   }
   ++relays_[address].lent;
   ++lent_;
-  auto line = Line::to(address, end).first;
-  if (!line) returned(address, most);
-  return {line, false};
+  auto connection = Connection::connect(address, end).first;
+  if (!connection) returned(address, most);
+  return {connection, false};
 }
 
-void PeerConnections::give_back(const std::string& address, std::shared_ptr<Line> line, size_t most) {
-  line->arm();  // so that its end is noticed
+void PeerConnections::give_back(const std::string& address, std::shared_ptr<Connection> connection,
+                                size_t most) {
+  connection->start_read();  // so that its end is noticed
   auto& idle = relays_[address].idle;
-  idle.push_back({std::move(line), Clock::now()});
+  idle.push_back({std::move(connection), Clock::now()});
   if (idle.size() > kMostIdleEach) {
-    idle.front().line->close();
+    idle.front().connection->close();
     idle.erase(idle.begin());
   }
   returned(address, most);
 }
 
-void PeerConnections::discard(const std::string& address, const std::shared_ptr<Line>& line, size_t most) {
-  line->abort();
+void PeerConnections::discard(const std::string& address, const std::shared_ptr<Connection>& connection,
+                              size_t most) {
+  connection->reset();
   returned(address, most);
 }
 
@@ -119,8 +121,8 @@
   for (auto it = relays_.begin(); it != relays_.end();) {
     auto& relay = it->second;
     std::erase_if(relay.idle, [&](Idle& idle) {
-      bool unfit = now - idle.since >= kKeptIdle || !idle.line->quiet();
-      if (unfit) idle.line->close();
+      bool unfit = now - idle.since >= kKeptIdle || !idle.connection->is_idle();
+      if (unfit) idle.connection->close();
       return unfit;
     });
     it = relay.idle.empty() && relay.lent == 0 ? relays_.erase(it) : std::next(it);
--- a/src/wire/peer_connections.hpp
+++ b/src/wire/peer_connections.hpp
@@ -14,25 +14,25 @@
  public:
   using Clock = std::chrono::steady_clock;
 
-  struct Loan {
-    std::shared_ptr<Line> line;  // null: none could be had in time
-    bool reused = false;         // it has carried an ask before
+  struct Lease {
+    std::shared_ptr<Connection> connection;  // null: none could be had in time
+    bool reused = false;                     // it has carried an ask before
   };
 
   // Waits until `end` for an idle connection to `address`, or for room for a new one. At most
   // `most` are open in all, and so many of them lent to one address that a silent relay leaves
   // room for the others.
-  Loan borrow(const std::string& address, Clock::time_point end, size_t most);
+  Lease borrow(const std::string& address, Clock::time_point end, size_t most);
   // After a whole reply, with nothing left to read.
-  void give_back(const std::string& address, std::shared_ptr<Line> line, size_t most);
+  void give_back(const std::string& address, std::shared_ptr<Connection> connection, size_t most);
   // Resets it: what was not delivered never will be.
-  void discard(const std::string& address, const std::shared_ptr<Line>& line, size_t most);
+  void discard(const std::string& address, const std::shared_ptr<Connection>& connection, size_t most);
 
   size_t open() const { return lent_ + idle_count(); }
 
  private:
   struct Idle {
-    std::shared_ptr<Line> line;
+    std::shared_ptr<Connection> connection;
     Clock::time_point since;
   };
   struct Relay {
@@ -46,7 +46,7 @@
   };
 
   static size_t most_lent(size_t most);
-  std::shared_ptr<Line> take_idle(Relay& relay);
+  std::shared_ptr<Connection> take_idle(Relay& relay);
   Relay* longest_idle();
   bool make_room(size_t most);
   void returned(const std::string& address, size_t most);
--- a/test/byte_backend.hpp
+++ b/test/byte_backend.hpp
@@ -47,8 +47,8 @@
     closing_ = true;
     acceptor_->close();
     for (auto& weak : lines_)
-      if (auto line = weak.lock()) line->stop();
-    wire::RealClock clock;
+      if (auto connection = weak.lock()) connection->interrupt();
+    wire::SystemClock clock;
     while (open_) clock.sleep(1ms);
   }
   std::string address() const { return fmt::format("127.0.0.1:{}", acceptor_->local_endpoint().port()); }
@@ -72,12 +72,12 @@
       auto [failed] = wire::await<>([&](auto done) { acceptor.async_accept(socket, std::move(done)); });
       if (failed) return;
       ++open_;
-      auto line = std::make_shared<wire::Line>(std::move(socket));
-      lines_.push_back(line);
-      pool().spawn([this, line] {
-        while (serve(*line)) {
+      auto connection = std::make_shared<wire::Connection>(std::move(socket));
+      lines_.push_back(connection);
+      pool().spawn([this, connection] {
+        while (serve(*connection)) {
         }
-        line->close();
+        connection->close();
         --open_;
       });
     }
@@ -101,47 +101,48 @@
   }
 
   void wait_while_frozen() {
-    wire::RealClock clock;
+    wire::SystemClock clock;
     while (frozen_ && !closing_) clock.sleep(1ms);
   }
 
   // Ends the connection as planned; a silence lasts until the other side is gone.
-  bool fail(wire::Line& line) {
-    if (plan_.trouble == Trouble::reset) line.socket().set_option(boost::asio::socket_base::linger(true, 0));
+  bool fail(wire::Connection& connection) {
+    if (plan_.trouble == Trouble::reset)
+      connection.socket().set_option(boost::asio::socket_base::linger(true, 0));
     if (plan_.trouble == Trouble::silence) {
-      line.use(line.got().size());
-      while (!line.fill()) line.use(line.got().size());
+      connection.consume(connection.buffered().size());
+      while (!connection.read_more()) connection.consume(connection.buffered().size());
     }
     return false;
   }
 
   // Reads one request and answers it; false when the connection is to end.
-  bool serve(wire::Line& line) {
+  bool serve(wire::Connection& connection) {
     bool told_early = false;
     std::optional<size_t> size;
     for (;;) {
       wait_while_frozen();
-      auto got = line.got();
+      auto got = connection.buffered();
       size = request_size(got);
       if (size) begun_.insert(header_of(got.substr(0, got.find("\r\n\r\n") + 2), "Attempt-Id"));
       bool whole = size && got.size() >= *size;
       bool is_victim = !hit_ && (plan_.victim.empty() || header_of(got, "Attempt-Id") == plan_.victim ||
                                  (expect_victim_ && !size));
       if (plan_.receiving && is_victim && got.size() >= plan_.at) {
-        if (!plan_.early.empty() && !std::exchange(told_early, true)) line.send(plan_.early);
+        if (!plan_.early.empty() && !std::exchange(told_early, true)) connection.write(plan_.early);
         if (plan_.trouble != Trouble::none) {
           hit_ = true;
           if (size && plan_.at >= *size) count(got, *size);
-          return fail(line);
+          return fail(connection);
         }
       }
       if (whole) break;
-      if (line.fill()) return false;
+      if (connection.read_more()) return false;
     }
-    std::string head(line.got().substr(0, line.got().find("\r\n\r\n") + 2));
+    std::string head(connection.buffered().substr(0, connection.buffered().find("\r\n\r\n") + 2));
     count(head, *size);
-    line.use(*size);
-    return answer(line, header_of(head, "Attempt-Id"));
+    connection.consume(*size);
+    return answer(connection, header_of(head, "Attempt-Id"));
   }
 
   void count(std::string_view request, size_t size) {
@@ -149,18 +150,18 @@
     request_bytes_ = std::max(request_bytes_, size);
   }
 
-  bool answer(wire::Line& line, const std::string& id) {
+  bool answer(wire::Connection& connection, const std::string& id) {
     auto proper = good_answer(id, plan_.chunked);
-    if (id != plan_.victim || std::exchange(hit_, true)) return !line.send(proper);
+    if (id != plan_.victim || std::exchange(hit_, true)) return !connection.write(proper);
     if (!plan_.instead.empty()) proper = plan_.instead;
     if (plan_.trouble != Trouble::none && !plan_.receiving) {
-      line.send(std::string_view(proper).substr(0, plan_.at));
-      return fail(line);
+      connection.write(std::string_view(proper).substr(0, plan_.at));
+      return fail(connection);
     }
-    if (line.send(plan_.before + proper + plan_.together)) return false;
+    if (connection.write(plan_.before + proper + plan_.together)) return false;
     if (plan_.later.empty()) return true;
-    wire::RealClock().sleep(1ms);
-    return !line.send(plan_.later);
+    wire::SystemClock().sleep(1ms);
+    return !connection.write(plan_.later);
   }
 
  public:
@@ -170,7 +171,7 @@
  private:
   Plan plan_;
   std::shared_ptr<Acceptor> acceptor_;
-  std::vector<std::weak_ptr<wire::Line>> lines_;
+  std::vector<std::weak_ptr<wire::Connection>> lines_;
   std::map<std::string, int> whole_;
   std::set<std::string> begun_;
   size_t request_bytes_ = 0;
--- a/test/caller.cpp
+++ b/test/caller.cpp
@@ -30,9 +30,9 @@
 };
 
 struct App {
-  wire::Pool pool{3};
-  wire::RealClock clock;
-  wire::HttpOrigin http{4 << 20};
+  wire::EventLoopPool pool{3};
+  wire::SystemClock clock;
+  wire::HttpClient http{4 << 20};
   test::Journal journal{FLAGS_journal};
   std::vector<std::unique_ptr<Relay>> relays;
   std::mt19937_64 rng{FLAGS_seed};
@@ -40,42 +40,42 @@
   std::atomic<uint64_t> ok{0}, away{0}, unknown{0}, other{0}, lost{0};
 
   base::Request make(uint64_t n) {
-    base::Request q;
+    base::Request request;
     auto some = [&](uint64_t k) { return std::min(rng() % k, rng() % k); };
     auto dice = rng() % 100;
     bool lobby = FLAGS_deployment == "lobby";
-    q.method = "GET";
+    request.method = "GET";
     if (dice < 45)
-      q.target = fmt::format(fmt::runtime(lobby ? "/liveries/{}" : "/notices/{}"), some(200));
+      request.target = fmt::format(fmt::runtime(lobby ? "/liveries/{}" : "/notices/{}"), some(200));
     else if (dice < 65)
-      q.target = fmt::format(fmt::runtime(lobby ? "/track/{}" : "/returns/{}"), some(400));
+      request.target = fmt::format(fmt::runtime(lobby ? "/track/{}" : "/returns/{}"), some(400));
     else if (dice < 90)
-      q.target = fmt::format(fmt::runtime(lobby ? "/lobbies/{}" : "/balances/{}"), rng() % 5000);
+      request.target = fmt::format(fmt::runtime(lobby ? "/lobbies/{}" : "/balances/{}"), rng() % 5000);
     else {
-      q.method = "POST";
-      q.target = lobby ? "/fees" : "/filings";
-      q.body = fmt::format(R"({{"n":{},"amount":{}}})", n, rng() % 1000);
-      q.headers.emplace_back("Content-Type", "application/json");
-      q.headers.emplace_back("Idempotency-Key", fmt::format("k{}", rng()));
+      request.method = "POST";
+      request.target = lobby ? "/fees" : "/filings";
+      request.body = fmt::format(R"({{"n":{},"amount":{}}})", n, rng() % 1000);
+      request.headers.emplace_back("Content-Type", "application/json");
+      request.headers.emplace_back("Idempotency-Key", fmt::format("k{}", rng()));
     }
-    q.headers.emplace_back("Caller-Id", fmt::format("{}-{}", FLAGS_prefix, n));
-    return q;
+    request.headers.emplace_back("Caller-Id", fmt::format("{}-{}", FLAGS_prefix, n));
+    return request;
   }
 
-  void one(const base::Request& q, Relay& r) {
-    auto id = base::header(q.headers, "Caller-Id");
+  void one(const base::Request& request, Relay& r) {
+    auto id = base::header(request.headers, "Caller-Id");
     auto from = clock.now().count();
-    journal.line(
-        fmt::format(R"({{"t":"ask","id":"{}","method":"{}","target":{},"in":"{}","at":{},"relay":"{}"}})", id,
-                    q.method, test::qt(q.target), base::sha256_base64(q.body), from, r.callers));
-    auto x = http.send(r.callers, q, 10000ms);
+    journal.line(fmt::format(
+        R"({{"t":"ask","id":"{}","method":"{}","target":{},"in":"{}","at":{},"relay":"{}"}})", id,
+        request.method, test::qt(request.target), base::sha256_base64(request.body), from, r.callers));
+    auto x = http.send(r.callers, request, 10000ms);
     auto to = clock.now().count();
     if (auto* a = std::get_if<base::Response>(&x)) {
       auto out = base::header(a->headers, "Dunlinwing-Outcome");
       int64_t produced = -1;
       if (a->status == 200) {
         auto p = base::Json::parse(a->body);
-        if (auto* j = std::get_if<base::Json>(&p)) produced = j->at("produced").num(-1);
+        if (auto* j = std::get_if<base::Json>(&p)) produced = j->at("produced").integer_or(-1);
       }
       journal.line(fmt::format(
           R"({{"t":"got","id":"{}","status":{},"outcome":"{}","out":"{}","produced":{},"gen":"{}","retry_after":"{}","from":{},"at":{},"relay":"{}","why":{}}})",
@@ -94,10 +94,10 @@
 
   void watch(Relay& r) {
     for (;;) {
-      base::Request q;
-      q.method = "GET";
-      q.target = "/readyz";
-      auto x = http.send(r.control, q, 900ms);
+      base::Request request;
+      request.method = "GET";
+      request.target = "/readyz";
+      auto x = http.send(r.control, request, 900ms);
       auto* a = std::get_if<base::Response>(&x);
       r.ready = a && a->status == 200;
       clock.sleep(1000ms);
@@ -119,16 +119,16 @@
         if (c->ready) r = c.get();
       }
       turn += 1 + rng() % relays.size();
-      auto q = make(n);
+      auto request = make(n);
       if (!r) r = relays[turn % relays.size()].get();
       ++open;
-      pool.spawn_on(1 + static_cast<int>(n % 2), [this, q, r] { one(q, *r); });
+      pool.spawn_on(1 + static_cast<int>(n % 2), [this, request, r] { one(request, *r); });
     }
     while (open > 0) clock.sleep(20ms);
     std::cout << fmt::format("asked {} ok {} not_run {} unknown {} other {} lost {}\n", all, ok.load(),
                              away.load(), unknown.load(), other.load(), lost.load())
               << std::flush;
-    wire::Pool::stop(0);
+    wire::EventLoopPool::stop(0);
   }
 };
 }  // namespace
@@ -137,7 +137,7 @@
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   std::signal(SIGPIPE, SIG_IGN);
   App a;
-  for (auto& s : base::words(FLAGS_relays, ',')) {
+  for (auto& s : base::split_list(FLAGS_relays, ',')) {
     auto at = s.find('@');
     if (at == s.npos) {
       std::cerr << "caller: a relay is given as callers@control\n";
--- a/test/checker.cpp
+++ b/test/checker.cpp
@@ -45,38 +45,41 @@
 RegisterClient sort_out(const Journals& js) {
   RegisterClient b;
   std::map<std::string, std::string> names;  // of machines, by the address on which they take callers
-  for (auto& j : js.lines)
-    if (j.at("t").str() == "machine") names[j.at("callers").str()] = j.at("machine").str();
-  for (auto& j : js.lines) {
-    auto t = j.at("t").str();
-    auto s = [&](const char* k) { return j.at(k).str(); };
+  for (auto& json : js.lines)
+    if (json.at("t").string_or() == "machine")
+      names[json.at("callers").string_or()] = json.at("machine").string_or();
+  for (auto& json : js.lines) {
+    auto t = json.at("t").string_or();
+    auto s = [&](const char* k) { return json.at(k).string_or(); };
     auto relay = [&] {
       auto f = names.find(s("relay"));
       return f == names.end() ? s("relay") : f->second;
     };
     if (t == "ask") {
-      b.asks[s("id")] = {s("method"), s("target"), s("in"), j.at("at").num()};
+      b.asks[s("id")] = {s("method"), s("target"), s("in"), json.at("at").integer_or()};
     } else if (t == "got") {
-      b.gots.push_back({s("id"), s("outcome"), s("out"), relay(), s("retry_after"), j.at("status").num(),
-                        j.at("produced").num(-1), number(s("gen")), j.at("from").num(), j.at("at").num()});
+      b.gots.push_back({s("id"), s("outcome"), s("out"), relay(), s("retry_after"),
+                        json.at("status").integer_or(), json.at("produced").integer_or(-1), number(s("gen")),
+                        json.at("from").integer_or(), json.at("at").integer_or()});
     } else if (t == "run") {
       b.runs.push_back({s("id"), s("method"), s("target"), s("in"), s("out"), s("service"), s("version"),
-                        s("instance"), s("relay"), number(s("gen")), j.at("at").num(), j.at("bad").flag()});
+                        s("instance"), s("relay"), number(s("gen")), json.at("at").integer_or(),
+                        json.at("bad").bool_or()});
     } else if (t == "leaving") {
-      b.leaving.emplace(s("instance"), j.at("at").num());  // the first word counts
+      b.leaving.emplace(s("instance"), json.at("at").integer_or());  // the first word counts
     } else if (t == "lost") {
       ReadResult g;
       g.id = s("id");
       g.relay = relay();
-      g.from = j.at("from").num();
-      g.at = j.at("at").num();
+      g.from = json.at("from").integer_or();
+      g.at = json.at("at").integer_or();
       b.lost.push_back(g);
     } else {
-      b.events.push_back(j);
+      b.events.push_back(json);
       bool cut = t == "cut";
       if (!cut && t != "killed" && t != "frozen" && t != "warned") continue;
-      if (t != "warned") b.harms.push_back(j.at("at").num());
-      if (!cut) b.harm[s("machine")].push_back(j.at("at").num());
+      if (t != "warned") b.harms.push_back(json.at("at").integer_or());
+      if (!cut) b.harm[s("machine")].push_back(json.at("at").integer_or());
     }
   }
   for (auto& g : b.gots)
@@ -90,7 +93,7 @@
 bool safe(const std::string& m) { return m == "GET" || m == "HEAD"; }
 
 struct Checks {
-  const RegisterClient& b;
+  const RegisterClient& registers;
   CheckReport out;
   std::map<std::string, std::vector<const Ran*>> by_id;
   void breach(int r, std::string w) { out.breaches.push_back({r, std::move(w)}); }
@@ -102,17 +105,17 @@
   }
 
   void not_run() {
-    for (auto& g : b.gots)
+    for (auto& g : registers.gots)
       if (g.outcome == "not-run" && by_id.count(g.id)) breach(2, g.id + " was promised not run, and ran");
   }
 
   void whole() {
     std::map<std::string, std::set<std::string>> made;  // target -> answers made
-    for (auto& r : b.runs) made[r.target].insert(r.out);
-    for (auto& g : b.gots) {
+    for (auto& r : registers.runs) made[r.target].insert(r.out);
+    for (auto& g : registers.gots) {
       if (g.status >= 300) continue;
-      auto a = b.asks.find(g.id);
-      if (a == b.asks.end()) continue;
+      auto a = registers.asks.find(g.id);
+      if (a == registers.asks.end()) continue;
       bool mine = false;
       if (auto f = by_id.find(g.id); f != by_id.end())
         for (auto* r : f->second) mine |= r->out == g.out;
@@ -123,9 +126,9 @@
   }
 
   void true_to_caller() {
-    for (auto& r : b.runs) {
-      auto a = b.asks.find(r.id);
-      if (a == b.asks.end())
+    for (auto& r : registers.runs) {
+      auto a = registers.asks.find(r.id);
+      if (a == registers.asks.end())
         breach(4, "a run of " + r.id + " that no caller asked for");
       else if (a->second.method != r.method || a->second.target != r.target || a->second.in != r.in)
         breach(4, r.id + " was altered on the way");
@@ -135,13 +138,14 @@
   void allowed() {
     std::set<std::string> ok, routes;
     bool any = false;
-    for (auto& e : b.events)
-      if (e.at("t").str() == "allowed") {
+    for (auto& e : registers.events)
+      if (e.at("t").string_or() == "allowed") {
         any = true;
-        ok.insert(e.at("service").str() + "/" + e.at("version").str() + "/" + e.at("prefix").str());
+        ok.insert(e.at("service").string_or() + "/" + e.at("version").string_or() + "/" +
+                  e.at("prefix").string_or());
       }
     if (!any) return;
-    for (auto& r : b.runs) {
+    for (auto& r : registers.runs) {
       bool hit = false;
       for (auto& k : ok) {
         auto p = r.service + "/" + r.version + "/";
@@ -154,12 +158,13 @@
 
   void generations() {
     std::map<std::string, std::vector<std::pair<int64_t, int64_t>>> acked;  // relay -> (when, generation)
-    for (auto& e : b.events)
-      if (e.at("t").str() == "assigned")
-        acked[e.at("relay").str()].push_back({e.at("at").num(), e.at("generation").num()});
+    for (auto& e : registers.events)
+      if (e.at("t").string_or() == "assigned")
+        acked[e.at("relay").string_or()].push_back(
+            {e.at("at").integer_or(), e.at("generation").integer_or()});
     std::map<std::string, int64_t> shown, ended;
     std::map<std::string, std::vector<std::pair<int64_t, int64_t>>> tops;
-    for (auto& g : b.gots) {
+    for (auto& g : registers.gots) {
       if (g.gen < 0) continue;
       for (auto& [at, n] : acked[g.relay])
         if (g.from > at + kBound && g.gen < n)
@@ -174,7 +179,7 @@
       t.push_back({g.at, top});
     }
     // What counts for a shot is when it was sent, however long its request had waited.
-    for (auto& r : b.runs)
+    for (auto& r : registers.runs)
       if (auto f = acked.find(r.relay); r.gen >= 0 && f != acked.end())
         for (auto& [at, n] : f->second)
           if (r.at > at + kBound && r.gen < n)
@@ -183,25 +188,26 @@
   }
 
   void left() {
-    for (auto& r : b.runs)
-      if (auto f = b.leaving.find(r.instance); f != b.leaving.end() && r.at > f->second + kBound)
+    for (auto& r : registers.runs)
+      if (auto f = registers.leaving.find(r.instance);
+          f != registers.leaving.end() && r.at > f->second + kBound)
         breach(7, fmt::format("{} got {} {} ms after it said it leaves", r.instance, r.id, r.at - f->second));
   }
 
   void purges() {
     // What was made after the purge was asked for may be newer than it: only what is older is judged.
     std::vector<std::tuple<int64_t, int64_t, std::string, bool>> ps;
-    for (auto& e : b.events)
-      if (e.at("t").str() == "purged")
-        ps.push_back({e.at("asked").num(e.at("at").num()), e.at("at").num(), e.at("path").str(),
-                      e.at("prefix").flag()});
+    for (auto& e : registers.events)
+      if (e.at("t").string_or() == "purged")
+        ps.push_back({e.at("asked").integer_or(e.at("at").integer_or()), e.at("at").integer_or(),
+                      e.at("path").string_or(), e.at("prefix").bool_or()});
     int64_t life = 0;
-    for (auto& e : b.events)
-      if (e.at("t").str() == "lifetime") life = std::max(life, e.at("ms").num());
-    for (auto& g : b.gots) {
+    for (auto& e : registers.events)
+      if (e.at("t").string_or() == "lifetime") life = std::max(life, e.at("ms").integer_or());
+    for (auto& g : registers.gots) {
       if (g.status != 200 || g.produced < 0) continue;
-      auto a = b.asks.find(g.id);
-      if (a == b.asks.end() || !safe(a->second.method)) continue;
+      auto a = registers.asks.find(g.id);
+      if (a == registers.asks.end() || !safe(a->second.method)) continue;
       auto& t = a->second.target;
       // What a worker made for this very request may take its time; what was kept may not.
       auto when = by_id.count(g.id) ? g.from : g.at;
@@ -215,11 +221,11 @@
 
   void repeats() {
     int64_t allowance = 20;
-    for (auto& e : b.events)
-      if (e.at("t").str() == "allowance") allowance = e.at("n").num();
+    for (auto& e : registers.events)
+      if (e.at("t").string_or() == "allowance") allowance = e.at("n").integer_or();
     std::map<std::string, std::vector<std::pair<int64_t, bool>>> sends;
     std::set<std::string> seen;
-    for (auto& r : b.runs) {
+    for (auto& r : registers.runs) {
       bool again = !seen.insert(r.id).second;
       sends[r.service].push_back({r.at, again});
       out.figures["repeats"] += again;
@@ -242,14 +248,15 @@
   }
 
   void versions() {
-    for (auto& e : b.events) {
-      if (e.at("t").str() != "bad_version") continue;
-      auto s = e.at("service").str(), v = e.at("version").str();
+    for (auto& e : registers.events) {
+      if (e.at("t").string_or() != "bad_version") continue;
+      auto s = e.at("service").string_or(), v = e.at("version").string_or();
       // Of a move with a term the share holds over the whole of it, with its slack.
-      auto since = e.at("at").num(), until = e.at("until").num(), slack = e.at("slack").num(kInFlight);
+      auto since = e.at("at").integer_or(), until = e.at("until").integer_or(),
+           slack = e.at("slack").integer_or(kInFlight);
       int64_t all = 0, mine = 0, bad = 0, fifty = 0;
       bool over = false;
-      for (auto& r : b.runs) {
+      for (auto& r : registers.runs) {
         if (r.service != s || r.at < since) continue;
         bool counts = !until || r.at < until;
         all += counts;
@@ -272,17 +279,18 @@
   }
 
   void rates() {
-    for (auto& e : b.events) {
-      if (e.at("t").str() != "rate") continue;
-      auto s = e.at("service").str();
-      auto rate = e.at("n").num();
+    for (auto& e : registers.events) {
+      if (e.at("t").string_or() != "rate") continue;
+      auto s = e.at("service").string_or();
+      auto rate = e.at("n").integer_or();
       // It is stated from its event until the next of the same service.
-      int64_t since = e.at("at").num(), till = INT64_MAX;
-      for (auto& x : b.events)
-        if (x.at("t").str() == "rate" && x.at("service").str() == s && x.at("at").num() > since)
-          till = std::min(till, x.at("at").num());
+      int64_t since = e.at("at").integer_or(), till = INT64_MAX;
+      for (auto& x : registers.events)
+        if (x.at("t").string_or() == "rate" && x.at("service").string_or() == s &&
+            x.at("at").integer_or() > since)
+          till = std::min(till, x.at("at").integer_or());
       std::vector<int64_t> at;
-      for (auto& r : b.runs)
+      for (auto& r : registers.runs)
         if (r.service == s && r.at >= since && r.at < till) at.push_back(r.at);
       size_t from = 0;
       int64_t top = 0;
@@ -298,20 +306,21 @@
   }
 
   void kept() {
-    for (auto& e : b.events) {
-      auto t = e.at("t").str();
+    for (auto& e : registers.events) {
+      auto t = e.at("t").string_or();
       if (t == "layout_lost")
-        breach(12, "the acknowledged " + e.at("release").str() + " could not be read back");
+        breach(12, "the acknowledged " + e.at("release").string_or() + " could not be read back");
       if (t != "returned") continue;
-      auto at = e.at("at").num();
+      auto at = e.at("at").integer_or();
       // Harm that comes on top has its own return.
-      if (std::any_of(b.harms.begin(), b.harms.end(), [&](auto h) { return h > at && h < at + 20000; }))
+      if (std::any_of(registers.harms.begin(), registers.harms.end(),
+                      [&](auto h) { return h > at && h < at + 20000; }))
         continue;
       uint64_t good = 0, all = 0;
-      for (auto& [id, a] : b.asks)
+      for (auto& [id, a] : registers.asks)
         if (a.at > at + 15000 && a.at < at + 20000) {
           ++all;
-          good += b.well.count(id);
+          good += registers.well.count(id);
         }
       out.figures["returns_judged"] += all > 0;
       if (good * 2 < all)
--- a/test/config_unit.cpp
+++ b/test/config_unit.cpp
@@ -13,18 +13,18 @@
 namespace {
 std::string places(const std::vector<base::ValidationError>& ds) {
   std::string s;
-  for (auto& d : ds) s += d.at + ";";
+  for (auto& d : ds) s += d.pointer + ";";
   return s;
 }
 std::string bad_config(const std::string& t) {
-  auto r = relay::read_config(t);
-  auto* d = std::get_if<std::vector<base::ValidationError>>(&r);
-  return d ? places(*d) : "valid";
+  auto r = relay::parse_settings(t);
+  auto* errors = std::get_if<std::vector<base::ValidationError>>(&r);
+  return errors ? places(*errors) : "valid";
 }
 std::string bad_release(const std::string& kind, const std::string& t) {
-  auto r = rollout::read_release(kind, "x", t);
-  auto* d = std::get_if<std::vector<base::ValidationError>>(&r);
-  return d ? places(*d) : "valid";
+  auto r = rollout::parse_release(kind, "x", t);
+  auto* errors = std::get_if<std::vector<base::ValidationError>>(&r);
+  return errors ? places(*errors) : "valid";
 }
 }  // namespace
 
@@ -37,8 +37,8 @@
   expect(!b.str().empty(), page + " cannot be read");
   auto p = base::Json::parse(schema);
   int n = 0;
-  std::function<void(const base::Json&)> walk = [&](const base::Json& j) {
-    for (auto& [k, v] : j.at("properties").members()) {
+  std::function<void(const base::Json&)> walk = [&](const base::Json& json) {
+    for (auto& [k, v] : json.at("properties").members()) {
       ++n;
       bool there = b.str().find("`" + k + "`") != std::string::npos ||
                    b.str().find("`" + k + ".") != std::string::npos ||
@@ -47,8 +47,8 @@
       expect(there, page + " does not tell of " + k);
       walk(v);
     }
-    if (j.has("items")) walk(j.at("items"));
-    if (!j.at("additionalProperties").members().empty()) walk(j.at("additionalProperties"));
+    if (json.has("items")) walk(json.at("items"));
+    if (!json.at("additionalProperties").members().empty()) walk(json.at("additionalProperties"));
   };
   walk(std::get<base::Json>(p));
   expect(n >= 8, "the schema was not walked");
@@ -56,16 +56,17 @@
 
 // What a later version adds is ignored; an ask that is not known is told so.
 void older_peer() {
-  pb::Ask a;
-  a.mutable_pull()->set_node("n");
-  auto bytes = a.SerializeAsString();
+  pb::PeerRequest request;
+  request.mutable_pull()->set_node("n");
+  auto bytes = request.SerializeAsString();
   bytes += std::string("\xfa\x07\x03new", 6);  // field 127, three bytes
-  pb::Ask b;
+  pb::PeerRequest b;
   expect(b.ParseFromString(bytes) && b.has_pull() && b.pull().node() == "n",
          "an added field broke an older reader");
-  pb::Ask c;
-  expect(c.ParseFromString(std::string("\xfa\x07\x03new", 6)) && c.body_case() == pb::Ask::BODY_NOT_SET,
-         "an unknown ask was taken for a known one");
+  pb::PeerRequest c;
+  expect(
+      c.ParseFromString(std::string("\xfa\x07\x03new", 6)) && c.body_case() == pb::PeerRequest::BODY_NOT_SET,
+      "an unknown ask was taken for a known one");
 }
 }  // namespace
 
@@ -76,9 +77,10 @@
   return {
       {"config: a good one is taken", [good] { same(bad_config(good), std::string("valid"), "places"); }},
       {"config: the page of the settings holds every key",
-       [] { documented(relay::config_schema(), "settings.md"); }},
-      {"layout: its page holds every key", [] { documented(traffic::layout_schema(), "layout.md"); }},
-      {"system: its page holds every key", [] { documented(rollout::system_schema(), "layout.md"); }},
+       [] { documented(relay::settings_schema(), "settings.md"); }},
+      {"layout: its page holds every key",
+       [] { documented(traffic::routing_configuration_schema(), "layout.md"); }},
+      {"system: its page holds every key", [] { documented(rollout::system_options_schema(), "layout.md"); }},
       {"wire: an older reader passes over what is new", older_peer},
       {"config: every defect is named by its place",
        [] {
@@ -101,13 +103,13 @@
        [good] {
          auto t = good;
          t.replace(t.find(R"("holders":{"h":"127.0.0.1:4"},)"), 30, "");
-         auto a = std::get<relay::Config>(relay::read_config(t)).node,
-              b = std::get<relay::Config>(relay::read_config(good)).node;
-         expect(a.holders.empty() && !a.first_start && a.tolerate == 1, "the defaults without holders");
-         expect(b.first_start && b.tolerate == 0, "the defaults with holders");
+         auto a = std::get<relay::Settings>(relay::parse_settings(t)).node,
+              b = std::get<relay::Settings>(relay::parse_settings(good)).node;
+         expect(a.replicas.empty() && !a.initial_boot && a.tolerate == 1, "the defaults without holders");
+         expect(b.initial_boot && b.tolerate == 0, "the defaults with holders");
          t.insert(1, R"("first_start":true,"tolerate":2,)");
-         a = std::get<relay::Config>(relay::read_config(t)).node;
-         expect(a.first_start && a.tolerate == 2, "what is stated");
+         a = std::get<relay::Settings>(relay::parse_settings(t)).node;
+         expect(a.initial_boot && a.tolerate == 2, "what is stated");
        }},
       {"config: what changed is named by its key",
        [good] {
--- a/test/consensus_harness.cpp
+++ b/test/consensus_harness.cpp
@@ -13,18 +13,18 @@
 
 class NoOrigin final : public base::Origin {
  public:
-  bool reach(const std::string&, Duration) override { return false; }
+  bool can_connect(const std::string&, Duration) override { return false; }
   std::variant<base::Response, base::AttemptError> send(const std::string&, const base::Request&,
                                                         const base::AttemptRules&) override {
     return base::AttemptError::unsent;
   }
 };
 
-MessageKind kind_of(const pb::Ask& ask) {
+MessageKind kind_of(const pb::PeerRequest& ask) {
   if (ask.has_prepare()) return MessageKind::prepare;
   if (ask.has_accept()) return MessageKind::accept;
-  if (ask.has_peek()) return MessageKind::peek;
-  if (ask.has_dump()) return MessageKind::dump;
+  if (ask.has_read_register()) return MessageKind::peek;
+  if (ask.has_snapshot()) return MessageKind::dump;
   if (ask.has_adopt()) return MessageKind::adopt;
   return MessageKind::pull;
 }
@@ -32,7 +32,7 @@
 }  // namespace
 
 struct Conversation {
-  std::optional<pb::Reply> reply;
+  std::optional<pb::PeerResponse> reply;
   bool refused = false;
   simulation::Wait wait;
   bool over() const { return reply || refused; }
@@ -47,7 +47,7 @@
 
 class HarnessCondition final : public base::Condition {
  public:
-  HarnessCondition(ConsensusHarness& harness, std::string name, simulation::LifePtr life)
+  HarnessCondition(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
       : harness_(harness), name_(std::move(name)), life_(std::move(life)) {}
   bool wait(Duration span) override { return harness_.wait(name_, life_, span, wait_); }
   void notify() override { harness_.world().notify(wait_); }
@@ -55,13 +55,13 @@
  private:
   ConsensusHarness& harness_;
   std::string name_;
-  simulation::LifePtr life_;
+  simulation::ProcessRunPtr life_;
   simulation::Wait wait_;
 };
 
 class HarnessTasks final : public base::Tasks {
  public:
-  HarnessTasks(ConsensusHarness& harness, std::string name, simulation::LifePtr life)
+  HarnessTasks(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
       : harness_(harness), name_(std::move(name)), life_(std::move(life)) {}
   void spawn(std::function<void()> task) override { harness_.world().spawn(life_, std::move(task)); }
   std::shared_ptr<base::Condition> condition() override {
@@ -71,36 +71,36 @@
  private:
   ConsensusHarness& harness_;
   std::string name_;
-  simulation::LifePtr life_;
+  simulation::ProcessRunPtr life_;
 };
 
-class HarnessNet final : public base::Net {
+class HarnessNet final : public base::PeerTransport {
  public:
-  HarnessNet(ConsensusHarness& harness, std::string name, simulation::LifePtr life)
+  HarnessNet(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
       : harness_(harness), name_(std::move(name)), life_(std::move(life)) {}
-  std::variant<pb::Reply, base::NetError> ask(const std::string& address, const pb::Ask& ask,
-                                              Duration limit) override {
+  std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address, const pb::PeerRequest& ask,
+                                                       Duration limit) override {
     auto conversation = std::make_shared<Conversation>();
     harness_.send({name_, address, kind_of(ask), ask, conversation});
     TimePoint end = harness_.world().now() + limit;
     while (!conversation->over()) {
       auto now = harness_.world().now();
-      if (now >= end) return base::NetError::timed_out;
+      if (now >= end) return base::PeerError::timed_out;
       harness_.wait(name_, life_, end - now, conversation->wait);
     }
     if (conversation->reply) return *conversation->reply;
-    return base::NetError::unreachable;
+    return base::PeerError::unreachable;
   }
 
  private:
   ConsensusHarness& harness_;
   std::string name_;
-  simulation::LifePtr life_;
+  simulation::ProcessRunPtr life_;
 };
 
 // One run of a node's process.
 struct HarnessProcess {
-  simulation::LifePtr life;
+  simulation::ProcessRunPtr life;
   simulation::Clock clock;
   simulation::Random random;
   HarnessTasks tasks;
@@ -113,9 +113,9 @@
   std::unique_ptr<consensus::RegisterClient> client;
   std::unique_ptr<membership::StateCache> cache;
 
-  HarnessProcess(ConsensusHarness& harness, const std::string& name, simulation::Platter& platter,
+  HarnessProcess(ConsensusHarness& harness, const std::string& name, simulation::DiskContents& platter,
                  bool replica, const pb::ReplicaSet& first_set, int64_t* wall)
-      : life(std::make_shared<simulation::Life>()),
+      : life(std::make_shared<simulation::ProcessRun>()),
         clock(harness.world(), life, wall),
         random(harness.world()),
         tasks(harness, name, life),
@@ -125,8 +125,8 @@
     life->host = name;
     set.adopt(first_set);
     if (replica) acceptor = std::make_unique<consensus::Acceptor>(ports, disk, name, set, kRoundLimit);
-    consensus::Local local;
-    if (replica) local = [this](const pb::Ask& ask) { return acceptor->answer(ask); };
+    consensus::LocalReplica local;
+    if (replica) local = [this](const pb::PeerRequest& ask) { return acceptor->answer(ask); };
     client = std::make_unique<consensus::RegisterClient>(ports, name, set, kRoundLimit, local);
     membership::StateCacheConfig config{name, kStalenessBound};
     cache = std::make_unique<membership::StateCache>(
@@ -134,7 +134,9 @@
     if (acceptor) acceptor->start({});
   }
 
-  pb::Reply answer(const pb::Ask& ask) { return ask.has_pull() ? cache->answer(ask) : acceptor->answer(ask); }
+  pb::PeerResponse answer(const pb::PeerRequest& ask) {
+    return ask.has_pull() ? cache->handle_pull(ask) : acceptor->answer(ask);
+  }
 };
 
 ConsensusHarness::ConsensusHarness(uint64_t seed) : world_(seed) {
@@ -160,7 +162,7 @@
 void ConsensusHarness::first_set(const std::vector<std::string>& names) {
   first_set_.set_epoch(1);
   for (auto& name : names) {
-    auto* entry = first_set_.add_holders();
+    auto* entry = first_set_.add_replicas();
     entry->set_name(name);
     entry->set_address(name);
   }
@@ -168,13 +170,13 @@
 
 void ConsensusHarness::add_formed_replica(const std::string& name) {
   auto& platter = nodes_[name].platter;
-  pb::Image image;
-  image.set_stage(pb::FORMED);
-  *image.mutable_set() = first_set_;
-  pb::Record stage, set;
-  stage.set_stage(pb::FORMED);
-  *set.mutable_set() = first_set_;
-  storage::SnapshotStore store(std::make_unique<simulation::MemFiles>(platter), kLogBytes);
+  pb::Snapshot image;
+  image.set_stage(pb::REPLICA_VOTING);
+  *image.mutable_replica_set() = first_set_;
+  pb::LogRecord stage, set;
+  stage.set_stage(pb::REPLICA_VOTING);
+  *set.mutable_replica_set() = first_set_;
+  storage::SnapshotStore store(std::make_unique<simulation::MemoryFiles>(platter), kLogBytes);
   store.load();
   store.save({stage, set}, [&] { return image; });
   add_blank_replica(name);
@@ -183,7 +185,7 @@
 void ConsensusHarness::add_blank_replica(const std::string& name) {
   auto& node = nodes_[name];
   node.replica = true;
-  node.platter.least = node.platter.most = Duration(1);
+  node.platter.min_latency = node.platter.max_latency = Duration(1);
   start_process(name);
 }
 
@@ -235,7 +237,7 @@
 void ConsensusHarness::stall(const std::string& name) { nodes_.at(name).stalled = true; }
 void ConsensusHarness::wake(const std::string& name) { nodes_.at(name).stalled = false; }
 
-bool ConsensusHarness::wait(const std::string& name, const simulation::LifePtr& life, Duration span,
+bool ConsensusHarness::wait(const std::string& name, const simulation::ProcessRunPtr& life, Duration span,
                             simulation::Wait& wait) {
   if (world_.wait(life, span, wait)) return true;
   while (nodes_.at(name).stalled)
@@ -274,7 +276,7 @@
   });
 }
 
-void ConsensusHarness::reply(const Message& message, std::optional<pb::Reply> answer) {
+void ConsensusHarness::reply(const Message& message, std::optional<pb::PeerResponse> answer) {
   auto& conversation = *message.conversation;
   if (conversation.over()) return;
   conversation.reply = std::move(answer);
--- a/test/consensus_harness.hpp
+++ b/test/consensus_harness.hpp
@@ -23,7 +23,7 @@
 struct Message {
   std::string from, to;
   MessageKind kind = MessageKind::any;
-  pb::Ask ask;
+  pb::PeerRequest ask;
   std::shared_ptr<Conversation> conversation;
 };
 
@@ -118,19 +118,20 @@
   struct Node {
     bool replica = false;
     bool stalled = false;
-    simulation::Platter platter;
+    simulation::DiskContents platter;
     std::unique_ptr<HarnessProcess> process;
   };
   void start_process(const std::string& name);
   void send(const Message& message);
   void carry(const Message& message, const Transit& transit);
   void arrive(const Message& message, const Transit& transit);
-  void reply(const Message& message, std::optional<pb::Reply> answer);
+  void reply(const Message& message, std::optional<pb::PeerResponse> answer);
   std::optional<Message> take_held(const MessageFilter& filter);
-  bool wait(const std::string& name, const simulation::LifePtr& life, Duration span, simulation::Wait& wait);
+  bool wait(const std::string& name, const simulation::ProcessRunPtr& life, Duration span,
+            simulation::Wait& wait);
 
   simulation::World world_;
-  simulation::LifePtr script_ = std::make_shared<simulation::Life>();
+  simulation::ProcessRunPtr script_ = std::make_shared<simulation::ProcessRun>();
   int64_t wall_offset_ = 0;
   pb::ReplicaSet first_set_;
   std::map<std::string, Node> nodes_;
--- a/test/consensus_property_unit.cpp
+++ b/test/consensus_property_unit.cpp
@@ -99,13 +99,13 @@
   void note(const std::string& line) { history_.note(harness_.world().now(), line); }
 
   // A pause in a task of a node, which ends when the node crashes.
-  void nap(const simulation::LifePtr& pauses, Duration span) {
+  void nap(const simulation::ProcessRunPtr& pauses, Duration span) {
     simulation::Wait wait;
     harness_.world().wait(pauses, span, wait);
   }
 
   void begin_tasks(const std::string& name) {
-    auto pauses = pauses_[name] = std::make_shared<simulation::Life>();
+    auto pauses = pauses_[name] = std::make_shared<simulation::ProcessRun>();
     pauses->host = name;
     changing_.erase(name);
     harness_.cache(name).start();
@@ -129,16 +129,16 @@
   }
 
   // As ReplicaRepair does it.
-  void keep_copies_rewritten(const std::string& name, const simulation::LifePtr& pauses) {
+  void keep_copies_rewritten(const std::string& name, const simulation::ProcessRunPtr& pauses) {
     for (;; nap(pauses, kCatchUpPause)) {
-      if (harness_.acceptor(name).mute()) continue;
-      auto copied = harness_.acceptor(name).copied();
+      if (harness_.acceptor(name).non_voting()) continue;
+      auto copied = harness_.acceptor(name).refilled_registers();
       if (!copied.empty() && harness_.client(name).rewrite(copied)) note(name + " has its copies rewritten");
     }
   }
 
   void keep_writing(const std::string& name, const WrittenRegister& written_register,
-                    const simulation::LifePtr& pauses) {
+                    const simulation::ProcessRunPtr& pauses) {
     auto& register_name = written_register.name;
     VersionedValue known;
     for (;; nap(pauses, Duration(1 + harness_.world().below(written_register.longest_pause_ms)))) {
@@ -150,7 +150,7 @@
         if (written->version != known.version + 1) history_.violated("a write skips versions");
         known = *written;
       } else if (auto* conflict = std::get_if<consensus::VersionConflict>(&result)) {
-        known = conflict->now;
+        known = conflict->current;
       } else {
         continue;
       }
@@ -170,7 +170,7 @@
   // A good pull that began after now shows all that was acknowledged before.
   void cached_read(const std::string& name, const std::string& register_name) {
     auto began = history_.floor(register_name);
-    if (!harness_.cache(name).settle(kStalenessBound)) return;
+    if (!harness_.cache(name).await_pull(kStalenessBound)) return;
     ++tally_.cached_reads;
     auto& chosen = harness_.cache(name).chosen();
     auto found = chosen.find(register_name);
@@ -202,7 +202,7 @@
   bool majority_votes(const std::string& name, const ReplicaList& list) {
     auto& present = harness_.set(name).current();
     auto voting = std::count_if(list.begin(), list.end(), [&](auto& replica) {
-      return consensus::contains(present, replica) && harness_.cache(name).votes(replica.name);
+      return consensus::contains(present, replica) && harness_.cache(name).is_voting(replica.name);
     });
     return static_cast<size_t>(voting) >= consensus::majority_of(list.size());
   }
@@ -221,7 +221,7 @@
   void finish_change(const std::string& name) {
     note(name + " finishes the change under way");
     auto result = harness_.client(name).finish_change(
-        [this, name] { return harness_.cache(name).names(kStalenessBound); });
+        [this, name] { return harness_.cache(name).register_names(kStalenessBound); });
     auto* finished = std::get_if<pb::ReplicaSet>(&result);
     if (!finished) return note(name + " did not finish the change");
     ++tally_.finished;
@@ -232,7 +232,7 @@
   std::vector<std::string> changers() {
     std::vector<std::string> names;
     for (auto& name : disk_names_)
-      if (names.size() < kChangers && harness_.running(name) && !harness_.acceptor(name).mute())
+      if (names.size() < kChangers && harness_.running(name) && !harness_.acceptor(name).non_voting())
         names.push_back(name);
     return names;
   }
@@ -251,8 +251,8 @@
   // One disk at a time: the one lost before votes again, and none of its state is a copy.
   bool may_lose_disk() {
     if (lost_.empty()) return true;
-    if (!harness_.running(lost_) || harness_.acceptor(lost_).mute()) return false;
-    if (!harness_.acceptor(lost_).copied().empty()) return false;
+    if (!harness_.running(lost_) || harness_.acceptor(lost_).non_voting()) return false;
+    if (!harness_.acceptor(lost_).refilled_registers().empty()) return false;
     ++tally_.refills;
     return true;
   }
@@ -322,8 +322,8 @@
   const Schedule& schedule_;
   ConsensusHarness harness_;
   std::vector<std::string> disk_names_, node_names_;
-  std::map<std::string, simulation::LifePtr> pauses_;  // of each node's tasks
-  std::set<std::string> changing_;                     // nodes with a change under way
+  std::map<std::string, simulation::ProcessRunPtr> pauses_;  // of each node's tasks
+  std::set<std::string> changing_;                           // nodes with a change under way
   std::string lost_, cut_off_;
   History history_;
   Tally tally_;
--- a/test/consensus_traces_unit.cpp
+++ b/test/consensus_traces_unit.cpp
@@ -43,7 +43,7 @@
 }
 
 auto start_pull(ConsensusHarness& harness, const std::string& node) {
-  return harness.start<bool>(node, [&harness, node] { return harness.cache(node).once(); });
+  return harness.start<bool>(node, [&harness, node] { return harness.cache(node).pull_once(); });
 }
 
 VersionedValue value_of(const consensus::ReadResult& result, const std::string& what) {
@@ -67,7 +67,7 @@
 }
 
 void await_voting(ConsensusHarness& harness, const std::string& replica) {
-  harness.wait_until([&] { return !harness.acceptor(replica).mute(); }, "the refill of " + replica);
+  harness.wait_until([&] { return !harness.acceptor(replica).non_voting(); }, "the refill of " + replica);
 }
 
 // What a pull settled for the register.
@@ -237,7 +237,7 @@
 auto start_finish(ConsensusHarness& harness) {
   return harness.start<consensus::ReplicaSetResult>("P1", [&harness] {
     return harness.client("P1").finish_change([&harness]() -> std::optional<std::vector<std::string>> {
-      if (!harness.cache("P1").once()) return {};
+      if (!harness.cache("P1").pull_once()) return {};
       std::vector<std::string> names;
       for (auto& [name, value] : harness.cache("P1").chosen()) names.push_back(name);
       return names;
--- a/test/consensus_unit.cpp
+++ b/test/consensus_unit.cpp
@@ -51,10 +51,10 @@
                      q.set_name("r");
                      *q.mutable_ballot() = p.b;
                      auto st = consensus::prepare(slot, q);
-                     if (st.yes) {
-                       slot = st.slot;
+                     if (st.granted) {
+                       slot = st.state;
                        ++p.yes;
-                       if (consensus::lower(p.best.accepted(), slot.accepted())) p.best = slot;
+                       if (consensus::is_lower(p.best.accepted(), slot.accepted())) p.best = slot;
                      }
                      if (p.yes >= 3) {
                        p.accepting = true;
@@ -72,8 +72,8 @@
                      *q.mutable_ballot() = p.b;
                      *q.mutable_value() = p.v;
                      auto st = consensus::accept(slot, q);
-                     if (st.yes) {
-                       slot = st.slot;
+                     if (st.granted) {
+                       slot = st.state;
                        if (++p.acks >= 3) chosen[p.v.version()].insert(p.v.data());
                      }
                    }
@@ -82,15 +82,15 @@
                }),
       {"registry: a promise is not given twice, nor an accept below it",
        [] {
-         pb::RegisterState s;
-         pb::Prepare p;
-         *p.mutable_ballot() = ballot(3, "a");
-         auto one = consensus::prepare(s, p);
-         expect(one.yes && one.dirty, "the first promise");
-         expect(!consensus::prepare(one.slot, p).yes, "the same ballot twice");
+         pb::RegisterState state;
+         pb::Prepare request;
+         *request.mutable_ballot() = ballot(3, "a");
+         auto one = consensus::prepare(state, request);
+         expect(one.granted && one.must_sync, "the first promise");
+         expect(!consensus::prepare(one.state, request).granted, "the same ballot twice");
          pb::Accept low;
          *low.mutable_ballot() = ballot(2, "z");
-         expect(!consensus::accept(one.slot, low).yes, "an accept below the promise");
+         expect(!consensus::accept(one.state, low).granted, "an accept below the promise");
        }},
   };
 }
--- a/test/contact_unit.cpp
+++ b/test/contact_unit.cpp
@@ -21,8 +21,8 @@
 membership::Member member(int number, bool disk) {
   membership::Member member;
   member.name = fmt::format("n{}", number);
-  member.fact.set_http_address(member.name);
-  member.fact.set_disk(disk);
+  member.info.set_http_address(member.name);
+  member.info.set_disk(disk);
   return member;
 }
 
@@ -33,14 +33,15 @@
   for (int i = 0; i < kNodes; ++i) known.push_back(member(i, i < kWithDisk));
   std::set<std::string> asked;
   for (int look = 0; look < 100; ++look) {
-    auto drawn = membership::draw_known(known, random);
-    expect(drawn.size() == 2 * membership::kAskedOfEach, fmt::format("{} addresses at once", drawn.size()));
+    auto drawn = membership::draw_contacts(known, random);
+    expect(drawn.size() == 2 * membership::kContactsPerKind,
+           fmt::format("{} addresses at once", drawn.size()));
     asked.insert(drawn.begin(), drawn.end());
   }
   for (int i = 0; i < kWithDisk; ++i)
     expect(asked.count(fmt::format("n{}", i)) > 0, "a node with a disk is never asked");
   expect(asked.size() > 100, "always the same are asked");
-  expect(membership::draw_known({member(1, false)}, random).size() == 1, "one known, one asked");
+  expect(membership::draw_contacts({member(1, false)}, random).size() == 1, "one known, one asked");
 }
 
 // Pulls in ten seconds, each of which takes as long as a pull may.
@@ -101,7 +102,7 @@
     int pulls = 0;
     for (bool good = false; !good; ++pulls) {
       expect(pulls < kMostPulls, "no pull was good");
-      auto pull = harness.start<bool>("R", [&] { return harness.cache("R").once(); });
+      auto pull = harness.start<bool>("R", [&] { return harness.cache("R").pull_once(); });
       good = harness.result(pull, "a pull");
     }
     expect(pulls > 3, fmt::format("all was told in {} pulls", pulls));
@@ -116,21 +117,22 @@
   TimePoint now(100000);
   pb::NodeStatus old;
   old.set_source("A");
-  old.mutable_mark()->set_incarnation(1);
-  old.mutable_mark()->set_count(400);
+  old.mutable_version()->set_incarnation(1);
+  old.mutable_version()->set_count(400);
   other.merge(old, now);
   pb::NodeStatus anew = old;
-  anew.mutable_mark()->set_count(1);
+  anew.mutable_version()->set_count(1);
   replica.merge(anew, now);
   expect(!other.merge(anew, now), "the node takes what its source said in its life before for later");
-  replica.note(other.marks(), now);
-  auto known = replica.mark("A");
-  expect(known && membership::newer(*known, anew.mark()), "the replica is not told that it began too low");
-  anew.mutable_mark()->set_incarnation(known->incarnation() + 1);
+  replica.note_known_versions(other.known_versions(), now);
+  auto known = replica.known_version("A");
+  expect(known && membership::newer(*known, anew.version()), "the replica is not told that it began too low");
+  anew.mutable_version()->set_incarnation(known->incarnation() + 1);
   expect(other.merge(anew, now) && replica.merge(anew, now), "what it says above that is not taken");
-  replica.note(other.marks(), now);
+  replica.note_known_versions(other.known_versions(), now);
   replica.forget(now);
-  expect(!membership::newer(*replica.mark("A"), anew.mark()), "an old mark is kept beside a later status");
+  expect(!membership::newer(*replica.known_version("A"), anew.version()),
+         "an old mark is kept beside a later status");
 }
 
 // The same with whole nodes: replicas have noted that others know a later status of R than its own; R
@@ -144,18 +146,19 @@
     harness.rule({"R"}, Fate::deliver);
     pb::NodeStatus late;
     late.set_source("R");
-    late.mutable_mark()->set_incarnation(7);
-    late.mutable_mark()->set_count(9);
+    late.mutable_version()->set_incarnation(7);
+    late.mutable_version()->set_count(9);
     auto pull_once = [&] {
-      return harness.result(harness.start<bool>("R", [&] { return harness.cache("R").once(); }), "a pull");
+      return harness.result(harness.start<bool>("R", [&] { return harness.cache("R").pull_once(); }),
+                            "a pull");
     };
     for (int i = 0; i < 3; ++i) pull_once();
     auto before = harness.cache("R").incarnation();
     expect(before == 1, fmt::format("the first incarnation is {}", before));
     for (auto* name : {"A", "B", "C"}) {
-      google::protobuf::Map<std::string, pb::Mark> known;
-      known["R"] = late.mark();
-      harness.cache(name).statuses().note(known, TimePoint(0));
+      google::protobuf::Map<std::string, pb::StatusVersion> known;
+      known["R"] = late.version();
+      harness.cache(name).statuses().note_known_versions(known, TimePoint(0));
     }
     for (int i = 0; i < 3; ++i) pull_once();
     same(harness.cache("R").incarnation(), uint64_t(8), "the incarnation above the one that others know");
--- a/test/control_api_stories.cpp
+++ b/test/control_api_stories.cpp
@@ -35,17 +35,17 @@
 // One try at one host: status 0 when it was silent for as long as a client waits.
 base::Response ask(Scene& s, simulation::Host& host, const Order& order) {
   base::Request request{"", order.method, order.target, order.body, order.headers};
-  auto exchange = s.f.exchange(host, request, true, kPatience);
-  if (!exchange.whole) return {0, {}, {}};
-  return exchange.receipt;
+  auto exchange = s.fleet.exchange(host, request, true, kPatience);
+  if (!exchange.complete) return {0, {}, {}};
+  return exchange.response;
 }
 
 // As an operator goes on: to another host after silence or a 5xx, until the answer is clear.
 base::Response order_until_clear(Scene& s, const Order& order, Duration longest) {
   base::Response response;
-  s.f.until(longest, [&] {
-    auto& hosts = s.f.hosts();
-    auto& host = *hosts[s.w.below(hosts.size())];
+  s.fleet.wait_until(longest, [&] {
+    auto& hosts = s.fleet.hosts();
+    auto& host = *hosts[s.world.below(hosts.size())];
     if (host.up()) response = ask(s, host, order);
     return response.status / 100 == 2 || response.status / 100 == 4;
   });
@@ -76,10 +76,10 @@
 enum class Cut { both_ways, from_it, to_it };
 
 void cut(Scene& s, const std::string& name, Cut how) {
-  for (auto& host : s.f.hosts()) {
+  for (auto& host : s.fleet.hosts()) {
     if (host->name == name) continue;
-    if (how != Cut::to_it) s.w.cut(name, host->name);
-    if (how != Cut::from_it) s.w.cut(host->name, name);
+    if (how != Cut::to_it) s.world.partition(name, host->name);
+    if (how != Cut::from_it) s.world.partition(host->name, name);
   }
 }
 
@@ -120,44 +120,45 @@
   s.story = [&s, how] {
     if (!begin_numbered(s, 1010)) return;
     if (!purge(s, "known", "path", "/c/1")) s.want(false, "a purge was not taken");
-    s.f.sleep(Duration(1000));  // every relay has heard of it
-    auto* host = &s.f.at(s.w.below(2) ? "h2" : "e1");
+    s.fleet.sleep(Duration(1000));  // every relay has heard of it
+    auto* host = &s.fleet.at(s.world.below(2) ? "h2" : "e1");
     cut(s, host->name, how);
     auto asked = std::make_shared<int>(0), left = std::make_shared<int>(0);
     auto ask_cut_off = [&s, host, asked, left](const Order& order) {
       ++*left;
-      s.f.outside([&s, host, asked, left, order] {
-        auto from = s.w.now();
+      s.fleet.spawn_outside([&s, host, asked, left, order] {
+        auto from = s.world.now();
         auto response = ask(s, *host, order);
         ++*asked;
         --*left;
         auto said = fmt::format("{} {} at a relay cut off got {} after {} ms: {}", order.method, order.target,
-                                response.status, (s.w.now() - from).count(), response.body);
+                                response.status, (s.world.now() - from).count(), response.body);
         s.want(response.status == 503 && !base::header(response.headers, "Retry-After").empty(), said);
       });
     };
     // The others go on meanwhile, and what they acknowledge is news to the one cut off.
-    s.f.outside([&s, host] {
-      for (auto& other : s.f.hosts())
+    s.fleet.spawn_outside([&s, host] {
+      for (auto& other : s.fleet.hosts())
         if (other->name != host->name && ask(s, *other, put_numbered(1020, numbered(4, true))).status == 200)
           return;
       s.want(false, "nobody else took a configuration");
     });
-    for (auto end = s.w.now() + Duration(20000); s.w.now() < end;) {
+    for (auto end = s.world.now() + Duration(20000); s.world.now() < end;) {
       for (auto& order : orders_about_state()) ask_cut_off(order);
       for (auto* invalid : {"{", R"({"content":{"services":{},"routes":[{"prefix":"x"}]}})"}) {
         auto status = ask(s, *host, put_numbered(1030, invalid)).status;
         s.want(status == 422 || status == 503, fmt::format("an invalid configuration got {}", status));
       }
-      s.f.sleep(Duration(50 + s.w.below(900)));
+      s.fleet.sleep(Duration(50 + s.world.below(900)));
     }
-    s.want(s.f.until(Duration(2000), [&] { return *left == 0; }), "a call was never answered");
-    s.w.mend();
-    s.want(s.f.until(Duration(3000),
-                     [&] {
-                       auto response = ask(s, *host, {"GET", "/v1/layouts/current", ""});
-                       return response.status == 200 && parsed(response.body).at("number").num() == 1020;
-                     }),
+    s.want(s.fleet.wait_until(Duration(2000), [&] { return *left == 0; }), "a call was never answered");
+    s.world.heal_all();
+    s.want(s.fleet.wait_until(Duration(3000),
+                              [&] {
+                                auto response = ask(s, *host, {"GET", "/v1/layouts/current", ""});
+                                return response.status == 200 &&
+                                       parsed(response.body).at("number").integer_or() == 1020;
+                              }),
            "the newest configuration does not come from a relay that is joined again");
     s.figures["asked"] = static_cast<uint64_t>(*asked);
   };
@@ -174,23 +175,24 @@
       std::vector<int> statuses(2, 0);
       int left = 2;
       for (size_t k = 0; k < 2; ++k)
-        s.f.outside([&, k] {
+        s.fleet.spawn_outside([&, k] {
           statuses[k] = order_until_clear(s, orders[k], Duration(8000)).status;
           --left;
         });
-      s.want(s.f.until(Duration(9000), [&] { return left == 0; }), "an operator got no clear answer");
+      s.want(s.fleet.wait_until(Duration(9000), [&] { return left == 0; }),
+             "an operator got no clear answer");
       bool one = (statuses[0] == 200) != (statuses[1] == 200);
       s.want(one && statuses[0] + statuses[1] == 200 + 409,
              fmt::format("under one number {} and {} were answered", statuses[0], statuses[1]));
       size_t won = statuses[0] == 200 ? 0 : 1;
       auto held = order_until_clear(s, {"GET", "/v1/layouts/current", ""}, Duration(4000));
-      s.want(parsed(held.body).at("stated").str() == parsed(orders[won].body).at("stated").str(),
+      s.want(parsed(held.body).at("stated").string_or() == parsed(orders[won].body).at("stated").string_or(),
              "what is held is not what was confirmed: " + held.body);
       auto again = order_until_clear(s, orders[won], Duration(4000));
-      s.want(again.status == 200 && !parsed(again.body).at("changed").flag(),
+      s.want(again.status == 200 && !parsed(again.body).at("changed").bool_or(),
              "the same again under its number got " + again.body);
       auto older = order_until_clear(s, put_numbered(number - 1, numbered(8)), Duration(4000));
-      s.want(older.status == 200 && !parsed(older.body).at("changed").flag(),
+      s.want(older.status == 200 && !parsed(older.body).at("changed").bool_or(),
              "an older number got " + older.body);
     }
   };
@@ -200,11 +202,12 @@
 void again_at_once(Scene& s, const Order& order, int copies) {
   int left = copies;
   for (int k = 0; k < copies; ++k)
-    s.f.outside([&] {
+    s.fleet.spawn_outside([&] {
       acknowledged(s, order);
       --left;
     });
-  s.want(s.f.until(Duration(8000), [&] { return left == 0; }), "an order sent again got no clear answer");
+  s.want(s.fleet.wait_until(Duration(8000), [&] { return left == 0; }),
+         "an order sent again got no clear answer");
 }
 
 // Each kind of order is sent again after it was taken, after a newer one and eight times at
@@ -233,9 +236,10 @@
       acknowledged(s, older);
     }
     auto held = order_until_clear(s, {"GET", "/v1/layouts/current", ""}, Duration(4000));
-    s.want(parsed(held.body).at("number").num() == 1013, "an older configuration came back: " + held.body);
+    s.want(parsed(held.body).at("number").integer_or() == 1013,
+           "an older configuration came back: " + held.body);
     auto known = order_until_clear(s, pairs[2].first, Duration(4000));
-    s.want(parsed(known.body).at("was_known").flag(), "a named purge was done twice: " + known.body);
+    s.want(parsed(known.body).at("was_known").bool_or(), "a named purge was done twice: " + known.body);
   };
 }
 
@@ -254,18 +258,19 @@
     again_at_once(s, move_to("2"), 8);
     auto trial = [&s] {
       auto state = order_until_clear(s, {"GET", "/v1/services/app", ""}, Duration(4000));
-      return parsed(state.body).at("trial_number").str();
+      return parsed(state.body).at("trial_number").string_or();
     };
     s.want(trial() == "1", "one move asked for eight times at once opened several trials");
     if (!acknowledged(s, move_to("1"))) return;
     again_at_once(s, move_to("2"), 4);
     s.want(trial() == "1", "a move that a newer one had replaced was begun again");
-    s.want(latest().at("version").str() == "1", "a move sent again took the place of a newer one");
+    s.want(latest().at("version").string_or() == "1", "a move sent again took the place of a newer one");
     if (!acknowledged(s, move_to("1"))) return;
     // After a while the same words are a new order.
-    s.f.sleep(Duration(31000));
+    s.fleet.sleep(Duration(31000));
     if (!acknowledged(s, move_to("2"))) return;
-    s.want(trial() == "2" && latest().at("version").str() == "2", "a new move in old words was not begun");
+    s.want(trial() == "2" && latest().at("version").string_or() == "2",
+           "a new move in old words was not begun");
   };
 }
 
--- a/test/control_state_unit.cpp
+++ b/test/control_state_unit.cpp
@@ -10,20 +10,20 @@
   constexpr int kPurges = 5000, kMostKept = 129;
   pb::PurgeSet set;
   for (int i = 0; i < kPurges; ++i) {
-    pb::Purge p;
-    p.set_kind(i % 3 ? "path" : "prefix");
-    p.set_path(fmt::format("/c/{}", i));
-    p.set_name(fmt::format("n{}", i));
-    auto done = control_api::add_purge(set, p);
+    pb::Purge purge;
+    purge.set_kind(i % 3 ? "path" : "prefix");
+    purge.set_path(fmt::format("/c/{}", i));
+    purge.set_name(fmt::format("n{}", i));
+    auto done = control_api::add_purge(set, purge);
     expect(done.number == static_cast<uint64_t>(i) + 1, "a purge did not raise the number");
     expect(set.purges_size() <= kMostKept, "purges pile up");
   }
   uint64_t folded = 0, oldest_kept = kPurges;
-  for (auto& p : set.purges())
-    if (p.kind() == "service")
-      folded = std::max(folded, p.number());
+  for (auto& purge : set.purges())
+    if (purge.kind() == "service")
+      folded = std::max(folded, purge.number());
     else
-      oldest_kept = std::min(oldest_kept, p.number());
+      oldest_kept = std::min(oldest_kept, purge.number());
   expect(folded + 1 == oldest_kept, "some purge is neither kept nor folded into a wider one");
 }
 }  // namespace
--- a/test/disk_stories.cpp
+++ b/test/disk_stories.cpp
@@ -20,69 +20,70 @@
 
 Writer write_layouts(Scene& s) {
   Writer w;
-  s.f.outside([&s, w] {
+  s.fleet.spawn_outside([&s, w] {
     for (int i = 0; !*w.stop; ++i) {
       auto name = fmt::format("r{}", i);
       auto document = sim_layout("\"1\"", 1 + i % 9);
-      if (s.f.tell("PUT", "/v1/releases/layout/" + name, document).status == 202) (*w.acked)[name] = document;
-      s.f.sleep(Duration(1 + s.w.below(300)));
+      if (s.fleet.operator_call("PUT", "/v1/releases/layout/" + name, document).status == 202)
+        (*w.acked)[name] = document;
+      s.fleet.sleep(Duration(1 + s.world.below(300)));
     }
   });
   return w;
 }
 
-void begin_fault(Scene& s, simulation::Host& h, DiskFault fault, Duration lasts) {
-  if (fault == DiskFault::full) h.platter.full = true;
-  if (fault == DiskFault::refusing) h.platter.failing = true;
-  if (fault == DiskFault::stalled) h.platter.stalled_until = s.w.now() + lasts;
+void begin_fault(Scene& s, simulation::Host& host, DiskFault fault, Duration lasts) {
+  if (fault == DiskFault::full) host.disk_contents.full = true;
+  if (fault == DiskFault::refusing) host.disk_contents.failing = true;
+  if (fault == DiskFault::stalled) host.disk_contents.stalled_until = s.world.now() + lasts;
 }
 
-void end_fault(simulation::Host& h) {
-  h.platter.full = h.platter.failing = false;
-  h.platter.stalled_until = TimePoint(0);
+void end_fault(simulation::Host& host) {
+  host.disk_contents.full = host.disk_contents.failing = false;
+  host.disk_contents.stalled_until = TimePoint(0);
 }
 
 // Whether the replica gives a promise, asked for a register of which nobody makes use.
-bool votes(Scene& s, simulation::Host& h) {
+bool votes(Scene& s, simulation::Host& host) {
   struct Asked {
     bool yes = false, done = false;
   };
   auto asked = std::make_shared<Asked>();
-  auto* node = h.node.get();
-  pb::Ask a;
-  a.set_epoch(node->registers().set().epoch());
-  a.mutable_prepare()->set_name("test/disk");
-  a.mutable_prepare()->mutable_ballot()->set_round(static_cast<uint64_t>(s.w.now().count()));
-  a.mutable_prepare()->mutable_ballot()->set_node("test");
-  s.w.spawn(h.life, [node, a, asked] {
-    auto reply = node->acceptor()->answer(a);
-    asked->yes = reply.vote().yes() && !reply.vote().mute();
+  auto* node = host.node.get();
+  pb::PeerRequest request;
+  request.set_epoch(node->registers().set().epoch());
+  request.mutable_prepare()->set_name("test/disk");
+  request.mutable_prepare()->mutable_ballot()->set_round(static_cast<uint64_t>(s.world.now().count()));
+  request.mutable_prepare()->mutable_ballot()->set_node("test");
+  s.world.spawn(host.process, [node, request, asked] {
+    auto reply = node->acceptor()->answer(request);
+    asked->yes = reply.vote().granted() && !reply.vote().non_voting();
     asked->done = true;
   });
-  s.f.until(kVotesAgain, [&] { return asked->done; });
+  s.fleet.wait_until(kVotesAgain, [&] { return asked->done; });
   return asked->yes;
 }
 
 void all_know(Scene& s, const Acked& acked) {
-  for (auto& h : s.f.hosts())
+  for (auto& h : s.fleet.hosts())
     if (h->up()) knows(s, *h, acked);
 }
 
 std::vector<std::string> replicas_in_any_order(Scene& s) {
   std::vector<std::string> names;
-  for (auto& h : s.f.hosts())
-    if (h->holder) names.push_back(h->name);
-  for (size_t i = names.size(); i > 1; --i) std::swap(names[i - 1], names[s.w.below(i)]);
+  for (auto& h : s.fleet.hosts())
+    if (h->has_disk) names.push_back(h->name);
+  for (size_t i = names.size(); i > 1; --i) std::swap(names[i - 1], names[s.world.below(i)]);
   return names;
 }
 
 // Whether a layout stated now is recorded in time. Asked anew, since the writer may still wait for
 // an answer of a process that was killed.
 bool records(Scene& s, const Writer& w, Duration most) {
-  return s.f.until(most, [&] {
-    auto name = fmt::format("probe{}", s.w.now().count());
+  return s.fleet.wait_until(most, [&] {
+    auto name = fmt::format("probe{}", s.world.now().count());
     auto document = sim_layout("\"1\"", 1);
-    if (s.f.tell("PUT", "/v1/releases/layout/" + name, document).status != 202) return false;
+    if (s.fleet.operator_call("PUT", "/v1/releases/layout/" + name, document).status != 202) return false;
     (*w.acked)[name] = document;
     return true;
   });
@@ -95,44 +96,45 @@
   s.story = [&s, fault] {
     if (!begin(s)) return;
     auto w = write_layouts(s);
-    s.f.sleep(Duration(2000));
+    s.fleet.sleep(Duration(2000));
     Duration longest{0};
     for (int round = 0; round < 5; ++round) {
       auto names = replicas_in_any_order(s);
-      auto& h = s.f.at(names[0]);
-      Duration lasts(1000 + s.w.below(4000));
-      auto from = s.w.now();
-      begin_fault(s, h, fault, lasts);
-      s.f.sleep(lasts / 2);
+      auto& host = s.fleet.at(names[0]);
+      Duration lasts(1000 + s.world.below(4000));
+      auto from = s.world.now();
+      begin_fault(s, host, fault, lasts);
+      s.fleet.sleep(lasts / 2);
       // Its process may end meanwhile and start on the disk as it is.
-      if (s.w.random(300)) {
-        s.f.kill(h.name);
-        s.f.start(h.name);
+      if (s.world.random(300)) {
+        s.fleet.kill(host.name);
+        s.fleet.start(host.name);
       } else if (fault != DiskFault::stalled) {
-        s.want(h.node->acceptor()->mute(), h.name + " votes on a disk that fails");
+        s.want(host.node->acceptor()->non_voting(), host.name + " votes on a disk that fails");
       }
       s.want(records(s, w, lasts - lasts / 2), "one failing disk of five, and control stood still");
-      s.f.sleep(std::max(Duration(0), from + lasts - s.w.now()));
-      end_fault(h);
-      from = s.w.now();
-      s.f.kill(names[1]);
-      bool again = s.f.until(kVotesAgain, [&] { return votes(s, h); });
-      s.want(again, h.name + " does not vote a second after its disk works again");
-      longest = std::max<Duration>(longest, s.w.now() - from);
-      s.f.kill(names[2]);
+      s.fleet.sleep(std::max(Duration(0), from + lasts - s.world.now()));
+      end_fault(host);
+      from = s.world.now();
+      s.fleet.kill(names[1]);
+      bool again = s.fleet.wait_until(kVotesAgain, [&] { return votes(s, host); });
+      s.want(again, host.name + " does not vote a second after its disk works again");
+      longest = std::max<Duration>(longest, s.world.now() - from);
+      s.fleet.kill(names[2]);
       s.want(records(s, w, Duration(5000)), "control stands still though three replicas of five vote");
-      s.f.sleep(Duration(2000));
-      s.f.start(names[1]);
-      s.f.start(names[2]);
-      s.f.sleep(Duration(2500));
-      s.f.kill(h.name);
-      s.f.sleep(Duration(200));
-      s.f.start(h.name);
-      s.f.sleep(Duration(3000));
-      s.want(!h.node->acceptor()->mute(), h.name + " lost what it wrote when its disk worked again");
+      s.fleet.sleep(Duration(2000));
+      s.fleet.start(names[1]);
+      s.fleet.start(names[2]);
+      s.fleet.sleep(Duration(2500));
+      s.fleet.kill(host.name);
+      s.fleet.sleep(Duration(200));
+      s.fleet.start(host.name);
+      s.fleet.sleep(Duration(3000));
+      s.want(!host.node->acceptor()->non_voting(),
+             host.name + " lost what it wrote when its disk worked again");
     }
     *w.stop = true;
-    s.f.sleep(Duration(8000));
+    s.fleet.sleep(Duration(8000));
     all_know(s, *w.acked);
     s.figures["longest_until_vote_ms"] = static_cast<uint64_t>(longest.count());
     s.figures["layouts_acked"] = w.acked->size();
@@ -149,35 +151,35 @@
     if (!begin(s)) return;
     auto w = write_layouts(s);
     for (int round = 0; round < 3; ++round) {
-      s.f.sleep(Duration(2000 + s.w.below(1000)));
+      s.fleet.sleep(Duration(2000 + s.world.below(1000)));
       auto names = replicas_in_any_order(s);
       for (auto& n : names) {
-        begin_fault(s, s.f.at(n), DiskFault::full, Duration(0));
-        s.f.sleep(Duration(s.w.below(30)));
+        begin_fault(s, s.fleet.at(n), DiskFault::full, Duration(0));
+        s.fleet.sleep(Duration(s.world.below(30)));
       }
-      s.f.sleep(Duration(500 + s.w.below(2500)));
+      s.fleet.sleep(Duration(500 + s.world.below(2500)));
       for (int k = 0; k < 2; ++k) {
-        s.f.kill(names[static_cast<size_t>(k)]);
-        s.f.sleep(Duration(s.w.below(200)));
-        s.f.start(names[static_cast<size_t>(k)]);
+        s.fleet.kill(names[static_cast<size_t>(k)]);
+        s.fleet.sleep(Duration(s.world.below(200)));
+        s.fleet.start(names[static_cast<size_t>(k)]);
       }
-      s.f.sleep(Duration(s.w.below(1000)));
-      for (auto& n : names) end_fault(s.f.at(n));
+      s.fleet.sleep(Duration(s.world.below(1000)));
+      for (auto& n : names) end_fault(s.fleet.at(n));
       for (auto& n : names)
-        s.want(s.f.until(kVotesAgain, [&] { return votes(s, s.f.at(n)); }),
+        s.want(s.fleet.wait_until(kVotesAgain, [&] { return votes(s, s.fleet.at(n)); }),
                n + " does not vote a second after its disk works again");
-      s.f.event(R"("t":"returned")");
+      s.fleet.event(R"("t":"returned")");
       s.want(serves(s, Duration(8000)), "the fleet did not serve again after its disks worked again");
       s.want(records(s, w, Duration(3000)), "nothing is recorded though every disk works again");
-      s.f.sleep(Duration(2000));
-      for (auto& h : s.f.hosts()) s.f.kill(h->name);
-      s.f.sleep(Duration(300));
-      s.f.start_all();
-      s.f.event(R"("t":"returned")");
+      s.fleet.sleep(Duration(2000));
+      for (auto& h : s.fleet.hosts()) s.fleet.kill(h->name);
+      s.fleet.sleep(Duration(300));
+      s.fleet.start_all();
+      s.fleet.event(R"("t":"returned")");
       s.want(serves(s, Duration(15000)), "the fleet did not serve again 15 s after a restart of all");
     }
     *w.stop = true;
-    s.f.sleep(Duration(8000));
+    s.fleet.sleep(Duration(8000));
     all_know(s, *w.acked);
     s.figures["layouts_acked"] = w.acked->size();
   };
--- a/test/fault_stories.cpp
+++ b/test/fault_stories.cpp
@@ -7,8 +7,8 @@
 
 std::string body_of(Scene& s, const std::string& target) {
   std::string b;
-  s.f.until(Duration(10000), [&] {
-    auto t = s.f.tell("GET", target, "");
+  s.fleet.wait_until(Duration(10000), [&] {
+    auto t = s.fleet.operator_call("GET", target, "");
     b = t.status == 200 ? t.body : "";
     return t.status == 200;
   });
@@ -23,22 +23,22 @@
   s.story = [&s] {
     if (!begin(s, 30, sim_layout("\"1\",\"2\"", 3))) return;
     allow(s, "2");
-    for (int i = 0; i < 2; ++i) s.f.add_worker("app", "2", 0);
-    s.f.sleep(Duration(3000));
+    for (int i = 0; i < 2; ++i) s.fleet.add_backend("app", "2", 0);
+    s.fleet.sleep(Duration(3000));
     auto acked = [&](const std::string& m, const std::string& target, const std::string& body) {
-      bool ok = s.f.until(Duration(25000), [&] {
-        auto t = s.f.tell(m, target, body);
+      bool ok = s.fleet.wait_until(Duration(25000), [&] {
+        auto t = s.fleet.operator_call(m, target, body);
         if (t.status != 200 && t.status != 202) return false;
-        ++s.w.met["acked"];
-        for (auto& h : s.f.hosts())
-          if (h->up() && (h->name == t.by || (s.w.random(300) && h->node->leadership().held())))
-            s.f.kill(h->name);
+        ++s.world.faults_met["acked"];
+        for (auto& h : s.fleet.hosts())
+          if (h->up() && (h->name == t.by || (s.world.random(300) && h->node->leadership().held())))
+            s.fleet.kill(h->name);
         return true;
       });
       s.want(ok, target + " was not acknowledged");
       if (!ok) return;
-      s.f.sleep(Duration(s.w.below(1500)));
-      s.f.start_all();
+      s.fleet.sleep(Duration(s.world.below(1500)));
+      s.fleet.start_all();
     };
     auto has = [&](const std::string& target, const std::string& what) {
       auto b = body_of(s, target);
@@ -49,9 +49,9 @@
       auto doc = sim_layout("\"1\",\"2\"", 2 + i);
       acked("PUT", "/v1/releases/layout/" + n, doc);
       has("/v1/releases/layout/" + n, doc);
-      auto asked = s.w.now().count();
+      auto asked = s.world.now().count();
       acked("PUT", "/v1/purges/" + n, R"({"service":"content","kind":"prefix","path":"/c/"})");
-      s.f.event(fmt::format(R"("t":"purged","path":"/c/","prefix":true,"asked":{})", asked));
+      s.fleet.event(fmt::format(R"("t":"purged","path":"/c/","prefix":true,"asked":{})", asked));
       has("/v1/purges", "\"" + n + "\"");
       acked("PUT", "/v1/drains/node/e1", fmt::format(R"({{"drained":{},"reason":"{}"}})", i % 2 == 1, n));
       has("/v1/drains", n);
@@ -59,17 +59,17 @@
           R"({{"service":"app","version":"1","instance":"{}","zone":"a","address":"10.9.9.9:1","leaving":true,"number":7,"period_ms":60000}})",
           n);
       acked("POST", "/v1/beats", beat);
-      s.f.sleep(Duration(2000));
+      s.fleet.sleep(Duration(2000));
       has("/v1/workers", "\"" + n + "\"");
     }
     acked("PUT", "/v1/services/app", R"({"version":"2"})");
     has("/v1/services/app", "\"2\"");
     acked("PUT", "/v1/holders/x1", R"({"holder":true,"address":"peer:x1"})");
     has("/v1/holders", "x1");
-    s.f.sleep(Duration(3000));
-    s.f.event(R"("t":"returned")");
+    s.fleet.sleep(Duration(3000));
+    s.fleet.event(R"("t":"returned")");
     s.want(serves(s, Duration(15000)), "the fleet did not serve again 15 s after the machines returned");
-    s.f.sleep(Duration(21000));
+    s.fleet.sleep(Duration(21000));
   };
 }
 
@@ -80,18 +80,19 @@
   s.must_meet = {"kill"};
   s.story = [&s] {
     if (!begin(s, 80)) return;
-    for (auto& x : s.f.workers()) x->period_ms = 3000;
+    for (auto& x : s.fleet.backends()) x->period_ms = 3000;
     for (size_t i = 0; i < 6; ++i) {
-      s.f.add_worker(s.f.workers()[i]->service, "1", s.f.workers()[i]->max_age).period_ms = 3000;
-      s.f.sleep(Duration(3500));
-      auto& w = *s.f.workers()[i];
-      w.left = [&s](const std::string& by) {
-        s.f.kill(by);
-        s.f.start(by);
+      s.fleet.add_backend(s.fleet.backends()[i]->service, "1", s.fleet.backends()[i]->max_age).period_ms =
+          3000;
+      s.fleet.sleep(Duration(3500));
+      auto& backend = *s.fleet.backends()[i];
+      backend.left = [&s](const std::string& by) {
+        s.fleet.kill(by);
+        s.fleet.start(by);
       };
-      w.leaving = true;
-      s.f.sleep(Duration(9000));
-      w.alive = false;
+      backend.leaving = true;
+      s.fleet.sleep(Duration(9000));
+      backend.alive = false;
     }
   };
 }
@@ -105,22 +106,23 @@
     if (!begin(s, 60)) return;
     auto part = [&](const char* what, auto&& is) {
       std::vector<std::string> gone;
-      for (auto& h : s.f.hosts())
+      for (auto& h : s.fleet.hosts())
         if (is(*h)) gone.push_back(h->name);
-      for (auto& n : gone) s.f.kill(n);
-      s.f.sleep(Duration(500));
-      auto c = s.f.calls, g = s.f.good;
+      for (auto& n : gone) s.fleet.kill(n);
+      s.fleet.sleep(Duration(500));
+      auto c = s.fleet.calls, g = s.fleet.good;
       put(s, fmt::format("without-{}", gone.front()), sim_layout("\"1\"", 3));
-      s.f.sleep(Duration(6000));
-      s.want((s.f.good - g) * 100 >= (s.f.calls - c) * 97,
-             fmt::format("{} away: only {} of {} calls went well", what, s.f.good - g, s.f.calls - c));
-      for (auto& n : gone) s.f.start(n);
-      s.f.event(R"("t":"returned")");
+      s.fleet.sleep(Duration(6000));
+      s.want(
+          (s.fleet.good - g) * 100 >= (s.fleet.calls - c) * 97,
+          fmt::format("{} away: only {} of {} calls went well", what, s.fleet.good - g, s.fleet.calls - c));
+      for (auto& n : gone) s.fleet.start(n);
+      s.fleet.event(R"("t":"returned")");
       s.want(serves(s, Duration(15000)), std::string("no service after the return of ") + what);
-      s.f.sleep(Duration(20500));
+      s.fleet.sleep(Duration(20500));
     };
-    part("a zone", [&](simulation::Host& h) { return h.zone == "a"; });
-    part("the second tier", [&](simulation::Host& h) { return h.shield; });
+    part("a zone", [&](simulation::Host& host) { return host.zone == "a"; });
+    part("the second tier", [&](simulation::Host& host) { return host.shield; });
   };
 }
 
@@ -134,14 +136,16 @@
     put(s, "second", sim_layout("\"1\"", 3));
     std::string last;
     for (int i = 0; i < 10; ++i) {
-      if (auto* h = duty_holder(s)) {
-        if (!last.empty()) s.f.at(last).platter.least = Duration(1), s.f.at(last).platter.most = Duration(4);
-        last = h->name;
-        h->platter.least = Duration(400);
-        h->platter.most = Duration(2500);
+      if (auto* host = duty_holder(s)) {
+        if (!last.empty())
+          s.fleet.at(last).disk_contents.min_latency = Duration(1),
+          s.fleet.at(last).disk_contents.max_latency = Duration(4);
+        last = host->name;
+        host->disk_contents.min_latency = Duration(400);
+        host->disk_contents.max_latency = Duration(2500);
       }
       purge(s, fmt::format("p{}", i), "prefix", "/c/");
-      s.f.sleep(Duration(4000));
+      s.fleet.sleep(Duration(4000));
     }
     s.want(reach(s, "second", "DONE", Duration(60000)),
            "a slow disk at the duty's holder held a release up: " + release_state(s, "second").text());
@@ -155,25 +159,25 @@
   s.story = [&s] {
     if (!begin(s, 60)) return;
     for (int i = 0; i < 8; ++i) {
-      for (auto& h : s.f.hosts()) {
-        if (!s.w.random(250)) continue;
-        for (auto& x : s.f.hosts()) {
+      for (auto& h : s.fleet.hosts()) {
+        if (!s.world.random(250)) continue;
+        for (auto& x : s.fleet.hosts()) {
           if (x == h) continue;
-          s.w.cut(h->name, x->name);
-          if (i % 2) s.w.cut(x->name, h->name);
+          s.world.partition(h->name, x->name);
+          if (i % 2) s.world.partition(x->name, h->name);
         }
       }
       for (int k = 0; k < 40; ++k)
-        s.f.outside([&s, i, k] {
+        s.fleet.spawn_outside([&s, i, k] {
           purge(s, fmt::format("s{}-{}", i, k), k % 3 ? "path" : "prefix", fmt::format("/c/{}", k % 20));
         });
-      s.f.sleep(Duration(500 + s.w.below(4000)));
-      s.w.mend();
-      s.f.sleep(Duration(s.w.below(1500)));
+      s.fleet.sleep(Duration(500 + s.world.below(4000)));
+      s.world.heal_all();
+      s.fleet.sleep(Duration(s.world.below(1500)));
     }
-    s.f.event(R"("t":"returned")");
+    s.fleet.event(R"("t":"returned")");
     s.want(serves(s, Duration(15000)), "no service after the cuts");
-    s.f.sleep(Duration(20500));
+    s.fleet.sleep(Duration(20500));
   };
 }
 
@@ -184,13 +188,16 @@
   s.story = [&s] {
     if (!begin(s, 100, sim_layout("\"1\",\"2\"", 3))) return;
     allow(s, "2");
-    for (int i = 0; i < 3; ++i) s.f.add_worker("app", "2", 0);
-    s.f.sleep(Duration(2500));
+    for (int i = 0; i < 3; ++i) s.fleet.add_backend("app", "2", 0);
+    s.fleet.sleep(Duration(2500));
     put(s, "second", sim_layout("\"1\",\"2\"", 2));
-    s.want(s.f.until(Duration(10000),
-                     [&] { return s.f.tell("PUT", "/v1/services/app", R"({"version":"2"})").status == 200; }),
+    s.want(s.fleet.wait_until(
+               Duration(10000),
+               [&] {
+                 return s.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 200;
+               }),
            "the move was not taken");
-    auto calls = s.f.calls, good = s.f.good;
+    auto calls = s.fleet.calls, good = s.fleet.good;
     static const char* const bad[] = {
         "{",
         "[]",
@@ -198,23 +205,24 @@
         R"({"content":{"services":{"a":{"versions":["1"]}},"routes":[{"prefix":"/","service":"b"}]}})",
         R"({"content":{"services":{"a":{"versions":["1"],"deadline_ms":-1}},"routes":[]}})",
         R"({"content":{"services":{"a":{"versions":["1"]}},"routes":[]},"unknown":1})"};
-    auto n = s.f.workers().size() - 3;
+    auto n = s.fleet.backends().size() - 3;
     for (size_t i = 0; i < n; ++i) {
-      auto& old = *s.f.workers()[i];
-      s.f.add_worker(old.service, old.version, old.max_age);
-      auto t = s.f.tell("PUT", fmt::format("/v1/releases/layout/bad{}", i), bad[i % std::size(bad)]);
+      auto& old = *s.fleet.backends()[i];
+      s.fleet.add_backend(old.service, old.version, old.max_age);
+      auto t =
+          s.fleet.operator_call("PUT", fmt::format("/v1/releases/layout/bad{}", i), bad[i % std::size(bad)]);
       s.want(t.lost || t.status == 422 || t.status == 503,
              fmt::format("an invalid layout gave {} {}", t.status, t.body));
-      s.f.sleep(Duration(1500));
-      s.f.workers()[i]->leaving = true;
-      s.f.sleep(Duration(3500));
-      s.f.workers()[i]->alive = false;
+      s.fleet.sleep(Duration(1500));
+      s.fleet.backends()[i]->leaving = true;
+      s.fleet.sleep(Duration(3500));
+      s.fleet.backends()[i]->alive = false;
     }
-    calls = s.f.calls - calls;
-    good = s.f.good - good;
+    calls = s.fleet.calls - calls;
+    good = s.fleet.good - good;
     s.want(good * 1000 >= calls * 998, fmt::format("only {} of {} calls went well", good, calls));
     s.want(reach(s, "second", "DONE", Duration(60000)), "the layout did not run everywhere");
-    s.want(s.f.until(
+    s.want(s.fleet.wait_until(
                Duration(60000),
                [&] { return body_of(s, "/v1/services/app").find("\"current\":\"2\"") != std::string::npos; }),
            "the move did not end");
@@ -226,29 +234,29 @@
   s.length = Duration(40000);
   s.story = [&s] {
     if (!begin(s, 60)) return;
-    auto* h = &s.f.at("e1");
+    auto* host = &s.fleet.at("e1");
     auto ok = std::make_shared<bool>(false);
     for (int i = 0; i < 20 && !*ok; ++i) {
-      s.w.spawn(h->life, [h, ok] {
-        auto g = h->node->registers().read(rollout::kRolloutKey);
+      s.world.spawn(host->process, [host, ok] {
+        auto g = host->node->registers().read(rollout::kRolloutKey);
         auto* held = std::get_if<consensus::VersionedValue>(&g);
-        pb::Rollout r;
+        pb::RolloutState r;
         if (!held || !r.ParseFromString(held->data)) return;
         r.set_generation(r.generation() + 1);
-        auto& a = (*r.mutable_nodes())["e1"];
-        a.set_generation(r.generation());
-        (*a.mutable_releases())["layout"] = "nowhere";
+        auto& assignment = (*r.mutable_nodes())["e1"];
+        assignment.set_generation(r.generation());
+        (*assignment.mutable_releases())["layout"] = "nowhere";
         *ok = std::holds_alternative<consensus::VersionedValue>(
-            h->node->registers().write(rollout::kRolloutKey, held->version, r.SerializeAsString()));
+            host->node->registers().write(rollout::kRolloutKey, held->version, r.SerializeAsString()));
       });
-      s.f.sleep(Duration(300));
+      s.fleet.sleep(Duration(300));
     }
     s.want(*ok, "the assignment was not written");
-    s.f.sleep(Duration(2000));
-    s.want(!h->node->ready(), "a node serves on under a layout that it was taken off");
+    s.fleet.sleep(Duration(2000));
+    s.want(!host->node->ready(), "a node serves on under a layout that it was taken off");
     for (int i = 0; i < 10; ++i)
-      s.want(s.f.call("GET", "/a/1", "", h) == 503, "it took a request under the old layout");
-    s.f.sleep(Duration(3000));
+      s.want(s.fleet.call("GET", "/a/1", "", host) == 503, "it took a request under the old layout");
+    s.fleet.sleep(Duration(3000));
   };
 }
 }  // namespace
--- a/test/fence_stories.cpp
+++ b/test/fence_stories.cpp
@@ -15,19 +15,19 @@
 // The term that a value carries, when the register is one that only a leader decides.
 std::optional<uint64_t> term_in(const std::string& name, const std::string& data) {
   if (name == rollout::kRolloutKey) {
-    pb::Rollout r;
+    pb::RolloutState r;
     r.ParseFromString(data);
     return r.term();
   }
   if (name.starts_with(rollout::service_key(""))) {
-    pb::ServiceState s;
-    s.ParseFromString(data);
-    return s.term();
+    pb::ServiceState state;
+    state.ParseFromString(data);
+    return state.term();
   }
-  if (name.starts_with(rollout::share_key(""))) {
-    pb::Shares s;
-    s.ParseFromString(data);
-    return s.term();
+  if (name.starts_with(rollout::quota_key(""))) {
+    pb::RateQuotas quotas;
+    quotas.ParseFromString(data);
+    return quotas.term();
   }
   return {};
 }
@@ -72,9 +72,9 @@
     if (leader.empty() || !term_in(slot.name(), "")) return;
     if (slot.promised().node() != leader || votes_left-- > 0) return;
     if (freezes)
-      s.w.freeze(leader, s.w.now() + kPastTheLease);
+      s.world.freeze(leader, s.world.now() + kPastTheLease);
     else
-      s.f.cut_off(leader);
+      s.fleet.isolate(leader);
     leader.clear();
     ++sprung;
   }
@@ -86,34 +86,35 @@
   s.story = [&s] {
     auto history = std::make_shared<History>();
     auto trap = std::make_shared<Trap>();
-    s.w.synced = [&s, history, trap, before = s.w.synced](const std::string& host, const pb::Record& r) {
+    s.world.synced = [&s, history, trap, before = s.world.synced](const std::string& host,
+                                                                  const pb::LogRecord& r) {
       before(host, r);
-      if (!r.has_slot()) return;
-      history->synced(host, r.slot());
-      trap->synced(s, r.slot());
+      if (!r.has_register_state()) return;
+      history->synced(host, r.register_state());
+      trap->synced(s, r.register_state());
     };
     if (!begin(s, 60, sim_layout("\"1\",\"2\"", 4, 40))) return;
-    for (int i = 0; i < 3; ++i) s.f.add_worker("app", "2", 0), s.f.add_worker("content", "2", 3);
+    for (int i = 0; i < 3; ++i) s.fleet.add_backend("app", "2", 0), s.fleet.add_backend("content", "2", 3);
     allow(s, "2");
-    s.f.sleep(Duration(3000));
+    s.fleet.sleep(Duration(3000));
     for (uint64_t round = 0; round < 8; ++round) {
       put(s, fmt::format("r{}", round), sim_layout("\"1\",\"2\"", 3 + static_cast<int>(round), 40));
       for (auto* service : {"app", "content"})
-        s.f.tell("PUT", std::string("/v1/services/") + service,
-                 fmt::format(R"({{"version":"{}"}})", round % 2 ? "1" : "2"));
+        s.fleet.operator_call("PUT", std::string("/v1/services/") + service,
+                              fmt::format(R"({{"version":"{}"}})", round % 2 ? "1" : "2"));
       auto* h = duty_holder(s);
       if (!h) {
-        s.f.sleep(Duration(3000));
+        s.fleet.sleep(Duration(3000));
         continue;
       }
-      trap->votes_left = s.w.below(kPoints);
-      trap->freezes = s.w.random(500);
+      trap->votes_left = s.world.below(kPoints);
+      trap->freezes = s.world.random(500);
       trap->leader = h->name;
-      s.f.until(Duration(3000), [&] { return trap->leader.empty(); });
+      s.fleet.wait_until(Duration(3000), [&] { return trap->leader.empty(); });
       trap->leader.clear();
-      s.f.sleep(kPastTheLease);
-      s.w.mend();
-      s.f.sleep(Duration(2500));
+      s.fleet.sleep(kPastTheLease);
+      s.world.heal_all();
+      s.fleet.sleep(Duration(2500));
     }
     s.want(history->broken.empty(), history->broken);
     s.want(trap->sprung >= 4, fmt::format("only {} leaders were stopped in a write", trap->sprung));
--- a/test/fence_unit.cpp
+++ b/test/fence_unit.cpp
@@ -19,7 +19,7 @@
 // the register never fall.
 void terms_never_fall() {
   uint64_t in_force = 0;
-  rollout::LeaseSight lease;
+  rollout::LeaseObservation lease;
   std::vector<uint64_t> decisions;  // each the term under which it was made, and not yet written
   for (auto action : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4))) {
     if (action == 0) lease = {true, lease.term + 1};
--- a/test/fleet.cpp
+++ b/test/fleet.cpp
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr base::Log lg("fleet");
+constexpr base::Log logger("fleet");
 std::string at(int port) { return fmt::format("127.0.0.1:{}", port); }
 }  // namespace
 
@@ -35,7 +35,7 @@
                      lobby ? "/lobbies/" : "/balances/", lobby ? "/fees" : "/filings");
 }
 
-Fleet::Fleet(wire::Pool& pool, FleetConfig c)
+Fleet::Fleet(wire::EventLoopPool& pool, FleetConfig c)
     : pool_(pool),
       c_(std::move(c)),
       links_(pool),
@@ -255,17 +255,17 @@
   pool_.spawn([this] {
     std::map<std::string, int64_t> told;
     for (int64_t seen = 0; !stopping_;) {
-      auto r = any("GET", fmt::format("/v1/assignments?after={}&wait_ms=1000", seen));
-      auto p = base::Json::parse(r.body);
+      auto response = any("GET", fmt::format("/v1/assignments?after={}&wait_ms=1000", seen));
+      auto p = base::Json::parse(response.body);
       auto* j = std::get_if<base::Json>(&p);
-      if (r.status != 200 || !j) {
+      if (response.status != 200 || !j) {
         clock.sleep(100ms);
         continue;
       }
-      auto tag = base::header(r.headers, "ETag");
+      auto tag = base::header(response.headers, "ETag");
       seen = tag.size() > 2 ? std::strtoll(tag.c_str() + 1, nullptr, 10) : seen;
       for (auto& [n, a] : j->at("nodes").members()) {
-        auto g = std::strtoll(a.at("generation").str("0").c_str(), nullptr, 10);
+        auto g = std::strtoll(a.at("generation").string_or("0").c_str(), nullptr, 10);
         if (g <= told[n]) continue;
         told[n] = g;
         event(fmt::format(R"("t":"assigned","relay":"{}","generation":{})", n, g));
@@ -286,9 +286,10 @@
 bool Fleet::caller_done(pid_t p) { return waitpid(p, nullptr, WNOHANG) == p; }
 
 base::Response Fleet::http(const std::string& node, const std::string& method, const std::string& target,
-                           const std::string& body, std::vector<std::pair<std::string, std::string>> hs) {
-  base::Request q{"", method, target, body, std::move(hs)};
-  auto r = http_.send(at(node).control, q, 5s);
+                           const std::string& body,
+                           std::vector<std::pair<std::string, std::string>> headers) {
+  base::Request request{"", method, target, body, std::move(headers)};
+  auto r = http_.send(at(node).control, request, 5s);
   if (auto* a = std::get_if<base::Response>(&r)) return *a;
   return {0, {}, {}};
 }
@@ -325,16 +326,16 @@
 
 bool Fleet::layout_everywhere(const std::string& name, Duration most) {
   return until(most, [&] {
-    auto r = any("GET", "/v1/releases/layout/" + name);
-    auto p = base::Json::parse(r.body);
+    auto response = any("GET", "/v1/releases/layout/" + name);
+    auto p = base::Json::parse(response.body);
     auto* j = std::get_if<base::Json>(&p);
-    return j && j->at("course").at("phase").str() == "DONE";
+    return j && j->at("course").at("phase").string_or() == "DONE";
   });
 }
 
 void Fleet::event(const std::string& f) {
   events_.line(fmt::format("{{{},\"at\":{}}}", f, clock.now().count()));
-  lg.info("{}", f);
+  logger.info("{}", f);
 }
 
 }  // namespace dunlinwing::test
--- a/test/fleet.hpp
+++ b/test/fleet.hpp
@@ -33,7 +33,7 @@
 
 class Fleet {
  public:
-  Fleet(wire::Pool& pool, FleetConfig c);
+  Fleet(wire::EventLoopPool& pool, FleetConfig c);
   void lay_out();  // writes settings, opens links; starts nothing
   void start(const std::string& name);
   void start_relays();
@@ -56,7 +56,8 @@
   bool caller_done(pid_t p);
 
   base::Response http(const std::string& node, const std::string& method, const std::string& target,
-                      const std::string& body = {}, std::vector<std::pair<std::string, std::string>> hs = {});
+                      const std::string& body = {},
+                      std::vector<std::pair<std::string, std::string>> headers = {});
   base::Response any(const std::string& method, const std::string& target, const std::string& body = {});
   bool until(Duration most, const std::function<bool()>& what);  // polls a condition
   bool all_ready(Duration most);
@@ -68,15 +69,15 @@
   Machine& at(const std::string& name);
   std::string relay_list(bool pairs) const;
   const FleetConfig& config() const { return c_; }
-  wire::RealClock clock;
+  wire::SystemClock clock;
 
  private:
   pid_t spawn(const std::string& program, const std::vector<std::string>& args, const std::string& log);
-  wire::Pool& pool_;
+  wire::EventLoopPool& pool_;
   FleetConfig c_;
   Links links_;
   std::deque<Machine> ms_;  // fibers hold on to one while others are added
-  wire::HttpOrigin http_{32u << 20};
+  wire::HttpClient http_{32u << 20};
   Journal events_;
   int workers_ = 0;
   bool stopping_ = false, watching_ = false;
--- a/test/fleet_main.cpp
+++ b/test/fleet_main.cpp
@@ -39,7 +39,7 @@
   }
   if (!FLAGS_keep) std::filesystem::remove_all(FLAGS_dir);
   auto dir = std::filesystem::absolute(FLAGS_dir).string();
-  wire::Pool pool(1);
+  wire::EventLoopPool pool(1);
   test::FleetConfig c{dir, std::filesystem::absolute(FLAGS_bin).string(), FLAGS_deployment, FLAGS_port,
                       FLAGS_scale};
   test::Fleet fleet(pool, c);
@@ -54,6 +54,6 @@
     fleet.stop_all();
     std::cout << (ok ? "scenario " : "SCENARIO FAILED ") << FLAGS_scenario << " " << FLAGS_deployment << "\n"
               << std::flush;
-    wire::Pool::stop(ok ? 0 : 1);
+    wire::EventLoopPool::stop(ok ? 0 : 1);
   });
 }
