--- a/test/fleet_test.cpp
+++ b/test/fleet_test.cpp
@@ -24,23 +24,23 @@
 
 namespace {
 // Sends bytes as they are and reads until the relay closes or goes quiet.
-std::string raw(wire::Pool& pool, const std::string& addr, const std::string& bytes) {
+std::string raw(wire::EventLoopPool& pool, const std::string& address, const std::string& bytes) {
   namespace asio = boost::asio;
   asio::ip::tcp::socket s(pool.io(0));
-  auto a = wire::split_address(addr);
+  auto a = wire::split_address(address);
   auto [e] = wire::await<>([&](auto h) {
     s.async_connect(asio::ip::tcp::endpoint(asio::ip::make_address(a->ip), a->port), std::move(h));
   });
   if (e) return "cannot connect";
   wire::await<size_t>([&](auto h) { asio::async_write(s, asio::buffer(bytes), std::move(h)); });
   std::string out;
-  wire::RealClock clock;
+  wire::SystemClock clock;
   auto shut = std::make_shared<bool>(false);
   pool.spawn([&pool, shut, &s] {
-    wire::RealClock c;
+    wire::SystemClock c;
     for (int i = 0; i < 60 && !*shut; ++i) c.sleep(20ms);
     if (*shut) return;
-    wire::Ec ec;
+    wire::ErrorCode ec;
     s.cancel(ec);
   });
   for (;;) {
@@ -61,7 +61,7 @@
   return n;
 }
 
-void framing(wire::Pool& pool, test::Fleet& f) {
+void framing(wire::EventLoopPool& pool, test::Fleet& f) {
   auto at = f.at("e2").callers;
   auto starts = [&](const std::string& what, const std::string& bytes, const std::string& want) {
     auto r = raw(pool, at, bytes);
@@ -104,12 +104,12 @@
 }
 
 void faces(test::Fleet& f) {
-  auto r = f.http("e3", "PUT", "/v1/releases/layout/bad",
-                  R"({"content":{"services":{},"routes":[{"prefix":"x"}]}})");
-  test::same(r.status, 422, "an invalid layout");
+  auto response = f.http("e3", "PUT", "/v1/releases/layout/bad",
+                         R"({"content":{"services":{},"routes":[{"prefix":"x"}]}})");
+  test::same(response.status, 422, "an invalid layout");
   for (auto* at : {"/content/services", "/content/routes/0/prefix", "/content/routes/0/service"})
-    test::expect(r.body.find(std::string("{\"at\":\"") + at + "\"") != r.body.npos,
-                 std::string("not named: ") + at + " in " + r.body);
+    test::expect(response.body.find(std::string("{\"at\":\"") + at + "\"") != response.body.npos,
+                 std::string("not named: ") + at + " in " + response.body);
   test::same(f.http("e3", "GET", "/v1/releases/layout/bad").status, 404, "what was not recorded");
   auto again = f.http("e7", "PUT", "/v1/releases/layout/first", test::layout_document("lobby"));
   test::same(again.status, 200, "the same release again");
@@ -127,7 +127,7 @@
   test::same(f.http("e1", "DELETE", "/v1/nodes").status, 405, "a method that resources do not take");
 }
 
-void whole(wire::Pool& pool) {
+void whole(wire::EventLoopPool& pool) {
   test::FleetConfig c{std::filesystem::absolute(FLAGS_dir).string(), FLAGS_bin, "lobby", FLAGS_port, 1500};
   test::Fleet f(pool, c);
   f.lay_out();
@@ -192,9 +192,9 @@
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   std::signal(SIGPIPE, SIG_IGN);
   std::filesystem::remove_all(FLAGS_dir);
-  wire::Pool pool(1);
+  wire::EventLoopPool pool(1);
   pool.run([&] {
     int rc = test::run_all({{"fleet: a day in small", [&] { whole(pool); }}}, "");
-    wire::Pool::stop(rc);
+    wire::EventLoopPool::stop(rc);
   });
 }
--- a/test/holder_stories.cpp
+++ b/test/holder_stories.cpp
@@ -16,41 +16,41 @@
 
 Writer writer(Scene& s, int most_nap) {
   Writer w;
-  s.f.outside([&s, w, most_nap] {
-    TimePoint last = s.w.now();
+  s.fleet.spawn_outside([&s, w, most_nap] {
+    TimePoint last = s.world.now();
     for (int i = 0; !*w.stop; ++i) {
       auto name = fmt::format("r{}", i);
       auto doc = sim_layout("\"1\"", 1 + i % 9);
-      if (s.f.tell("PUT", "/v1/releases/layout/" + name, doc).status == 202) {
+      if (s.fleet.operator_call("PUT", "/v1/releases/layout/" + name, doc).status == 202) {
         (*w.acked)[name] = doc;
-        *w.gap = std::max<Duration>(*w.gap, s.w.now() - last);
-        last = s.w.now();
+        *w.gap = std::max<Duration>(*w.gap, s.world.now() - last);
+        last = s.world.now();
       }
-      s.f.sleep(Duration(1 + s.w.below(static_cast<uint64_t>(most_nap))));
+      s.fleet.sleep(Duration(1 + s.world.below(static_cast<uint64_t>(most_nap))));
     }
   });
   return w;
 }
 
-std::set<std::string> holders_at(simulation::Host& h) {
+std::set<std::string> holders_at(simulation::Host& host) {
   std::set<std::string> out;
-  for (auto& x : h.node->registers().set().all()) out.insert(x.name);
+  for (auto& x : host.node->registers().set().all()) out.insert(x.name);
   return out;
 }
 
 // All that are up know this many holders, and each of those that is up votes.
 bool settled(Scene& s, size_t n) {
-  for (auto& h : s.f.hosts()) {
+  for (auto& h : s.fleet.hosts()) {
     if (!h->up()) continue;
     auto set = holders_at(*h);
     if (set.size() != n) return false;
-    if (set.count(h->name) && h->node->acceptor()->mute()) return false;
+    if (set.count(h->name) && h->node->acceptor()->non_voting()) return false;
   }
   return true;
 }
 
 void all_know(Scene& s, const Acked& acked) {
-  for (auto& h : s.f.hosts())
+  for (auto& h : s.fleet.hosts())
     if (h->up()) knows(s, *h, acked);
 }
 
@@ -58,42 +58,43 @@
 void forms(Scene& s) {
   s.length = Duration(70000);
   s.story = [&s] {
-    auto kind = s.w.below(4);
-    s.f.sleep(Duration((kind == 3 ? 20 : 0) + s.w.below(1500)));
-    auto one = fmt::format("h{}", 1 + s.w.below(3));
+    auto kind = s.world.below(4);
+    s.fleet.sleep(Duration((kind == 3 ? 20 : 0) + s.world.below(1500)));
+    auto one = fmt::format("h{}", 1 + s.world.below(3));
     if (kind == 1 || kind == 2) {
-      s.f.kill(one);
-      if (kind == 2) s.f.wipe(one);
-      s.f.sleep(Duration(2 + s.w.below(1500)));
-      s.f.start(one);
+      s.fleet.kill(one);
+      if (kind == 2) s.fleet.wipe(one);
+      s.fleet.sleep(Duration(2 + s.world.below(1500)));
+      s.fleet.start(one);
     } else if (kind == 3) {
       // Not before the first sync of a blank disk: what remembers nothing cannot tell.
-      for (auto& h : s.f.hosts()) s.f.kill(h->name);
-      s.f.sleep(Duration(2 + s.w.below(1500)));
-      s.f.start_all();
+      for (auto& h : s.fleet.hosts()) s.fleet.kill(h->name);
+      s.fleet.sleep(Duration(2 + s.world.below(1500)));
+      s.fleet.start_all();
     }
     s.figures[fmt::format("kind_{}", kind)] = 1;
-    auto from = s.w.now();
-    if (!s.f.until(Duration(12000), [&] { return settled(s, 3); }))
+    auto from = s.world.now();
+    if (!s.fleet.wait_until(Duration(12000), [&] { return settled(s, 3); }))
       s.want(false, fmt::format("no set formed, kind {}", kind));
-    s.figures["formed_ms"] = static_cast<uint64_t>((s.w.now() - from).count());
+    s.figures["formed_ms"] = static_cast<uint64_t>((s.world.now() - from).count());
     if (!begin(s)) return;
     auto w = writer(s, 400);
-    s.f.sleep(Duration(4000));
+    s.fleet.sleep(Duration(4000));
     // A disk lost later never forms anew: it is filled from the two others, and not from one.
-    s.f.kill("h1");
-    s.f.wipe("h1");
-    s.f.kill("h2");
-    s.f.sleep(Duration(500));
-    s.f.start("h1");
-    s.f.sleep(Duration(6000));
-    s.want(s.f.at("h1").node->acceptor()->mute(), "a lost disk formed out of one other");
-    s.f.start("h2");
-    s.f.event(R"("t":"returned")");
-    s.want(s.f.until(Duration(10000), [&] { return settled(s, 3); }), "the lost disk was not filled");
-    s.f.sleep(Duration(2000));
+    s.fleet.kill("h1");
+    s.fleet.wipe("h1");
+    s.fleet.kill("h2");
+    s.fleet.sleep(Duration(500));
+    s.fleet.start("h1");
+    s.fleet.sleep(Duration(6000));
+    s.want(s.fleet.at("h1").node->acceptor()->non_voting(), "a lost disk formed out of one other");
+    s.fleet.start("h2");
+    s.fleet.event(R"("t":"returned")");
+    s.want(s.fleet.wait_until(Duration(10000), [&] { return settled(s, 3); }),
+           "the lost disk was not filled");
+    s.fleet.sleep(Duration(2000));
     *w.stop = true;
-    s.f.sleep(Duration(6000));
+    s.fleet.sleep(Duration(6000));
     all_know(s, *w.acked);
     s.want(w.acked->size() > 5, "hardly anything was acknowledged");
   };
@@ -107,52 +108,54 @@
     if (!begin(s)) return;
     // As much as a fleet that has run for long holds.
     auto pads = std::make_shared<int>(0);
-    auto* any = &s.f.at("h3");
+    auto* any = &s.fleet.at("h3");
     for (int k = 0; k < 8; ++k)
-      s.w.spawn(any->life, [any, pads, k] {
+      s.world.spawn(any->process, [any, pads, k] {
         for (int i = k; i < 400; i += 8)
           *pads += std::holds_alternative<consensus::VersionedValue>(
               any->node->registers().write(fmt::format("pad/{}", i), 0, std::string(400, 'x')));
       });
-    s.want(s.f.until(Duration(20000), [&] { return *pads == 400; }), "the registers were not written");
+    s.want(s.fleet.wait_until(Duration(20000), [&] { return *pads == 400; }),
+           "the registers were not written");
     auto w = writer(s, 600);
-    s.f.sleep(Duration(3000));
-    auto out = fmt::format("h{}", 1 + s.w.below(3));
-    s.f.kill(out);
-    s.f.wipe(out);
-    auto from = s.w.now();
+    s.fleet.sleep(Duration(3000));
+    auto out = fmt::format("h{}", 1 + s.world.below(3));
+    s.fleet.kill(out);
+    s.fleet.wipe(out);
+    auto from = s.world.now();
     auto healed = [&] {
-      for (auto& h : s.f.hosts())
+      for (auto& h : s.fleet.hosts())
         if (h->up() && (!holders_at(*h).count("x1") || holders_at(*h).count(out))) return false;
       return settled(s, 3);
     };
     uint64_t unready = 0;
-    s.want(s.f.until(Duration(45000),
-                     [&] {
-                       for (auto& h : s.f.hosts()) unready += h->up() && !h->node->ready();
-                       return healed();
-                     }),
+    s.want(s.fleet.wait_until(Duration(45000),
+                              [&] {
+                                for (auto& h : s.fleet.hosts()) unready += h->up() && !h->node->ready();
+                                return healed();
+                              }),
            "the spare did not take the place of " + out);
     // The users count a loss as over four seconds (two bounds) after the successor's start,
     // which here is at hand already.
-    s.want(s.w.now() - from <= Duration(4000),
-           fmt::format("the repair took {} ms", (s.w.now() - from).count()));
+    s.want(s.world.now() - from <= Duration(4000),
+           fmt::format("the repair took {} ms", (s.world.now() - from).count()));
     s.figures["unready_looks"] = unready;
-    s.figures["healed_ms"] = static_cast<uint64_t>((s.w.now() - from).count());
+    s.figures["healed_ms"] = static_cast<uint64_t>((s.world.now() - from).count());
     s.figures["longest_ack_gap_ms"] = static_cast<uint64_t>(w.gap->count());
-    s.f.sleep(Duration(2000));
+    s.fleet.sleep(Duration(2000));
     auto next = out == "h1" ? "h2" : "h1";
-    s.f.kill(next);
-    s.f.wipe(next);
-    s.f.sleep(Duration(1000));
+    s.fleet.kill(next);
+    s.fleet.wipe(next);
+    s.fleet.sleep(Duration(1000));
     auto n = w.acked->size();
-    s.f.sleep(Duration(6000));
+    s.fleet.sleep(Duration(6000));
     s.want(w.acked->size() > n, "one of the three present holders lost, and control stood still");
-    s.f.start(next);
-    s.f.start(out);  // comes back with an empty disk, as a spare
-    s.want(s.f.until(Duration(15000), [&] { return settled(s, 3); }), "the second lost disk was not filled");
+    s.fleet.start(next);
+    s.fleet.start(out);  // comes back with an empty disk, as a spare
+    s.want(s.fleet.wait_until(Duration(15000), [&] { return settled(s, 3); }),
+           "the second lost disk was not filled");
     *w.stop = true;
-    s.f.sleep(Duration(6000));
+    s.fleet.sleep(Duration(6000));
     all_know(s, *w.acked);
     s.figures["layouts_acked"] = w.acked->size();
   };
@@ -160,7 +163,7 @@
 
 // Whether all that are up know a finished set of three that holds `in` and not `out`.
 bool replaced(Scene& s, const std::string& out, const std::string& in) {
-  for (auto& h : s.f.hosts()) {
+  for (auto& h : s.fleet.hosts()) {
     if (!h->up()) continue;
     auto set = holders_at(*h);
     if (h->node->registers().set().joint() || !set.count(in) || set.count(out)) return false;
@@ -177,45 +180,46 @@
   s.story = [&s] {
     if (!begin(s)) return;
     auto w = writer(s, 400);
-    s.f.kill("x2");  // comes when the second one is lost
-    s.f.sleep(Duration(2000));
+    s.fleet.kill("x2");  // comes when the second one is lost
+    s.fleet.sleep(Duration(2000));
     std::vector<std::string> seeds{"h1", "h2", "h3"};
     auto pick = [&] {
-      auto i = s.w.below(seeds.size());
+      auto i = s.world.below(seeds.size());
       auto name = seeds[i];
       seeds.erase(seeds.begin() + static_cast<long>(i));
       return name;
     };
     auto leaver = pick();
-    auto from = s.w.now();
-    s.f.at(leaver).node->leave();
-    s.want(s.f.until(kCatchUp, [&] { return replaced(s, leaver, "x1"); }),
+    auto from = s.world.now();
+    s.fleet.at(leaver).node->begin_shutdown();
+    s.want(s.fleet.wait_until(kCatchUp, [&] { return replaced(s, leaver, "x1"); }),
            leaver + " did not give its place in time");
-    s.figures["planned_ms"] = static_cast<uint64_t>((s.w.now() - from).count());
-    s.f.kill(leaver);
-    s.f.wipe(leaver);
-    s.f.sleep(kCatchUp);
+    s.figures["planned_ms"] = static_cast<uint64_t>((s.world.now() - from).count());
+    s.fleet.kill(leaver);
+    s.fleet.wipe(leaver);
+    s.fleet.sleep(kCatchUp);
     auto gone = pick();
-    s.f.kill(gone);
-    s.f.wipe(gone);
-    s.f.sleep(Duration(1000));
-    s.f.start("x2");
-    from = s.w.now();
-    s.want(s.f.until(kCatchUp, [&] { return replaced(s, gone, "x2"); }), gone + " was not replaced in time");
-    s.figures["lost_ms"] = static_cast<uint64_t>((s.w.now() - from).count());
-    s.f.sleep(kCatchUp - std::min(kCatchUp, s.w.now() - from));
+    s.fleet.kill(gone);
+    s.fleet.wipe(gone);
+    s.fleet.sleep(Duration(1000));
+    s.fleet.start("x2");
+    from = s.world.now();
+    s.want(s.fleet.wait_until(kCatchUp, [&] { return replaced(s, gone, "x2"); }),
+           gone + " was not replaced in time");
+    s.figures["lost_ms"] = static_cast<uint64_t>((s.world.now() - from).count());
+    s.fleet.sleep(kCatchUp - std::min(kCatchUp, s.world.now() - from));
     auto third = pick();
-    s.f.kill(third);
-    s.f.wipe(third);
+    s.fleet.kill(third);
+    s.fleet.wipe(third);
     auto acked = w.acked->size();
-    s.f.sleep(Duration(1000));
-    s.f.start(third);
-    s.f.sleep(Duration(5000));
+    s.fleet.sleep(Duration(1000));
+    s.fleet.start(third);
+    s.fleet.sleep(Duration(5000));
     s.want(w.acked->size() > acked, "control stood still after the third loss");
     s.want(settled(s, 3), "the wiped disk was not filled");
-    s.want(s.f.at(third).node->acceptor()->copied().empty(), "copies were not written anew");
+    s.want(s.fleet.at(third).node->acceptor()->refilled_registers().empty(), "copies were not written anew");
     *w.stop = true;
-    s.f.sleep(Duration(6000));
+    s.fleet.sleep(Duration(6000));
     all_know(s, *w.acked);
     s.figures["longest_ack_gap_ms"] = static_cast<uint64_t>(w.gap->count());
     s.figures["layouts_acked"] = w.acked->size();
@@ -229,21 +233,22 @@
   s.story = [&s] {
     if (!begin(s)) return;
     auto w = writer(s, 100);
-    s.f.sleep(Duration(1000));
-    auto away = fmt::format("h{}", 1 + s.w.below(3));
-    s.f.kill(away);
-    s.f.sleep(Duration(6000));
+    s.fleet.sleep(Duration(1000));
+    auto away = fmt::format("h{}", 1 + s.world.below(3));
+    s.fleet.kill(away);
+    s.fleet.sleep(Duration(6000));
     *w.stop = true;
-    s.f.sleep(Duration(1000));
-    s.f.start(away);
-    auto& cache = s.f.at(away).node->state_cache();
-    s.f.sleep(Duration(500));
-    s.want(cache.fresh(), "the restarted replica has no fresh contact");
-    s.figures["behind_at_first"] = cache.behind(away).size();
-    s.want(s.f.until(Duration(4000), [&] { return cache.fresh() && cache.behind(away).empty(); }),
-           fmt::format("{} registers are still not on the disk", cache.behind(away).size()));
+    s.fleet.sleep(Duration(1000));
+    s.fleet.start(away);
+    auto& cache = s.fleet.at(away).node->state_cache();
+    s.fleet.sleep(Duration(500));
+    s.want(cache.has_read_lease(), "the restarted replica has no fresh contact");
+    s.figures["behind_at_first"] = cache.registers_behind(away).size();
+    s.want(s.fleet.wait_until(Duration(4000),
+                              [&] { return cache.has_read_lease() && cache.registers_behind(away).empty(); }),
+           fmt::format("{} registers are still not on the disk", cache.registers_behind(away).size()));
     s.want(w.acked->size() > 10, "hardly anything was acknowledged");
-    s.f.sleep(Duration(2000));
+    s.fleet.sleep(Duration(2000));
     all_know(s, *w.acked);
   };
 }
@@ -253,27 +258,29 @@
   s.length = Duration(80000);
   s.must_meet = {"kill", "lost_disk"};
   s.story = [&s] {
-    auto from = s.w.now();
+    auto from = s.world.now();
     auto w = writer(s, 300);
     if (!begin(s)) return;
-    s.want(s.f.until(Duration(20000), [&] { return settled(s, 5); }), "the set did not grow to five");
-    s.figures["grown_ms"] = static_cast<uint64_t>((s.w.now() - from).count());
+    s.want(s.fleet.wait_until(Duration(20000), [&] { return settled(s, 5); }),
+           "the set did not grow to five");
+    s.figures["grown_ms"] = static_cast<uint64_t>((s.world.now() - from).count());
     s.figures["longest_ack_gap_ms"] = static_cast<uint64_t>(w.gap->count());
-    s.f.sleep(Duration(2000 + s.w.below(3000)));
+    s.fleet.sleep(Duration(2000 + s.world.below(3000)));
     std::vector<std::string> disks{"h1", "h2", "h3", "x1", "x2"};
-    for (auto& h : s.f.hosts()) s.f.kill(h->name);
+    for (auto& h : s.fleet.hosts()) s.fleet.kill(h->name);
     for (int k = 0; k < 2; ++k) {
-      auto i = s.w.below(disks.size());
-      s.f.wipe(disks[i]);
+      auto i = s.world.below(disks.size());
+      s.fleet.wipe(disks[i]);
       disks.erase(disks.begin() + static_cast<long>(i));
     }
-    s.f.sleep(Duration(100 + s.w.below(2000)));
-    s.f.start_all();
-    s.f.event(R"("t":"returned")");
+    s.fleet.sleep(Duration(100 + s.world.below(2000)));
+    s.fleet.start_all();
+    s.fleet.event(R"("t":"returned")");
     s.want(serves(s, Duration(15000)), "the fleet did not serve again 15 s after the cut");
-    s.want(s.f.until(Duration(10000), [&] { return settled(s, 5); }), "the lost disks were not filled");
+    s.want(s.fleet.wait_until(Duration(10000), [&] { return settled(s, 5); }),
+           "the lost disks were not filled");
     *w.stop = true;
-    s.f.sleep(Duration(6000));
+    s.fleet.sleep(Duration(6000));
     all_know(s, *w.acked);
     s.figures["layouts_acked"] = w.acked->size();
   };
@@ -282,7 +289,7 @@
 auto seeded(int tolerate) {
   return [tolerate](simulation::FleetShape& f) {
     f.seeded = true;
-    f.holders = 3;
+    f.replicas = 3;
     f.tolerate = tolerate;
   };
 }
--- a/test/limit_stories.cpp
+++ b/test/limit_stories.cpp
@@ -8,26 +8,28 @@
 // Around the fiftieth bad answer the duty's holder and its understudy are killed,
 // frozen or cut off, and relays restart; the verdict may not wait for them.
 void trouble_in_trial(Scene& s) {
-  s.f.outside([&s] {
-    auto how = s.w.below(4);
-    if (!s.f.until(Duration(40000), [&] { return s.w.met["bad_answer"] >= 30 + s.w.below(20); })) return;
+  s.fleet.spawn_outside([&s] {
+    auto how = s.world.below(4);
+    if (!s.fleet.wait_until(Duration(40000),
+                            [&] { return s.world.faults_met["bad_answer"] >= 30 + s.world.below(20); }))
+      return;
     std::vector<std::string> pair;
-    if (auto* h = duty_holder(s)) pair = {h->name, h->node->leadership().known().understudy()};
+    if (auto* host = duty_holder(s)) pair = {host->name, host->node->leadership().known_lease().standby()};
     for (auto& n : pair) {
       if (n.empty()) continue;
-      if (how == 0) s.f.kill(n);
-      if (how == 1) s.w.freeze(n, s.w.now() + Duration(20000));
-      if (how == 2) s.f.cut_off(n);
+      if (how == 0) s.fleet.kill(n);
+      if (how == 1) s.world.freeze(n, s.world.now() + Duration(20000));
+      if (how == 2) s.fleet.isolate(n);
     }
     if (how == 3)
-      for (auto& h : s.f.hosts())
-        if (!h->holder) {
-          s.f.kill(h->name);
-          s.f.start(h->name);
+      for (auto& h : s.fleet.hosts())
+        if (!h->has_disk) {
+          s.fleet.kill(h->name);
+          s.fleet.start(h->name);
         }
-    s.f.sleep(Duration(15000));
-    s.w.mend();
-    s.f.start_all();
+    s.fleet.sleep(Duration(15000));
+    s.world.heal_all();
+    s.fleet.start_all();
   });
 }
 
@@ -36,29 +38,30 @@
   s.story = [&s, bad, trouble, old_bad] {
     if (!begin(s, 150, sim_layout("\"1\",\"2\"", 4))) return;
     allow(s, "2");
-    for (int i = 0; i < 2; ++i) s.f.add_worker("app", "2", 0).bad_percent = bad;
-    s.f.sleep(Duration(2500));
-    bool took = s.f.until(Duration(10000), [&] {
-      return s.f.tell("PUT", "/v1/services/app", R"({"version":"2"})").status == 200;
+    for (int i = 0; i < 2; ++i) s.fleet.add_backend("app", "2", 0).bad_percent = bad;
+    s.fleet.sleep(Duration(2500));
+    bool took = s.fleet.wait_until(Duration(10000), [&] {
+      return s.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 200;
     });
     s.want(took, "the move was not taken");
-    for (auto& x : s.f.workers())
+    for (auto& x : s.fleet.backends())
       if (x->service == "app" && x->version == "1") x->bad_percent = old_bad;
     if (trouble) trouble_in_trial(s);
-    if (bad) s.f.event(R"("t":"bad_version","service":"app","version":"2")");
+    if (bad) s.fleet.event(R"("t":"bad_version","service":"app","version":"2")");
     auto state = [&] {
-      auto p = base::Json::parse(s.f.tell("GET", "/v1/services/app", "").body);
+      auto p = base::Json::parse(s.fleet.operator_call("GET", "/v1/services/app", "").body);
       auto* j = std::get_if<base::Json>(&p);
       return j ? *j : base::Json();
     };
-    bool end = s.f.until(Duration(60000), [&] {
-      auto j = state();
-      return bad ? !j.at("quarantined").at("2").str().empty() : j.at("current").str() == "2";
+    bool end = s.fleet.wait_until(Duration(60000), [&] {
+      auto json = state();
+      return bad ? !json.at("quarantined").at("2").string_or().empty()
+                 : json.at("current").string_or() == "2";
     });
     s.want(end, "the move did not come to its end: " + state().text());
-    if (bad) s.f.sleep(Duration(10000));
+    if (bad) s.fleet.sleep(Duration(10000));
     if (bad)
-      s.want(s.f.tell("PUT", "/v1/services/app", R"({"version":"2"})").status == 409,
+      s.want(s.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 409,
              "a quarantined version came back unasked");
   };
 }
@@ -72,15 +75,15 @@
     doc.replace(doc.find("\"deadline_ms\":2000"), 18, R"("deadline_ms":700)");
     doc.replace(doc.rfind("\"deadline_ms\":2000"), 18, R"("deadline_ms":700)");
     if (!begin(s, 60, doc)) return;
-    for (auto& x : s.f.workers()) x->bad_percent = 100;
-    s.f.sleep(Duration(6000));
-    if (s.f.hosts().size() > 20) return;
+    for (auto& x : s.fleet.backends()) x->bad_percent = 100;
+    s.fleet.sleep(Duration(6000));
+    if (s.fleet.hosts().size() > 20) return;
     for (int round = 0; round < 4; ++round) {
-      for (auto& h : s.f.hosts()) s.f.kill(h->name);
-      s.f.start_all();
-      s.f.sleep(Duration(2200));
+      for (auto& h : s.fleet.hosts()) s.fleet.kill(h->name);
+      s.fleet.start_all();
+      s.fleet.sleep(Duration(2200));
     }
-    s.f.sleep(Duration(6000));
+    s.fleet.sleep(Duration(6000));
   };
 }
 
@@ -94,12 +97,12 @@
     for (auto at : {doc.rfind("\"deadline_ms\""), doc.find("\"deadline_ms\"")})
       doc.insert(at, R"("inflight":3,"waitlist":40,)");
     if (!begin(s, 100, doc)) return;
-    s.f.sleep(Duration(3000));
+    s.fleet.sleep(Duration(3000));
     for (int round = 0; round < 5; ++round) {
-      for (auto& x : s.f.workers()) x->least = Duration(9000), x->most = Duration(9500);
-      s.f.sleep(Duration(1500 + s.w.below(3000)));
-      for (auto& x : s.f.workers()) x->least = Duration(200), x->most = Duration(500);
-      s.f.sleep(Duration(3000));
+      for (auto& x : s.fleet.backends()) x->min_latency = Duration(9000), x->max_latency = Duration(9500);
+      s.fleet.sleep(Duration(1500 + s.world.below(3000)));
+      for (auto& x : s.fleet.backends()) x->min_latency = Duration(200), x->max_latency = Duration(500);
+      s.fleet.sleep(Duration(3000));
     }
   };
 }
@@ -112,27 +115,27 @@
   s.must_meet = {"kill"};
   s.story = [&s] {
     if (!begin(s, 20, sim_layout("\"1\"", 4, 30))) return;
-    s.f.event(R"("t":"rate","service":"app","n":30)");
+    s.fleet.event(R"("t":"rate","service":"app","n":30)");
     auto at = std::make_shared<std::string>("e1");
     auto n = std::make_shared<std::pair<uint64_t, uint64_t>>();
-    s.f.callers(60, s.w.now() + Duration(60000), [&s, at, n] {
-      auto& h = s.f.at(*at);
-      if (!h.up() || !h.node->ready()) return;
+    s.fleet.generate_requests(60, s.world.now() + Duration(60000), [&s, at, n] {
+      auto& host = s.fleet.at(*at);
+      if (!host.up() || !host.node->ready()) return;
       ++n->first;
-      n->second += s.f.call("GET", fmt::format("/a/{}", s.w.below(10000)), "", &h) == 200;
+      n->second += s.fleet.call("GET", fmt::format("/a/{}", s.world.below(10000)), "", &host) == 200;
     });
-    s.f.sleep(Duration(15000));
+    s.fleet.sleep(Duration(15000));
     n->first = n->second = 0;
-    s.f.sleep(Duration(10000));
+    s.fleet.sleep(Duration(10000));
     // The crowd alone asks 60 a second of 30; an even split would give it 3.
     s.want(n->second > 120,
            fmt::format("only {} of {} got through where the demand is", n->second, n->first));
     s.figures["through_in_10s"] = n->second;
     *at = "e3";
-    s.f.kill("e1");
-    s.f.sleep(Duration(15000));
+    s.fleet.kill("e1");
+    s.fleet.sleep(Duration(15000));
     n->first = n->second = 0;
-    s.f.sleep(Duration(10000));
+    s.fleet.sleep(Duration(10000));
     s.figures["followed_in_10s"] = n->second;
     s.want(n->second > 120, fmt::format("the share did not follow: {} of {}", n->second, n->first));
   };
@@ -151,35 +154,35 @@
       return d;
     };
     if (!begin(s, 20, doc(30, ""))) return;
-    s.f.event(R"("t":"rate","service":"app","n":30)");
-    s.f.callers(60, s.w.now() + Duration(75000),
-                [&s] { s.f.call("GET", fmt::format("/a/{}", s.w.below(10000))); });
-    s.f.sleep(Duration(8000));
+    s.fleet.event(R"("t":"rate","service":"app","n":30)");
+    s.fleet.generate_requests(60, s.world.now() + Duration(75000),
+                              [&s] { s.fleet.call("GET", fmt::format("/a/{}", s.world.below(10000))); });
+    s.fleet.sleep(Duration(8000));
     for (int i = 0; i < 8; ++i) {
-      for (auto& h : s.f.hosts())
-        if (s.w.random(500)) s.w.freeze(h->name, s.w.now() + Duration(300 + s.w.below(1000)));
-      s.f.sleep(Duration(1000 + s.w.below(1500)));
+      for (auto& h : s.fleet.hosts())
+        if (s.world.random(500)) s.world.freeze(h->name, s.world.now() + Duration(300 + s.world.below(1000)));
+      s.fleet.sleep(Duration(1000 + s.world.below(1500)));
     }
     for (int i = 0; i < 4; ++i) {
-      for (auto& h : s.f.hosts()) s.f.kill(h->name);
-      s.f.start_all();
-      s.f.sleep(Duration(1800));
+      for (auto& h : s.fleet.hosts()) s.fleet.kill(h->name);
+      s.fleet.start_all();
+      s.fleet.sleep(Duration(1800));
     }
-    s.f.sleep(Duration(6000));
+    s.fleet.sleep(Duration(6000));
     for (int i = 0; i < 3; ++i) {
-      if (auto* h = duty_holder(s)) s.f.cut_off(h->name);
-      s.f.sleep(Duration(6000));
-      s.w.mend();
-      s.f.sleep(Duration(1500));
+      if (auto* host = duty_holder(s)) s.fleet.isolate(host->name);
+      s.fleet.sleep(Duration(6000));
+      s.world.heal_all();
+      s.fleet.sleep(Duration(1500));
     }
     put(s, "slower", doc(10, R"(,"express":"the origin is in trouble")"));
-    pb::Rollout r;
-    s.want(s.f.until(Duration(8000),
-                     [&] { return rollout_seen(s, r) && r.in_force().at("layout") == "slower"; }),
+    pb::RolloutState r;
+    s.want(s.fleet.wait_until(Duration(8000),
+                              [&] { return rollout_seen(s, r) && r.in_force().at("layout") == "slower"; }),
            "the lower rate did not come in force");
-    s.f.sleep(Duration(2000));
-    s.f.event(R"("t":"rate","service":"app","n":10)");
-    s.f.sleep(Duration(12000));
+    s.fleet.sleep(Duration(2000));
+    s.fleet.event(R"("t":"rate","service":"app","n":10)");
+    s.fleet.sleep(Duration(12000));
   };
 }
 
@@ -195,29 +198,29 @@
   s.must_meet = {"kill"};
   s.story = [&s] {
     if (!begin(s, 10, sim_layout("\"1\"", 4, 300))) return;
-    s.f.event(R"("t":"rate","service":"app","n":300)");
+    s.fleet.event(R"("t":"rate","service":"app","n":300)");
     auto x = std::make_shared<Seen>();
     for (std::string e : {"e1", "e2", "e3", "e4"})
-      s.f.callers(25, s.w.now() + Duration(60000), [&s, x, e] {
-        auto& h = s.f.at(e);
-        if (!h.up() || !h.node->ready()) return;
-        auto at = s.w.now();
+      s.fleet.generate_requests(25, s.world.now() + Duration(60000), [&s, x, e] {
+        auto& host = s.fleet.at(e);
+        if (!host.up() || !host.node->ready()) return;
+        auto at = s.world.now();
         bool counts = e == "e1" && x->back > TimePoint(0) && at - x->back < Duration(1000);
-        int got = s.f.call("GET", fmt::format("/a/{}", s.w.below(10000)), "", &h);
+        int got = s.fleet.call("GET", fmt::format("/a/{}", s.world.below(10000)), "", &host);
         if (!counts) return;
         ++x->early;
         x->refused += got != 200;
-        x->longest = std::max(x->longest, Duration(s.w.now() - at));
+        x->longest = std::max(x->longest, Duration(s.world.now() - at));
       });
-    s.f.sleep(Duration(15000));
+    s.fleet.sleep(Duration(15000));
     for (int i = 0; i < 3; ++i) {
-      s.f.kill("e1");
-      s.f.sleep(Duration(6000 + s.w.below(3000)));
-      s.f.start("e1");
-      s.want(s.f.until(Duration(8000), [&] { return s.f.at("e1").node->ready(); }),
+      s.fleet.kill("e1");
+      s.fleet.sleep(Duration(6000 + s.world.below(3000)));
+      s.fleet.start("e1");
+      s.want(s.fleet.wait_until(Duration(8000), [&] { return s.fleet.at("e1").node->ready(); }),
              "the relay did not come back");
-      x->back = s.w.now();
-      s.f.sleep(Duration(4000));
+      x->back = s.world.now();
+      s.fleet.sleep(Duration(4000));
       x->back = TimePoint(0);
     }
     s.figures["early"] = static_cast<uint64_t>(x->early);
@@ -241,24 +244,24 @@
   s.must_meet = {"kill"};
   s.story = [&s] {
     if (!begin(s, 20, sim_layout("\"1\"", 4, 150))) return;
-    s.f.event(R"("t":"rate","service":"app","n":150)");
+    s.fleet.event(R"("t":"rate","service":"app","n":150)");
     auto x = std::make_shared<Seen>();
-    s.f.callers(70, s.w.now() + Duration(60000), [&s, x] {
-      auto& h = s.f.at("e1");
-      if (!h.node->ready()) return;
+    s.fleet.generate_requests(70, s.world.now() + Duration(60000), [&s, x] {
+      auto& host = s.fleet.at("e1");
+      if (!host.node->ready()) return;
       ++x->asked;
-      x->refused += s.f.call("GET", fmt::format("/a/{}", s.w.below(10000)), "", &h) != 200;
+      x->refused += s.fleet.call("GET", fmt::format("/a/{}", s.world.below(10000)), "", &host) != 200;
     });
-    s.f.sleep(Duration(20000));
+    s.fleet.sleep(Duration(20000));
     *x = {};
     for (int i = 0; i < 3; ++i) {
-      auto* h = duty_holder(s);
-      if (!h) continue;
-      auto name = h->name;
-      s.f.kill(name);
-      s.f.sleep(Duration(2000 + s.w.below(3000)));
-      s.f.start(name);
-      s.f.sleep(Duration(8000));
+      auto* host = duty_holder(s);
+      if (!host) continue;
+      auto name = host->name;
+      s.fleet.kill(name);
+      s.fleet.sleep(Duration(2000 + s.world.below(3000)));
+      s.fleet.start(name);
+      s.fleet.sleep(Duration(8000));
     }
     s.figures["asked"] = static_cast<uint64_t>(x->asked);
     s.figures["refused"] = static_cast<uint64_t>(x->refused);
--- a/test/links.cpp
+++ b/test/links.cpp
@@ -12,10 +12,10 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 using wire::await;
-using wire::Ec;
+using wire::ErrorCode;
 
 namespace {
-constexpr base::Log lg("links");
+constexpr base::Log logger("links");
 }
 
 struct Links::Link {
@@ -26,7 +26,7 @@
   explicit Link(asio::io_context& io) : acc(io) {}
 
   void close_all() {
-    Ec ec;
+    ErrorCode ec;
     for (auto& s : live) s->close(ec);
     live.clear();
   }
@@ -42,7 +42,7 @@
         await<size_t>([&, n = n](auto h) { asio::async_write(*b, asio::buffer(buf, n), std::move(h)); });
     if (e2) break;
   }
-  Ec ec;
+  ErrorCode ec;
   a->close(ec);
   b->close(ec);
 }
@@ -71,7 +71,7 @@
         auto t = std::make_shared<tcp::socket>(pool_.io(0));
         auto [e] = await<>([&](auto h) { t->async_connect(l->to, std::move(h)); });
         if (e || l->cut) return;
-        Ec ec;
+        ErrorCode ec;
         s->set_option(tcp::no_delay(true), ec);
         t->set_option(tcp::no_delay(true), ec);
         l->live.insert(s);
--- a/test/links.hpp
+++ b/test/links.hpp
@@ -9,7 +9,7 @@
 
 class Links {
  public:
-  explicit Links(wire::Pool& pool) : pool_(pool) {}
+  explicit Links(wire::EventLoopPool& pool) : pool_(pool) {}
   void open(const std::string& from, const std::string& to, const std::string& listen,
             const std::string& target);
   void cut(const std::string& from, const std::string& to);
@@ -19,7 +19,7 @@
 
  private:
   struct Link;
-  wire::Pool& pool_;
+  wire::EventLoopPool& pool_;
   std::map<std::pair<std::string, std::string>, std::shared_ptr<Link>> by_;
 };
 
--- a/test/machine_stories.cpp
+++ b/test/machine_stories.cpp
@@ -11,8 +11,8 @@
     put(s, "second", sim_layout("\"1\"", 3));
     s.want(reach(s, "second", "DONE", Duration(90000)),
            "the second layout did not run everywhere, it is " + phase(s, "second"));
-    s.want(s.f.good * 100 > s.f.calls * 99,
-           fmt::format("only {} of {} calls went well", s.f.good, s.f.calls));
+    s.want(s.fleet.good * 100 > s.fleet.calls * 99,
+           fmt::format("only {} of {} calls went well", s.fleet.good, s.fleet.calls));
   };
 }
 
@@ -24,17 +24,18 @@
     if (!begin(s)) return;
     put(s, "second", sim_layout("\"1\"", 3));
     for (int i = 0; i < 12; ++i) {
-      auto& h = s.f.hosts()[s.w.below(s.f.hosts().size())];
-      if (may_fall(s, *h)) s.f.kill(h->name);
-      s.f.sleep(Duration(300 + s.w.below(2500)));
-      for (auto& x : s.f.hosts())
-        if (!x->up() && s.w.random(600)) s.f.start(x->name);
+      auto& h = s.fleet.hosts()[s.world.below(s.fleet.hosts().size())];
+      if (may_fall(s, *h)) s.fleet.kill(h->name);
+      s.fleet.sleep(Duration(300 + s.world.below(2500)));
+      for (auto& x : s.fleet.hosts())
+        if (!x->up() && s.world.random(600)) s.fleet.start(x->name);
     }
-    s.f.start_all();
-    s.f.event(R"("t":"returned")");
+    s.fleet.start_all();
+    s.fleet.event(R"("t":"returned")");
     s.want(serves(s, Duration(15000)), "the fleet did not serve again 15 s after the machines returned");
-    s.want(s.f.tell("GET", "/v1/releases/layout/second", "").status == 200, "an acknowledged layout is gone");
-    s.f.sleep(Duration(15000));
+    s.want(s.fleet.operator_call("GET", "/v1/releases/layout/second", "").status == 200,
+           "an acknowledged layout is gone");
+    s.fleet.sleep(Duration(15000));
   };
 }
 
@@ -45,14 +46,14 @@
     if (!begin(s)) return;
     put(s, "second", sim_layout("\"1\"", 3));
     for (int k = 0; k < 2; ++k) {
-      for (auto& h : s.f.hosts()) s.f.kill(h->name);
-      s.f.sleep(Duration(500 + s.w.below(3000)));
-      s.f.start_all();
-      s.f.event(R"("t":"returned")");
+      for (auto& h : s.fleet.hosts()) s.fleet.kill(h->name);
+      s.fleet.sleep(Duration(500 + s.world.below(3000)));
+      s.fleet.start_all();
+      s.fleet.event(R"("t":"returned")");
       s.want(serves(s, Duration(15000)), "the fleet did not serve again 15 s after a restart of all");
-      s.want(s.f.tell("GET", "/v1/releases/layout/second", "").status == 200,
+      s.want(s.fleet.operator_call("GET", "/v1/releases/layout/second", "").status == 200,
              "an acknowledged layout is gone");
-      s.f.sleep(Duration(1000 + s.w.below(12000)));
+      s.fleet.sleep(Duration(1000 + s.world.below(12000)));
     }
   };
 }
@@ -64,16 +65,17 @@
   s.story = [&s] {
     if (!begin(s)) return;
     for (int i = 0; i < 5; ++i) {
-      auto name = fmt::format("h{}", 1 + s.w.below(5));
+      auto name = fmt::format("h{}", 1 + s.world.below(5));
       put(s, fmt::format("r{}", i), sim_layout("\"1\"", 3 + i));
-      s.f.kill(name);
-      s.f.wipe(name);
-      s.f.sleep(Duration(10 + s.w.below(3000)));
-      s.f.start(name);
-      bool back = s.f.until(Duration(10000), [&] { return !s.f.at(name).node->acceptor()->mute(); });
+      s.fleet.kill(name);
+      s.fleet.wipe(name);
+      s.fleet.sleep(Duration(10 + s.world.below(3000)));
+      s.fleet.start(name);
+      bool back = s.fleet.wait_until(Duration(10000),
+                                     [&] { return !s.fleet.at(name).node->acceptor()->non_voting(); });
       s.want(back, name + " was not refilled");
       for (int k = 0; k <= i; ++k)
-        s.want(s.f.tell("GET", fmt::format("/v1/releases/layout/r{}", k), "").status == 200,
+        s.want(s.fleet.operator_call("GET", fmt::format("/v1/releases/layout/r{}", k), "").status == 200,
                "an acknowledged layout is gone");
     }
   };
@@ -86,10 +88,10 @@
     if (!begin(s)) return;
     put(s, "second", sim_layout("\"1\"", 3));
     for (int i = 0; i < 10; ++i) {
-      auto& h = s.f.hosts()[s.w.below(s.f.hosts().size())];
-      s.w.freeze(h->name, s.w.now() + Duration(500 + s.w.below(8000)));
-      if (s.w.random(500)) purge(s, fmt::format("p{}", i), "prefix", "/c/");
-      s.f.sleep(Duration(500 + s.w.below(5000)));
+      auto& h = s.fleet.hosts()[s.world.below(s.fleet.hosts().size())];
+      s.world.freeze(h->name, s.world.now() + Duration(500 + s.world.below(8000)));
+      if (s.world.random(500)) purge(s, fmt::format("p{}", i), "prefix", "/c/");
+      s.fleet.sleep(Duration(500 + s.world.below(5000)));
     }
     s.want(serves(s, Duration(20000)), "the fleet did not serve again after the freezes");
   };
@@ -103,21 +105,21 @@
     if (!begin(s)) return;
     for (int i = 0; i < 5; ++i) {
       std::vector<std::string> left, right;
-      for (auto& h : s.f.hosts()) (s.w.random(400) ? left : right).push_back(h->name);
-      bool one_way = s.w.random(300);
+      for (auto& h : s.fleet.hosts()) (s.world.random(400) ? left : right).push_back(h->name);
+      bool one_way = s.world.random(300);
       for (auto& a : left)
         for (auto& b : right) {
-          s.w.cut(a, b);
-          if (!one_way) s.w.cut(b, a);
+          s.world.partition(a, b);
+          if (!one_way) s.world.partition(b, a);
         }
       auto name = fmt::format("p{}", i);
-      s.f.sleep(Duration(500 + s.w.below(2000)));
+      s.fleet.sleep(Duration(500 + s.world.below(2000)));
       purge(s, name, "service", "");
-      s.f.sleep(Duration(1000 + s.w.below(6000)));
-      s.w.mend();
-      s.f.event(R"("t":"returned")");
+      s.fleet.sleep(Duration(1000 + s.world.below(6000)));
+      s.world.heal_all();
+      s.fleet.event(R"("t":"returned")");
       s.want(serves(s, Duration(15000)), "the fleet did not serve again after a split");
-      s.f.sleep(Duration(1000));
+      s.fleet.sleep(Duration(1000));
     }
   };
 }
@@ -126,12 +128,12 @@
   s.length = Duration(70000);
   s.must_meet = {"loss", "twice"};
   s.story = [&s] {
-    s.w.weather = {30, 30, Duration(1), Duration(40)};
+    s.world.weather = {30, 30, Duration(1), Duration(40)};
     if (!begin(s)) return;
     put(s, "second", sim_layout("\"1\"", 3));
     for (int i = 0; i < 10; ++i) {
       purge(s, fmt::format("p{}", i), "prefix", "/c/1");
-      s.f.sleep(Duration(3000));
+      s.fleet.sleep(Duration(3000));
     }
   };
 }
@@ -145,15 +147,16 @@
   s.must_meet = {"kill", "loss"};
   s.story = [&s] {
     if (!begin(s)) return;
-    s.w.weather = {10, 10, Duration(1), Duration(15)};
+    s.world.weather = {10, 10, Duration(1), Duration(15)};
     auto stop = std::make_shared<bool>(false);
     auto acked = std::make_shared<std::map<std::string, std::string>>();
-    s.f.outside([&s, stop, acked] {
+    s.fleet.spawn_outside([&s, stop, acked] {
       for (int i = 0; !*stop; ++i) {
         auto name = fmt::format("r{}", i);
         auto doc = sim_layout("\"1\"", 1 + i % 9);
-        if (s.f.tell("PUT", "/v1/releases/layout/" + name, doc).status == 202) (*acked)[name] = doc;
-        s.f.sleep(Duration(300 + s.w.below(700)));
+        if (s.fleet.operator_call("PUT", "/v1/releases/layout/" + name, doc).status == 202)
+          (*acked)[name] = doc;
+        s.fleet.sleep(Duration(300 + s.world.below(700)));
       }
     });
     for (int k = 1; k <= 2; ++k) {
@@ -161,37 +164,39 @@
       auto state = [&](const std::string& n, bool on) {
         auto body = on ? fmt::format(R"({{"holder":true,"address":"peer:{}"}})", n)
                        : std::string(R"({"holder":false})");
-        bool ok = s.f.until(Duration(20000),
-                            [&] { return s.f.tell("PUT", "/v1/holders/" + n, body).status == 200; });
+        bool ok = s.fleet.wait_until(Duration(20000), [&] {
+          return s.fleet.operator_call("PUT", "/v1/holders/" + n, body).status == 200;
+        });
         s.want(ok, "the set of holders could not be changed for " + n);
       };
-      s.f.kill(out);  // the machine is gone for good
+      s.fleet.kill(out);  // the machine is gone for good
       state(in, true);
-      s.want(s.f.until(Duration(15000), [&] { return !s.f.at(in).node->acceptor()->mute(); }),
-             in + " was not filled");
+      s.want(
+          s.fleet.wait_until(Duration(15000), [&] { return !s.fleet.at(in).node->acceptor()->non_voting(); }),
+          in + " was not filled");
       state(out, false);
-      s.f.sleep(Duration(1000 + s.w.below(2000)));
+      s.fleet.sleep(Duration(1000 + s.world.below(2000)));
     }
-    s.f.start("h1");  // the old machine comes back, and nobody counts its votes
+    s.fleet.start("h1");  // the old machine comes back, and nobody counts its votes
     // Three of the five of now; without the two new ones there would be no majority.
-    s.f.kill("h3");
-    s.f.kill("h4");
-    s.f.sleep(Duration(5000));
+    s.fleet.kill("h3");
+    s.fleet.kill("h4");
+    s.fleet.sleep(Duration(5000));
     auto n = acked->size();
-    s.f.sleep(Duration(6000));
+    s.fleet.sleep(Duration(6000));
     s.want(acked->size() > n, "two of the five present holders lost, and control stood still");
     *stop = true;
-    s.f.sleep(Duration(6000));
-    s.w.weather = s.f.calm();
-    s.f.start("h3");
-    s.f.start("h4");
-    s.f.sleep(Duration(6000));
-    for (auto& h : s.f.hosts())
+    s.fleet.sleep(Duration(6000));
+    s.world.weather = s.fleet.normal_conditions();
+    s.fleet.start("h3");
+    s.fleet.start("h4");
+    s.fleet.sleep(Duration(6000));
+    for (auto& h : s.fleet.hosts())
       if (h->up()) knows(s, *h, *acked);
-    auto p = base::Json::parse(s.f.tell("GET", "/v1/holders", "").body);
+    auto p = base::Json::parse(s.fleet.operator_call("GET", "/v1/holders", "").body);
     auto* j = std::get_if<base::Json>(&p);
     // Four changes of two steps each, the last one finished.
-    s.want(j && j->at("epoch").str() == "8" && j->at("holders").items().size() == 5 &&
+    s.want(j && j->at("epoch").string_or() == "8" && j->at("holders").items().size() == 5 &&
                j->at("previous").items().empty(),
            "the set is not what was stated");
     s.figures = {{"layouts_acked", acked->size()}};
@@ -205,49 +210,51 @@
   s.must_meet = {"kill", "cut"};
   s.story = [&s] {
     if (!begin(s)) return;
-    s.f.cut_off("e4");
+    s.fleet.isolate("e4");
     for (int k = 1; k <= 2; ++k) {
       auto in = fmt::format("x{}", k), out = fmt::format("h{}", k);
       auto state = [&](const std::string& n, const std::string& body) {
-        bool ok = s.f.until(Duration(20000),
-                            [&] { return s.f.tell("PUT", "/v1/holders/" + n, body).status == 200; });
+        bool ok = s.fleet.wait_until(Duration(20000), [&] {
+          return s.fleet.operator_call("PUT", "/v1/holders/" + n, body).status == 200;
+        });
         s.want(ok, "the set of holders could not be changed for " + n);
       };
-      s.f.kill(out);
+      s.fleet.kill(out);
       state(in, fmt::format(R"({{"holder":true,"address":"peer:{}"}})", in));
-      s.want(s.f.until(Duration(15000), [&] { return !s.f.at(in).node->acceptor()->mute(); }),
-             in + " was not filled");
+      s.want(
+          s.fleet.wait_until(Duration(15000), [&] { return !s.fleet.at(in).node->acceptor()->non_voting(); }),
+          in + " was not filled");
       state(out, R"({"holder":false})");
     }
-    s.f.sleep(Duration(3000));
+    s.fleet.sleep(Duration(3000));
     auto wins = std::make_shared<std::vector<std::string>>();
     auto ends = std::make_shared<int>(0);
     auto write = [&](const std::string& host) {
-      auto* h = &s.f.at(host);
-      s.w.spawn(h->life, [h, wins, ends] {
+      auto* h = &s.fleet.at(host);
+      s.world.spawn(h->process, [h, wins, ends] {
         auto r = h->node->registers().write("contested", 0, h->name);
         if (std::holds_alternative<consensus::VersionedValue>(r)) wins->push_back(h->name);
         ++*ends;
       });
     };
     // e4 hears h1, h2 and h3 only, a majority of the set it knows; e1 hears all but h3.
-    s.w.mend();
-    s.f.cut_off("e4");
-    s.f.start("h1");
-    s.f.start("h2");
+    s.world.heal_all();
+    s.fleet.isolate("e4");
+    s.fleet.start("h1");
+    s.fleet.start("h2");
     for (auto* h : {"h1", "h2"})
-      for (auto& x : s.f.hosts())
-        if (x->name != h) s.w.cut(h, x->name), s.w.cut(x->name, h);
-    s.f.sleep(Duration(300));
-    s.w.cut("e1", "h3");
-    s.w.cut("h3", "e1");
-    for (auto* h : {"h1", "h2", "h3"}) s.w.join("e4", h);
+      for (auto& x : s.fleet.hosts())
+        if (x->name != h) s.world.partition(h, x->name), s.world.partition(x->name, h);
+    s.fleet.sleep(Duration(300));
+    s.world.partition("e1", "h3");
+    s.world.partition("h3", "e1");
+    for (auto* h : {"h1", "h2", "h3"}) s.world.heal("e4", h);
     write("e4");
     write("e1");
-    s.want(s.f.until(Duration(10000), [&] { return *ends == 2; }), "a write did not come back");
+    s.want(s.fleet.wait_until(Duration(10000), [&] { return *ends == 2; }), "a write did not come back");
     s.want(wins->size() <= 1, "two writers won the same version, one with a set long gone");
-    s.w.mend();
-    s.f.sleep(Duration(5000));
+    s.world.heal_all();
+    s.fleet.sleep(Duration(5000));
   };
 }
 }  // namespace
--- a/test/measure/catchup.cpp
+++ b/test/measure/catchup.cpp
@@ -16,7 +16,8 @@
 
 class Catchup {
  public:
-  Catchup(simulation::World& w, simulation::Fleet& f, const CatchupLoad& load) : w_(w), f_(f), load_(load) {
+  Catchup(simulation::World& world, simulation::Fleet& fleet, const CatchupLoad& load)
+      : world_(world), fleet_(fleet), load_(load) {
     registers_ = std::max(1, std::min(load.registers, load.changes / 2));
   }
 
@@ -24,46 +25,46 @@
   Figures figures;
 
   void run() {
-    auto* writer = &f_.at(kWriter);
-    if (!f_.until(kLongest, [&] { return votes(*writer) && votes(f_.at(kStopped)); })) return;
-    f_.sleep(kIdle);
+    auto* writer = &fleet_.at(kWriter);
+    if (!fleet_.wait_until(kLongest, [&] { return votes(*writer) && votes(fleet_.at(kStopped)); })) return;
+    fleet_.sleep(kIdle);
     write(load_.changes / 2);
-    f_.sleep(kIdle);
+    fleet_.sleep(kIdle);
     idle_bytes_ = bytes_in(kIdle);
     figures["idle_bytes_a_second"] = idle_bytes_ * 1000;
-    f_.kill(kStopped);
+    fleet_.kill(kStopped);
     write(load_.changes - load_.changes / 2);
-    f_.sleep(kIdle);
+    fleet_.sleep(kIdle);
     come_back("restarted");
     figures["idle_bytes_a_second_later"] = bytes_in(kIdle) * 1000;
-    f_.kill(kStopped);
-    f_.wipe(kStopped);
-    f_.sleep(kIdle);
+    fleet_.kill(kStopped);
+    fleet_.wipe(kStopped);
+    fleet_.sleep(kIdle);
     come_back("empty");
     figures["registers"] = registers_;
     ended = true;
   }
 
  private:
-  static bool votes(simulation::Host& h) { return h.up() && !h.node->acceptor()->mute(); }
+  static bool votes(simulation::Host& host) { return host.up() && !host.node->acceptor()->non_voting(); }
   static std::string key(int i) { return fmt::format("pad/{}", i); }
 
   double bytes_in(Duration span) {
-    auto before = w_.bytes;
-    f_.sleep(span);
-    return static_cast<double>(w_.bytes - before) / static_cast<double>(span.count());
+    auto before = world_.bytes;
+    fleet_.sleep(span);
+    return static_cast<double>(world_.bytes - before) / static_cast<double>(span.count());
   }
 
   // Writes the registers in turn, several at once.
   void write(int changes) {
     auto left = std::make_shared<int>(kWritersAtOnce);
-    auto* host = &f_.at(kWriter);
+    auto* host = &fleet_.at(kWriter);
     for (int k = 0; k < kWritersAtOnce; ++k)
-      w_.spawn(host->life, [this, host, left, k, changes] {
+      world_.spawn(host->process, [this, host, left, k, changes] {
         for (int i = k; i < changes; i += kWritersAtOnce) write_one(*host, i % registers_);
         --*left;
       });
-    f_.until(kLongest, [&] { return *left == 0; });
+    fleet_.wait_until(kLongest, [&] { return *left == 0; });
   }
   void write_one(simulation::Host& host, int i) {
     std::string data(static_cast<size_t>(load_.bytes), 'x');
@@ -74,49 +75,49 @@
         return;
       }
       if (auto* conflict = std::get_if<consensus::VersionConflict>(&result))
-        versions_[i] = conflict->now.version;
+        versions_[i] = conflict->current.version;
     }
   }
 
-  bool knows_all(simulation::Host& h) const {
-    auto& chosen = h.node->state_cache().chosen();
+  bool knows_all(simulation::Host& host) const {
+    auto& chosen = host.node->state_cache().chosen();
     for (auto& [i, version] : versions_) {
       auto at = chosen.find(key(i));
       if (at == chosen.end() || at->second.version < version) return false;
     }
-    return h.node->state_cache().fresh();
+    return host.node->state_cache().has_read_lease();
   }
 
   // Of the registers written here, those whose latest value is not on the replica's own disk.
-  double behind(simulation::Host& h) const {
+  double behind(simulation::Host& host) const {
     double n = 0;
     for (auto& [i, version] : versions_) {
-      pb::Ask a;
-      a.set_epoch(h.node->registers().set().epoch());
-      a.mutable_peek()->set_name(key(i));
-      n += h.node->acceptor()->answer(a).vote().slot().value().version() < version;
+      pb::PeerRequest request;
+      request.set_epoch(host.node->registers().set().epoch());
+      request.mutable_read_register()->set_name(key(i));
+      n += host.node->acceptor()->answer(request).vote().register_state().value().version() < version;
     }
     return n;
   }
 
   void come_back(const std::string& as) {
-    auto from = w_.now();
-    auto bytes = w_.bytes;
-    f_.start(kStopped);
-    auto& h = f_.at(kStopped);
-    f_.until(kLongest, [&] { return votes(h); });
-    figures[as + "_votes_ms"] = static_cast<double>((w_.now() - from).count());
-    f_.until(kLongest, [&] { return knows_all(h); });
-    auto took = static_cast<double>((w_.now() - from).count());
+    auto from = world_.now();
+    auto bytes = world_.bytes;
+    fleet_.start(kStopped);
+    auto& host = fleet_.at(kStopped);
+    fleet_.wait_until(kLongest, [&] { return votes(host); });
+    figures[as + "_votes_ms"] = static_cast<double>((world_.now() - from).count());
+    fleet_.wait_until(kLongest, [&] { return knows_all(host); });
+    auto took = static_cast<double>((world_.now() - from).count());
     figures[as + "_knows_all_ms"] = took;
-    f_.sleep(kIdle);  // the others pull what it tells anew only after it votes
+    fleet_.sleep(kIdle);  // the others pull what it tells anew only after it votes
     took += static_cast<double>(kIdle.count());
-    figures[as + "_bytes"] = std::max(0.0, static_cast<double>(w_.bytes - bytes) - idle_bytes_ * took);
-    figures[as + "_registers_behind"] = behind(h);
+    figures[as + "_bytes"] = std::max(0.0, static_cast<double>(world_.bytes - bytes) - idle_bytes_ * took);
+    figures[as + "_registers_behind"] = behind(host);
   }
 
-  simulation::World& w_;
-  simulation::Fleet& f_;
+  simulation::World& world_;
+  simulation::Fleet& fleet_;
   CatchupLoad load_;
   int registers_ = 1;
   double idle_bytes_ = 0;  // a millisecond
@@ -132,7 +133,7 @@
   bool over = false;
   w.run(w.now() + kSlice, nullptr, [&] {
     f.start_all();
-    f.outside([&] {
+    f.spawn_outside([&] {
       story.run();
       over = true;
     });
--- a/test/measure/delays.cpp
+++ b/test/measure/delays.cpp
@@ -28,7 +28,7 @@
   Scene s{w, f, {}};
   w.run(w.now() + length, nullptr, [&] {
     f.start_all();
-    f.outside([&] { story(s); });
+    f.spawn_outside([&] { story(s); });
   });
   if (!s.why.empty()) std::cout << "seed " << seed << ": " << s.why << "\n";
   f.end();
@@ -42,15 +42,15 @@
     Figure msgs, bytes;
     for (int k = 1; k <= seeds; ++k) {
       simulation::FleetShape shape;
-      shape.edges = edges;
+      shape.edge_nodes = edges;
       play(static_cast<uint64_t>(k), shape, Duration(30000), [&](Scene& s) {
         if (!begin(s, 100)) return;
-        s.f.sleep(Duration(2000));
-        auto m = s.w.messages, b = s.w.bytes;
-        s.f.sleep(Duration(10000));
+        s.fleet.sleep(Duration(2000));
+        auto m = s.world.messages, b = s.world.bytes;
+        s.fleet.sleep(Duration(10000));
         double per = 10.0 * (edges + 5);
-        msgs.v.push_back(static_cast<double>(s.w.messages - m) / per);
-        bytes.v.push_back(static_cast<double>(s.w.bytes - b) / per);
+        msgs.v.push_back(static_cast<double>(s.world.messages - m) / per);
+        bytes.v.push_back(static_cast<double>(s.world.bytes - b) / per);
       });
     }
     std::cout << fmt::format("{} relays: messages per relay and second {}; bytes {}\n", edges + 5,
@@ -61,31 +61,31 @@
 namespace {
 // Milliseconds until the condition holds on every host that is up.
 double till_all(Scene& s, const std::function<bool(simulation::Host&)>& ok) {
-  auto from = s.w.now();
-  s.f.until(Duration(20000), [&] {
-    for (auto& h : s.f.hosts())
+  auto from = s.world.now();
+  s.fleet.wait_until(Duration(20000), [&] {
+    for (auto& h : s.fleet.hosts())
       if (h->up() && !ok(*h)) return false;
     return true;
   });
-  return static_cast<double>((s.w.now() - from).count());
+  return static_cast<double>((s.world.now() - from).count());
 }
 
 // How long callers of the others went without a good answer.
 double gap(Scene& s, const std::function<void()>& harm, Duration look) {
   harm();
-  auto end = s.w.now() + look;
-  TimePoint last = s.w.now();
+  auto end = s.world.now() + look;
+  TimePoint last = s.world.now();
   double worst = 0;
-  auto good = s.f.good;
-  while (s.w.now() < end) {
-    s.f.sleep(Duration(20));
-    if (s.f.good != good) {
-      worst = std::max(worst, static_cast<double>((s.w.now() - last).count()));
-      last = s.w.now();
-      good = s.f.good;
+  auto good = s.fleet.good;
+  while (s.world.now() < end) {
+    s.fleet.sleep(Duration(20));
+    if (s.fleet.good != good) {
+      worst = std::max(worst, static_cast<double>((s.world.now() - last).count()));
+      last = s.world.now();
+      good = s.fleet.good;
     }
   }
-  return std::max(worst, static_cast<double>((s.w.now() - last).count()));
+  return std::max(worst, static_cast<double>((s.world.now() - last).count()));
 }
 
 }  // namespace
@@ -97,56 +97,58 @@
     play(seed, {}, Duration(70000), [&](Scene& s) {
       if (!begin(s, 100)) return;
       for (int i = 0; i < 3; ++i) {
-        s.f.sleep(Duration(1000 + s.w.below(1000)));
+        s.fleet.sleep(Duration(1000 + s.world.below(1000)));
         purge(s, fmt::format("p{}", i), "service", "");
         auto want = static_cast<uint64_t>(i + 1);
-        purge_seen.v.push_back(till_all(s, [&](simulation::Host& h) {
-          return traffic::purge_number(*h.node->traffic().table(), "content") >= want;
+        purge_seen.v.push_back(till_all(s, [&](simulation::Host& host) {
+          return traffic::purge_number(*host.node->request_handler().snapshot(), "content") >= want;
         }));
       }
       auto doc = sim_layout("\"1\"", 3, 0, R"(,"express":"measured")");
       put(s, "second", doc);
-      pb::Rollout r;
-      s.f.until(Duration(5000), [&] {
+      pb::RolloutState r;
+      s.fleet.wait_until(Duration(5000), [&] {
         rollout_seen(s, r);
         return r.in_force().count("layout") && r.in_force().at("layout") == "second";
       });
-      assigned.v.push_back(till_all(s, [](simulation::Host& h) { return h.node->release() == "second"; }));
+      assigned.v.push_back(
+          till_all(s, [](simulation::Host& host) { return host.node->configuration_name() == "second"; }));
       holder.v.push_back(gap(
-          s, [&] { s.f.kill("h1"); }, Duration(6000)));
-      s.f.start("h1");
-      s.f.sleep(Duration(3000));
+          s, [&] { s.fleet.kill("h1"); }, Duration(6000)));
+      s.fleet.start("h1");
+      s.fleet.sleep(Duration(3000));
       zone.v.push_back(gap(
           s,
           [&] {
-            for (auto& h : s.f.hosts())
-              if (h->zone == "a") s.f.kill(h->name);
+            for (auto& h : s.fleet.hosts())
+              if (h->zone == "a") s.fleet.kill(h->name);
           },
           Duration(6000)));
-      s.f.start_all();
-      s.f.sleep(Duration(5000));
+      s.fleet.start_all();
+      s.fleet.sleep(Duration(5000));
       all.v.push_back(gap(
           s,
           [&] {
-            for (auto& h : s.f.hosts()) s.f.kill(h->name);
-            s.f.start_all();
+            for (auto& h : s.fleet.hosts()) s.fleet.kill(h->name);
+            s.fleet.start_all();
           },
           Duration(10000)));
     });
     play(seed, {}, Duration(60000), [&](Scene& s) {
       if (!begin(s, 150, sim_layout("\"1\",\"2\"", 4))) return;
-      auto& x = s.f.add_worker("app", "2", 0);
+      auto& x = s.fleet.add_backend("app", "2", 0);
       x.bad_percent = 70;
-      s.f.sleep(Duration(2500));
-      s.f.until(Duration(10000),
-                [&] { return s.f.tell("PUT", "/v1/services/app", R"({"version":"2"})").status == 200; });
-      s.f.until(Duration(40000), [&] { return s.w.met["bad_answer"] >= 50; });
-      quarantine.v.push_back(till_all(s, [](simulation::Host& h) {
-        auto t = h.node->traffic().table();
-        auto f = t->states.find("app");
-        return f != t->states.end() && f->second.quarantined().count("2");
+      s.fleet.sleep(Duration(2500));
+      s.fleet.wait_until(Duration(10000), [&] {
+        return s.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 200;
+      });
+      s.fleet.wait_until(Duration(40000), [&] { return s.world.faults_met["bad_answer"] >= 50; });
+      quarantine.v.push_back(till_all(s, [](simulation::Host& host) {
+        auto snapshot = host.node->request_handler().snapshot();
+        auto f = snapshot->service_states.find("app");
+        return f != snapshot->service_states.end() && f->second.quarantined().count("2");
       }));
-      bad.v.push_back(static_cast<double>(s.w.met["bad_answer"]));
+      bad.v.push_back(static_cast<double>(s.world.faults_met["bad_answer"]));
     });
   }
   std::cout << "purge acknowledged, till the last relay heeds it, ms: " << purge_seen.text() << "\n"
--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -43,13 +43,13 @@
 }
 
 double ms_until(Hollow& f, Duration most, const std::function<bool()>& ok) {
-  auto from = f.w.now();
-  return f.until(most, ok) ? static_cast<double>((f.w.now() - from).count()) : -1;
+  auto from = f.world.now();
+  return f.until(most, ok) ? static_cast<double>((f.world.now() - from).count()) : -1;
 }
 
 double permits(Hollow& f) {
   int n = 0;
-  for (auto& x : f.nodes) n += x->up() && x->relay().state_cache().fresh();
+  for (auto& x : f.nodes) n += x->up() && x->relay().state_cache().has_read_lease();
   return n;
 }
 
@@ -60,7 +60,7 @@
   for (auto& n : f.nodes) {
     if (!n->up()) continue;
     std::map<std::string, bool> in;
-    for (auto& m : n->relay().state_cache().statuses().members(f.w.now())) in[m.name] = true;
+    for (auto& m : n->relay().state_cache().statuses().members(f.world.now())) in[m.name] = true;
     for (auto* d : dead)
       if (in.count(d->name)) return false;
   }
@@ -73,12 +73,13 @@
   for (auto& n : f.nodes)
     if (n->zone == z) dead.push_back(n.get());
   auto m = meter(f);
-  auto from = f.w.now();
+  auto from = f.world.now();
   for (auto* n : dead) f.kill(*n);
   o["lost_nodes"] = static_cast<double>(dead.size());
   o["known_gone_ms"] = ms_until(f, Duration(20000), [&] { return known_gone(f, dead); });
   uint64_t looks = 0, stale = 0;
-  for (; f.w.now() - from < Duration(t.hold_s * 1000); f.sleep(Duration(50)), ++looks) stale += !f.fresh();
+  for (; f.world.now() - from < Duration(t.hold_s * 1000); f.sleep(Duration(50)), ++looks)
+    stale += !f.fresh();
   o["looks"] = static_cast<double>(looks);
   o["looks_without_all_permits"] = static_cast<double>(stale);
   put(o, "while", *m, t.hold_s);
@@ -91,7 +92,7 @@
 
 void apart(Hollow& f, const Trouble& t, Figures& o) {
   Stream st(f);
-  auto from = f.w.now(), end = from + Duration(t.hold_s * 1000);
+  auto from = f.world.now(), end = from + Duration(t.hold_s * 1000);
   auto m = meter(f);
   f.apart = f.nodes.back()->region;
   int inside = 0;
@@ -99,11 +100,11 @@
   o["apart_nodes"] = inside;
   st.changes(t.changes, end);
   st.purges(t.purges, end);
-  f.sleep(std::min<Duration>(Duration(5000), end - f.w.now()));
+  f.sleep(std::min<Duration>(Duration(5000), end - f.world.now()));
   o["permits_while"] = permits(f);
   o["others"] = static_cast<double>(f.nodes.size()) - inside;
   double least = o["permits_while"];
-  for (; f.w.now() < end; f.sleep(Duration(500))) least = std::min(least, permits(f));
+  for (; f.world.now() < end; f.sleep(Duration(500))) least = std::min(least, permits(f));
   o["permits_least"] = least;
   put(o, "while", *m, t.hold_s);
   m = meter(f);
@@ -111,9 +112,9 @@
   o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return whole(f); });
   o["all_everywhere"] = st.rest(Duration(30000));
   st.figures(o);
-  o["all_everywhere_ms"] = o["whole_again_ms"] < 0 ? -1 : static_cast<double>((f.w.now() - end).count());
+  o["all_everywhere_ms"] = o["whole_again_ms"] < 0 ? -1 : static_cast<double>((f.world.now() - end).count());
   f.sleep(Duration(5000));
-  put(o, "after", *m, static_cast<double>((f.w.now() - end).count()) / 1000);
+  put(o, "after", *m, static_cast<double>((f.world.now() - end).count()) / 1000);
 }
 
 void restart(Hollow& f, const Trouble& t, Figures& o) {
@@ -134,19 +135,19 @@
 
 void storm(Hollow& f, const Trouble& t, Figures& o) {
   Stream st(f);
-  auto end = f.w.now() + Duration(t.hold_s * 1000);
+  auto end = f.world.now() + Duration(t.hold_s * 1000);
   auto m = meter(f);
   auto cpu = cpu_ns();
   st.changes(t.changes, end);
   st.purges(t.purges, end);
   uint64_t looks = 0, stale = 0;
-  for (; f.w.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.fresh();
+  for (; f.world.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.fresh();
   o["cpu_ms_s"] = static_cast<double>(cpu_ns() - cpu) / 1e6 / t.hold_s;
   o["looks"] = static_cast<double>(looks);
   o["looks_without_all_permits"] = static_cast<double>(stale);
   put(o, "while", *m, t.hold_s);
   o["all_everywhere"] = st.rest(Duration(60000));
-  o["all_everywhere_ms"] = static_cast<double>((f.w.now() - end).count());
+  o["all_everywhere_ms"] = static_cast<double>((f.world.now() - end).count());
   st.figures(o);
 }
 }  // namespace
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -14,25 +14,27 @@
 constexpr size_t kFrame = 4;  // length before each message
 constexpr uint64_t kSample = 16;
 
-class HollowNet final : public base::Net {
+class HollowNet final : public base::PeerTransport {
  public:
-  HollowNet(Hollow& f, Node& me, simulation::LifePtr l) : f_(f), me_(me), l_(std::move(l)) {}
-  std::variant<pb::Reply, base::NetError> ask(const std::string& addr, const pb::Ask& a,
-                                              Duration limit) override {
+  HollowNet(Hollow& f, Node& me, simulation::ProcessRunPtr process)
+      : f_(f), me_(me), process_(std::move(process)) {}
+  std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
+                                                       const pb::PeerRequest& request,
+                                                       Duration limit) override {
     auto t = std::make_shared<Talk>();
-    auto to = f_.by.find(addr);
-    auto& w = f_.w;
-    auto text = a.SerializeAsString();
+    auto to = f_.by.find(address);
+    auto& world = f_.world;
+    auto text = request.SerializeAsString();
     count(me_, text.size());
-    if (++f_.asks % kSample == 0 && a.has_pull()) look(a.pull());
+    if (++f_.asks % kSample == 0 && request.has_pull()) look(request.pull());
     if (to != f_.by.end() && !f_.cut(me_, *to->second))
-      w.after(way(), [this, t, n = to->second, text = std::move(text)] { arrive(t, *n, text); });
-    TimePoint end = w.now() + limit;
-    while (!t->reply && !t->refused && w.now() < end) w.wait(l_, end - w.now(), t->wait);
-    if (!t->reply) return t->refused ? base::NetError::unreachable : base::NetError::timed_out;
-    pb::Reply r;
-    r.ParseFromString(*t->reply);
-    return r;
+      world.after(way(), [this, t, n = to->second, text = std::move(text)] { arrive(t, *n, text); });
+    TimePoint end = world.now() + limit;
+    while (!t->reply && !t->refused && world.now() < end) world.wait(process_, end - world.now(), t->wait);
+    if (!t->reply) return t->refused ? base::PeerError::unreachable : base::PeerError::timed_out;
+    pb::PeerResponse response;
+    response.ParseFromString(*t->reply);
+    return response;
   }
 
  private:
@@ -45,39 +47,39 @@
     ++n.toll.messages;
     n.toll.bytes += bytes + kFrame;
   }
-  void look(const pb::Pull& p) {
-    f_.split.own += p.own().ByteSizeLong();
-    f_.split.marks += p.ByteSizeLong() - p.own().ByteSizeLong();
+  void look(const pb::PullRequest& p) {
+    f_.split.own += p.own_status().ByteSizeLong();
+    f_.split.marks += p.ByteSizeLong() - p.own_status().ByteSizeLong();
   }
-  void look(const pb::PullReply& r) {
-    for (auto& n : r.statuses()) f_.split.statuses += n.ByteSizeLong();
-    for (auto& s : r.slots()) f_.split.slots += s.ByteSizeLong();
+  void look(const pb::PullResponse& r) {
+    for (auto& status : r.statuses()) f_.split.statuses += status.ByteSizeLong();
+    for (auto& state : r.registers()) f_.split.slots += state.ByteSizeLong();
   }
   Duration way() {
     auto most = static_cast<uint64_t>((f_.s.far - f_.s.near).count());
-    return f_.s.near + Duration(f_.w.below(most + 1));
+    return f_.s.near + Duration(f_.world.below(most + 1));
   }
   void back(const std::shared_ptr<Talk>& t, Node& from, std::optional<std::string> r) {
     if (f_.cut(me_, from)) return;
-    f_.w.after(way(), [this, t, r = std::move(r)]() mutable {
+    f_.world.after(way(), [this, t, r = std::move(r)]() mutable {
       if (r) count(me_, r->size());
       t->refused = !r;
       t->reply = std::move(r);
-      f_.w.notify(t->wait);
+      f_.world.notify(t->wait);
     });
   }
   void arrive(const std::shared_ptr<Talk>& t, Node& n, const std::string& text) {
     if (!n.up()) return back(t, n, {});
     count(n, text.size());
-    f_.w.spawn(n.life(), [this, t, &n, text] {
+    f_.world.spawn(n.life(), [this, t, &n, text] {
       auto from = cpu_ns();
-      pb::Ask q;
+      pb::PeerRequest q;
       q.ParseFromString(text);
-      auto r = n.relay().answer(q);
-      auto out = r.SerializeAsString();
+      auto response = n.relay().handle_peer_request(q);
+      auto out = response.SerializeAsString();
       if (q.has_pull()) {
         n.answer_ns += cpu_ns() - from;  // a pull parks nowhere
-        if (++f_.answers % kSample == 0) look(r.pull());
+        if (++f_.answers % kSample == 0) look(response.pull());
       }
       count(n, out.size());
       back(t, n, std::move(out));
@@ -85,12 +87,12 @@
   }
   Hollow& f_;
   Node& me_;
-  simulation::LifePtr l_;
+  simulation::ProcessRunPtr process_;
 };
 
 class NoOrigin final : public base::Origin {
  public:
-  bool reach(const std::string&, Duration) override { return true; }
+  bool can_connect(const std::string&, Duration) override { return true; }
   std::variant<base::Response, base::AttemptError> send(const std::string&, const base::Request&,
                                                         const base::AttemptRules&) override {
     return base::AttemptError::unsent;
@@ -99,7 +101,7 @@
 }  // namespace
 
 struct Proc {
-  simulation::LifePtr life;
+  simulation::ProcessRunPtr life;
   simulation::Clock clock;
   simulation::Random random;
   simulation::Tasks tasks;
@@ -108,28 +110,28 @@
   base::Ports ports;
   std::unique_ptr<simulation::Disk> disk;
   std::unique_ptr<relay::Node> node;
-  std::unique_ptr<control_api::Control> control;
+  std::unique_ptr<control_api::Router> control;
 
-  Proc(Hollow& f, Node& n, simulation::LifePtr l, const relay::NodeConfig& c)
-      : life(l),
-        clock(f.w, l, &n.wall),
-        random(f.w),
-        tasks(f.w, l),
-        net(f, n, l),
+  Proc(Hollow& f, Node& n, simulation::ProcessRunPtr process, const relay::NodeConfig& config)
+      : life(process),
+        clock(f.world, process, &n.wall),
+        random(f.world),
+        tasks(f.world, process),
+        net(f, n, process),
         ports{clock, random, tasks, net, origin},
-        disk(n.holder ? std::make_unique<simulation::Disk>(f.w, l, n.platter) : nullptr),
-        node(std::make_unique<relay::Node>(ports, c, disk.get())),
-        control(std::make_unique<control_api::Control>(ports, *node)) {}
+        disk(n.holder ? std::make_unique<simulation::Disk>(f.world, process, n.platter) : nullptr),
+        node(std::make_unique<relay::Node>(ports, config, disk.get())),
+        control(std::make_unique<control_api::Router>(ports, *node)) {}
 };
 
 bool Node::up() const { return proc && !proc->life->dead; }
 relay::Node& Node::relay() const { return *proc->node; }
-control_api::Control& Node::control() const { return *proc->control; }
-const simulation::LifePtr& Node::life() const { return proc->life; }
+control_api::Router& Node::control() const { return *proc->control; }
+const simulation::ProcessRunPtr& Node::life() const { return proc->life; }
 base::Ports& Node::ports() const { return proc->ports; }
 
 Hollow::Hollow(simulation::World& world, Shape shape)
-    : w(world), s(shape), out(std::make_shared<simulation::Life>()) {
+    : world(world), s(shape), out(std::make_shared<simulation::ProcessRun>()) {
   out->host = "outside";
   for (int i = 0; i < s.nodes; ++i) {
     auto n = std::make_unique<Node>();
@@ -148,48 +150,48 @@
 
 void Hollow::start(Node& n) {
   if (n.up()) return;
-  auto l = std::make_shared<simulation::Life>();
-  l->host = n.name;
-  relay::NodeConfig c;
-  c.name = n.name;
-  c.zone = n.zone;
-  c.peer_address = n.address;
-  c.http_address = n.address;
-  c.bound = s.bound;
-  c.scale = 600;
+  auto process = std::make_shared<simulation::ProcessRun>();
+  process->host = n.name;
+  relay::NodeConfig config;
+  config.name = n.name;
+  config.zone = n.zone;
+  config.peer_address = n.address;
+  config.http_address = n.address;
+  config.bound = s.bound;
+  config.scale = 600;
   for (auto& x : nodes)
-    if (x->holder) c.holders.push_back({x->name, x->address});
-  n.proc = std::make_shared<Proc>(*this, n, l, c);
-  w.spawn(l, [p = n.proc.get()] { p->node->start(); });
+    if (x->holder) config.replicas.push_back({x->name, x->address});
+  n.proc = std::make_shared<Proc>(*this, n, process, config);
+  world.spawn(process, [p = n.proc.get()] { p->node->start(); });
 }
 
 // Not in one instant: a fleet's pulls are spread over their span.
 void Hollow::start_all() {
-  for (auto& n : nodes) w.after(Duration(w.below(250)), [this, p = n.get()] { start(*p); });
+  for (auto& n : nodes) world.after(Duration(world.below(250)), [this, p = n.get()] { start(*p); });
 }
 
 void Hollow::kill(Node& n) {
   if (!n.up()) return;
-  w.kill(n.life());
+  world.kill(n.life());
   graves.push_back(n.proc);
 }
 
 void Hollow::end() {
-  w.kill(out);
+  world.kill(out);
   for (auto& n : nodes) kill(*n);
 }
 
-void Hollow::outside(std::function<void()> f) { w.spawn(out, std::move(f)); }
+void Hollow::outside(std::function<void()> f) { world.spawn(out, std::move(f)); }
 
 void Hollow::sleep(Duration d) {
   simulation::Wait x;
-  w.wait(out, d, x);
+  world.wait(out, d, x);
 }
 
 bool Hollow::until(Duration most, const std::function<bool()>& f) {
-  auto end = w.now() + most;
+  auto end = world.now() + most;
   while (!f()) {
-    if (w.now() >= end) return false;
+    if (world.now() >= end) return false;
     sleep(Duration(10));
   }
   return true;
@@ -198,7 +200,7 @@
 bool Hollow::on(Node& n, Duration most, std::function<void()> f) {
   if (!n.up()) return false;
   auto done = std::make_shared<bool>(false);
-  w.spawn(n.life(), [done, f = std::move(f)] {
+  world.spawn(n.life(), [done, f = std::move(f)] {
     f();
     *done = true;
   });
@@ -207,7 +209,7 @@
 
 Node& Hollow::some() {
   for (;;)
-    if (auto& n = *nodes[w.below(nodes.size())]; n.up()) return n;
+    if (auto& n = *nodes[world.below(nodes.size())]; n.up()) return n;
 }
 
 bool Hollow::all_up() {
@@ -218,13 +220,13 @@
 
 bool Hollow::fresh() {
   for (auto& n : nodes)
-    if (n->up() && !n->relay().state_cache().fresh()) return false;
+    if (n->up() && !n->relay().state_cache().has_read_lease()) return false;
   return true;
 }
 
 bool Hollow::serving(const std::string& layout) {
   for (auto& n : nodes)
-    if (n->up() && n->relay().release() != layout) return false;
+    if (n->up() && n->relay().configuration_name() != layout) return false;
   return true;
 }
 
@@ -232,19 +234,21 @@
   for (int i = 0; i < workers; ++i) {
     auto* n = nodes[static_cast<size_t>(i) % nodes.size()].get();
     outside([this, i, n, period] {
-      sleep(Duration(w.below(static_cast<uint64_t>(period.count()))));
+      sleep(Duration(world.below(static_cast<uint64_t>(period.count()))));
       for (uint64_t k = 1;; ++k, sleep(period)) {
         if (!n->up()) continue;
-        pb::Beat b;
-        b.set_service(i % 2 ? "app" : "content");
-        b.set_version("1");
-        b.set_instance(fmt::format("i-{:05}", i));
-        b.set_zone(n->zone);
-        b.set_address(fmt::format("10.200.{}.{}:8080", i / 250, i % 250));
-        b.set_capacity(16);
-        b.set_number(k);
-        b.set_period_ms(static_cast<uint32_t>(period.count()));
-        w.spawn(n->life(), [this, n, b] { ++(n->relay().beat(b) ? beats_taken : beats_missed); });
+        pb::Heartbeat heartbeat;
+        heartbeat.set_service(i % 2 ? "app" : "content");
+        heartbeat.set_version("1");
+        heartbeat.set_instance(fmt::format("i-{:05}", i));
+        heartbeat.set_zone(n->zone);
+        heartbeat.set_address(fmt::format("10.200.{}.{}:8080", i / 250, i % 250));
+        heartbeat.set_capacity(16);
+        heartbeat.set_sequence(k);
+        heartbeat.set_period_ms(static_cast<uint32_t>(period.count()));
+        world.spawn(n->life(), [this, n, heartbeat] {
+          ++(n->relay().accept_heartbeat(heartbeat) ? beats_taken : beats_missed);
+        });
       }
     });
   }
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -28,20 +28,20 @@
   std::string name, zone, address;
   int region = 0;
   bool holder = false;
-  simulation::Platter platter;
+  simulation::DiskContents platter;
   int64_t wall = 0;
   Toll toll;
   uint64_t answer_ns = 0;  // processor time spent on others' pulls
   std::shared_ptr<Proc> proc;
   bool up() const;
   relay::Node& relay() const;
-  control_api::Control& control() const;
-  const simulation::LifePtr& life() const;
+  control_api::Router& control() const;
+  const simulation::ProcessRunPtr& life() const;
   base::Ports& ports() const;
 };
 
 struct Hollow {
-  Hollow(simulation::World& w, Shape s);
+  Hollow(simulation::World& world, Shape s);
   ~Hollow();
   void start(Node& n);
   void start_all();
@@ -61,11 +61,11 @@
     return apart >= 0 && (a.region == apart) != (b.region == apart);
   }
 
-  simulation::World& w;
+  simulation::World& world;
   Shape s;
   std::vector<std::unique_ptr<Node>> nodes;
   std::map<std::string, Node*> by;  // by address
-  simulation::LifePtr out;
+  simulation::ProcessRunPtr out;
   std::vector<std::shared_ptr<Proc>> graves;
   int apart = -1;  // a region that hears no other
   uint64_t asks = 0, answers = 0, beats_taken = 0, beats_missed = 0;
--- a/test/measure/rows.cpp
+++ b/test/measure/rows.cpp
@@ -49,19 +49,19 @@
   decltype(bh::make_histogram(Axis(2780, kLeast, kMost))) h = bh::make_histogram(Axis(2780, kLeast, kMost));
 };
 
-Spread::Spread() : p_(new Impl) {}
+Spread::Spread() : impl_(new Impl) {}
 Spread::Spread(Spread&&) noexcept = default;
 Spread::~Spread() = default;
 
 void Spread::add(double x) {
-  p_->h(std::clamp(x, kLeast, kMost * 0.999));
+  impl_->h(std::clamp(x, kLeast, kMost * 0.999));
   most_ = std::max(most_, x);
   ++n_;
 }
 
 double Spread::at(double part) const {
   double want = part * static_cast<double>(n_), sum = 0;
-  for (auto&& c : bh::indexed(p_->h))
+  for (auto&& c : bh::indexed(impl_->h))
     if ((sum += *c) >= want && sum > 0) return std::min(most_, c.bin().upper());
   return most_;
 }
--- a/test/measure/rows.hpp
+++ b/test/measure/rows.hpp
@@ -37,7 +37,7 @@
 
  private:
   struct Impl;
-  std::unique_ptr<Impl> p_;
+  std::unique_ptr<Impl> impl_;
   double most_ = 0;
   size_t n_ = 0;
 };
--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -23,25 +23,26 @@
   return static_cast<double>(t.tv_sec) * 1000 + static_cast<double>(t.tv_usec) / 1000;
 }
 
-class CountedNet final : public base::Net {
+class CountedNet final : public base::PeerTransport {
  public:
-  std::variant<pb::Reply, base::NetError> ask(const std::string& addr, const pb::Ask& a,
-                                              Duration limit) override {
+  std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
+                                                       const pb::PeerRequest& request,
+                                                       Duration limit) override {
     toll.messages += 2;
-    toll.bytes += a.ByteSizeLong() + 8;
-    auto r = net_.ask(addr, a, limit);
-    if (auto* x = std::get_if<pb::Reply>(&r)) toll.bytes += x->ByteSizeLong();
+    toll.bytes += request.ByteSizeLong() + 8;
+    auto r = net_.call(address, request, limit);
+    if (auto* response = std::get_if<pb::PeerResponse>(&r)) toll.bytes += response->ByteSizeLong();
     return r;
   }
   Toll toll;
 
  private:
-  wire::PeerNet net_;
+  wire::PeerClient net_;
 };
 
 class NoOrigin final : public base::Origin {
  public:
-  bool reach(const std::string&, Duration) override { return true; }
+  bool can_connect(const std::string&, Duration) override { return true; }
   std::variant<base::Response, base::AttemptError> send(const std::string&, const base::Request&,
                                                         const base::AttemptRules&) override {
     return base::AttemptError::unsent;
@@ -49,19 +50,19 @@
 };
 
 struct Real {
-  simulation::Platter platter;
+  simulation::DiskContents platter;
   CountedNet net;
   NoOrigin origin;
   std::unique_ptr<base::Ports> ports;
   std::unique_ptr<storage::SnapshotStore> disk;
   std::unique_ptr<relay::Node> node;
-  std::unique_ptr<control_api::Control> control;
+  std::unique_ptr<control_api::Router> control;
 };
 
 struct Run {
-  wire::Pool pool{1};
-  wire::RealClock clock;
-  wire::RealChance random;
+  wire::EventLoopPool pool{1};
+  wire::SystemClock clock;
+  wire::SystemRandom random;
   std::vector<std::unique_ptr<Real>> all;
   std::promise<Figures> told;
 
@@ -85,21 +86,22 @@
       auto r = std::make_unique<Real>();
       r->ports = std::make_unique<base::Ports>(base::Ports{clock, random, pool, r->net, r->origin});
       if (i < s.holders)
-        r->disk = std::make_unique<storage::SnapshotStore>(std::make_unique<simulation::MemFiles>(r->platter),
-                                                           16384);
-      relay::NodeConfig c;
-      c.name = fmt::format("{}{}", i < s.holders ? "h" : "e", i + 1);
-      c.zone = fmt::format("z{}", i % s.zones);
-      c.peer_address = c.http_address = addr(i);
-      c.holders = hs;
-      c.bound = s.bound;
-      c.scale = 600;
-      r->node = std::make_unique<relay::Node>(*r->ports, c, r->disk.get());
-      r->control = std::make_unique<control_api::Control>(*r->ports, *r->node);
+        r->disk = std::make_unique<storage::SnapshotStore>(
+            std::make_unique<simulation::MemoryFiles>(r->platter), 16384);
+      relay::NodeConfig config;
+      config.name = fmt::format("{}{}", i < s.holders ? "h" : "e", i + 1);
+      config.zone = fmt::format("z{}", i % s.zones);
+      config.peer_address = config.http_address = addr(i);
+      config.replicas = hs;
+      config.bound = s.bound;
+      config.scale = 600;
+      r->node = std::make_unique<relay::Node>(*r->ports, config, r->disk.get());
+      r->control = std::make_unique<control_api::Router>(*r->ports, *r->node);
       auto* node = r->node.get();
       if (i < s.holders)
-        if (auto e =
-                wire::serve_peers(pool, c.peer_address, [node](const pb::Ask& a) { return node->answer(a); }))
+        if (auto e = wire::serve_peers(pool, config.peer_address, [node](const pb::PeerRequest& request) {
+              return node->handle_peer_request(request);
+            }))
           return *e;
       all.push_back(std::move(r));
     }
@@ -107,15 +109,17 @@
       clock.sleep(Duration(250 / s.nodes));
       pool.spawn([n = r->node.get()] { n->start(); });
     }
-    if (!until(Duration(30000), [&] { return each([](Real& r) { return r.node->state_cache().fresh(); }); }))
+    if (!until(Duration(30000),
+               [&] { return each([](Real& r) { return r.node->state_cache().has_read_lease(); }); }))
       return "not every node got a permit";
     if (!until(Duration(20000), [&] {
           base::Request q{"", "PUT", "/v1/releases/layout/first", layout_doc(0), {}};
-          auto st = all.back()->control->answer(q).status;
+          auto st = all.back()->control->handle(q).status;
           return st == 200 || st == 202;
         }))
       return "the first layout was not taken";
-    if (!until(Duration(30000), [&] { return each([](Real& r) { return r.node->release() == "first"; }); }))
+    if (!until(Duration(30000),
+               [&] { return each([](Real& r) { return r.node->configuration_name() == "first"; }); }))
       return "not every node runs the first layout";
     return {};
   }
@@ -139,7 +143,7 @@
     auto from = clock.now();
     int looks = 0, stale = 0;
     for (; clock.now() - from < Duration(seconds * 1000); clock.sleep(Duration(250)), ++looks)
-      stale += !each([](Real& r) { return r.node->state_cache().fresh(); });
+      stale += !each([](Real& r) { return r.node->state_cache().has_read_lease(); });
     double sec = static_cast<double>((clock.now() - from).count()) / 1000, n = s.nodes;
     auto t1 = toll();
     o["relay_bytes"] = static_cast<double>(t1.bytes - t0.bytes) / sec / (n - s.holders);
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -14,7 +14,7 @@
 void registers(Hollow& f, int n) {
   int left = n, done = 0;
   for (int k = 0; k < std::min(n, 16); ++k)
-    f.w.spawn(f.nodes[0]->life(), [&f, &left, &done] {
+    f.world.spawn(f.nodes[0]->life(), [&f, &left, &done] {
       while (left > 0) {
         auto key = fmt::format("idle/{:06}", left--);
         f.nodes[0]->relay().registers().write(key, 0, std::string(200, 'x'));
@@ -32,8 +32,8 @@
   f.on(n, Duration(5000), [&] {
     membership::Leadership none(n.ports(), n.relay().registers(), n.relay().state_cache(), "measured", n.name,
                                 n.zone, f.s.bound);
-    rollout::Conductor c(n.ports(), n.relay().registers(), n.relay().state_cache(), none,
-                         {n.name, f.s.bound, 600});
+    rollout::RolloutController c(n.ports(), n.relay().registers(), n.relay().state_cache(), none,
+                                 {n.name, f.s.bound, 600});
     c.tick();  // reads the releases once
     auto from = cpu_ns();
     for (int i = 0; i < kTicks; ++i) c.tick();
@@ -47,8 +47,8 @@
   for (auto* what : {"nodes", "assignments"}) {
     size_t bytes = 0;
     f.on(*f.nodes.back(), Duration(5000), [&] {
-      base::Request q{"", "GET", fmt::format("/v1/{}", what), "", {}};
-      bytes = f.nodes.back()->control().answer(q).body.size();
+      base::Request request{"", "GET", fmt::format("/v1/{}", what), "", {}};
+      bytes = f.nodes.back()->control().handle(request).body.size();
     });
     o[fmt::format("console_{}_bytes", what)] = static_cast<double>(bytes);
   }
@@ -137,13 +137,13 @@
   auto began = cpu_ns();
   TimePoint up{0};
   auto why = play(seed, s, Duration(l.window_s * 1000 + 400000), [&](Hollow& f) {
-    up = f.w.now();
+    up = f.world.now();
     o["start_cpu_ms"] = static_cast<double>(cpu_ns() - began) / 1e6;
     if (l.registers) registers(f, l.registers);
     if (l.workers) f.beats(l.workers, Duration(l.period_ms));
     f.sleep(Duration(2500) + Duration(l.workers ? 2 * l.period_ms : 0));
     Stream st(f);
-    auto end = f.w.now() + Duration(l.window_s * 1000);
+    auto end = f.world.now() + Duration(l.window_s * 1000);
     auto was = marks(f);
     auto split = f.split;
     auto taken = f.beats_taken, missed = f.beats_missed;
@@ -152,15 +152,15 @@
     st.purges(l.purges, end);
     Spread layouts;
     for (int i = 1; i <= l.layouts; ++i) {
-      auto from = f.w.now();
+      auto from = f.world.now();
       auto name = fmt::format("next{}", i);
       if (put_layout(f, name, i) && f.until(Duration(60000), [&] { return f.serving(name); }))
-        layouts.add(static_cast<double>((f.w.now() - from).count()));
+        layouts.add(static_cast<double>((f.world.now() - from).count()));
     }
     uint64_t looks = 0, stale = 0;
-    for (; f.w.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.fresh();
+    for (; f.world.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.fresh();
     costs(f, was, split, cpu_ns() - cpu,
-          static_cast<double>((f.w.now() - end).count() + l.window_s * 1000) / 1000, o);
+          static_cast<double>((f.world.now() - end).count() + l.window_s * 1000) / 1000, o);
     o["beats_taken"] = static_cast<double>(f.beats_taken - taken);
     o["beats_missed"] = static_cast<double>(f.beats_missed - missed);
     o["looks_without_all_permits"] = static_cast<double>(stale);
--- a/test/measure/steady.hpp
+++ b/test/measure/steady.hpp
@@ -29,7 +29,7 @@
 
  private:
   struct Impl;
-  std::shared_ptr<Impl> p_;
+  std::shared_ptr<Impl> impl_;
 };
 
 std::string layout_doc(int k);
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -27,8 +27,8 @@
     auto& n = f.some();
     auto st = std::make_shared<int>(0);
     f.on(n, Duration(5000), [&n, name, k, st] {
-      base::Request q{"", "PUT", "/v1/releases/layout/" + name, layout_doc(k), {}};
-      *st = n.control().answer(q).status;
+      base::Request request{"", "PUT", "/v1/releases/layout/" + name, layout_doc(k), {}};
+      *st = n.control().handle(request).status;
     });
     ok = *st == 200 || *st == 202;
   }
@@ -50,7 +50,7 @@
   std::map<std::string, std::vector<Seen>> seen;
   std::map<std::string, uint64_t> version;
   std::map<std::string, bool> busy;
-  std::vector<std::unique_ptr<control_api::Purger>> purgers;
+  std::vector<std::unique_ptr<control_api::PurgeWriter>> purgers;
   Spread change, purge, change_told, purge_told;
   uint64_t asked_changes = 0, asked_purges = 0, failed = 0, named = 0, under_way = 0, folded = 0;
   bool looking = false;
@@ -62,9 +62,9 @@
     uint64_t out = UINT64_MAX;
     for (size_t i = 0; i < v.size(); ++i) {
       if (!f.nodes[i]->up()) continue;
-      auto& c = f.nodes[i]->relay().state_cache().chosen();
-      auto h = c.find(key);
-      if (h == c.end()) return 0;
+      auto& chosen = f.nodes[i]->relay().state_cache().chosen();
+      auto h = chosen.find(key);
+      if (h == chosen.end()) return 0;
       if (h->second.version != v[i].version) {
         v[i].version = v[i].number = h->second.version;
         pb::PurgeSet s;
@@ -86,7 +86,7 @@
           if (!at.count(x.key)) at[x.key] = least(x.key, x.purge);
         std::erase_if(wants, [&](auto& x) {
           if (at[x.key] < x.least) return false;
-          (x.purge ? purge : change).add(static_cast<double>((f.w.now() - x.from).count()));
+          (x.purge ? purge : change).add(static_cast<double>((f.world.now() - x.from).count()));
           return true;
         });
       }
@@ -97,40 +97,41 @@
     auto key = fmt::format("measured/{}", named++ % kKeys);
     if (busy[key]) return void(++failed);
     busy[key] = true;
-    auto from = f.w.now();
+    auto from = f.world.now();
     auto* n = &f.some();
     ++under_way;
-    f.w.spawn(n->life(), [this, key, from, n] {
+    f.world.spawn(n->life(), [this, key, from, n] {
       auto r = n->relay().registers().write(key, version[key], std::string(kChangeBytes, 'x'));
       --under_way;
       busy[key] = false;
       auto* h = std::get_if<consensus::VersionedValue>(&r);
       if (!h) return void(++failed);
       version[key] = h->version;
-      change_told.add(static_cast<double>((f.w.now() - from).count()));
+      change_told.add(static_cast<double>((f.world.now() - from).count()));
       wants.push_back({key, h->version, from, false});
     });
   }
 
   void purge_one() {
-    auto i = f.w.below(f.nodes.size());
+    auto i = f.world.below(f.nodes.size());
     auto* n = f.nodes[i].get();
     if (!n->up()) return;
     if (purgers.empty()) purgers.resize(f.nodes.size());
-    if (!purgers[i]) purgers[i] = std::make_unique<control_api::Purger>(n->ports(), n->relay().registers());
-    auto service = fmt::format("s{}", f.w.below(kServices));
-    pb::Purge p;
-    p.set_kind("path");
-    p.set_name(fmt::format("p{}", ++named));
-    p.set_path(fmt::format("/c/{:012}", f.w.draw() % 1000000000000));
-    auto from = f.w.now();
+    if (!purgers[i])
+      purgers[i] = std::make_unique<control_api::PurgeWriter>(n->ports(), n->relay().registers());
+    auto service = fmt::format("s{}", f.world.below(kServices));
+    pb::Purge purge;
+    purge.set_kind("path");
+    purge.set_name(fmt::format("p{}", ++named));
+    purge.set_path(fmt::format("/c/{:012}", f.world.draw() % 1000000000000));
+    auto from = f.world.now();
     ++under_way;
-    f.w.spawn(n->life(), [this, i, service, p, from] {
-      auto r = purgers[i]->put(service, p);
+    f.world.spawn(n->life(), [this, i, service, purge, from] {
+      auto r = purgers[i]->put(service, purge);
       --under_way;
-      auto* d = std::get_if<control_api::PurgeDone>(&r);
+      auto* d = std::get_if<control_api::PurgeResult>(&r);
       if (!d) return void(++failed);
-      purge_told.add(static_cast<double>((f.w.now() - from).count()));
+      purge_told.add(static_cast<double>((f.world.now() - from).count()));
       wants.push_back({"purge/" + service, d->number, from, true});
     });
   }
@@ -140,22 +141,22 @@
     look();
     f.outside([this, a_second, until, &count, one] {
       double due = 0;
-      for (; f.w.now() < until; f.sleep(Duration(5)))
+      for (; f.world.now() < until; f.sleep(Duration(5)))
         for (due += a_second * 0.005; due >= 1; due -= 1, ++count) one();
     });
   }
 };
 
-Stream::Stream(Hollow& f) : p_(std::make_shared<Impl>(f)) {}
+Stream::Stream(Hollow& f) : impl_(std::make_shared<Impl>(f)) {}
 Stream::~Stream() = default;
 void Stream::changes(double n, TimePoint until) {
-  p_->flow(n, until, p_->asked_changes, [p = p_] { p->change_one(); });
+  impl_->flow(n, until, impl_->asked_changes, [p = impl_] { p->change_one(); });
 }
 void Stream::purges(double n, TimePoint until) {
-  p_->flow(n, until, p_->asked_purges, [p = p_] { p->purge_one(); });
+  impl_->flow(n, until, impl_->asked_purges, [p = impl_] { p->purge_one(); });
 }
 bool Stream::rest(Duration most) {
-  return p_->f.until(most, [p = p_] { return p->wants.empty() && !p->under_way; });
+  return impl_->f.until(most, [p = impl_] { return p->wants.empty() && !p->under_way; });
 }
 
 void Stream::figures(Figures& o) const {
@@ -169,10 +170,10 @@
     o[fmt::format("{}_p99_ms", n)] = all.at(0.99);
     o[fmt::format("{}_most_ms", n)] = all.most();
   };
-  tell("change", p_->change, p_->change_told, p_->asked_changes);
-  tell("purge", p_->purge, p_->purge_told, p_->asked_purges);
-  if (p_->asked_purges) o["purge_folds_seen"] = static_cast<double>(p_->folded);
-  if (p_->asked_changes + p_->asked_purges) o["stream_failed"] = static_cast<double>(p_->failed);
+  tell("change", impl_->change, impl_->change_told, impl_->asked_changes);
+  tell("purge", impl_->purge, impl_->purge_told, impl_->asked_purges);
+  if (impl_->asked_purges) o["purge_folds_seen"] = static_cast<double>(impl_->folded);
+  if (impl_->asked_changes + impl_->asked_purges) o["stream_failed"] = static_cast<double>(impl_->failed);
 }
 
 }  // namespace dunlinwing::measure
--- a/test/mixed_stories.cpp
+++ b/test/mixed_stories.cpp
@@ -11,43 +11,43 @@
   std::map<std::string, std::string> layouts;
   int turn = 0;
 
-  simulation::Host& host() { return *s.f.hosts()[s.w.below(s.f.hosts().size())]; }
-  simulation::Worker* worker() {
-    auto& ws = s.f.workers();
-    auto* w = ws[s.w.below(ws.size())].get();
-    return w->alive && !w->leaving && !w->foreign ? w : nullptr;
+  simulation::Host& host() { return *s.fleet.hosts()[s.world.below(s.fleet.hosts().size())]; }
+  simulation::SimulatedBackend* worker() {
+    auto& ws = s.fleet.backends();
+    auto* backend = ws[s.world.below(ws.size())].get();
+    return backend->alive && !backend->leaving && !backend->foreign ? backend : nullptr;
   }
-  void met(const char* what) { ++s.w.met[what]; }
+  void met(const char* what) { ++s.world.faults_met[what]; }
 
   void kill() {
-    if (auto& h = host(); may_fall(s, h)) s.f.kill(h.name);
+    if (auto& h = host(); may_fall(s, h)) s.fleet.kill(h.name);
   }
   void kill_many() {
     met("kill_many");
-    for (auto& h : s.f.hosts())
-      if (s.w.random(400)) s.f.kill(h->name);
-    s.f.sleep(Duration(300));
-    s.f.start_all();
+    for (auto& h : s.fleet.hosts())
+      if (s.world.random(400)) s.fleet.kill(h->name);
+    s.fleet.sleep(Duration(300));
+    s.fleet.start_all();
   }
   void lose_disk() {
     int out = 0;
-    for (auto& x : s.f.hosts()) out += x->holder && (!x->up() || x->node->acceptor()->mute());
-    if (auto& h = host(); h.holder && !out) {
-      s.f.kill(h.name);
-      s.f.wipe(h.name);
+    for (auto& x : s.fleet.hosts()) out += x->has_disk && (!x->up() || x->node->acceptor()->non_voting());
+    if (auto& h = host(); h.has_disk && !out) {
+      s.fleet.kill(h.name);
+      s.fleet.wipe(h.name);
     }
   }
-  void freeze() { s.w.freeze(host().name, s.w.now() + Duration(s.w.below(5000))); }
+  void freeze() { s.world.freeze(host().name, s.world.now() + Duration(s.world.below(5000))); }
   void cut() {
     auto& h = host();
-    for (auto& x : s.f.hosts())
-      if (x->name != h.name) s.w.cut(h.name, x->name);
+    for (auto& x : s.fleet.hosts())
+      if (x->name != h.name) s.world.partition(h.name, x->name);
   }
   void split() {
     std::vector<std::string> left, right;
-    for (auto& h : s.f.hosts()) (s.w.random(400) ? left : right).push_back(h->name);
+    for (auto& h : s.fleet.hosts()) (s.world.random(400) ? left : right).push_back(h->name);
     for (auto& a : left)
-      for (auto& b : right) s.w.cut(a, b), s.w.cut(b, a);
+      for (auto& b : right) s.world.partition(a, b), s.world.partition(b, a);
   }
   void restart() {
     auto* h = &host();
@@ -55,98 +55,102 @@
     met("restart");
     auto gone = std::make_shared<bool>(false);
     auto name = h->name;
-    s.w.spawn(h->life, [n = h->node.get(), gone] {
-      n->leave();
+    s.world.spawn(h->process, [n = h->node.get(), gone] {
+      n->begin_shutdown();
       *gone = true;
     });
-    s.f.until(Duration(4000), [&] { return *gone || !h->up(); });
-    s.f.kill(name);
-    s.f.start(name);
+    s.fleet.wait_until(Duration(4000), [&] { return *gone || !h->up(); });
+    s.fleet.kill(name);
+    s.fleet.start(name);
   }
   void jump() {
     met("clock_jump");
-    host().wall += static_cast<int64_t>(s.w.below(4 * 86400000ull)) - 2 * 86400000ll;
+    host().wall_offset_ms += static_cast<int64_t>(s.world.below(4 * 86400000ull)) - 2 * 86400000ll;
   }
   void slow_disk() {
-    auto& p = host().platter;
-    p.least = Duration(200);
-    p.most = Duration(1500);
+    auto& contents = host().disk_contents;
+    contents.min_latency = Duration(200);
+    contents.max_latency = Duration(1500);
   }
   void weather() {
-    s.w.weather = {static_cast<int>(s.w.below(30)), static_cast<int>(s.w.below(30)), Duration(1),
-                   Duration(1 + s.w.below(30))};
+    s.world.weather = {static_cast<int>(s.world.below(30)), static_cast<int>(s.world.below(30)), Duration(1),
+                       Duration(1 + s.world.below(30))};
   }
   void worker_dies() {
-    auto* w = worker();
-    if (!w) return;
+    auto* backend = worker();
+    if (!backend) return;
     met("worker_died");
-    auto service = w->service, version = w->version;
-    auto age = w->max_age;
-    w->alive = false;
-    s.f.add_worker(service, version, age);
+    auto service = backend->service, version = backend->version;
+    auto age = backend->max_age;
+    backend->alive = false;
+    s.fleet.add_backend(service, version, age);
   }
   void worker_leaves() {
-    auto* w = worker();
-    if (!w) return;
+    auto* backend = worker();
+    if (!backend) return;
     met("worker_left");
-    s.f.add_worker(w->service, w->version, w->max_age);
-    w->leaving = true;
-    s.f.outside([this, w] {
-      s.f.sleep(Duration(5000));
-      w->alive = false;
+    s.fleet.add_backend(backend->service, backend->version, backend->max_age);
+    backend->leaving = true;
+    s.fleet.spawn_outside([this, backend] {
+      s.fleet.sleep(Duration(5000));
+      backend->alive = false;
     });
   }
   void worker_ill() {
-    auto* w = worker();
-    if (!w) return;
+    auto* backend = worker();
+    if (!backend) return;
     met("worker_ill");
-    w->lose_percent = static_cast<int>(s.w.below(20));
-    w->wrong_percent = static_cast<int>(s.w.below(10));
-    w->bad_percent = static_cast<int>(s.w.below(10));
-    w->most = Duration(8 + s.w.below(1500));
+    backend->lose_percent = static_cast<int>(s.world.below(20));
+    backend->wrong_percent = static_cast<int>(s.world.below(10));
+    backend->bad_percent = static_cast<int>(s.world.below(10));
+    backend->max_latency = Duration(8 + s.world.below(1500));
   }
   void address_passes() {
-    auto* w = worker();
-    if (!w) return;
+    auto* backend = worker();
+    if (!backend) return;
     met("address_passed");
-    auto service = w->service, version = w->version, address = w->address;
-    auto age = w->max_age;
-    w->alive = false;
-    auto& x = s.f.add_worker(service == "app" ? "content" : "app", "1", service == "app" ? 3 : 0);
+    auto service = backend->service, version = backend->version, address = backend->address;
+    auto age = backend->max_age;
+    backend->alive = false;
+    auto& x = s.fleet.add_backend(service == "app" ? "content" : "app", "1", service == "app" ? 3 : 0);
     x.address = address;
-    x.foreign = s.w.random(300);
-    s.f.add_worker(service, version, age);
+    x.foreign = s.world.random(300);
+    s.fleet.add_backend(service, version, age);
   }
   void crowd() {
     met("crowd");
-    s.f.callers(150, s.w.now() + Duration(2500),
-                [this] { s.f.call("GET", fmt::format("/a/{}", s.w.below(100000))); });
+    s.fleet.generate_requests(150, s.world.now() + Duration(2500),
+                              [this] { s.fleet.call("GET", fmt::format("/a/{}", s.world.below(100000))); });
   }
   void layout() {
     auto name = fmt::format("m{}", turn);
-    auto doc = sim_layout("\"1\",\"2\"", 1 + static_cast<int>(s.w.below(3)), 0,
-                          s.w.random(300) ? R"(,"express":"mixed")" : "");
-    if (s.f.tell("PUT", "/v1/releases/layout/" + name, doc).status == 202) layouts[name] = doc, met("layout");
+    auto doc = sim_layout("\"1\",\"2\"", 1 + static_cast<int>(s.world.below(3)), 0,
+                          s.world.random(300) ? R"(,"express":"mixed")" : "");
+    if (s.fleet.operator_call("PUT", "/v1/releases/layout/" + name, doc).status == 202)
+      layouts[name] = doc, met("layout");
   }
   void invalid() {
-    auto t = s.f.tell("PUT", fmt::format("/v1/releases/layout/i{}", turn),
-                      R"({"content":{"services":{},"routes":7}})");
+    auto t = s.fleet.operator_call("PUT", fmt::format("/v1/releases/layout/i{}", turn),
+                                   R"({"content":{"services":{},"routes":7}})");
     s.want(t.lost || t.status == 422 || t.status == 503, "an invalid layout gave " + t.body);
     met("invalid_layout");
   }
   void clear() {
-    purge(s, fmt::format("u{}", turn), s.w.random(500) ? "prefix" : "path", s.w.random(500) ? "/c/" : "/c/3"),
+    purge(s, fmt::format("u{}", turn), s.world.random(500) ? "prefix" : "path",
+          s.world.random(500) ? "/c/" : "/c/3"),
         met("purge");
   }
   void storm() {
     met("purge_storm");
     for (int k = 0; k < 30; ++k)
-      s.f.outside([this, k, t = turn] {
+      s.fleet.spawn_outside([this, k, t = turn] {
         purge(s, fmt::format("w{}-{}", t, k), "path", fmt::format("/c/{}", k % 20));
       });
   }
   void move() {
-    if (s.f.tell("PUT", "/v1/services/app", s.w.random(500) ? R"({"version":"2"})" : R"({"version":"1"})")
+    if (s.fleet
+            .operator_call("PUT", "/v1/services/app",
+                           s.world.random(500) ? R"({"version":"2"})" : R"({"version":"1"})")
             .status == 200)
       met("move");
   }
@@ -160,27 +164,28 @@
                               &Mix::crowd,       &Mix::layout,        &Mix::layout,     &Mix::invalid,
                               &Mix::clear,       &Mix::clear,         &Mix::storm,      &Mix::move};
     for (turn = 0; turn < 25; ++turn) {
-      for (auto n = 1 + s.w.below(3); n; --n) (this->*list[s.w.below(std::size(list))])();
-      s.f.sleep(Duration(s.w.below(2500)));
-      if (s.w.random(350)) s.w.mend();
-      for (auto& x : s.f.hosts())
-        if (!x->up() && s.w.random(450)) s.f.start(x->name);
+      for (auto n = 1 + s.world.below(3); n; --n) (this->*list[s.world.below(std::size(list))])();
+      s.fleet.sleep(Duration(s.world.below(2500)));
+      if (s.world.random(350)) s.world.heal_all();
+      for (auto& x : s.fleet.hosts())
+        if (!x->up() && s.world.random(450)) s.fleet.start(x->name);
     }
   }
 
   void mend() {
-    s.w.mend();
-    s.w.weather = s.f.calm();
-    for (auto& h : s.f.hosts()) h->platter.least = Duration(1), h->platter.most = Duration(4);
-    for (auto& w : s.f.workers())
-      w->lose_percent = w->wrong_percent = w->bad_percent = 0, w->most = Duration(8);
-    s.f.sleep(Duration(5100));  // the last freeze is over
-    s.f.start_all();
-    s.f.event(R"("t":"returned")");
+    s.world.heal_all();
+    s.world.weather = s.fleet.normal_conditions();
+    for (auto& h : s.fleet.hosts())
+      h->disk_contents.min_latency = Duration(1), h->disk_contents.max_latency = Duration(4);
+    for (auto& w : s.fleet.backends())
+      w->lose_percent = w->wrong_percent = w->bad_percent = 0, w->max_latency = Duration(8);
+    s.fleet.sleep(Duration(5100));  // the last freeze is over
+    s.fleet.start_all();
+    s.fleet.event(R"("t":"returned")");
     s.want(serves(s, Duration(15000)), "the fleet did not serve again 15 s after the machines returned");
-    s.f.sleep(Duration(2000));
-    for (auto& h : s.f.hosts()) knows(s, *h, layouts);
-    s.f.sleep(Duration(20000));
+    s.fleet.sleep(Duration(2000));
+    for (auto& h : s.fleet.hosts()) knows(s, *h, layouts);
+    s.fleet.sleep(Duration(20000));
   }
 };
 
@@ -190,7 +195,7 @@
   s.story = [&s] {
     if (!begin(s, 50, sim_layout("\"1\",\"2\"", 3))) return;
     allow(s, "2");
-    for (int i = 0; i < 2; ++i) s.f.add_worker("app", "2", 0);
+    for (int i = 0; i < 2; ++i) s.fleet.add_backend("app", "2", 0);
     auto m = std::make_shared<Mix>(Mix{s, {}, 0});
     m->all();
     m->mend();
--- a/test/model/votes.cpp
+++ b/test/model/votes.cpp
@@ -59,8 +59,8 @@
 }
 
 // A step as one number: the state's index and, in the lowest bit, the vote.
-int32_t packed(const consensus::Step& step) {
-  return index_of(state_from(step.slot)) * 2 + (step.yes ? 1 : 0);
+int32_t packed(const consensus::VoteStep& step) {
+  return index_of(state_from(step.state)) * 2 + (step.granted ? 1 : 0);
 }
 
 VoteStep unpacked(int32_t entry) { return {state_at(entry / 2), entry % 2 == 1}; }
@@ -98,7 +98,7 @@
 
 RegisterState Votes::higher(RegisterState a, RegisterState b) {
   int32_t& entry = merged_[static_cast<size_t>(index_of(a) * kStates + index_of(b))];
-  if (entry == kUnknown) entry = index_of(state_from(consensus::higher(message_of(a), message_of(b))));
+  if (entry == kUnknown) entry = index_of(state_from(consensus::merge_highest(message_of(a), message_of(b))));
   return state_at(entry);
 }
 
--- a/test/move_unit.cpp
+++ b/test/move_unit.cpp
@@ -13,23 +13,23 @@
 
 // A fleet in miniature: each look brings answers by route, drawn with the given rates.
 struct Bench {
-  rollout::Rules r;
-  pb::ServiceState s;
+  rollout::RolloutRules rules;
+  pb::ServiceState state;
   std::mt19937_64 rng;
   std::map<std::string, double> fails;  // of the version on trial, by route
   std::map<std::string, double> slow;
   double old_fails = 0;
   int per_second = 300, warm = 4, bad_from_ms = 0;
-  traffic::Trials trials;
+  traffic::CanaryAdmission trials;
   bool by_count = false;  // the share is kept as relays keep it: by exact count, rarest routes first
   std::vector<std::string> routes{"a", "b", "c"};
   Duration now{0}, switched{-1}, warm_at{4000};
-  traffic::Seen seen;
+  traffic::CanarySample seen;
   uint64_t to_trial = 0, all = 0;
 
   explicit Bench(uint64_t seed, Duration term = Duration(14000)) : rng(seed) {
-    s.set_current("1");
-    rollout::open_trial(s, "2", term, Duration(500));
+    state.set_current("1");
+    rollout::start_canary(state, "2", term, Duration(500));
   }
   double draw() { return std::uniform_real_distribution<>(0, 1)(rng); }
 
@@ -38,24 +38,25 @@
       auto f = m.find(route);
       return f == m.end() || now < Duration(bad_from_ms) ? 0.0 : f->second;
     };
-    traffic::Tally t;
+    traffic::OutcomeCounts t;
     bool bad = draw() < (mine ? rate(fails) : old_fails), late = mine && draw() < rate(slow);
     (bad ? t.bad : t.good) = 1;
     t.slow = late && !bad;
-    t.took_ms = late ? 80 : 10 + static_cast<uint64_t>(draw() * 10);
-    (mine ? seen.trial : seen.old)[route] += t;
-    if (is_warm) (mine ? seen.warm_trial : seen.warm_old)[route] += t;
+    t.total_ms = late ? 80 : 10 + static_cast<uint64_t>(draw() * 10);
+    (mine ? seen.canary : seen.baseline)[route] += t;
+    if (is_warm) (mine ? seen.warm_canary : seen.warm_baseline)[route] += t;
     ++all;
     to_trial += mine;
   }
 
   bool goes_to_trial(const std::string& route) {
-    if (s.switching()) return true;
-    if (s.trial().empty()) return false;
-    if (!by_count) return draw() * 100 < s.percent();
-    int percent = static_cast<int>(s.percent());
-    bool whole = percent >= traffic::kTermPercent;
-    return trials.grant("app", 1, "2", route, {traffic::kTermPercent, percent, whole ? traffic::kAhead : 0});
+    if (state.switching()) return true;
+    if (state.canary().empty()) return false;
+    if (!by_count) return draw() * 100 < state.percent();
+    int percent = static_cast<int>(state.percent());
+    bool whole = percent >= traffic::kDeadlinePercent;
+    return trials.admit("app", 1, "2", route,
+                        {traffic::kDeadlinePercent, percent, whole ? traffic::kInitialCredit : 0});
   }
 
   void look(const std::vector<std::string>& routes) {
@@ -65,29 +66,30 @@
       answer(route, goes_to_trial(route), is_warm);
     }
     now += kLook;
-    rollout::MoveSight v;
-    v.dt = kLook;
-    v.asked = now;
-    v.workers = {{"1", 4}, {"2", 4}};
-    v.warm = {{"1", 4}, {"2", is_warm ? warm : 0}};
-    v.all_warm = is_warm;
-    v.seen = seen;
-    if (s.switching() && switched < Duration(0)) switched = now;
-    v.switching = s.switching() ? now - switched : Duration(0);
-    s = rollout::step("app", s, v, r).state;
+    rollout::VersionRolloutObservation observation;
+    observation.elapsed = kLook;
+    observation.since_requested = now;
+    observation.instances = {{"1", 4}, {"2", 4}};
+    observation.warm_instances = {{"1", 4}, {"2", is_warm ? warm : 0}};
+    observation.all_warm = is_warm;
+    observation.sample = seen;
+    if (state.switching() && switched < Duration(0)) switched = now;
+    observation.since_switch = state.switching() ? now - switched : Duration(0);
+    state = rollout::step("app", state, observation, rules).state;
   }
   void run(const std::vector<std::string>& routes) {
-    while (!s.trial().empty() && now < Duration(30000)) look(routes);
+    while (!state.canary().empty() && now < Duration(30000)) look(routes);
   }
-  bool promoted() const { return s.current() == "2"; }
+  bool promoted() const { return state.current() == "2"; }
 };
 
 void good_in_time() {
   Bench b(1);
   b.run({"a", "b"});
-  expect(b.promoted() && b.s.outcome() == "completed", "a good version was not promoted: " + b.s.why());
+  expect(b.promoted() && b.state.outcome() == "completed",
+         "a good version was not promoted: " + b.state.reason());
   expect(b.now <= Duration(13500), fmt::format("it was completed only at {} ms", b.now.count()));
-  expect(b.s.kept().empty(), "the old version is still open");
+  expect(b.state.previous_versions().empty(), "the old version is still open");
 }
 
 /// A busy route with `weight` times the requests of each of `rare` rare ones.
@@ -103,36 +105,40 @@
       Bench b(seed);
       b.by_count = true;
       b.run(busy_and_rare(400, rare));
-      expect(b.promoted(), fmt::format("{} rare routes held a good version back: {}", rare, b.s.why()));
+      expect(b.promoted(),
+             fmt::format("{} rare routes held a good version back: {}", rare, b.state.reason()));
     }
 }
 
 // Enough answers of the service don't outweigh a route's own poor ones, however few.
 void rare_route_speaks() {
-  traffic::Seen seen;
-  seen.old = seen.warm_old = {{"busy", {1000, 0, 0, 10000}}, {"rare", {5, 0, 0, 50}}};
-  seen.trial = seen.warm_trial = {{"busy", {60, 0, 0, 600}}, {"rare", {3, 0, 0, 30}}};
-  same(traffic::objection(seen), std::string(), "three good answers on a rare route");
-  seen.trial["rare"] = seen.warm_trial["rare"] = {2, 1, 0, 30};
-  expect(!traffic::objection(seen).empty(), "one poor answer of three on a rare route was passed over");
-  expect(traffic::refuted(seen).empty(), "one poor answer ends a switch");
-  seen.trial["rare"] = seen.warm_trial["rare"] = {2, 0, 3, 90};
-  expect(!traffic::refuted(seen).empty(), "three slow answers on a rare route don't end a switch");
-  seen.trial["rare"] = {4, 1, 0, 50};
-  seen.warm_trial["rare"] = {3, 0, 0, 30};
-  expect(!traffic::objection(seen).empty(), "a failure of a cold worker on a rare route was passed over");
-  seen.old["rare"] = seen.warm_old["rare"] = {300, 0, 0, 3000};
-  seen.trial["rare"] = seen.warm_trial["rare"] = {3, 0, 0, 30};
-  expect(!traffic::objection(seen).empty(), "a busy route was taken for a rare one");
+  traffic::CanarySample seen;
+  seen.baseline = seen.warm_baseline = {{"busy", {1000, 0, 0, 10000}}, {"rare", {5, 0, 0, 50}}};
+  seen.canary = seen.warm_canary = {{"busy", {60, 0, 0, 600}}, {"rare", {3, 0, 0, 30}}};
+  same(traffic::promotion_blocker(seen), std::string(), "three good answers on a rare route");
+  seen.canary["rare"] = seen.warm_canary["rare"] = {2, 1, 0, 30};
+  expect(!traffic::promotion_blocker(seen).empty(),
+         "one poor answer of three on a rare route was passed over");
+  expect(traffic::regression_after_switch(seen).empty(), "one poor answer ends a switch");
+  seen.canary["rare"] = seen.warm_canary["rare"] = {2, 0, 3, 90};
+  expect(!traffic::regression_after_switch(seen).empty(),
+         "three slow answers on a rare route don't end a switch");
+  seen.canary["rare"] = {4, 1, 0, 50};
+  seen.warm_canary["rare"] = {3, 0, 0, 30};
+  expect(!traffic::promotion_blocker(seen).empty(),
+         "a failure of a cold worker on a rare route was passed over");
+  seen.baseline["rare"] = seen.warm_baseline["rare"] = {300, 0, 0, 3000};
+  seen.canary["rare"] = seen.warm_canary["rare"] = {3, 0, 0, 30};
+  expect(!traffic::promotion_blocker(seen).empty(), "a busy route was taken for a rare one");
 }
 
 // A poor answer or two among many are noise, and want some more answers, not thirty at any rate.
 void few_poor_are_noise() {
   auto against = [](uint64_t good, uint64_t slow) {
-    traffic::Seen seen;
-    seen.old = seen.warm_old = {{"r", {1000, 0, 10, 10000}}};
-    seen.trial = seen.warm_trial = {{"r", {good, 0, slow, good * 10}}};
-    return traffic::objection(seen);
+    traffic::CanarySample seen;
+    seen.baseline = seen.warm_baseline = {{"r", {1000, 0, 10, 10000}}};
+    seen.canary = seen.warm_canary = {{"r", {good, 0, slow, good * 10}}};
+    return traffic::promotion_blocker(seen);
   };
   expect(against(12, 0).empty(), "twelve clean answers: " + against(12, 0));
   expect(!against(11, 0).empty(), "eleven clean answers are enough");
@@ -144,17 +150,18 @@
 
 // Each warm worker gets its turn once what had been saved is spent; a cold one gets none.
 void workers_in_turn() {
-  traffic::Table table;
-  for (auto* name : {"i1", "i2", "i3", "i4", "i5"}) table.workers["s"].push_back({name, "s", "2", "", "", 1});
-  table.workers["s"].back().cold_until = TimePoint(1000);
-  rollout::open_trial(table.states["s"], "2", Duration(14000), Duration(500));
-  table.states["s"].set_current("1");
-  table.states["s"].set_percent(traffic::kTermPercent);
-  traffic::Trials trials;
+  traffic::RoutingSnapshot table;
+  for (auto* name : {"i1", "i2", "i3", "i4", "i5"})
+    table.backend_instances["s"].push_back({name, "s", "2", "", "", 1});
+  table.backend_instances["s"].back().cold_until = TimePoint(1000);
+  rollout::start_canary(table.service_states["s"], "2", Duration(14000), Duration(500));
+  table.service_states["s"].set_current("1");
+  table.service_states["s"].set_percent(traffic::kDeadlinePercent);
+  traffic::CanaryAdmission trials;
   std::map<std::string, int> asked;
   int granted = 0, burst = 0;
   for (int i = 0; i < 2000; ++i) {
-    auto among = trials.grant(table, "s", "2", "r");
+    auto among = trials.admit(table, "s", "2", "r");
     if (among.empty()) continue;
     ++granted;
     if (among.size() == 2) {
@@ -165,7 +172,7 @@
       ++asked[among[0].instance];
     }
   }
-  expect(burst > 0 && burst <= traffic::kAhead, fmt::format("{} requests in the burst", burst));
+  expect(burst > 0 && burst <= traffic::kInitialCredit, fmt::format("{} requests in the burst", burst));
   same(asked.size(), size_t{4}, "workers in turn");
   for (auto& [name, times] : asked)
     expect(times >= 35, fmt::format("{} was asked {} times of {}", name, times, granted));
@@ -175,71 +182,74 @@
   Bench b(1);
   b.warm = 2;
   b.run({"a"});
-  expect(b.s.outcome() == "rolled_back" && b.s.why().find("no verdict in time: 2 warm workers for 4") == 0,
-         b.s.why());
+  expect(b.state.outcome() == "rolled_back" &&
+             b.state.reason().find("no verdict in time: 2 warm workers for 4") == 0,
+         b.state.reason());
 }
 
 void switch_lasts() {
   Bench b(1);
-  while (!b.s.switching()) b.look({"a"});
+  while (!b.state.switching()) b.look({"a"});
   auto from = b.now;
-  traffic::Service svc;
-  auto v = traffic::versions(svc, &b.s);
-  expect(v.open == std::vector<std::string>{"2"} && v.trial.empty(), "another version is open in the switch");
+  traffic::ServiceConfiguration svc;
+  auto v = traffic::eligible_versions(svc, &b.state);
+  expect(v.open == std::vector<std::string>{"2"} && v.canary.empty(),
+         "another version is open in the switch");
   b.run({"a"});
   expect(b.now - from >= Duration(2500), "completed before all permits had turned over");
 }
 
 // In the switch a version that is bad under the whole load is noticed by a relay alone.
 void relay_goes_back() {
-  traffic::Jury j;
-  pb::ServiceState st;
-  st.set_current("1");
-  rollout::open_trial(st, "2", Duration(14000), Duration(500));
-  st.set_switching(true);
-  pb::NodeStatus n;
-  n.mutable_mark()->set_incarnation(1);
-  auto* x = n.add_bad();
+  traffic::CanaryAnalysis j;
+  pb::ServiceState state;
+  state.set_current("1");
+  rollout::start_canary(state, "2", Duration(14000), Duration(500));
+  state.set_switching(true);
+  pb::NodeStatus status;
+  status.mutable_version()->set_incarnation(1);
+  auto* x = status.add_version_counts();
   x->set_service("s");
   x->set_version("2");
-  auto* o = n.add_bad();
+  auto* o = status.add_version_counts();
   o->set_service("s");
   o->set_version("1");
   o->set_good(1000);
-  j.hear({{"s", st}}, {{"r", n}}, 50);
-  expect(!j.stopped("s"), "it was given up without answers");
+  j.update({{"s", state}}, {{"r", status}}, 50);
+  expect(!j.is_aborted("s"), "it was given up without answers");
   x->set_good(12);
   x->set_bad(8);
-  j.hear({{"s", st}}, {{"r", n}}, 50);
-  expect(j.stopped("s"), "eight of twenty bad were not plain");
-  traffic::Table t;
-  t.states["s"] = st;
-  t.given_up = j.all_stopped();
-  traffic::settle(t);
-  auto v = traffic::versions({}, &t.states["s"]);
+  j.update({{"s", state}}, {{"r", status}}, 50);
+  expect(j.is_aborted("s"), "eight of twenty bad were not plain");
+  traffic::RoutingSnapshot t;
+  t.service_states["s"] = state;
+  t.aborted_canaries = j.aborted();
+  traffic::finalize_snapshot(t);
+  auto v = traffic::eligible_versions({}, &t.service_states["s"]);
   expect(v.open == std::vector<std::string>{"1"}, "it did not go back");
 }
 
 void any_version() {
-  traffic::Service svc;
-  traffic::Table t;
-  t.workers["s"] = {{"i1", "s", "1", "", "", 1}, {"i2", "s", "2", "", "", 1}};
-  traffic::settle(t);
-  expect(traffic::versions(svc, &t.states["s"]).open.size() == 2, "not all are open before one is in place");
-  t.states["s"].Clear();  // each table has its states read anew
-  t.states["s"].set_current("1");
-  traffic::settle(t);
-  expect(traffic::versions(svc, &t.states["s"]).open == std::vector<std::string>{"1"},
+  traffic::ServiceConfiguration svc;
+  traffic::RoutingSnapshot t;
+  t.backend_instances["s"] = {{"i1", "s", "1", "", "", 1}, {"i2", "s", "2", "", "", 1}};
+  traffic::finalize_snapshot(t);
+  expect(traffic::eligible_versions(svc, &t.service_states["s"]).open.size() == 2,
+         "not all are open before one is in place");
+  t.service_states["s"].Clear();  // each table has its states read anew
+  t.service_states["s"].set_current("1");
+  traffic::finalize_snapshot(t);
+  expect(traffic::eligible_versions(svc, &t.service_states["s"]).open == std::vector<std::string>{"1"},
          "a version that no move asked for is open");
 }
 
 void rare_routes() {
-  traffic::Trials t;
+  traffic::CanaryAdmission t;
   std::map<bool, int> got;
   int all = 0;
   for (int i = 0; i < 1000; ++i) {
     bool rare = i % 50 == 0;
-    got[rare] += t.grant("s", 1, "2", rare ? "rare" : "often", {8, 8, 0});
+    got[rare] += t.admit("s", 1, "2", rare ? "rare" : "often", {8, 8, 0});
     ++all;
     RC_ASSERT((got[true] + got[false]) * 100 <= all * 8);
   }
@@ -248,12 +258,12 @@
 }
 
 void spared() {
-  traffic::Trials t;
+  traffic::CanaryAdmission t;
   int got = 0;
-  for (int i = 0; i < 1000; ++i) got += t.grant("s", 1, "2", "r", {8, 3, 0});
+  for (int i = 0; i < 1000; ++i) got += t.admit("s", 1, "2", "r", {8, 3, 0});
   same(got, 30, "requests while it is cold");
   for (int i = 1; i <= 100; ++i) {
-    got += t.grant("s", 1, "2", "r", {8, 8, 5});
+    got += t.admit("s", 1, "2", "r", {8, 8, 5});
     expect(got * 100 <= (1000 + i) * 8 + 500, "over the share");
   }
   same(got, 93, "requests with what was spared and what is spent ahead");
@@ -262,19 +272,20 @@
 // 88 relays of a few requests a second each, and 12 of more.
 void many_relays() {
   for (int n : {12, 88}) {
-    std::vector<std::unique_ptr<traffic::Trials>> relays;
-    for (int i = 0; i < n; ++i) relays.push_back(std::make_unique<traffic::Trials>());
+    std::vector<std::unique_ptr<traffic::CanaryAdmission>> relays;
+    for (int i = 0; i < n; ++i) relays.push_back(std::make_unique<traffic::CanaryAdmission>());
     std::mt19937_64 rng(7);
     int mine = 0, all = 0;
     std::map<std::string, int> by;
     for (int i = 0; i < 360 * 6; ++i) {
       auto k = rng() % relays.size();
       std::string route = rng() % 3 ? "a" : "b";
-      bool g = relays[k]->grant("s", 1, "2", route,
-                                {8, 8, traffic::repeat_part(traffic::kAhead, n, static_cast<int>(k))});
+      bool g = relays[k]->admit(
+          "s", 1, "2", route,
+          {8, 8, traffic::retry_allowance_of_node(traffic::kInitialCredit, n, static_cast<int>(k))});
       mine += g;
       by[route] += g;
-      expect(mine * 100 <= ++all * 8 + 100 * traffic::kAhead, "over the share");
+      expect(mine * 100 <= ++all * 8 + 100 * traffic::kInitialCredit, "over the share");
     }
     expect(by["a"] >= 40 && by["b"] >= 40,
            fmt::format("{} relays: {} and {} requests on trial", n, by["a"], by["b"]));
@@ -292,8 +303,8 @@
       set(b, rate / 100.0);
       b.run(b.routes);
       RC_ASSERT(!b.promoted());
-      RC_ASSERT(b.s.outcome() == "rolled_back");
-      RC_ASSERT(b.s.quarantined().count("2") == 1u);
+      RC_ASSERT(b.state.outcome() == "rolled_back");
+      RC_ASSERT(b.state.quarantined().count("2") == 1u);
       RC_ASSERT(b.to_trial * 10 <= b.all + 500);
     };
   };
--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -14,21 +14,21 @@
 
 simulation::FleetShape shape(bool small, Yard& yard) {
   simulation::FleetShape s;
-  s.holders = 3;
-  s.edges = small ? 4 : 9;
+  s.replicas = 3;
+  s.edge_nodes = small ? 4 : 9;
   s.seeded = true;
   s.tolerate = 1;
   s.scale = 1;
-  s.far = Duration(2);
-  std::shared_ptr<const traffic::Face> face = platform::face();
-  s.settings = [face](relay::NodeConfig& c) {
-    c.face = face;
-    c.shield = false;
-    c.cache_bytes = 65 << 20;
-    c.system.repeat_allowance = 64;
+  s.max_delay = Duration(2);
+  std::shared_ptr<const traffic::ProtocolAdapter> face = platform::protocol_adapter();
+  s.settings = [face](relay::NodeConfig& config) {
+    config.protocol_adapter = face;
+    config.shield = false;
+    config.max_cache_bytes = 65 << 20;
+    config.system.retry_allowance = 64;
   };
-  s.before = [](base::Request& q, const simulation::FleetShape::Handler& product) {
-    return platform::answer(q, kBeat, product);
+  s.translate = [](base::Request& request, const simulation::FleetShape::Handler& product) {
+    return platform::handle(request, kBeat, product);
   };
   s.send = [&yard](auto& l, auto& a, auto& q, auto& r) { return yard.send(l, a, q, r); };
   s.stands = [&yard](auto& a) { return yard.stands(a); };
@@ -49,26 +49,29 @@
   for (int i = 0; i < 7; ++i) yard.add("wuno");
   for (int i = 0; i < 4; ++i) yard.add("huvo");
   for (int i = 0; i < 40; ++i) d.tags[fmt::format("/obj/{:x}", i)] = fmt::format("t{}", i % 5);
-  f.outside([this] { watch(); });
+  f.spawn_outside([this] { watch(); });
   clients.knock();
   f.sleep(Duration(500));
   bool ok = op.put(page);
   want(ok, "the first configuration was not taken");
-  ok = ok && f.until(Duration(15000), [&] {
+  ok = ok && f.wait_until(Duration(15000), [&] {
     for (auto& h : f.hosts()) {
       if (!h->up() || !h->node->ready()) return false;
-      auto t = h->node->traffic().table();
+      auto snapshot = h->node->request_handler().snapshot();
       for (auto* n : {"wuno", "huvo"})
-        if (auto x = t->workers.find(n); x == t->workers.end() || x->second.size() < 4) return false;
+        if (auto x = snapshot->backend_instances.find(n);
+            x == snapshot->backend_instances.end() || x->second.size() < 4)
+          return false;
     }
     return clients.all_in();
   });
   want(ok, "not all became ready and knew all workers within 15 s");
   f.sleep(Duration(2000));
   for (auto& h : f.hosts()) {
-    auto t = h->node->traffic().table();
-    want(static_cast<size_t>(t->nodes) == f.hosts().size(),
-         fmt::format("{} shares the fleet's allowances among {} of {}", h->name, t->nodes, f.hosts().size()));
+    auto snapshot = h->node->request_handler().snapshot();
+    want(static_cast<size_t>(snapshot->nodes) == f.hosts().size(),
+         fmt::format("{} shares the fleet's allowances among {} of {}", h->name, snapshot->nodes,
+                     f.hosts().size()));
   }
   over = w.now() + Duration(600000);
   clients.come(page, per_second, over);
@@ -95,7 +98,7 @@
 simulation::Host& Day::any(bool core) {
   std::vector<simulation::Host*> v;
   for (auto& h : f.hosts())
-    if (h->up() && h->holder == core && !w.frozen(h->name)) v.push_back(h.get());
+    if (h->up() && h->has_disk == core && !w.frozen(h->name)) v.push_back(h.get());
   return *v.at(below(v.size()));
 }
 
@@ -103,7 +106,7 @@
   d.unplanned = true;
   harm(host);
   f.kill(host);
-  f.outside([this, host, down] {
+  f.spawn_outside([this, host, down] {
     f.sleep(down);
     harm(host);
     f.start(host);
@@ -115,15 +118,16 @@
   if (!h.up()) return;
   d.terms.emplace_back(w.now(), host);
   harm(host);
-  if (h.holder) unsettle();
+  if (h.has_disk) unsettle();
   auto* n = h.node.get();
-  auto life = h.life;
+  auto life = h.process;
   TimePoint from = w.now();
-  w.spawn(life, [n] { n->leave(); });
+  w.spawn(life, [n] { n->begin_shutdown(); });
   f.sleep(Duration(2700));
   if (life->dead) return;
-  n->traffic().drain();
-  while (!life->dead && n->traffic().running() > 0 && w.now() < from + Duration(4800)) f.sleep(Duration(10));
+  n->request_handler().start_draining();
+  while (!life->dead && n->request_handler().running_requests() > 0 && w.now() < from + Duration(4800))
+    f.sleep(Duration(10));
   f.sleep(Duration(50));
   if (!life->dead) f.kill(host);
   f.sleep(Duration(300));
@@ -139,16 +143,16 @@
     for (auto& h : f.hosts()) {
       bool well = h->up() && !w.frozen(h->name);
       auto& life = lives_[h->name];
-      if (!well || life != h->life.get()) harm(h->name);
-      life = h->life.get();
-      if (!h->holder) continue;
+      if (!well || life != h->process.get()) harm(h->name);
+      life = h->process.get();
+      if (!h->has_disk) continue;
       ++all;
       up += well;
       if (well) held.push_back(h.get());
-      core += fmt::format("{}{}{}", h->name, well, h->life ? fmt::ptr(h->life.get()) : nullptr);
+      core += fmt::format("{}{}{}", h->name, well, h->process ? fmt::ptr(h->process.get()) : nullptr);
     }
     auto joined = [&](auto& a, auto& b) {
-      return a.name == b.name || (!w.cut_off(a.name, b.name) && !w.cut_off(b.name, a.name));
+      return a.name == b.name || (!w.is_partitioned(a.name, b.name) && !w.is_partitioned(b.name, a.name));
     };
     std::vector<simulation::Host*> main;  // of the core, those that reach over half of it
     for (auto* a : held) {
@@ -176,7 +180,7 @@
   TimePoint end = day.w.now() + Duration(90000);
   day.w.run(day.w.now() + Duration(2000), nullptr, [&] {
     day.f.start_all();
-    day.f.outside([&] {
+    day.f.spawn_outside([&] {
       if (day.begin(story.per_second * load, story.rate)) story.run(day);
       day.f.sleep(Duration(1500));
       got = {{"wanted", day.clients.wanted}, {"served", day.clients.served}};
@@ -188,7 +192,7 @@
   day.f.end();
   day.w.run(day.w.now() + Duration(20000), nullptr, nullptr);
   for (auto& [k, v] : got) figures[k] += v;
-  for (auto& [k, v] : day.w.met) figures["met_" + k] += v;
+  for (auto& [k, v] : day.w.faults_met) figures["met_" + k] += v;
   for (auto& [id, t] : day.d.tries) figures["tries_in_touch"] += in_touch(day.d, t.relay, t.sent);
   figures["tries"] += day.d.tries.size();
   figures["arrivals"] += day.d.arrivals.size();
--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -25,16 +25,16 @@
     auto old = y.page;
     int left = 3, confirmed = 0;
     for (auto* p : {&a, &b})
-      y.f.outside([&y, p = *p, &left, &confirmed] {
+      y.f.spawn_outside([&y, p = *p, &left, &confirmed] {
         auto what = fmt::format("configuration {} in a race", p.revision);
         confirmed += y.op.put_text(what, p, p.text(), true, Duration(2500)) == 200;
         --left;
       });
-    y.f.outside([&y, old, &left] {
+    y.f.spawn_outside([&y, old, &left] {
       y.want(y.op.put(old), "an older configuration was not acknowledged");
       --left;
     });
-    y.f.until(Duration(25000), [&] { return left == 0; });
+    y.f.wait_until(Duration(25000), [&] { return left == 0; });
     y.want(confirmed == 1, fmt::format("{} of two operators under one number were confirmed", confirmed));
     y.op.read_back(Duration(100));
     y.page = y.d.read_back.back().text == b.text() ? b : a;
@@ -76,7 +76,7 @@
 void purge_storm(Day& y) {
   auto end = y.w.now() + Duration(6000);
   while (y.w.now() < end) {
-    y.f.outside([&y] {
+    y.f.spawn_outside([&y] {
       auto o = object(y);
       y.yard.change(o);
       y.want(y.op.purge("a.example", o, ""), "a purge was not taken");
@@ -92,7 +92,7 @@
       if (y.below(2)) continue;
       y.yard.add(service, "v1", Duration(2000));
       y.f.sleep(Duration(1000));
-      y.f.outside([&y, s] { y.yard.drain(*s); });
+      y.f.spawn_outside([&y, s] { y.yard.drain(*s); });
     }
   y.f.sleep(Duration(3500));
 }
@@ -103,7 +103,7 @@
   auto v = y.yard.of("wuno");
   for (int i = 0; i < 2; ++i) {
     auto* s = v[i];
-    y.f.outside([&y, s, drained] {
+    y.f.spawn_outside([&y, s, drained] {
       drained ? y.yard.drain(*s) : y.yard.crash(*s);
       y.f.sleep(Duration(2000 + y.below(500)));
       y.yard.add("huvo", "v1", Duration(1000), s->address);
@@ -114,7 +114,7 @@
 
 void scale_in(Day& y) {
   auto v = y.yard.of("wuno");
-  for (size_t i = 0; i < 3; ++i) y.f.outside([&y, s = v[i]] { y.yard.drain(*s); });
+  for (size_t i = 0; i < 3; ++i) y.f.spawn_outside([&y, s = v[i]] { y.yard.drain(*s); });
   y.f.sleep(Duration(4000));
 }
 
@@ -185,12 +185,12 @@
   auto how = y.below(4);
   auto from = y.w.now() + Duration(5000);
   for (auto* s : fresh) {
-    auto& w = y.w;
-    auto hit = [&w] { return w.below(2) == 0; };
+    auto& world = y.w;
+    auto hit = [&world] { return world.below(2) == 0; };
     if (!bad) continue;
     if (how == 0) s->bad = [hit](auto&) { return hit() ? 0 : 1; };
     if (how == 1) s->bad = [hit](auto&) { return hit() ? 8 : 1; };
-    if (how == 2) s->bad = [hit, &w, from](auto&) { return w.now() > from && hit() ? 0 : 1; };
+    if (how == 2) s->bad = [hit, &world, from](auto&) { return world.now() > from && hit() ? 0 : 1; };
     if (how == 3)
       s->bad = [hit](auto& t) {
         return t.starts_with("/post/") || t.starts_with("/obj/") ? hit() ? 0 : 1 : 1;
@@ -215,7 +215,7 @@
     for (auto* s : old) s->alive = false;
   if (m.state == "rolled_back") {
     y.f.sleep(Duration(2000));
-    for (auto* s : fresh) y.f.outside([&y, s] { y.yard.drain(*s); });
+    for (auto* s : fresh) y.f.spawn_outside([&y, s] { y.yard.drain(*s); });
   }
   y.f.sleep(Duration(4000));
 }
@@ -225,11 +225,11 @@
   y.op.lost_permille = 500;
   int left = 2;
   for (auto* n : {"config_change", "purge"})
-    y.f.outside([&y, n, &left] {
+    y.f.spawn_outside([&y, n, &left] {
       kinds().at(n).run(y);
       --left;
     });
-  y.want(y.f.until(Duration(40000), [&] { return left == 0; }), "the operator's work did not end");
+  y.want(y.f.wait_until(Duration(40000), [&] { return left == 0; }), "the operator's work did not end");
   rollout(y, false);
   y.op.lost_permille = 0;
 }
@@ -241,11 +241,11 @@
   static const char* const workers[] = {"answer_lost", "garble_cut", "garble_extra", "srv_slow"};
   int left = 3;
   for (auto* n : {orders[y.below(5)], machines[y.below(4)], workers[y.below(4)]})
-    y.f.outside([&y, n, &left] {
+    y.f.spawn_outside([&y, n, &left] {
       kinds().at(n).run(y);
       --left;
     });
-  y.want(y.f.until(Duration(50000), [&] { return left == 0; }), "the mixed troubles did not end");
+  y.want(y.f.wait_until(Duration(50000), [&] { return left == 0; }), "the mixed troubles did not end");
   y.floor = 0.5;
 }
 }  // namespace
--- a/test/platform/machine_kinds.cpp
+++ b/test/platform/machine_kinds.cpp
@@ -50,14 +50,14 @@
   auto one = y.any(true).name;
   bool one_way = y.below(2);
   for (auto& h : y.f.hosts())
-    if (h->holder && h->name != one) {
-      y.w.cut(one, h->name);
-      if (!one_way) y.w.cut(h->name, one);
+    if (h->has_disk && h->name != one) {
+      y.w.partition(one, h->name);
+      if (!one_way) y.w.partition(h->name, one);
     }
   y.f.sleep(Duration(1000));
   y.change(5 * y.below(100));
   y.f.sleep(Duration(4000));
-  y.w.mend();
+  y.w.heal_all();
   y.f.sleep(Duration(4000));
   y.floor = 0.8;
 }
@@ -66,11 +66,11 @@
   y.d.unplanned = true;
   auto one = y.any(false).name;
   for (auto& h : y.f.hosts())
-    if (h->holder) y.w.cut(one, h->name), y.w.cut(h->name, one);
+    if (h->has_disk) y.w.partition(one, h->name), y.w.partition(h->name, one);
   y.f.sleep(Duration(1000));
   y.change(5 * y.below(100));
   y.f.sleep(Duration(4000));
-  y.w.mend();
+  y.w.heal_all();
   y.f.sleep(Duration(4000));
   y.floor = 0.85;
 }
@@ -78,8 +78,8 @@
 void node_freeze(Day& y) {
   y.d.unplanned = true;
   for (bool core : {false, true}) {
-    auto& h = y.any(core);
-    y.w.freeze(h.name, y.w.now() + Duration(1500 + y.below(3500)));
+    auto& host = y.any(core);
+    y.w.freeze(host.name, y.w.now() + Duration(1500 + y.below(3500)));
     y.f.sleep(Duration(500));
     y.change(y.w.draw() % 100000);
     y.f.sleep(Duration(6500));
@@ -93,10 +93,10 @@
     if (y.below(10) < 3) who.push_back(h.get());
   int64_t by = y.below(2) ? 2000 : -2000;
   for (int sign : {1, -1}) {
-    for (auto* h : who) {
-      h->wall += sign * by;
-      y.harm(h->name);
-      if (h->holder) y.unsettle();
+    for (auto* host : who) {
+      host->wall_offset_ms += sign * by;
+      y.harm(host->name);
+      if (host->has_disk) y.unsettle();
     }
     y.change(y.w.draw() % 100000);
     y.f.sleep(Duration(4500));
@@ -105,7 +105,7 @@
 
 void roll_term(Day& y) {
   for (auto& h : y.f.hosts()) {
-    if (h->up() && (h->holder || y.below(3) == 0)) {
+    if (h->up() && (h->has_disk || y.below(3) == 0)) {
       y.term(h->name);
       y.f.sleep(Duration(1000));
     }
@@ -113,7 +113,7 @@
 }
 
 void seed_change(Day& y) {
-  for (auto& h : y.f.hosts()) h->node->seeds({"http:e1", "http:h3", "http:e2"});
+  for (auto& h : y.f.hosts()) h->node->set_seeds({"http:e1", "http:h3", "http:e2"});
   y.f.sleep(Duration(1000));
   y.change(0);
   y.kill_for(y.any(false).name, Duration(300));
--- a/test/platform/operator.cpp
+++ b/test/platform/operator.cpp
@@ -10,48 +10,48 @@
 
 std::pair<int, std::string> Operator::call(const std::string& method, const std::string& target,
                                            const std::string& body, Duration most, const std::string& what) {
-  auto& w = f_.world();
-  TimePoint from = w.now(), end = from + most;
+  auto& world = fleet_.world();
+  TimePoint from = world.now(), end = from + most;
   Duration pause{100};
   int fours = 0;
   bool told = false, taken = false;
   for (;;) {
-    auto& hosts = f_.hosts();
-    auto& h = *hosts[w.below(hosts.size())];
-    base::Request q;
-    q.method = method;
-    q.target = target;
-    q.body = body;
-    if (!body.empty()) q.headers = {{"Content-Type", "application/json"}};
-    auto x = f_.exchange(h, q, true, Duration(1000));
-    int st = x.whole ? x.receipt.status : 0;
-    if (st / 100 == 2 && w.random(lost_permille)) {
-      ++w.met["ack_lost"];
+    auto& hosts = fleet_.hosts();
+    auto& host = *hosts[world.below(hosts.size())];
+    base::Request request;
+    request.method = method;
+    request.target = target;
+    request.body = body;
+    if (!body.empty()) request.headers = {{"Content-Type", "application/json"}};
+    auto x = fleet_.exchange(host, request, true, Duration(1000));
+    int st = x.complete ? x.response.status : 0;
+    if (st / 100 == 2 && world.random(lost_permille)) {
+      ++world.faults_met["ack_lost"];
       taken = true;
       st = 0;
     }
     if (taken && st / 100 == 4 && st != 408 && st != 429)
-      d_.refused_again.push_back(fmt::format("{} {}: {} {}", method, target, st, x.receipt.body));
-    if (st / 100 == 2) return last_by = h.name, std::pair(st, x.receipt.body);
-    if (st == 400 || st == 409 || st == 412 || st == 413 || st == 422) return {st, x.receipt.body};
-    if (st / 100 == 4 && st != 408 && st != 429 && ++fours == 3) return {st, x.receipt.body};
-    if (w.now() - from > kAck && !told && !taken && !what.empty())
-      told = true, d_.late.push_back({what, from, w.now()});
-    if (w.now() > end) return {0, {}};
-    f_.sleep(pause);
+      d_.refused_again.push_back(fmt::format("{} {}: {} {}", method, target, st, x.response.body));
+    if (st / 100 == 2) return last_by = host.name, std::pair(st, x.response.body);
+    if (st == 400 || st == 409 || st == 412 || st == 413 || st == 422) return {st, x.response.body};
+    if (st / 100 == 4 && st != 408 && st != 429 && ++fours == 3) return {st, x.response.body};
+    if (world.now() - from > kAck && !told && !taken && !what.empty())
+      told = true, d_.late.push_back({what, from, world.now()});
+    if (world.now() > end) return {0, {}};
+    fleet_.sleep(pause);
     pause = std::min<Duration>(pause * 3 / 2, Duration(1000));
   }
 }
 
 int Operator::put_text(const std::string& what, const Page& p, const std::string& text, bool valid,
                        Duration most) {
-  d_.stated.push_back({p, text, what, {}, valid, f_.world().now(), {}, 0});
+  d_.stated.push_back({p, text, what, {}, valid, fleet_.world().now(), {}, 0});
   auto place = d_.stated.size() - 1;
   auto [st, body] = call("PUT", "/configuration", text, most, valid ? what : "");
   auto& s = d_.stated[place];
   s.by = last_by;
   if (st / 100 == 2)
-    s.taken = f_.world().now();
+    s.taken = fleet_.world().now();
   else
     s.refused = st;
   return st;
@@ -62,23 +62,23 @@
 }
 
 bool Operator::purge(const std::string& host, const std::string& path, const std::string& tag) {
-  d_.purges.push_back({host, path, tag, f_.world().now(), {}});
+  d_.purges.push_back({host, path, tag, fleet_.world().now(), {}});
   auto place = d_.purges.size() - 1;
   auto body = tag.empty() ? fmt::format(R"({{"hostname":"{}","path":"{}"}})", host, path)
                           : fmt::format(R"({{"tag":"{}"}})", tag);
   auto [st, text] = call("POST", "/purge", body, kAck, "purge of " + (tag.empty() ? path : tag));
-  if (st / 100 == 2) d_.purges[place].taken = f_.world().now();
+  if (st / 100 == 2) d_.purges[place].taken = fleet_.world().now();
   return st / 100 == 2;
 }
 
 bool Operator::move(const std::string& service, const std::string& version, Duration within, bool bad) {
-  auto now = f_.world().now();
+  auto now = fleet_.world().now();
   d_.moves.push_back({service, version, {}, bad, now, now + within, {}, {}});
   auto place = d_.moves.size() - 1;
   auto body = fmt::format(R"({{"backend":"{}","target-revision":"{}","rollout-within-s":{}}})", service,
                           version, within.count() / 1000);
   auto [st, text] = call("POST", "/rollouts", body, kAck, "rollout of " + service);
-  if (st / 100 == 2) d_.moves[place].taken = f_.world().now();
+  if (st / 100 == 2) d_.moves[place].taken = fleet_.world().now();
   return st / 100 == 2;
 }
 
@@ -87,21 +87,21 @@
   auto g = base::Json::parse(body);
   auto* j = std::get_if<base::Json>(&g);
   if (st != 200 || !j) return {};
-  if (version) *version = j->at("target-revision").str();
-  return j->at("state").str();
+  if (version) *version = j->at("target-revision").string_or();
+  return j->at("state").string_or();
 }
 
 void Operator::read_back(Duration over) {
-  auto end = f_.world().now() + over;
+  auto end = fleet_.world().now() + over;
   do {
-    auto asked = f_.world().now();
+    auto asked = fleet_.world().now();
     auto [st, body] = call("GET", "/configuration", "", Duration(8000), "");
     if (st != 200) continue;
     auto g = base::Json::parse(body);
     auto* j = std::get_if<base::Json>(&g);
-    d_.read_back.push_back({j ? static_cast<uint64_t>(j->at("revision").num()) : 0, body, asked});
-    f_.sleep(Duration(300));
-  } while (f_.world().now() < end);
+    d_.read_back.push_back({j ? static_cast<uint64_t>(j->at("revision").integer_or()) : 0, body, asked});
+    fleet_.sleep(Duration(300));
+  } while (fleet_.world().now() < end);
 }
 
 }  // namespace dunlinwing::test
--- a/test/platform/people.hpp
+++ b/test/platform/people.hpp
@@ -7,7 +7,7 @@
 
 class Clients {
  public:
-  Clients(simulation::Fleet& f, Diary& d) : f_(f), d_(d) {}
+  Clients(simulation::Fleet& fleet, Diary& d) : fleet_(fleet), d_(d) {}
   void knock();  // keeps asking every node whether it is ready
   void come(const Page& p, int per_second, TimePoint until);
   void probe(const std::string& host, const std::string& target);  // to each node that takes clients
@@ -19,8 +19,8 @@
  private:
   void one();
   simulation::Host* door(const std::string& zone, const std::set<std::string>& tried);
-  Try& send(simulation::Host& h, Try t, Duration most);
-  simulation::Fleet& f_;
+  Try& send(simulation::Host& host, Try t, Duration most);
+  simulation::Fleet& fleet_;
   Diary& d_;
   Page page_;
   std::map<std::string, int> missed_;
@@ -29,7 +29,7 @@
 
 class Operator {
  public:
-  Operator(simulation::Fleet& f, Diary& d) : f_(f), d_(d) {}
+  Operator(simulation::Fleet& fleet, Diary& d) : fleet_(fleet), d_(d) {}
   bool put(const Page& p);  // sent until it gets a clear answer
   // The status of the clear answer; 0 when none came in `most`.
   int put_text(const std::string& what, const Page& p, const std::string& text, bool valid,
@@ -44,7 +44,7 @@
  private:
   std::pair<int, std::string> call(const std::string& method, const std::string& target,
                                    const std::string& body, Duration most, const std::string& what);
-  simulation::Fleet& f_;
+  simulation::Fleet& fleet_;
   Diary& d_;
 };
 
--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -31,24 +31,26 @@
   void mixed() {
     for (auto& [id, t] : d.tries) {
       if (!t.whole) continue;
-      auto& r = t.receipt;
-      auto told = base::header(r.headers, "Attempt-Id");
+      auto& response = t.receipt;
+      auto told = base::header(response.headers, "Attempt-Id");
       if (!told.empty() && told != id) say("MIXED", fmt::format("{} got the answer to {}", id, told));
-      if (r.status / 100 != 2) continue;
-      auto f = d.made.find(base::header(r.headers, "Edge-Signature"));
+      if (response.status / 100 != 2) continue;
+      auto f = d.made.find(base::header(response.headers, "Edge-Signature"));
       if (f == d.made.end()) {
         say("MIXED", fmt::format("a success without a worker's stamp at {} {}", t.relay, t.target));
         continue;
       }
       auto& m = f->second;
       auto body = m.body;
-      if (auto c = base::header(r.headers, "Content-Range"); r.status == 206 && c.starts_with("bytes ")) {
+      if (auto c = base::header(response.headers, "Content-Range");
+          response.status == 206 && c.starts_with("bytes ")) {
         auto first = std::strtoull(c.c_str() + 6, nullptr, 10),
              last = std::strtoull(c.c_str() + c.find('-') + 1, nullptr, 10);
         body = first <= last && last < m.body.size() ? m.body.substr(first, last - first + 1) : "?";
       }
-      if (r.body != body)
-        say("MIXED", fmt::format("not the worker's whole body for {} at {}: {}", t.target, t.relay, r.body));
+      if (response.body != body)
+        say("MIXED",
+            fmt::format("not the worker's whole body for {} at {}: {}", t.target, t.relay, response.body));
       if (m.target != t.target || (!m.object && m.id != id))
         say("MIXED", fmt::format("{} {} got what was made for {} {}", id, t.target, m.id, m.target));
       if (m.failed) say("MIXED", "a failure came as a success");
--- a/test/platform/rules_unit.cpp
+++ b/test/platform/rules_unit.cpp
@@ -94,10 +94,10 @@
            d.tries["ide"].receipt.headers[0].second = "ide";
          });
          fires("MIXED", "a wrong range", [](Diary& d) {
-           auto& r = d.tries["cac"].receipt;
-           r.status = 206;
-           r.headers.emplace_back("Content-Range", "bytes 1-4/12");
-           r.body = r.body.substr(0, 4);
+           auto& response = d.tries["cac"].receipt;
+           response.status = 206;
+           response.headers.emplace_back("Content-Range", "bytes 1-4/12");
+           response.body = response.body.substr(0, 4);
          });
        }},
       {"platform rules: UNASKED, TWICE, REFUSED",
--- a/test/platform/words_unit.cpp
+++ b/test/platform/words_unit.cpp
@@ -23,8 +23,8 @@
   std::vector<Asked> asked;
   base::Response says{200, {}, "{}"};
   base::Response call(const std::string& method, const std::string& target, const std::string& body = {}) {
-    base::Request q{"", method, target, body, {}};
-    return platform::answer(q, Duration(1500), [this](base::Request& x) {
+    base::Request request{"", method, target, body, {}};
+    return platform::handle(request, Duration(1500), [this](base::Request& x) {
       asked.push_back({x.method, x.target, x.body});
       return says;
     });
@@ -40,32 +40,33 @@
   same(g.asked[0].body, want.body, target);
 }
 
-traffic::LayoutGot read(const Page& p) {
-  auto l = std::get<platform::Layout>(platform::layout(p.text()));
+traffic::RoutingConfigurationResult read(const Page& p) {
+  auto l = std::get<platform::TranslatedConfiguration>(platform::translate_configuration(p.text()));
   same(l.number, p.revision, "the number");
-  return traffic::read_layout("x", l.document);
+  return traffic::parse_routing_configuration("x", l.document);
 }
 
 void fields() {
   auto g = read(first_page(590));
-  auto* l = std::get_if<std::shared_ptr<const traffic::Layout>>(&g);
+  auto* l = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&g);
   expect(l, "the first page is valid");
   bool other = false;
   auto& x = **l;
   auto* o = x.match("GET", "a.example:80", "/obj/1?q", other);
-  expect(o && o->kind == traffic::Kind::cacheable && o->keep == Duration(6000) &&
-             o->timeout == Duration(1500) && o->aim == Duration(200) && o->priority == 2 && o->shots == 2 &&
-             o->name == "r-obj",
+  expect(o && o->kind == traffic::RequestKind::cacheable && o->cache_lifetime == Duration(6000) &&
+             o->timeout == Duration(1500) && o->latency_target == Duration(200) && o->priority == 2 &&
+             o->max_attempts == 2 && o->name == "r-obj",
          "a cacheable route");
   auto* t = x.match("GET", "B.example", "/get/1", other);
-  expect(t && t->kind == traffic::Kind::safe && t->split.size() == 2 && t->split[0].first == "huvo" &&
-             t->split[0].second == 70,
+  expect(t && t->kind == traffic::RequestKind::safe && t->weighted_services.size() == 2 &&
+             t->weighted_services[0].first == "huvo" && t->weighted_services[0].second == 70,
          "a split");
   auto* p = x.match("POST", "a.example", "/post/1", other);
-  expect(p && p->kind == traffic::Kind::unsafe && p->split.size() == 1, "a route that may run once");
+  expect(p && p->kind == traffic::RequestKind::unsafe && p->weighted_services.size() == 1,
+         "a route that may run once");
   expect(!x.match("GET", "c.example", "/get/1", other), "another host");
-  expect(x.services.at("huvo").rate == 590 && x.services.at("huvo").connections == 130 &&
-             x.services.at("huvo").probe == "/health",
+  expect(x.services.at("huvo").rate == 590 && x.services.at("huvo").max_connections == 130 &&
+             x.services.at("huvo").health_check_path == "/health",
          "a service");
   expect(x.head_bytes == 16384 && x.body_bytes == 67108864 && x.head_time == Duration(3000) &&
              x.idle_time == Duration(15000),
@@ -79,9 +80,9 @@
     auto st = g.call("PUT", "/configuration", text).status;
     same(st, 400, what);
     if (g.asked.empty()) continue;  // it could not be read at all
-    auto j = std::get<base::Json>(base::Json::parse(g.asked[0].body));
+    auto json = std::get<base::Json>(base::Json::parse(g.asked[0].body));
     expect(std::holds_alternative<std::vector<base::ValidationError>>(
-               traffic::read_layout("x", j.at("content"))),
+               traffic::parse_routing_configuration("x", json.at("content"))),
            what + " is no valid layout");
   }
 }
@@ -91,8 +92,8 @@
   Gate g;
   same(g.call("PUT", "/configuration", p.text()).status, 200, "put");
   same(g.asked[0].target, std::string("/v1/layouts/3"), "its number");
-  auto j = std::get<base::Json>(base::Json::parse(g.asked[0].body));
-  same(j.at("stated").str(), p.text(), "the text as it came");
+  auto json = std::get<base::Json>(base::Json::parse(g.asked[0].body));
+  same(json.at("stated").string_or(), p.text(), "the text as it came");
   g.says.body = g.asked[0].body;
   same(g.call("GET", "/configuration").body, p.text(), "the text as it came, read back");
   g.says = {404, {}, "{}"};
@@ -147,8 +148,9 @@
                   "/rollouts", "/rollouts/", "/configuration/x", "/"}) {
     Gate g;
     g.says = {207, {}, "as it is"};
-    auto r = g.call("GET", t);
-    expect(r.status == 207 && r.body == "as it is" && g.asked.size() == 1 && g.asked[0].target == t,
+    auto response = g.call("GET", t);
+    expect(response.status == 207 && response.body == "as it is" && g.asked.size() == 1 &&
+               g.asked[0].target == t,
            std::string(t) + " is the product's own");
   }
 }
@@ -159,78 +161,82 @@
 };
 
 void looks() {
-  using traffic::Look;
-  auto f = platform::face();
-  traffic::Worker w{"i-1", "b", "v1", "z", "10.0.0.1:80"};
-  base::Request q{"id1", "GET", "/", "", {}};
-  auto look = [&](int st, std::vector<std::pair<std::string, std::string>> hs) {
-    return f->look({st, std::move(hs), "x"}, w, q);
+  using traffic::ResponseClass;
+  auto f = platform::protocol_adapter();
+  traffic::BackendInstance instance{"i-1", "b", "v1", "z", "10.0.0.1:80"};
+  base::Request request{"id1", "GET", "/", "", {}};
+  auto look = [&](int st, std::vector<std::pair<std::string, std::string>> headers) {
+    return f->classify({st, std::move(headers), "x"}, instance, request);
   };
-  auto is = [&](Look want, int st, std::vector<std::pair<std::string, std::string>> hs) {
-    expect(look(st, hs) == want, fmt::format("{} with {} headers", st, hs.size()));
+  auto is = [&](ResponseClass want, int st, std::vector<std::pair<std::string, std::string>> headers) {
+    expect(look(st, headers) == want, fmt::format("{} with {} headers", st, headers.size()));
   };
-  is(Look::good, 200, {{"Attempt-Id", "id1"}, {"Edge-Signature", "s"}});
-  is(Look::good, 404, {{"Attempt-Id", "id1"}, {"Edge-Signature", "s"}});
-  is(Look::good, 304, {{"Attempt-Id", "id1"}});
-  is(Look::broken, 200, {{"Attempt-Id", "id1"}});                           // without the stamp
-  is(Look::broken, 200, {{"Attempt-Id", "id0"}, {"Edge-Signature", "s"}});  // another's
-  is(Look::broken, 200, {{"Edge-Signature", "s"}});                         // nobody's
-  is(Look::broken, 200, {{"Attempt-Id", "id1"}, {"Edge-Signature", "s"}, {"Content-Encoding", "gzip"}});
-  is(Look::answered_badly, 500, {{"Attempt-Id", "id1"}});
-  is(Look::answered_badly, 504, {{"Attempt-Id", "id1"}});
-  is(Look::elsewhere, 421, {{"Instance-Id", "i-2"}});
-  for (int st : {400, 429, 503}) is(Look::not_run, st, {{"Not-Executed", "1"}});
+  is(ResponseClass::good, 200, {{"Attempt-Id", "id1"}, {"Edge-Signature", "s"}});
+  is(ResponseClass::good, 404, {{"Attempt-Id", "id1"}, {"Edge-Signature", "s"}});
+  is(ResponseClass::good, 304, {{"Attempt-Id", "id1"}});
+  is(ResponseClass::invalid, 200, {{"Attempt-Id", "id1"}});                           // without the stamp
+  is(ResponseClass::invalid, 200, {{"Attempt-Id", "id0"}, {"Edge-Signature", "s"}});  // another's
+  is(ResponseClass::invalid, 200, {{"Edge-Signature", "s"}});                         // nobody's
+  is(ResponseClass::invalid, 200,
+     {{"Attempt-Id", "id1"}, {"Edge-Signature", "s"}, {"Content-Encoding", "gzip"}});
+  is(ResponseClass::failed, 500, {{"Attempt-Id", "id1"}});
+  is(ResponseClass::failed, 504, {{"Attempt-Id", "id1"}});
+  is(ResponseClass::wrong_instance, 421, {{"Instance-Id", "i-2"}});
+  for (int st : {400, 429, 503}) is(ResponseClass::not_executed, st, {{"Not-Executed", "1"}});
   for (int st : {408, 429, 503})
-    is(Look::broken, st, {{"Attempt-Id", "id1"}});  // promises that the worker did not make
-  is(Look::broken, 503, {{"Attempt-Id", "id0"}, {"Not-Executed", "1"}});  // said of another request
+    is(ResponseClass::invalid, st, {{"Attempt-Id", "id1"}});  // promises that the worker did not make
+  is(ResponseClass::invalid, 503, {{"Attempt-Id", "id0"}, {"Not-Executed", "1"}});  // said of another request
 }
 
 void requests() {
-  auto f = platform::face();
+  auto f = platform::protocol_adapter();
   Draw c;
-  base::Request q{"",
-                  "GET",
-                  "/",
-                  "",
-                  {{"Attempt-Id", "id1"},
-                   {"Time-Remaining", "480"},
-                   {"Connection", "x-one"},
-                   {"X-One", "1"},
-                   {"X-Two", "2"}}};
-  auto a = f->read(q, c);
-  expect(a.id == "id1" && a.left == Duration(480), "what a client says of itself");
-  q.id = a.id;
-  traffic::Worker w{"i-1", "b", "v1", "z", "10.0.0.1:80"};
-  f->dress(q, {w, "e1", 3, Duration(333)});
-  auto h = [&](const char* n) { return base::header(q.headers, n); };
+  base::Request request{"",
+                        "GET",
+                        "/",
+                        "",
+                        {{"Attempt-Id", "id1"},
+                         {"Time-Remaining", "480"},
+                         {"Connection", "x-one"},
+                         {"X-One", "1"},
+                         {"X-Two", "2"}}};
+  auto a = f->read_identity(request, c);
+  expect(a.id == "id1" && a.remaining == Duration(480), "what a client says of itself");
+  request.id = a.id;
+  traffic::BackendInstance instance{"i-1", "b", "v1", "z", "10.0.0.1:80"};
+  f->prepare_request(request, {instance, "e1", 3, Duration(333)});
+  auto h = [&](const char* n) { return base::header(request.headers, n); };
   expect(h("Attempt-Id") == "id1" && h("Time-Remaining") == "333" && h("Target-Instance") == "i-1",
          "what a worker is told");
   expect(h("X-One").empty() && h("Connection").empty() && h("X-Two") == "2",
          "what concerns one connection goes");
   base::Request bare{"", "GET", "/", "", {{"Time-Remaining", "soon"}}};
-  auto b = f->read(bare, c);
-  expect(!b.id.empty() && !b.left, "nothing that can be read");
+  auto b = f->read_identity(bare, c);
+  expect(!b.id.empty() && !b.remaining, "nothing that can be read");
 }
 
 void answers() {
-  auto f = platform::face();
-  auto r = f->say(503, "full", traffic::Outcome::not_run, Duration(1250));
-  expect(r.status == 503 && base::header(r.headers, "Retry-After") == "1.250", "fractions of a second");
-  expect(base::header(f->say(502, "x", traffic::Outcome::unknown, {}).headers, "Retry-After").empty(),
-         "none when it does not help");
+  auto f = platform::protocol_adapter();
+  auto response = f->local_response(503, "full", traffic::ExecutionStatus::not_executed, Duration(1250));
+  expect(response.status == 503 && base::header(response.headers, "Retry-After") == "1.250",
+         "fractions of a second");
+  expect(
+      base::header(f->local_response(502, "x", traffic::ExecutionStatus::unknown, {}).headers, "Retry-After")
+          .empty(),
+      "none when it does not help");
   base::Response kept{
       200, {{"Attempt-Id", "first"}, {"Edge-Signature", "s"}, {"Connection", "close"}, {"ETag", "e"}}, "x"};
-  f->clean(kept);
-  f->send(kept, "second", 0);
+  f->strip_internal_headers(kept);
+  f->finish_response(kept, "second", 0);
   expect(base::header(kept.headers, "Attempt-Id") == "second" &&
              base::header(kept.headers, "Edge-Signature") == "s" &&
              base::header(kept.headers, "Connection").empty() && base::header(kept.headers, "ETag") == "e",
          "a kept copy goes out under the id of who asks");
   base::Response told{200, {{"Server-Load", "3,1,8"}, {"Object-Tags", "t1 t2"}}, ""};
-  auto l = f->load(told);
-  expect(l && l->running == 3 && l->waiting == 1 && l->slots == 8 && f->tags(told).size() == 2,
+  auto l = f->reported_load(told);
+  expect(l && l->running == 3 && l->waiting == 1 && l->slots == 8 && f->cache_tags(told).size() == 2,
          "load and tags");
-  expect(!f->load({200, {{"Server-Load", "3"}}, ""}), "a load that cannot be read");
+  expect(!f->reported_load({200, {{"Server-Load", "3"}}, ""}), "a load that cannot be read");
 }
 
 // Comments too: the product does not know its users' platform.
--- a/test/platform/yard.hpp
+++ b/test/platform/yard.hpp
@@ -21,10 +21,10 @@
 
 class Yard {
  public:
-  Yard(simulation::Fleet& f, Diary& d) : f_(f), d_(d) {}
+  Yard(simulation::Fleet& fleet, Diary& d) : fleet_(fleet), d_(d) {}
   using Shot = std::variant<base::Response, base::AttemptError>;
-  Shot send(const simulation::LifePtr& l, const std::string& address, const base::Request& q,
-            const base::AttemptRules& r);
+  Shot send(const simulation::ProcessRunPtr& process, const std::string& address,
+            const base::Request& request, const base::AttemptRules& r);
   bool stands(const std::string& address);
   Server& add(const std::string& service, const std::string& version = "v1", Duration cold = Duration(0),
               const std::string& address = {});
@@ -38,8 +38,8 @@
   void beats(Server& s);
   bool beat(Server& s, const char* method);
   Server* at(const std::string& address);
-  base::Response answer(Server& s, const base::Request& q, bool fails);
-  simulation::Fleet& f_;
+  base::Response answer(Server& s, const base::Request& request, bool fails);
+  simulation::Fleet& fleet_;
   Diary& d_;
   std::vector<std::unique_ptr<Server>> all_;
   std::map<std::string, std::vector<TimePoint>> came_;
--- a/test/replica_repair_unit.cpp
+++ b/test/replica_repair_unit.cpp
@@ -19,18 +19,18 @@
 // The replicas a, b and c vote.
 ClusterView three(int tolerate) {
   ClusterView view{{}, {node("a", "1", true), node("b", "2", true), node("c", "2", true)}, tolerate, kBound};
-  for (auto& n : view.nodes) view.set.push_back(replica(n));
+  for (auto& n : view.nodes) view.replicas.push_back(replica(n));
   return view;
 }
 
 void end(RepairNode& node) {
   node.present = node.votes = false;
-  node.unanswered = node.mute = node.absent = membership::gone_after(kBound);
+  node.since_response = node.non_voting = node.absent = membership::gone_after(kBound);
 }
 
 void fall_silent(RepairNode& node, Duration since) {
   node.votes = false;
-  node.unanswered = node.mute = since;
+  node.since_response = node.non_voting = since;
 }
 
 std::string names(const std::vector<consensus::Replica>& list) {
@@ -54,16 +54,16 @@
     view.bound = kBound;
     for (int i = 0; i < nodes; ++i) {
       view.nodes.push_back(node("n" + std::to_string(i), std::to_string(i % 3), i < first));
-      if (i < first) view.set.push_back(replica(view.nodes.back()));
+      if (i < first) view.replicas.push_back(replica(view.nodes.back()));
     }
   }
   RepairNode& at(const std::string& name) {
     return *std::find_if(view.nodes.begin(), view.nodes.end(), [&](auto& n) { return n.name == name; });
   }
-  bool member(const std::string& name) const { return consensus::contains_name(view.set, name); }
+  bool member(const std::string& name) const { return consensus::contains_name(view.replicas, name); }
   size_t voting(const std::vector<consensus::Replica>& list) {
     return static_cast<size_t>(std::count_if(list.begin(), list.end(), [&](auto& r) {
-      return at(r.name).votes && consensus::contains(view.set, r);
+      return at(r.name).votes && consensus::contains(view.replicas, r);
     }));
   }
 
@@ -72,20 +72,20 @@
     auto plan = membership::plan_repair(view);
     if (!plan) return false;
     auto& to = plan->replicas;
-    RC_ASSERT(voting(view.set) >= consensus::majority_of(view.set.size()));
+    RC_ASSERT(voting(view.replicas) >= consensus::majority_of(view.replicas.size()));
     // The change never depends on newcomers, but in sets too small to bear anything.
-    if (view.set.size() >= 3) RC_ASSERT(voting(to) >= consensus::majority_of(to.size()));
-    RC_ASSERT(to.size() >= std::min<size_t>(view.set.size(), 3));
+    if (view.replicas.size() >= 3) RC_ASSERT(voting(to) >= consensus::majority_of(to.size()));
+    RC_ASSERT(to.size() >= std::min<size_t>(view.replicas.size(), 3));
     std::set<std::string> once;
     for (auto& r : to) {
       RC_ASSERT(once.insert(r.name).second);
-      if (!consensus::contains(view.set, r)) RC_ASSERT(at(r.name).present && at(r.name).disk);
+      if (!consensus::contains(view.replicas, r)) RC_ASSERT(at(r.name).present && at(r.name).disk);
     }
     // A replica that is well keeps its place.
-    for (auto& r : view.set)
+    for (auto& r : view.replicas)
       if (at(r.name).votes && !at(r.name).leaving) RC_ASSERT(consensus::contains(to, r));
-    view.set = to;
-    for (auto& r : view.set)
+    view.replicas = to;
+    for (auto& r : view.replicas)
       if (at(r.name).present) at(r.name).votes = true;  // refilled
     return true;
   }
@@ -101,7 +101,7 @@
         n = node(n.name, n.zone, member(n.name));
         return;
       case 3:
-        return fall_silent(n, membership::mute_too_long(kBound));
+        return fall_silent(n, membership::non_voting_limit(kBound));
       case 4:
         n.leaving = true, n.present = false;
         return;
@@ -121,7 +121,7 @@
   int steps = 0;
   while (course.take()) RC_ASSERT(++steps < 10);
   auto wanted = std::min<size_t>({static_cast<size_t>(nodes), static_cast<size_t>(2 * tolerate + 1), 9});
-  RC_ASSERT(course.view.set.size() >= wanted);
+  RC_ASSERT(course.view.replicas.size() >= wanted);
 }
 }  // namespace
 
@@ -161,10 +161,10 @@
        [] {
          auto view = three(1);
          view.nodes.push_back(node("d", "3", false));
-         fall_silent(view.nodes[1], membership::mute_too_long(kBound) - Duration(1));
-         view.nodes[1].unanswered = Duration(0);
+         fall_silent(view.nodes[1], membership::non_voting_limit(kBound) - Duration(1));
+         view.nodes[1].since_response = Duration(0);
          same(step(view), std::string("none"), "it may be refilled");
-         view.nodes[1].mute = membership::mute_too_long(kBound);
+         view.nodes[1].non_voting = membership::non_voting_limit(kBound);
          same(step(view), std::string("adc"), "its disk has failed");
        }},
       {"replica_repair: one that leaves gives its place while it still votes",
@@ -188,7 +188,7 @@
          auto view = three(2);
          for (auto* name : {"d", "e"}) {
            view.nodes.push_back(node(name, "3", true));
-           view.set.push_back(replica(view.nodes.back()));
+           view.replicas.push_back(replica(view.nodes.back()));
          }
          for (auto* name : {"f", "g", "h"}) view.nodes.push_back(node(name, "1", false));
          end(view.nodes[0]);
@@ -201,7 +201,7 @@
        [] {
          auto view = three(1);
          view.nodes.push_back(node("d", "3", true));
-         view.set.push_back(replica(view.nodes.back()));
+         view.replicas.push_back(replica(view.nodes.back()));
          end(view.nodes[0]);
          same(step(view), std::string("bcd"), "step");
        }},
@@ -211,7 +211,7 @@
          expect(set.is_quorum({true, true, false}) && !set.is_quorum({true, false, false}), "stable");
          pb::ReplicaSet joint;
          joint.set_epoch(1);
-         for (auto* name : {"a", "d", "e"}) joint.add_holders()->set_name(name);
+         for (auto* name : {"a", "d", "e"}) joint.add_replicas()->set_name(name);
          for (auto* name : {"a", "b", "c"}) joint.add_previous()->set_name(name);
          expect(set.adopt(joint) && set.joint() && set.all().size() == 5, "the joint set");
          auto flags = [&](const std::string& who) {
@@ -227,23 +227,25 @@
        }},
       {"discovery: the first set is the seeds with a disk, in one order",
        [] {
-         membership::Self a{"a", "1", "p:a", true, {}}, b{"b", "2", "p:b", false, {}},
+         membership::NodeIdentity a{"a", "1", "p:a", true, {}}, b{"b", "2", "p:b", false, {}},
              c{"c", "3", "p:c", true, {}};
          auto x = membership::first_set({c, b, a}), y = membership::first_set({a, c, b, a});
-         expect(x && y && x->SerializeAsString() == y->SerializeAsString() && x->holders_size() == 2 &&
+         expect(x && y && x->SerializeAsString() == y->SerializeAsString() && x->replicas_size() == 2 &&
                     x->epoch() == 1,
                 "not one set");
          expect(!membership::first_set({b}), "a set without a disk");
-         membership::Self d{"a", "1", "p:d", true, {}};
+         membership::NodeIdentity d{"a", "1", "p:d", true, {}};
          expect(!membership::first_set({a, d}), "two that go by one name");
        }},
       {"discovery: what a relay tells of itself is read back",
        [] {
-         auto s = membership::read_self(
+         auto s = membership::parse_node_identity(
              R"({"name":"a","zone":"z","peer_address":"p","disk":true,"epoch":3,"holders":[{"name":"h","address":"q"}]})");
-         expect(s && s->name == "a" && s->disk && s->set.epoch() == 3 && s->set.holders(0).address() == "q",
+         expect(s && s->name == "a" && s->disk && s->replica_set.epoch() == 3 &&
+                    s->replica_set.replicas(0).address() == "q",
                 "read wrongly");
-         expect(!membership::read_self("{}") && !membership::read_self("x"), "taken without a name");
+         expect(!membership::parse_node_identity("{}") && !membership::parse_node_identity("x"),
+                "taken without a name");
        }},
   };
 }
--- a/test/rollout_unit.cpp
+++ b/test/rollout_unit.cpp
@@ -10,9 +10,9 @@
 
 // A fleet that does as it is told, and the events fed to the reducer.
 struct Bench {
-  pb::Rollout s;
-  Rules r;
-  Sight v;
+  pb::RolloutState state;
+  RolloutRules rules;
+  FleetObservation observation;
   std::string log;
   std::vector<std::pair<Duration, std::string>> assigned;  // when a node first got release "new"
   Duration clock{0};
@@ -21,31 +21,31 @@
   explicit Bench(int zones = 3, int per = 4) {
     for (int z = 0; z < zones; ++z)
       for (int i = 0; i < per; ++i) {
-        NodeSight n;
+        NodeObservation n;
         n.zone = std::string(1, static_cast<char>('a' + z));
         n.name = n.zone + std::to_string(i);
         n.present = true;
-        n.keeper = i == 0;
-        v.nodes.push_back(n);
+        n.keeps_state = i == 0;
+        observation.nodes.push_back(n);
       }
     record("base");
     tick(Duration(0));
   }
   void record(const std::string& name, const std::string& more = "") {
-    auto g = read_release("layout", name,
-                          R"({"content":{"services":{"a":{"versions":["1"]}},
+    auto g = parse_release("layout", name,
+                           R"({"content":{"services":{"a":{"versions":["1"]}},
       "routes":[{"prefix":"/","service":"a"}]})" +
-                              more + "}");
+                               more + "}");
     auto& rel = std::get<Release>(g);
-    v.releases[release_key("layout", name)] = rel;
-    feed(Recorded{rel});
+    observation.releases[release_key("layout", name)] = rel;
+    feed(ReleaseRecorded{rel});
   }
-  void feed(const Event& e) {
-    auto o = step(s, e, r);
-    expect(o.state.generation() >= s.generation(), "the generation fell");
-    for (auto& [n, a] : o.state.nodes()) {
-      auto f = s.nodes().find(n);
-      if (f != s.nodes().end()) {
+  void feed(const Event& event) {
+    auto result = step(state, event, rules);
+    expect(result.state.generation() >= state.generation(), "the generation fell");
+    for (auto& [n, a] : result.state.nodes()) {
+      auto f = state.nodes().find(n);
+      if (f != state.nodes().end()) {
         expect(a.generation() >= f->second.generation(), "a node's generation fell");
         bool changed = a.releases().at("layout") != f->second.releases().at("layout");
         expect(!changed || a.generation() > f->second.generation(),
@@ -54,38 +54,38 @@
       if (a.releases().count("layout") && a.releases().at("layout") == "new" && on.insert(n).second)
         assigned.emplace_back(clock, n);
     }
-    s = o.state;
-    for (auto& x : o.effects)
-      if (auto* t = as<Tell>(x)) log += t->text + "\n";
+    state = result.state;
+    for (auto& x : result.effects)
+      if (auto* t = as<LogEffect>(x)) log += t->message + "\n";
   }
   void tick(Duration dt) {
     clock += dt;
-    v.dt = dt;
-    for (auto& n : v.nodes) {
-      auto f = s.nodes().find(n.name);
-      if (f != s.nodes().end() && n.present && n.load_defect.empty())
+    observation.elapsed = dt;
+    for (auto& n : observation.nodes) {
+      auto f = state.nodes().find(n.name);
+      if (f != state.nodes().end() && n.present && n.load_error.empty())
         n.running = {f->second.releases().begin(), f->second.releases().end()};
     }
-    feed(v);
+    feed(observation);
   }
   void pass(Duration t, Duration by = Duration(1000)) {
     for (Duration d{0}; d < t; d += by) tick(by);
   }
-  const pb::Course& course(const std::string& name) {
-    for (auto& c : s.courses())
-      if (c.release() == name) return c;
+  const pb::ReleaseProgress& course(const std::string& name) {
+    for (auto& progress : state.releases())
+      if (progress.release() == name) return progress;
     throw Failed("no course " + name);
   }
   void traffic(uint64_t rq, uint64_t on_df = 0, uint64_t off_df = 0) {
-    for (auto& n : v.nodes) {
-      bool o = s.nodes().count(n.name) && s.nodes().at(n.name).releases().at("layout") == "new";
+    for (auto& n : observation.nodes) {
+      bool o = state.nodes().count(n.name) && state.nodes().at(n.name).releases().at("layout") == "new";
       n.requests = rq;
-      n.probes_ok = rq > 0;
-      n.defects = o ? on_df : off_df;
+      n.checks_passed = rq > 0;
+      n.failures = o ? on_df : off_df;
     }
   }
-  NodeSight& node(const std::string& n) {
-    for (auto& x : v.nodes)
+  NodeObservation& node(const std::string& n) {
+    for (auto& x : observation.nodes)
       if (x.name == n) return x;
     throw Failed("no node " + n);
   }
@@ -99,14 +99,14 @@
     for (bool all : {true, false}) {
       Bench b;
       b.traffic(10);
-      for (auto& n : b.v.nodes) n.beats = 4, n.beats_usual = 4000;
+      for (auto& n : b.observation.nodes) n.heartbeats = 4, n.heartbeats_usual = 4000;
       b.record("new");
       b.tick(Duration(1000));
       for (int i = 0; i < 30; ++i) {
-        for (auto& n : b.v.nodes) {
-          bool on = all || b.s.nodes().at(n.name).releases().at("layout") == "new";
-          if (beats) n.beats = on ? 0 : 4;
-          if (!beats) n.probes_ok = !on, n.probes_bad = on;
+        for (auto& n : b.observation.nodes) {
+          bool on = all || b.state.nodes().at(n.name).releases().at("layout") == "new";
+          if (beats) n.heartbeats = on ? 0 : 4;
+          if (!beats) n.checks_passed = !on, n.checks_failed = on;
         }
         b.tick(Duration(1000));
       }
@@ -114,8 +114,8 @@
       expect((ph == pb::STOPPED) == !all,
              fmt::format("beats {}, all {}: it is {}", beats, all, pb::Phase_Name(ph)));
       if (!all)
-        expect(b.course("new").why().find(beats ? "check worker-beats" : "check probes") == 0,
-               b.course("new").why());
+        expect(b.course("new").reason().find(beats ? "check worker-beats" : "check probes") == 0,
+               b.course("new").reason());
     }
 }
 
@@ -124,10 +124,10 @@
   b.traffic(10);
   b.record("new");
   b.pass(minutes(200));
-  expect(b.course("new").phase() == pb::DONE, "it did not finish: " + b.course("new").why());
+  expect(b.course("new").phase() == pb::DONE, "it did not finish: " + b.course("new").reason());
   same(b.assigned.size(), size_t(12), "nodes that got it");
   auto home = b.node(b.assigned[0].second).zone;
-  expect(!b.node(b.assigned[0].second).keeper, "the phase-one machine keeps state");
+  expect(!b.node(b.assigned[0].second).keeps_state, "the phase-one machine keeps state");
   expect(b.assigned[1].first - b.assigned[0].first >= minutes(15), "phase one was shorter than 15 minutes");
   auto zone = b.node(b.assigned[1].second).zone;
   expect(zone != home, "phase two took the zone of the phase-one machine");
@@ -145,13 +145,13 @@
 
 void keepers_one_by_one() {
   Bench b(3, 4);
-  for (auto& n : b.v.nodes) n.keeper = n.name.back() < '2';
+  for (auto& n : b.observation.nodes) n.keeps_state = n.name.back() < '2';
   b.traffic(10);
   b.record("new");
   b.pass(minutes(200));
   std::map<Duration, int> at;
   for (auto& [t, n] : b.assigned)
-    if (b.node(n).keeper) same(++at[t], 1, "replica_repair changed together");
+    if (b.node(n).keeps_state) same(++at[t], 1, "replica_repair changed together");
   expect(b.course("new").phase() == pb::DONE, "it did not finish");
 }
 
@@ -163,14 +163,14 @@
   for (int i = 0; i < 20000 && b.course("new").phase() != p; ++i) b.tick(Duration(1000));
   expect(b.course("new").phase() == p, "the phase was not reached");
   auto had = b.assigned.size();
-  auto gen = b.s.generation();
+  auto gen = b.state.generation();
   b.traffic(10, 3, 0);
   b.pass(minutes(5));
   expect(b.course("new").phase() == pb::STOPPED, "a bad release went on");
-  expect(b.course("new").why().find("check defects") == 0, b.course("new").why());
-  expect(b.s.generation() > gen, "no higher generation took it back");
+  expect(b.course("new").reason().find("check defects") == 0, b.course("new").reason());
+  expect(b.state.generation() > gen, "no higher generation took it back");
   expect(b.assigned.size() <= had + 4, "it spread while it was bad");
-  for (auto& [n, a] : b.s.nodes())
+  for (auto& [n, a] : b.state.nodes())
     same(a.releases().at("layout"), std::string("base"), n + " after the stop");
   b.traffic(10);
   b.pass(minutes(100));
@@ -183,8 +183,8 @@
   b.record("new");
   b.pass(minutes(300));
   expect(b.course("new").phase() == pb::ONE, "it went on without evidence");
-  expect(b.course("new").why().find("too little evidence") == 0, b.course("new").why());
-  (*b.v.acts["release/layout/new"].mutable_waived())["evidence"] = "a quiet night";
+  expect(b.course("new").reason().find("too little evidence") == 0, b.course("new").reason());
+  (*b.observation.operator_actions["release/layout/new"].mutable_waived())["evidence"] = "a quiet night";
   b.pass(minutes(200));
   expect(b.course("new").phase() == pb::DONE, "a waived check still held it");
 }
@@ -204,7 +204,7 @@
   b.traffic(10);
   b.record("new");
   b.tick(Duration(1000));
-  b.node(b.assigned[0].second).load_defect = "layout/new: unreadable";
+  b.node(b.assigned[0].second).load_error = "layout/new: unreadable";
   b.tick(Duration(1000));
   expect(b.course("new").phase() == pb::STOPPED, "a release that does not load went on");
 }
@@ -212,13 +212,13 @@
 void quiet_hours() {
   Bench b;
   b.traffic(10);
-  b.v.quiet = false;
+  b.observation.in_quiet_hours = false;
   b.record("new");
   b.pass(minutes(60));
   expect(b.course("new").phase() == pb::WAITING, "it started in the busy hours");
-  b.v.quiet = true;
+  b.observation.in_quiet_hours = true;
   b.tick(Duration(1000));
-  b.v.quiet = false;
+  b.observation.in_quiet_hours = false;
   b.pass(minutes(60));
   expect(b.course("new").phase() == pb::ONE, "phase two started in the busy hours");
   same(b.assigned.size(), size_t(1), "nodes that got it");
@@ -230,7 +230,7 @@
   b.record("new");
   b.pass(minutes(200));
   expect(b.course("new").phase() == pb::DONE,
-         "a bad hour for all stopped a release: " + b.course("new").why());
+         "a bad hour for all stopped a release: " + b.course("new").reason());
 }
 
 void one_after_the_other() {
@@ -245,7 +245,7 @@
   b.tick(Duration(1000));
   expect(b.course("new").phase() == pb::WITHDRAWN, "it was not superseded");
   expect(b.course("urgent").phase() == pb::ONE, "the superseding one did not start");
-  b.v.acts["release/layout/next"].set_withdrawn("no need");
+  b.observation.operator_actions["release/layout/next"].set_withdrawn("no need");
   b.tick(Duration(1000));
   expect(b.course("next").phase() == pb::WITHDRAWN, "a waiting release was not withdrawn");
 }
@@ -270,14 +270,14 @@
   for (int m : moves) {
     b.traffic(static_cast<uint64_t>(m % 7), m > 95 ? 3 : 0, 0);
     if (m % 11 == 0) {
-      auto& n = b.v.nodes[static_cast<size_t>(m) % b.v.nodes.size()];
+      auto& n = b.observation.nodes[static_cast<size_t>(m) % b.observation.nodes.size()];
       n.present = !n.present;
     }
-    if (m % 13 == 0) b.feed(TookDuty{++term});
-    b.v.quiet = m % 5 != 0;
+    if (m % 13 == 0) b.feed(LeadershipAcquired{++term});
+    b.observation.in_quiet_hours = m % 5 != 0;
     b.tick(minutes(m % 4));
     auto now = b.course("new").phase();
-    if (finished(was)) RC_ASSERT(now == was);
+    if (is_finished(was)) RC_ASSERT(now == was);
     if (was == pb::ONE && now == pb::TWO) RC_ASSERT(held >= minutes(15) - minutes(4));
     if (was == pb::TWO && now == pb::THREE) RC_ASSERT(held >= minutes(20) - minutes(4));
     RC_ASSERT(!(was == pb::WAITING && (now == pb::TWO || now == pb::THREE)));
@@ -289,75 +289,75 @@
 }
 
 void quarantine() {
-  Rules r;
-  pb::ServiceState s;
-  s.set_current("1");
-  s.set_trial("2");
-  MoveSight v;
-  v.dt = Duration(500);
+  RolloutRules rules;
+  pb::ServiceState state;
+  state.set_current("1");
+  state.set_canary("2");
+  VersionRolloutObservation observation;
+  observation.elapsed = Duration(500);
   for (int i = 0; i < 9; ++i) {
-    v.delta = {{"1", {500, 0}}, {"2", {20, 5}}};
-    s = step("app", s, v, r).state;
+    observation.delta = {{"1", {500, 0}}, {"2", {20, 5}}};
+    state = step("app", state, observation, rules).state;
   }
-  expect(s.quarantined().empty(), "quarantined after 45 bad answers");
-  s = step("app", s, v, r).state;
-  expect(s.quarantined().count("2") && s.trial().empty(), "50 bad answers did not quarantine it");
+  expect(state.quarantined().empty(), "quarantined after 45 bad answers");
+  state = step("app", state, observation, rules).state;
+  expect(state.quarantined().count("2") && state.canary().empty(), "50 bad answers did not quarantine it");
 }
 
 void promotion() {
-  Rules r;
-  pb::ServiceState s;
-  s.set_current("1");
-  s.set_trial("2");
-  MoveSight v;
-  v.dt = Duration(1000);
-  v.delta = {{"1", {90, 1}}, {"2", {10, 0}}};
-  for (int i = 0; i < 59; ++i) s = step("app", s, v, r).state;
-  same(s.current(), std::string("1"), "the version before a minute of trial");
-  s = step("app", s, v, r).state;
-  same(s.current(), std::string("2"), "the version after it");
-  expect(s.kept_size() == 1 && s.kept(0) == "1", "the old version is kept");
-  v.delta.clear();
-  v.recent = {{"2", {10, 60}}};
-  v.workers = {{"1", 2}};
-  s = step("app", s, v, r).state;
-  same(s.current(), std::string("1"), "the version after the new one turned bad");
-  expect(s.quarantined().count("2") == 1, "the bad one is in quarantine");
+  RolloutRules rules;
+  pb::ServiceState state;
+  state.set_current("1");
+  state.set_canary("2");
+  VersionRolloutObservation observation;
+  observation.elapsed = Duration(1000);
+  observation.delta = {{"1", {90, 1}}, {"2", {10, 0}}};
+  for (int i = 0; i < 59; ++i) state = step("app", state, observation, rules).state;
+  same(state.current(), std::string("1"), "the version before a minute of trial");
+  state = step("app", state, observation, rules).state;
+  same(state.current(), std::string("2"), "the version after it");
+  expect(state.previous_versions_size() == 1 && state.previous_versions(0) == "1", "the old version is kept");
+  observation.delta.clear();
+  observation.recent = {{"2", {10, 60}}};
+  observation.instances = {{"1", 2}};
+  state = step("app", state, observation, rules).state;
+  same(state.current(), std::string("1"), "the version after the new one turned bad");
+  expect(state.quarantined().count("2") == 1, "the bad one is in quarantine");
 }
 // Relays take what is written up to a bound late, each in its own time: at no
 // moment may what they use together exceed the rate.
 void shares_never_exceed() {
   int64_t rate = *rc::gen::inRange(2, 200);
-  pb::Shares s;
-  std::vector<std::pair<Duration, pb::Shares>> written;
+  pb::RateQuotas quotas;
+  std::vector<std::pair<Duration, pb::RateQuotas>> written;
   Duration now{0}, fell{0};
   for (int m : *rc::gen::container<std::vector<int>>(80, rc::gen::inRange(0, 1000))) {
     now += Duration(200 + m % 900);
-    ShareSight v;
-    v.rate = rate;
-    v.since_fall = now - fell;
+    QuotaInput input;
+    input.rate = rate;
+    input.since_decrease = now - fell;
     for (int i = 0; i < 6; ++i)
-      if ((m + i) % 7) v.demand[std::string(1, static_cast<char>('a' + i))] = (m * (i + 3)) % 50;
-    auto o = step(s, v);
-    if (o.fell) fell = now;
-    if (o.fell || o.rose) written.emplace_back(now, o.shares);
-    s = o.shares;
+      if ((m + i) % 7) input.demand[std::string(1, static_cast<char>('a' + i))] = (m * (i + 3)) % 50;
+    auto o = step(quotas, input);
+    if (o.decreased) fell = now;
+    if (o.decreased || o.increased) written.emplace_back(now, o.quotas);
+    quotas = o.quotas;
     uint64_t sum = 0;
-    for (auto& [n, x] : v.demand) {
+    for (auto& [n, x] : input.demand) {
       // Each relay uses some version no older than the bound, at worst for the sum.
       uint32_t worst = 0;
       for (size_t k = 0; k < written.size(); ++k) {
         bool last_before = k + 1 == written.size() || written[k + 1].first > now - Duration(2000);
         if (!last_before) continue;
-        auto f = written[k].second.milli().find(n);
-        if (f != written[k].second.milli().end()) worst = std::max(worst, f->second);
+        auto f = written[k].second.milli_requests().find(n);
+        if (f != written[k].second.milli_requests().end()) worst = std::max(worst, f->second);
       }
       sum += worst;
     }
     RC_ASSERT(sum <= static_cast<uint64_t>(rate) * 1000);
-    auto n = static_cast<double>(s.milli_size());
+    auto n = static_cast<double>(quotas.milli_requests_size());
     double all = 0;
-    for (auto& [k, x] : s.milli()) all += x / 1000.0;
+    for (auto& [k, x] : quotas.milli_requests()) all += x / 1000.0;
     RC_ASSERT(all * 5 + n <= static_cast<double>(rate) * 5.5 + 1);
   }
 }
@@ -372,20 +372,20 @@
     b.record(fmt::format("past{:03}", i), R"(,"express":"a trial of many")");
     b.tick(Duration(250));
     for (int k = 0; k < 2; ++k) {  // as the conductor does: marked, and known to all a while later
-      auto names = b.s.forgotten();
-      b.v.marked.clear();
+      auto names = b.state.forgotten();
+      b.observation.forgotten_everywhere.clear();
       for (auto& name : names) {
-        auto& act = b.v.acts["release/" + name];
-        if (act.forgotten()) b.v.marked.insert(name);
-        act.set_forgotten(true);
+        auto& action = b.observation.operator_actions["release/" + name];
+        if (action.forgotten()) b.observation.forgotten_everywhere.insert(name);
+        action.set_forgotten(true);
       }
       b.tick(Duration(250));
     }
-    expect(b.s.courses_size() <= kKept, "courses that have ended pile up");
-    expect(b.s.forgotten_size() <= 2, "names of past releases pile up");
-    if (i == kReleases / 2) bytes_early = b.s.ByteSizeLong();
+    expect(b.state.releases_size() <= kKept, "courses that have ended pile up");
+    expect(b.state.forgotten_size() <= 2, "names of past releases pile up");
+    if (i == kReleases / 2) bytes_early = b.state.ByteSizeLong();
   }
-  expect(b.s.ByteSizeLong() < bytes_early + 64, "the state of the rollout grows with its history");
+  expect(b.state.ByteSizeLong() < bytes_early + 64, "the state of the rollout grows with its history");
 }
 
 // A leader whose program does not know the mark meets a release that is in no list any more.
@@ -393,29 +393,32 @@
   Bench b;
   b.record("past", R"(,"express":"a trial")");
   b.tick(Duration(250));
-  auto* courses = b.s.mutable_courses();  // as if it had been forgotten, and its name dropped
+  auto* courses = b.state.mutable_releases();  // as if it had been forgotten, and its name dropped
   courses->erase(
       std::remove_if(courses->begin(), courses->end(), [](auto& c) { return c.release() == "past"; }),
       courses->end());
-  b.v.acts["release/layout/past"].set_withdrawn("its course has ended and is no longer kept");
-  auto generation = b.s.generation();
-  b.feed(Recorded{b.v.releases.at("release/layout/past")});
+  b.observation.operator_actions["release/layout/past"].set_withdrawn(
+      "its course has ended and is no longer kept");
+  auto generation = b.state.generation();
+  b.feed(ReleaseRecorded{b.observation.releases.at("release/layout/past")});
   b.tick(Duration(250));
-  for (auto& c : b.s.courses())
-    if (c.release() == "past") expect(c.phase() == pb::WITHDRAWN, "a past release began anew");
-  expect(b.s.generation() == generation, "a past release was assigned anew");
+  for (auto& progress : b.state.releases())
+    if (progress.release() == "past") expect(progress.phase() == pb::WITHDRAWN, "a past release began anew");
+  expect(b.state.generation() == generation, "a past release was assigned anew");
 }
 
 // Versions come and go; a service remembers its latest forerunners, and all that still have workers.
 void forerunners_are_bounded() {
-  pb::ServiceState s;
+  pb::ServiceState state;
   for (int i = 0; i < 1000; ++i) {
-    s.add_kept(fmt::format("v{}", i));
-    prune_kept(s, {{"v3", 2}, {"v500", 1}, {"v999", 0}});
+    state.add_previous_versions(fmt::format("v{}", i));
+    prune_previous_versions(state, {{"v3", 2}, {"v500", 1}, {"v999", 0}});
   }
-  expect(s.kept_size() == 18, fmt::format("{} forerunners are kept", s.kept_size()));
-  expect(s.kept(0) == "v3" && s.kept(1) == "v500", "a version with workers was dropped");
-  expect(s.kept(17) == "v999", "the latest forerunner was dropped");
+  expect(state.previous_versions_size() == 18,
+         fmt::format("{} forerunners are kept", state.previous_versions_size()));
+  expect(state.previous_versions(0) == "v3" && state.previous_versions(1) == "v500",
+         "a version with workers was dropped");
+  expect(state.previous_versions(17) == "v999", "the latest forerunner was dropped");
 }
 
 // Until its mark is known everywhere a past release is not taken for a new one.
@@ -425,10 +428,10 @@
     b.record(fmt::format("past{:03}", i), R"(,"express":"a trial of many")");
     b.tick(Duration(250));
   }
-  expect(b.s.forgotten_size() > 0, "nothing was forgotten");
-  auto courses = b.s.courses_size();
-  for (auto& [key, release] : b.v.releases) b.feed(Recorded{release});
-  expect(b.s.courses_size() == courses, "a past release began anew");
+  expect(b.state.forgotten_size() > 0, "nothing was forgotten");
+  auto courses = b.state.releases_size();
+  for (auto& [key, release] : b.observation.releases) b.feed(ReleaseRecorded{release});
+  expect(b.state.releases_size() == courses, "a past release began anew");
 }
 }  // namespace
 
--- a/test/scripted_peer.hpp
+++ b/test/scripted_peer.hpp
@@ -8,7 +8,7 @@
 // send; the text "cut" or "reset" at their end closes or resets the connection.
 class ScriptedPeer {
  public:
-  using Script = std::function<std::string(int connection, const pb::Ask& ask)>;
+  using Script = std::function<std::string(int connection, const pb::PeerRequest& ask)>;
   explicit ScriptedPeer(Script script)
       : script_(std::move(script)),
         acceptor_(std::make_shared<boost::asio::ip::tcp::acceptor>(
@@ -19,7 +19,7 @@
         auto [failed] = wire::await<>([&](auto done) { acceptor->async_accept(socket, std::move(done)); });
         if (failed) return;
         ++open_;
-        auto line = std::make_shared<wire::Line>(std::move(socket));
+        auto line = std::make_shared<wire::Connection>(std::move(socket));
         lines_.push_back(line);
         pool().spawn([this, line, connection = connections_++] {
           serve(connection, *line);
@@ -32,8 +32,8 @@
   ~ScriptedPeer() {
     acceptor_->close();
     for (auto& weak : lines_)
-      if (auto line = weak.lock()) line->stop();
-    while (open_) wire::RealClock().sleep(1ms);
+      if (auto connection = weak.lock()) connection->interrupt();
+    while (open_) wire::SystemClock().sleep(1ms);
   }
   std::string address() const { return fmt::format("127.0.0.1:{}", acceptor_->local_endpoint().port()); }
   int connections() const { return connections_; }
@@ -45,30 +45,30 @@
   }
 
  private:
-  void serve(int connection, wire::Line& line) {
+  void serve(int connection, wire::Connection& line) {
     for (;;) {
       auto size = [&] {
-        auto got = line.got();
+        auto got = line.buffered();
         if (got.size() < 4) return size_t(4);
         size_t bytes = 0;
         for (int i = 0; i < 4; ++i) bytes = bytes << 8 | static_cast<unsigned char>(got[i]);
         return 4 + bytes;
       };
-      while (line.got().size() < size())
-        if (line.fill()) return;
-      pb::Ask ask;
-      ask.ParseFromArray(line.got().data() + 4, static_cast<int>(size() - 4));
-      line.use(size());
+      while (line.buffered().size() < size())
+        if (line.read_more()) return;
+      pb::PeerRequest ask;
+      ask.ParseFromArray(line.buffered().data() + 4, static_cast<int>(size() - 4));
+      line.consume(size());
       auto bytes = script_(connection, ask);
       bool cut = bytes.ends_with("cut"), reset = bytes.ends_with("reset");
       bytes.resize(bytes.size() - (cut ? 3 : reset ? 5 : 0));
       if (reset) line.socket().set_option(boost::asio::socket_base::linger(true, 0));
-      if ((!bytes.empty() && line.send(bytes)) || cut || reset) return;
+      if ((!bytes.empty() && line.write(bytes)) || cut || reset) return;
     }
   }
   Script script_;
   std::shared_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
-  std::vector<std::weak_ptr<wire::Line>> lines_;
+  std::vector<std::weak_ptr<wire::Connection>> lines_;
   int connections_ = 0, open_ = 0;
 };
 
--- a/test/sim_cases.hpp
+++ b/test/sim_cases.hpp
@@ -13,8 +13,8 @@
 };
 
 struct Scene {
-  simulation::World& w;
-  simulation::Fleet& f;
+  simulation::World& world;
+  simulation::Fleet& fleet;
   std::string only;             // the relay that all callers go to; empty: any that is ready
   std::function<void()> story;  // a fiber of the outside world
   Duration length{60000};
--- a/test/sim_run.cpp
+++ b/test/sim_run.cpp
@@ -11,7 +11,7 @@
 
 // What must hold after every single event, whatever has happened.
 struct Watch {
-  simulation::Fleet& f;
+  simulation::Fleet& fleet;
   std::map<std::string, std::pair<void*, uint64_t>> shown;
   std::map<std::string, uint64_t> told;  // generations already journalled as acknowledged
   std::map<std::string, uint64_t> seat;  // host -> epoch of the set it was last seen with
@@ -21,13 +21,13 @@
 
   // An assignment is acknowledged no sooner than its vote is on a majority of
   // disks, and from then on every pull that begins will meet it.
-  void synced(const std::string& host, const pb::Record& r) {
-    if (r.slot().name() != rollout::kRolloutKey || !r.slot().has_accepted()) return;
-    auto& on = votes[{r.slot().accepted().round(), r.slot().accepted().node()}];
+  void synced(const std::string& host, const pb::LogRecord& r) {
+    if (r.register_state().name() != rollout::kRolloutKey || !r.register_state().has_accepted()) return;
+    auto& on = votes[{r.register_state().accepted().round(), r.register_state().accepted().node()}];
     on.insert(host);
     if (on.size() != 3) return;
-    pb::Rollout x;
-    x.ParseFromString(r.slot().value().data());
+    pb::RolloutState x;
+    x.ParseFromString(r.register_state().value().data());
     for (auto& [n, a] : x.nodes())
       if (a.generation() > told[n]) {
         told[n] = a.generation();
@@ -35,13 +35,13 @@
       }
   }
   void f_event(const std::string& n, uint64_t g) {
-    f.event(fmt::format(R"("t":"assigned","relay":"{}","generation":{})", n, g));
+    fleet.event(fmt::format(R"("t":"assigned","relay":"{}","generation":{})", n, g));
   }
 
   void look() {
     if (!broken.empty()) return;
     int holders = 0;
-    for (auto& h : f.hosts()) {
+    for (auto& h : fleet.hosts()) {
       if (!h->up()) continue;
       auto* n = h->node.get();
       auto& [who, gen] = shown[h->name];
@@ -81,7 +81,7 @@
       w.now() + s.length, [&] { watch.look(); },
       [&] {
         f.start_all();
-        f.outside([&] {
+        f.spawn_outside([&] {
           s.story();
           s.story_done = true;
         });
@@ -100,7 +100,7 @@
     sum.n[k] = k.starts_with("longest") || k.starts_with("rate_top") || k.ends_with("kinds")
                    ? std::max(sum.n[k], v)
                    : sum.n[k] + v;
-  for (auto& [k, v] : w.met) sum.n["met_" + k] += v;
+  for (auto& [k, v] : w.faults_met) sum.n["met_" + k] += v;
   for (auto& [k, v] : s.figures) sum.n[k] = std::max(sum.n[k], v);
   sum.n["steps"] += w.steps();
   expect(watch.broken.empty(), watch.broken);
--- a/test/sim_test.cpp
+++ b/test/sim_test.cpp
@@ -24,7 +24,7 @@
   auto shape = FLAGS_shape == "lobby"      ? simulation::lobby_shape()
                : FLAGS_shape == "practice" ? simulation::practice_shape()
                                            : simulation::FleetShape();
-  if (FLAGS_edges) shape.edges = FLAGS_edges;
+  if (FLAGS_edges) shape.edge_nodes = FLAGS_edges;
   std::vector<test::Case> cs;
   bool whole = test::sim_cases().count(FLAGS_case_name) > 0;
   for (auto& [name, f] : test::sim_cases())
--- a/test/storage_faults_unit.cpp
+++ b/test/storage_faults_unit.cpp
@@ -110,10 +110,10 @@
   std::string start(const Versions& acknowledged) {
     auto loaded = store_.load();
     mute_ = loaded.unwritten;
-    doubted_ = loaded.doubt;
+    doubted_ = loaded.possibly_lost;
     if (doubted_ && acknowledged.empty()) return "";  // a first image that was never whole
     if (doubted_) return "doubted, though no byte that was synced is bad";
-    for (auto& slot : loaded.image.slots()) memory_[slot.name()] = slot;
+    for (auto& slot : loaded.snapshot.registers()) memory_[slot.name()] = slot;
     for (auto& [name, version] : acknowledged)
       if (memory_[name].value().version() < version)
         return fmt::format("{} has version {} of {}", name, memory_[name].value().version(), version);
@@ -123,11 +123,11 @@
   bool mute() const { return mute_; }
 
   void vote(const std::string& name, uint64_t version, Versions& acknowledged) {
-    pb::Record r;
-    r.mutable_slot()->set_name(name);
-    r.mutable_slot()->mutable_value()->set_version(version);
-    r.mutable_slot()->mutable_value()->set_data(std::string(version % 40, 'd'));
-    memory_[name] = r.slot();
+    pb::LogRecord r;
+    r.mutable_register_state()->set_name(name);
+    r.mutable_register_state()->mutable_value()->set_version(version);
+    r.mutable_register_state()->mutable_value()->set_data(std::string(version % 40, 'd'));
+    memory_[name] = r.register_state();
     mute_ = store_.save({r}, [this] { return image(); }).has_value();
     if (!mute_) acknowledged[name] = version;
   }
@@ -139,10 +139,10 @@
   }
 
  private:
-  pb::Image image() const {
-    pb::Image out;
-    out.set_stage(pb::FORMED);
-    for (auto& [name, slot] : memory_) *out.add_slots() = slot;
+  pb::Snapshot image() const {
+    pb::Snapshot out;
+    out.set_stage(pb::REPLICA_VOTING);
+    for (auto& [name, slot] : memory_) *out.add_registers() = slot;
     return out;
   }
   storage::SnapshotStore store_;
@@ -293,7 +293,7 @@
       if (!medium.files.count(slot)) continue;
       storage::SnapshotStore next(std::make_unique<UnreadFiles>(medium, slot), kSmallLog);
       auto loaded = next.load();
-      expect(loaded.doubt && loaded.image.slots().empty(),
+      expect(loaded.possibly_lost && loaded.snapshot.registers().empty(),
              "a slot that could not be read was left out unsaid");
     }
 }
