--- a/test/story.hpp
+++ b/test/story.hpp
@@ -12,10 +12,10 @@
 // callers call for the rest of the run.
 bool begin(Scene& s, int rate = 20, const std::string& doc = sim_layout());
 // Whether the host may be killed with a majority of disks left that vote.
-bool may_fall(Scene& s, simulation::Host& h);
+bool may_fall(Scene& s, simulation::Host& host);
 simulation::Host* duty_holder(Scene& s);
 // That the host knows each layout that was acknowledged, byte for byte.
-void knows(Scene& s, simulation::Host& h, const std::map<std::string, std::string>& acked);
+void knows(Scene& s, simulation::Host& host, const std::map<std::string, std::string>& acked);
 bool serves(Scene& s, Duration most);  // every relay that is up is ready
 void put(Scene& s, const std::string& name, const std::string& doc);
 void allow(Scene& s, const std::string& version);
@@ -23,7 +23,7 @@
 std::string phase(Scene& s, const std::string& name);
 bool reach(Scene& s, const std::string& name, const std::string& ph, Duration most);
 bool purge(Scene& s, const std::string& name, const std::string& kind, const std::string& path);
-const pb::Rollout* rollout_seen(Scene& s, pb::Rollout& out);
+const pb::RolloutState* rollout_seen(Scene& s, pb::RolloutState& out);
 
 using NamedCases = std::map<std::string, SimCase>;
 NamedCases machine_cases();  // kills, disks, freezes, splits, clocks
--- a/test/traffic_unit.cpp
+++ b/test/traffic_unit.cpp
@@ -17,9 +17,9 @@
   void sleep(Duration) override {}
 };
 
-std::optional<int64_t> life(std::vector<std::pair<std::string, std::string>> hs) {
-  base::Request q{"", "GET", "/x", "", {}};
-  auto l = cache::lifetime(q, {200, std::move(hs), "b"});
+std::optional<int64_t> life(std::vector<std::pair<std::string, std::string>> headers) {
+  base::Request request{"", "GET", "/x", "", {}};
+  auto l = cache::response_lifetime(request, {200, std::move(headers), "b"});
   if (!l) return {};
   return l->count();
 }
@@ -30,14 +30,14 @@
       property("budget: repeats stay within a fifth and the allowance in any ten seconds",
                [] {
                  DiskExecutor c;
-                 traffic::Repeats r;
+                 traffic::RetryBudget r;
                  std::vector<std::pair<TimePoint, bool>> all;
                  for (int m : *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 1000))) {
                    c.t += Duration(m % 200);
                    if (m % 3) {
-                     r.sent("s");
+                     r.record_request("s");
                      all.push_back({c.t, false});
-                   } else if (r.grant("s", 2)) {
+                   } else if (r.try_acquire("s", 2)) {
                      all.push_back({c.t, true});
                    }
                    size_t again = 0, sent = 0;
@@ -49,43 +49,44 @@
       property("budget: the parts of all relays together are never more than the allowance",
                [] {
                  int allowance = *rc::gen::inRange(0, 200), nodes = *rc::gen::inRange(1, 129), sum = 0;
-                 for (int i = 0; i < nodes; ++i) sum += traffic::repeat_part(allowance, nodes, i);
+                 for (int i = 0; i < nodes; ++i) sum += traffic::retry_allowance_of_node(allowance, nodes, i);
                  RC_ASSERT(sum <= allowance);
                  RC_ASSERT(sum >= allowance * 3 / 4 - 1);
                }),
       {"budget: a process that starts has no repeats saved up",
        [] {
-         traffic::Repeats r;
-         for (int i = 0; i < 4; ++i) r.sent("s");
-         expect(!r.grant("s", 2), "four requests earned a repeat");
-         r.sent("s");
-         r.sent("s");
-         expect(r.grant("s", 2) && !r.grant("s", 2), "five requests earn one repeat");
+         traffic::RetryBudget r;
+         for (int i = 0; i < 4; ++i) r.record_request("s");
+         expect(!r.try_acquire("s", 2), "four requests earned a repeat");
+         r.record_request("s");
+         r.record_request("s");
+         expect(r.try_acquire("s", 2) && !r.try_acquire("s", 2), "five requests earn one repeat");
        }},
       {"budget: a turn does not stand once it is missed or the share has fallen",
        [] {
          DiskExecutor c;
-         traffic::Pace p(c);
+         traffic::RateLimiter p(c);
          auto turn = [&](double share) {
-           return std::get<traffic::Turn>(p.reserve("s", share, Duration(60000)));
+           return std::get<traffic::RateReservation>(p.reserve("s", share, Duration(60000)));
          };
          auto a = turn(10);
          expect(a.wait == Duration(100), "a new process waits a whole interval");
          c.t += a.wait;
-         expect(p.stands(a, 10) && p.stands(a, 20) && !p.stands(a, 5), "a fallen share");
+         expect(p.is_valid(a, 10) && p.is_valid(a, 20) && !p.is_valid(a, 5), "a fallen share");
          c.t += Duration(150);
-         expect(!p.stands(a, 10), "a missed turn");
+         expect(!p.is_valid(a, 10), "a missed turn");
        }},
       property("budget: a pace never lets a second hold more than its share and one",
                [] {
                  DiskExecutor c;
-                 traffic::Pace p(c);
+                 traffic::RateLimiter p(c);
                  double share = *rc::gen::inRange(1, 50);
                  std::vector<int64_t> at;
                  for (int m : *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 100))) {
                    c.t += Duration(m);
                    auto r = p.reserve("s", share, Duration(500));
-                   if (auto* w = std::get_if<traffic::Turn>(&r)) at.push_back((c.t + w->wait).count());
+                   if (auto* w = std::get_if<traffic::RateReservation>(&r))
+                     at.push_back((c.t + w->wait).count());
                  }
                  std::sort(at.begin(), at.end());
                  for (size_t i = 0, j = 0; i < at.size(); ++i) {
@@ -95,45 +96,45 @@
                }),
       property("trial: by count, never over its share, also at the first request",
                [] {
-                 traffic::Trials t;
+                 traffic::CanaryAdmission t;
                  auto pct = *rc::gen::inRange(1, 11);
                  int got = 0;
                  for (int i = 1; i <= 500; ++i) {
-                   got += t.grant("s", 1, "2", "", {pct, pct, 0});
+                   got += t.admit("s", 1, "2", "", {pct, pct, 0});
                    RC_ASSERT(got * 100 <= i * pct);
                  }
                  RC_ASSERT(got >= 500 * pct / 100 - 1);
                }),
       property("purge: folding keeps the list short and forgets no purge",
                [] {
-                 pb::PurgeSet s;
+                 pb::PurgeSet purges;
                  std::vector<std::pair<std::string, uint64_t>> done;
                  auto n = *rc::gen::inRange(1, 400);
                  for (int i = 0; i < n; ++i) {
-                   pb::Purge p;
-                   p.set_name("p" + std::to_string(i));
-                   p.set_kind("path");
-                   p.set_path("/c/" + std::to_string(i % 300));
-                   done.emplace_back(p.path(), control_api::add_purge(s, p).number);
+                   pb::Purge purge;
+                   purge.set_name("p" + std::to_string(i));
+                   purge.set_kind("path");
+                   purge.set_path("/c/" + std::to_string(i % 300));
+                   done.emplace_back(purge.path(), control_api::add_purge(purges, purge).number);
                  }
-                 RC_ASSERT(s.purges_size() <= 128);
-                 traffic::Table t;
-                 t.purges["s"] = s;
+                 RC_ASSERT(purges.purges_size() <= 128);
+                 traffic::RoutingSnapshot t;
+                 t.purges["s"] = purges;
                  for (auto& [path, num] : done)
                    RC_ASSERT(traffic::purged(t, {"s", "", path, nullptr}, num - 1));
                }),
       {"purge: the same name twice is one purge",
        [] {
-         pb::PurgeSet s;
-         pb::Purge p;
-         p.set_name("a");
-         p.set_kind("service");
-         control_api::add_purge(s, p);
-         expect(control_api::add_purge(s, p).known && s.number() == 1, "it was taken twice");
-         expect(!control_api::add_purge(s, p).clash, "the same document clashed");
-         p.set_kind("prefix");
-         p.set_path("/c/");
-         expect(control_api::add_purge(s, p).clash && s.number() == 1,
+         pb::PurgeSet purges;
+         pb::Purge purge;
+         purge.set_name("a");
+         purge.set_kind("service");
+         control_api::add_purge(purges, purge);
+         expect(control_api::add_purge(purges, purge).known && purges.number() == 1, "it was taken twice");
+         expect(!control_api::add_purge(purges, purge).conflict, "the same document clashed");
+         purge.set_kind("prefix");
+         purge.set_path("/c/");
+         expect(control_api::add_purge(purges, purge).conflict && purges.number() == 1,
                 "another document under a known name was taken as done");
        }},
       {"cache: lifetimes by RFC 9111",
@@ -148,32 +149,32 @@
        }},
       {"headers: those of one connection, and ours, do not pass",
        [] {
-         base::Response r;
-         auto& h = r.headers;
+         base::Response response;
+         auto& h = response.headers;
          h = {{"connection", "close, X-Mine"}, {"X-Mine", "1"},          {"TE", "trailers"},
               {"dunlinwing-instance", "x"},    {"Idempotency-Key", "k"}, {"Accept", "a"}};
-         traffic::own_face()->clean(r);
+         traffic::native_protocol_adapter()->strip_internal_headers(response);
          expect(h.size() == 3 && h[2].first == "Via" && h[0].first == "Idempotency-Key" &&
                     h[1].first == "Accept",
                 "what is left");
        }},
       {"versions: a move holds only while the layout allows it, quarantine always",
        [] {
-         traffic::Service s;
+         traffic::ServiceConfiguration s;
          s.versions = {"1", "2"};
-         pb::ServiceState st;
-         st.set_current("2");
-         st.add_kept("1");
-         auto v = traffic::versions(s, &st);
+         pb::ServiceState state;
+         state.set_current("2");
+         state.add_previous_versions("1");
+         auto v = traffic::eligible_versions(s, &state);
          expect(v.open.size() == 2 && v.open[0] == "2", "promoted and kept");
-         (*st.mutable_quarantined())["2"] = "bad";
-         v = traffic::versions(s, &st);
+         (*state.mutable_quarantined())["2"] = "bad";
+         v = traffic::eligible_versions(s, &state);
          expect(v.open.size() == 1 && v.open[0] == "1", "quarantined");
          s.versions = {"3"};
-         v = traffic::versions(s, &st);
+         v = traffic::eligible_versions(s, &state);
          expect(v.open.empty(), "a layout took the service to a version never on trial");
-         st.clear_current();
-         v = traffic::versions(s, &st);
+         state.clear_current();
+         v = traffic::eligible_versions(s, &state);
          expect(v.open.size() == 1 && v.open[0] == "3", "a service that is new");
        }},
   };
--- a/test/wire_answers.cpp
+++ b/test/wire_answers.cpp
@@ -70,7 +70,7 @@
       }
       --running;
     });
-  wire::RealClock clock;
+  wire::SystemClock clock;
   while (running) clock.sleep(1ms);
   expect(failures == 0, fmt::format("{} of {} cases, first {}", failures, all.size(), first));
 }
@@ -234,7 +234,7 @@
       backend.freeze();
       auto answer = relay.ask("victim", safe, kFrozenMs, std::string(bytes, 'b'));
       backend.thaw();
-      wire::RealClock().sleep(100ms);
+      wire::SystemClock().sleep(100ms);
       same(backend.whole("victim"), 0, "runs of what was given up before it was sent whole");
       if (promises_not_run(answer.status)) expect(!backend.begun("victim"), "some of it had left");
     }
@@ -284,7 +284,7 @@
     StandIn backend([&](int, int, const std::string& head) {
       auto at = head.find("Attempt-Id: ") + 12;
       auto id = head.substr(at, head.find('\r', at) - at);
-      wire::RealClock().sleep(10ms);
+      wire::SystemClock().sleep(10ms);
       if (fetched++ == 0 && cut) return std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalfcut");
       return good_answer(id, false);
     });
--- a/test/wire_cases.hpp
+++ b/test/wire_cases.hpp
@@ -10,10 +10,10 @@
 namespace dunlinwing::test {
 
 using namespace std::chrono_literals;
-wire::Pool& pool();
+wire::EventLoopPool& pool();
 
 inline void until(const std::function<bool()>& f, const std::string& what) {
-  wire::RealClock c;
+  wire::SystemClock c;
   for (int i = 0; !f(); ++i) {
     if (i > 10000) throw Failed("it never came about: " + what);
     c.sleep(1ms);
@@ -22,29 +22,29 @@
 
 // A raw client: sends bytes, reads until `mark` stands or the other side ends.
 struct Raw {
-  std::shared_ptr<wire::Line> l;
+  std::shared_ptr<wire::Connection> connection;
   bool ended = false;
-  explicit Raw(const std::string& addr)
-      : l(wire::Line::to(addr, std::chrono::steady_clock::now() + 10s).first) {
-    expect(l != nullptr, "no connection to " + addr);
+  explicit Raw(const std::string& address)
+      : connection(wire::Connection::connect(address, std::chrono::steady_clock::now() + 10s).first) {
+    expect(connection != nullptr, "no connection to " + address);
   }
-  ~Raw() { l->close(); }
-  void send(std::string_view b) { l->send(b); }
+  ~Raw() { connection->close(); }
+  void send(std::string_view b) { connection->write(b); }
   std::string read(std::string_view mark = {}) {
-    wire::Alarm a;
-    a.set(std::chrono::steady_clock::now() + 20s, [this] { l->stop(); });
+    wire::Timer a;
+    a.set(std::chrono::steady_clock::now() + 20s, [this] { connection->interrupt(); });
     for (;;) {
-      auto g = l->got();
+      auto g = connection->buffered();
       if (auto i = mark.empty() ? g.npos : g.find(mark); i != g.npos) {
         std::string s(g.substr(0, i + mark.size()));
-        l->use(s.size());
+        connection->consume(s.size());
         return s;
       }
-      if (l->fill()) {
-        expect(!l->stopped(), "neither the mark nor an end came");
+      if (connection->read_more()) {
+        expect(!connection->is_interrupted(), "neither the mark nor an end came");
         ended = true;
-        std::string s(l->got());
-        l->use(s.size());
+        std::string s(connection->buffered());
+        connection->consume(s.size());
         return s;
       }
     }
@@ -60,7 +60,7 @@
 struct StandIn {
   using Script = std::function<std::string(int conn, int request, const std::string& head)>;
   std::shared_ptr<boost::asio::ip::tcp::acceptor> acc;
-  std::vector<std::weak_ptr<wire::Line>> lines;
+  std::vector<std::weak_ptr<wire::Connection>> lines;
   int conns = 0, served = 0, open = 0;
   Script f;
   explicit StandIn(Script s)
@@ -74,11 +74,11 @@
         if (e) return;
         int c = conns++;
         ++open;
-        auto l = std::make_shared<wire::Line>(std::move(s));
-        lines.push_back(l);
-        pool().spawn([this, acc, c, l] {
-          serve(c, *l);
-          l->close();
+        auto connection = std::make_shared<wire::Connection>(std::move(s));
+        lines.push_back(connection);
+        pool().spawn([this, acc, c, connection] {
+          serve(c, *connection);
+          connection->close();
           --open;
         });
       }
@@ -87,25 +87,25 @@
   ~StandIn() {
     acc->close();
     for (auto& w : lines)
-      if (auto l = w.lock()) l->stop();
-    wire::RealClock c;
+      if (auto connection = w.lock()) connection->interrupt();
+    wire::SystemClock c;
     while (open) c.sleep(1ms);
   }
   std::string addr() const { return fmt::format("127.0.0.1:{}", acc->local_endpoint().port()); }
 
  private:
-  void serve(int c, wire::Line& l) {
+  void serve(int c, wire::Connection& connection) {
     for (;;) {
       size_t e;
-      while ((e = l.got().find("\r\n\r\n")) == std::string_view::npos)
-        if (l.fill()) return;
-      std::string head(l.got().substr(0, e + 4));
-      l.use(head.size());
+      while ((e = connection.buffered().find("\r\n\r\n")) == std::string_view::npos)
+        if (connection.read_more()) return;
+      std::string head(connection.buffered().substr(0, e + 4));
+      connection.consume(head.size());
       auto a = f(c, served++, head);
       bool cut = a.ends_with("cut"), reset = a.ends_with("reset");
       a.resize(a.size() - (cut ? 3 : reset ? 5 : 0));
-      if (reset) l.socket().set_option(boost::asio::socket_base::linger(true, 0));
-      if ((!a.empty() && l.send(a)) || cut || reset) return;
+      if (reset) connection.socket().set_option(boost::asio::socket_base::linger(true, 0));
+      if ((!a.empty() && connection.write(a)) || cut || reset) return;
     }
   }
 };
@@ -113,18 +113,18 @@
 // A server on an address of its own, on threads [from, to) of the pool.
 struct Served {
   wire::HttpServer s;
-  std::string addr;
+  std::string address;
   explicit Served(wire::HttpLimits l, wire::HttpHandler h, int from = 0, int to = 1)
       : s(pool(), "test", l, std::move(h)) {
     for (int port = 24100 + static_cast<int>(::getpid() % 500) * 16;; ++port) {
-      addr = fmt::format("127.0.0.1:{}", port);
-      if (!s.listen(addr, from, to)) break;
+      address = fmt::format("127.0.0.1:{}", port);
+      if (!s.listen(address, from, to)) break;
     }
   }
   ~Served() {
     s.close();
     s.close_idle();
-    until([this] { return s.open() == 0; }, "all connections end");
+    until([this] { return s.open_connections() == 0; }, "all connections end");
   }
 };
 
--- a/test/wire_client_bytes.cpp
+++ b/test/wire_client_bytes.cpp
@@ -26,16 +26,16 @@
 
 wire::HttpLimits quick() {
   wire::HttpLimits limits;
-  limits.read = limits.body = limits.idle = 200ms;
+  limits.head_timeout = limits.body_timeout = limits.idle_timeout = 200ms;
   return limits;
 }
 
 enum class End { close, reset, half_close, silence };
 
 void end(Raw& client, End how) {
-  if (how == End::reset) client.l->socket().set_option(boost::asio::socket_base::linger(true, 0));
-  if (how == End::close || how == End::reset) client.l->close();
-  if (how == End::half_close) client.l->close_send();
+  if (how == End::reset) client.connection->socket().set_option(boost::asio::socket_base::linger(true, 0));
+  if (how == End::close || how == End::reset) client.connection->close();
+  if (how == End::half_close) client.connection->shutdown_send();
 }
 
 // A request that was cut at any byte never runs, and is never told that it went well.
@@ -47,7 +47,7 @@
         Served server(quick(), counted.handler());
         std::vector<std::unique_ptr<Raw>> clients;
         for (size_t at = 0; at < request.size(); ++at) {
-          clients.push_back(std::make_unique<Raw>(server.addr));
+          clients.push_back(std::make_unique<Raw>(server.address));
           clients.back()->send(std::string_view(request).substr(0, at));
           end(*clients.back(), how);
         }
@@ -68,9 +68,9 @@
   Served server({}, counted.handler());
   auto stream = kByLength + kInChunks + kBare;
   for (size_t at = 0; at <= stream.size(); ++at) {
-    Raw client(server.addr);
+    Raw client(server.address);
     client.send(std::string_view(stream).substr(0, at));
-    wire::RealClock().sleep(1ms);
+    wire::SystemClock().sleep(1ms);
     client.send(std::string_view(stream).substr(at));
     for (std::string want : {"[/1 first]", "[/2 second]", "[/3 ]"}) {
       auto told = client.read("]");
@@ -87,9 +87,9 @@
   for (size_t at = 0; at < kInChunks.size(); ++at) {
     Counted counted;
     Served server(quick(), counted.handler());
-    Raw client(server.addr);
+    Raw client(server.address);
     client.send(kByLength + kInChunks.substr(0, at));
-    client.l->close_send();
+    client.connection->shutdown_send();
     auto told = client.read();
     expect(told.find("[/1 first]") != told.npos, fmt::format("cut at {}: {}", at, told));
     same(counted.runs.size(), size_t(1), "requests that ran");
@@ -111,13 +111,13 @@
       return {200, {}, "[" + request.target + "]"};
     });
     {
-      Raw leaving(server.addr);
+      Raw leaving(server.address);
       leaving.send("GET /slow HTTP/1.1\r\nHost: h\r\n\r\nGET /behind HTTP/1.1\r\nHost: h\r\n\r\n");
       until([&] { return slow == 1; }, "the slow one runs");
       end(leaving, how);
     }
     std::vector<std::unique_ptr<Raw>> others;
-    for (int i = 0; i < 8; ++i) others.push_back(std::make_unique<Raw>(server.addr));
+    for (int i = 0; i < 8; ++i) others.push_back(std::make_unique<Raw>(server.address));
     go->notify();
     until([&] { return told == 1; }, "the answer for the one who left");
     for (int i = 0; i < 8; ++i) {
@@ -131,13 +131,13 @@
 // An answer that cannot be delivered whole shows that it is cut.
 void undelivered() {
   wire::HttpLimits limits;
-  limits.write = 200ms;
+  limits.write_timeout = 200ms;
   constexpr size_t kLong = 32 << 20;
   Served server(limits, [](base::Request&) -> base::Response { return {200, {}, std::string(kLong, 'x')}; });
-  Raw client(server.addr);
+  Raw client(server.address);
   client.send(kBare);
-  until([&] { return server.s.running() == 1; }, "it runs");
-  until([&] { return server.s.open() == 0; }, "it is given up");
+  until([&] { return server.s.running_requests() == 1; }, "it runs");
+  until([&] { return server.s.open_connections() == 0; }, "it is given up");
   auto told = client.read();
   expect(told.find(fmt::format("Content-Length: {}\r\n", kLong)) != told.npos, "no length was told");
   expect(told.size() < kLong, "it was delivered after all");
--- a/test/wire_forward.cpp
+++ b/test/wire_forward.cpp
@@ -10,30 +10,30 @@
 
 // An address at which nobody listens.
 std::string nobody() {
-  ScriptedPeer gone([](int, const pb::Ask&) { return std::string(); });
+  ScriptedPeer gone([](int, const pb::PeerRequest&) { return std::string(); });
   return gone.address();
 }
 
-std::string forwarded(const pb::Ask& ask, const std::function<void(pb::CarryReply&)>& fill) {
-  pb::Reply reply;
-  reply.set_number(ask.number());
-  fill(*reply.mutable_carry());
+std::string forwarded(const pb::PeerRequest& ask, const std::function<void(pb::ForwardResponse&)>& fill) {
+  pb::PeerResponse reply;
+  reply.set_request_id(ask.request_id());
+  fill(*reply.mutable_forward());
   return ScriptedPeer::frame(reply);
 }
 
-void hand_on(pb::CarryReply& reply, uint64_t age_ms) {
+void hand_on(pb::ForwardResponse& reply, uint64_t age_ms) {
   reply.set_status(200);
   reply.set_body("from the shield");
   reply.set_cacheable(true);
   reply.set_age_ms(age_ms);
-  reply.set_life_ms(60000);
+  reply.set_lifetime_ms(60000);
 }
 
 // The shield had it, then fell silent or cut; no backend instance can be reached directly.
 void lost_shield() {
   for (std::string end : {"", "cut", "reset"}) {
     int asked = 0;
-    ScriptedPeer shield([&](int, const pb::Ask&) {
+    ScriptedPeer shield([&](int, const pb::PeerRequest&) {
       ++asked;
       return end;
     });
@@ -46,11 +46,11 @@
 
 // A shield's word that nothing ran, and will not, is passed on with when to come back.
 void declined_by_shield() {
-  ScriptedPeer shield([](int, const pb::Ask& ask) {
-    return forwarded(ask, [](pb::CarryReply& reply) {
-      reply.set_not_run(true);
-      reply.set_turned_away(true);
-      reply.set_back_ms(200);
+  ScriptedPeer shield([](int, const pb::PeerRequest& ask) {
+    return forwarded(ask, [](pb::ForwardResponse& reply) {
+      reply.set_not_executed(true);
+      reply.set_rejected(true);
+      reply.set_retry_after_ms(200);
     });
   });
   ByteBackend backend(Plan{});
@@ -64,8 +64,8 @@
 // A forwarded answer that is past its life is fetched anew; a fresh one is served and kept.
 void judged_again() {
   for (uint64_t age_ms : {uint64_t(0), uint64_t(59000), uint64_t(60000), uint64_t(90000)}) {
-    ScriptedPeer shield([&](int, const pb::Ask& ask) {
-      return forwarded(ask, [&](pb::CarryReply& reply) { hand_on(reply, age_ms); });
+    ScriptedPeer shield([&](int, const pb::PeerRequest& ask) {
+      return forwarded(ask, [&](pb::ForwardResponse& reply) { hand_on(reply, age_ms); });
     });
     ByteBackend backend(Plan{});
     Relay relay(backend.address(), shield.address());
@@ -81,7 +81,7 @@
 void lifetime() {
   ByteBackend backend(Plan{});
   Relay relay(backend.address());
-  wire::RealClock clock;
+  wire::SystemClock clock;
   auto from = clock.now();
   same(relay.get("/brief/x", "first").body, good_body("first"), "the fetch");
   auto again = relay.get("/brief/x", "second").body;
--- a/test/wire_origin.cpp
+++ b/test/wire_origin.cpp
@@ -12,7 +12,7 @@
 base::Request get(const std::string& m = "GET") { return {"", m, "/", "", {}}; }
 base::AttemptRules rules(bool safe = true) {
   base::AttemptRules r(10s);
-  r.safe = safe;
+  r.idempotent = safe;
   return r;
 }
 bool unknown(const Shot& s) {
@@ -25,7 +25,9 @@
 }
 
 void stale() {
-  auto mine = [](const std::string& b) { return [b](const base::Response& r) { return r.body == b; }; };
+  auto mine = [](const std::string& b) {
+    return [b](const base::Response& response) { return response.body == b; };
+  };
   StandIn w([](int, int n, auto&) {
     return n == 0   ? ok("0")
            : n == 1 ? ok("old") + ok("older") + ok("1")
@@ -33,23 +35,23 @@
            : n == 3 ? ok("a") + ok("b") + ok("c") + ok("2")
                     : ok("not");
   });
-  wire::HttpOrigin o(1 << 20);
+  wire::HttpClient o(1 << 20);
   auto r = rules();
-  r.mine = mine("0");
+  r.is_own_response = mine("0");
   same(body(o.send(w.addr(), get(), r)), "0", "the first");
-  r.mine = mine("1");
+  r.is_own_response = mine("1");
   same(body(o.send(w.addr(), get(), r)), "1", "after two late answers");
   same(w.conns, 1, "connections");
-  same(o.held(w.addr()), 0, "connections held after another's answer");
-  r.mine = mine("used");
+  same(o.connections_to(w.addr()), 0, "connections held after another's answer");
+  r.is_own_response = mine("used");
   same(body(o.send(w.addr(), get(), r)), "used", "the first on a connection of its own");
-  r.mine = mine("2");
+  r.is_own_response = mine("2");
   expect(unknown(o.send(w.addr(), get(), r)), "three answers were skipped");
   same(w.conns, 2, "connections");
-  r.mine = mine("3");
+  r.is_own_response = mine("3");
   expect(unknown(o.send(w.addr(), get(), r)), "a fresh connection's first answer was skipped");
   same(w.conns, 3, "connections");
-  same(o.held(w.addr()), 0, "connections held after bad ends");
+  same(o.connections_to(w.addr()), 0, "connections held after bad ends");
 }
 
 // An answer that is there before its request was sent whole. Named it counts, without a name
@@ -59,20 +61,20 @@
   for (bool has_name : {true, false}) {
     StandIn w(
         [&](int, int n, auto&) { return ok(n ? "early" : "first", has_name || !n ? "Id: x\r\n" : ""); });
-    wire::HttpOrigin o(1 << 20);
+    wire::HttpClient o(1 << 20);
     auto r = rules();
-    r.nameless = [](const base::Response& x) { return base::header(x.headers, "Id").empty(); };
+    r.is_anonymous = [](const base::Response& x) { return base::header(x.headers, "Id").empty(); };
     same(body(o.send(w.addr(), get(), r)), "first", "the first on the connection");
     auto s = o.send(w.addr(), {"", "POST", "/", large, {}}, r);
     same(w.conns, 1, "connections");
     same(body(s), has_name ? "early" : "a defect", "an early answer");
-    same(o.held(w.addr()), 0, "connections held after an early answer");
+    same(o.connections_to(w.addr()), 0, "connections held after an early answer");
   }
 }
 
 void leftovers() {
   StandIn w([](int, int n, auto&) { return n % 2 ? ok("x") : ok("good") + ok("nobody asked"); });
-  wire::HttpOrigin o(1 << 20);
+  wire::HttpClient o(1 << 20);
   same(body(o.send(w.addr(), get(), rules())), "good", "a whole answer with more behind it");
   same(body(o.send(w.addr(), get(), rules())), "x", "the next");
   same(w.conns, 2, "connections");
@@ -87,9 +89,9 @@
                         std::string("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
                         std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")}) {
     StandIn w([a](int, int, auto&) { return a; });
-    wire::HttpOrigin o(1000);
+    wire::HttpClient o(1000);
     expect(unknown(o.send(w.addr(), get(), rules())), "taken for a whole answer: " + a.substr(0, 60));
-    same(o.held(w.addr()), 0, "connections held");
+    same(o.connections_to(w.addr()), 0, "connections held");
   }
   StandIn w([](int, int n, auto&) {
     if (n == 0)
@@ -101,7 +103,7 @@
     if (n == 3) return std::string("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n");
     return ok("last", "Connection: close\r\n");
   });
-  wire::HttpOrigin o(1000);
+  wire::HttpClient o(1000);
   auto a = std::get<base::Response>(o.send(w.addr(), get(), rules()));
   same(a.body, "zip", "an answer after an interim one");
   same(base::header(a.headers, "Content-Encoding"), "gzip", "its encoding");
@@ -110,18 +112,18 @@
   same(body(o.send(w.addr(), get(), rules())), "", "a 304");
   same(body(o.send(w.addr(), get(), rules())), "last", "the last answer");
   same(w.conns, 1, "connections");
-  same(o.held(w.addr()), 0, "connections held after Connection: close");
+  same(o.connections_to(w.addr()), 0, "connections held after Connection: close");
 }
 
 // An answer that ends with its connection alone cannot be told from a cut one: it is not
 // waited for.
 void endless() {
   StandIn w([](int, int, auto&) { return std::string("HTTP/1.1 200 OK\r\n\r\nuntil I close"); });
-  wire::HttpOrigin o(1000);
-  wire::RealClock clock;
+  wire::HttpClient o(1000);
+  wire::SystemClock clock;
   auto from = clock.now();
   expect(unknown(o.send(w.addr(), get(), rules())), "taken for a whole answer");
-  expect(clock.now() - from < rules().limit / 2, "it was waited for");
+  expect(clock.now() - from < rules().timeout / 2, "it was waited for");
 }
 
 void written() {
@@ -130,7 +132,7 @@
     head = h;
     return ok("");
   });
-  wire::HttpOrigin o(1000);
+  wire::HttpClient o(1000);
   o.send(w.addr(), {"", "POST", "/p?q=1", "", {{"Host", "given"}, {"X-A", "b"}, {"content-length", "7"}}},
          rules());
   same(head, "POST /p?q=1 HTTP/1.1\r\nHost: given\r\nX-A: b\r\nContent-Length: 0\r\n\r\n",
@@ -143,8 +145,8 @@
   StandIn w([](int, int n, auto&) {
     return ok("", n == 0 ? "Keep-Alive: timeout=0\r\n" : "Keep-Alive: max=9, timeout=1\r\n");
   });
-  wire::HttpOrigin o(1000);
-  wire::RealClock c;
+  wire::HttpClient o(1000);
+  wire::SystemClock c;
   o.send(w.addr(), get(), rules());
   o.send(w.addr(), get(), rules(false));
   same(w.conns, 2, "connections after one that was not to be kept");
@@ -163,9 +165,10 @@
 
 void noticed() {
   StandIn w([](int, int, auto&) { return ok("") + "cut"; });
-  wire::HttpOrigin o(1000);
+  wire::HttpClient o(1000);
   o.send(w.addr(), get(), rules());
-  until([&] { return o.idle() == 0 && o.held(w.addr()) == 0; }, "the end of an idle connection is noticed");
+  until([&] { return o.idle() == 0 && o.connections_to(w.addr()) == 0; },
+        "the end of an idle connection is noticed");
 }
 
 void capped() {
@@ -178,14 +181,14 @@
     }
     return ok(std::to_string(n));
   });
-  wire::HttpOrigin o(1000);
+  wire::HttpClient o(1000);
   auto r = rules();
-  r.most = 1;
+  r.max_connections = 1;
   std::string first, second;
   pool().spawn([&] { first = body(o.send(w.addr(), get(), r)); });
   until([&] { return inside == 1; }, "the first is there");
   auto quick = r;
-  quick.connect = 20ms;
+  quick.connect_timeout = 20ms;
   auto s = o.send(w.addr(), get(), quick);
   expect(std::get_if<AttemptError>(&s) && std::get<AttemptError>(s) == AttemptError::unsent,
          "more connections than allowed");
@@ -194,14 +197,14 @@
   until([&] { return !second.empty(); }, "the second follows");
   same(first + second, "01", "answers");
   same(w.conns, 1, "connections");
-  same(o.held(w.addr()), 1, "connections held");
+  same(o.connections_to(w.addr()), 1, "connections held");
   auto done = std::make_shared<std::atomic<int>>(0);
   for (int i : {1, 2})
     pool().spawn_on(i, [&o, r, a = w.addr(), done] {
       if (std::holds_alternative<base::Response>(o.send(a, get(), r))) ++*done;
     });
   until([&] { return *done == 2; }, "other threads have their turn");
-  expect(o.held(w.addr()) <= 1, "more connections than allowed");
+  expect(o.connections_to(w.addr()) <= 1, "more connections than allowed");
 }
 
 // A full queue of new connections says nothing, and the bound for connecting holds.
@@ -211,21 +214,21 @@
   a.open(asio::ip::tcp::v4());
   a.bind({asio::ip::make_address("127.0.0.1"), 0});
   a.listen(0);
-  auto addr = fmt::format("127.0.0.1:{}", a.local_endpoint().port());
+  auto address = fmt::format("127.0.0.1:{}", a.local_endpoint().port());
   auto soon = [] { return std::chrono::steady_clock::now() + 50ms; };
-  std::vector<std::shared_ptr<wire::Line>> full;
-  while (auto l = wire::Line::to(addr, soon()).first) {
-    full.push_back(l);
+  std::vector<std::shared_ptr<wire::Connection>> full;
+  while (auto connection = wire::Connection::connect(address, soon()).first) {
+    full.push_back(connection);
     expect(full.size() < 20, "the queue has no end");
   }
-  wire::HttpOrigin o(1000);
+  wire::HttpClient o(1000);
   auto r = rules();
-  r.connect = 50ms;
-  auto s = o.send(addr, get(), r);
+  r.connect_timeout = 50ms;
+  auto s = o.send(address, get(), r);
   auto* d = std::get_if<AttemptError>(&s);
   expect(d && *d == AttemptError::unsent, "without a connection nothing is sent");
-  same(o.held(addr), 0, "connections held");
-  expect(!o.reach(addr, 50ms), "it was reached");
+  same(o.connections_to(address), 0, "connections held");
+  expect(!o.can_connect(address, 50ms), "it was reached");
 }
 
 // Whatever a worker does, an answer taken for this request's is this request's.
@@ -257,19 +260,19 @@
         return own;
     }
   });
-  wire::HttpOrigin o(1000);
+  wire::HttpClient o(1000);
   std::atomic<int> left{6}, good{0}, wrong{0};
   for (int f = 0; f < 6; ++f)
     pool().spawn_on(f % 3, [&, f, a = w.addr()] {
       for (int i = 0; i < 150; ++i) {
         auto id = fmt::format("{}-{}", f, i);
         base::AttemptRules r(50ms);
-        r.safe = i % 2;
-        r.most = 4;
-        r.mine = [&id](const base::Response& x) { return base::header(x.headers, "Id") == id; };
+        r.idempotent = i % 2;
+        r.max_connections = 4;
+        r.is_own_response = [&id](const base::Response& x) { return base::header(x.headers, "Id") == id; };
         auto s = o.send(a, {"", i % 2 ? "GET" : "POST", "/", "", {{"Id", id}}}, r);
         if (auto* x = std::get_if<base::Response>(&s)) ++(x->body == id ? good : wrong);
-        if (o.held(a) > 4) ++wrong;
+        if (o.connections_to(a) > 4) ++wrong;
       }
       --left;
     });
@@ -279,12 +282,12 @@
 }
 
 void bounded() {
-  wire::HttpOrigin o(1000, 2);
+  wire::HttpClient o(1000, 2);
   StandIn a([](int, int, auto&) { return ok(""); }), b([](int, int, auto&) { return ok(""); }),
       c([](int, int, auto&) { return ok(""); });
   for (auto* w : {&a, &b, &c}) o.send(w->addr(), get(), rules());
   same(o.idle(), 2, "idle connections");
-  same(o.held(a.addr()), 0, "connections to the one longest idle");
+  same(o.connections_to(a.addr()), 0, "connections to the one longest idle");
   until([&] { return a.open == 0; }, "it is closed");
 }
 }  // namespace
--- a/test/wire_peer.cpp
+++ b/test/wire_peer.cpp
@@ -8,32 +8,32 @@
 namespace {
 constexpr Duration kPatience(60), kPlenty(10000);
 
-pb::Ask fetch(uint64_t name) {
-  pb::Ask ask;
-  ask.mutable_fetch()->set_offset(name);
+pb::PeerRequest fetch(uint64_t name) {
+  pb::PeerRequest ask;
+  ask.mutable_artifact_read()->set_offset(name);
   return ask;
 }
 
-pb::Reply reply_to(const pb::Ask& ask) {
-  pb::Reply reply;
-  reply.mutable_piece()->set_held(ask.fetch().offset());
+pb::PeerResponse reply_to(const pb::PeerRequest& ask) {
+  pb::PeerResponse reply;
+  reply.mutable_artifact_chunk()->set_received(ask.artifact_read().offset());
   return reply;
 }
 
-using Answer = std::variant<pb::Reply, base::NetError>;
+using Answer = std::variant<pb::PeerResponse, base::PeerError>;
 
 // True when it was answered; a reply to another ask fails the test.
 bool own(const Answer& answer, uint64_t name) {
-  auto* reply = std::get_if<pb::Reply>(&answer);
+  auto* reply = std::get_if<pb::PeerResponse>(&answer);
   if (!reply) return false;
-  expect(reply->has_piece(), "a reply of another kind");
-  same(reply->piece().held(), name, "the ask that a reply belongs to");
+  expect(reply->has_artifact_chunk(), "a reply of another kind");
+  same(reply->artifact_chunk().received(), name, "the ask that a reply belongs to");
   return true;
 }
 
-pb::Reply numbered(const pb::Ask& ask) {
+pb::PeerResponse numbered(const pb::PeerRequest& ask) {
   auto reply = reply_to(ask);
-  reply.set_number(ask.number());
+  reply.set_request_id(ask.request_id());
   return reply;
 }
 
@@ -42,15 +42,15 @@
   for (std::string end : {"cut", "reset", ""})
     for (bool kept : {false, true})
       for (size_t at = 0; at < ScriptedPeer::frame(numbered(fetch(7))).size(); ++at) {
-        ScriptedPeer peer([&](int, const pb::Ask& ask) {
+        ScriptedPeer peer([&](int, const pb::PeerRequest& ask) {
           auto whole = ScriptedPeer::frame(numbered(ask));
-          return ask.fetch().offset() == 7 ? whole.substr(0, at) + end : whole;
+          return ask.artifact_read().offset() == 7 ? whole.substr(0, at) + end : whole;
         });
-        wire::PeerNet net;
-        if (kept) expect(own(net.ask(peer.address(), fetch(1), kPlenty), 1), "the first ask");
-        auto answer = net.ask(peer.address(), fetch(7), kPatience);
+        wire::PeerClient net;
+        if (kept) expect(own(net.call(peer.address(), fetch(1), kPlenty), 1), "the first ask");
+        auto answer = net.call(peer.address(), fetch(7), kPatience);
         expect(!own(answer, 7), fmt::format("a reply cut after {} bytes was taken", at));
-        expect(own(net.ask(peer.address(), fetch(9), kPlenty), 9), "the ask after it");
+        expect(own(net.call(peer.address(), fetch(9), kPlenty), 9), "the ask after it");
       }
 }
 
@@ -58,10 +58,10 @@
 void duplicated() {
   for (int kind = 0; kind < 4; ++kind) {
     std::string before;
-    ScriptedPeer peer([&](int, const pb::Ask& ask) {
+    ScriptedPeer peer([&](int, const pb::PeerRequest& ask) {
       auto mine = ScriptedPeer::frame(numbered(ask));
       auto last = std::exchange(before, mine);
-      if (ask.fetch().offset() % 3) return mine;
+      if (ask.artifact_read().offset() % 3) return mine;
       switch (kind) {
         case 0:
           return mine + mine;
@@ -73,24 +73,25 @@
           return mine + last.substr(0, 3);
       }
     });
-    wire::PeerNet net;
+    wire::PeerClient net;
     int answered = 0;
     for (uint64_t name = 1; name <= 60; ++name)
-      answered += own(net.ask(peer.address(), fetch(name), kPatience), name);
+      answered += own(net.call(peer.address(), fetch(name), kPatience), name);
     expect(answered >= 30, fmt::format("kind {}: only {} of 60 were answered", kind, answered));
   }
 }
 
 // A duplicate that comes late, when the connection waits or carries the next ask.
 void late_duplicate() {
-  std::vector<std::shared_ptr<wire::Line>> lines;
-  ScriptedPeer peer([&](int, const pb::Ask& ask) {
+  std::vector<std::shared_ptr<wire::Connection>> lines;
+  ScriptedPeer peer([&](int, const pb::PeerRequest& ask) {
     auto mine = ScriptedPeer::frame(numbered(ask));
-    return ask.fetch().offset() % 2 ? mine
-                                    : ScriptedPeer::frame(numbered(fetch(ask.fetch().offset() - 1))) + mine;
+    return ask.artifact_read().offset() % 2
+               ? mine
+               : ScriptedPeer::frame(numbered(fetch(ask.artifact_read().offset() - 1))) + mine;
   });
-  wire::PeerNet net;
-  for (uint64_t name = 1; name <= 40; ++name) own(net.ask(peer.address(), fetch(name), kPlenty), name);
+  wire::PeerClient net;
+  for (uint64_t name = 1; name <= 40; ++name) own(net.call(peer.address(), fetch(name), kPlenty), name);
 }
 
 // Many asks wait when all connections are reset; what is asked again gets its own reply.
@@ -98,22 +99,22 @@
   auto go = pool().condition();
   int waiting = 0;
   bool down = true;
-  ScriptedPeer peer([&](int, const pb::Ask& ask) -> std::string {
+  ScriptedPeer peer([&](int, const pb::PeerRequest& ask) -> std::string {
     if (down) {
       ++waiting;
-      while (down) wire::RealClock().sleep(1ms);
-      return ask.fetch().offset() % 2 ? "reset" : ScriptedPeer::frame(numbered(ask)) + "reset";
+      while (down) wire::SystemClock().sleep(1ms);
+      return ask.artifact_read().offset() % 2 ? "reset" : ScriptedPeer::frame(numbered(ask)) + "reset";
     }
     return ScriptedPeer::frame(numbered(ask));
   });
-  wire::PeerNet net;
+  wire::PeerClient net;
   constexpr int kAsks = 24;
   int left = kAsks, wrong = 0;
   for (int i = 0; i < kAsks; ++i)
     pool().spawn([&, i] {
       try {
-        own(net.ask(peer.address(), fetch(100 + i), kPlenty), 100 + i);
-        expect(own(net.ask(peer.address(), fetch(200 + i), kPlenty), 200 + i), "an ask after the resets");
+        own(net.call(peer.address(), fetch(100 + i), kPlenty), 100 + i);
+        expect(own(net.call(peer.address(), fetch(200 + i), kPlenty), 200 + i), "an ask after the resets");
       } catch (const std::exception&) {
         ++wrong;
       }
@@ -128,17 +129,17 @@
 // A forwarded request whose reply is lost on a kept connection is not asked again.
 void forwarded_once() {
   int asked = 0;
-  ScriptedPeer peer([&](int, const pb::Ask& ask) -> std::string {
-    if (!ask.has_carry()) return ScriptedPeer::frame(numbered(ask));
+  ScriptedPeer peer([&](int, const pb::PeerRequest& ask) -> std::string {
+    if (!ask.has_forward()) return ScriptedPeer::frame(numbered(ask));
     ++asked;
     return "reset";
   });
-  wire::PeerNet net;
-  expect(own(net.ask(peer.address(), fetch(1), kPlenty), 1), "the first ask");
-  pb::Ask forward;
-  forward.mutable_carry()->set_id("a");
-  auto answer = net.ask(peer.address(), forward, kPlenty);
-  expect(std::holds_alternative<base::NetError>(answer), "an answer that was never given");
+  wire::PeerClient net;
+  expect(own(net.call(peer.address(), fetch(1), kPlenty), 1), "the first ask");
+  pb::PeerRequest forward;
+  forward.mutable_forward()->set_id("a");
+  auto answer = net.call(peer.address(), forward, kPlenty);
+  expect(std::holds_alternative<base::PeerError>(answer), "an answer that was never given");
   same(asked, 1, "times a forwarded request was sent");
 }
 
@@ -148,21 +149,21 @@
   constexpr int kAsks = 40, kPrompt = 4;
   constexpr Duration kSilentLimit(3000), kPromptLimit(2500);
   auto& connections = wire::peer_connections();
-  ScriptedPeer silent([&](int, const pb::Ask&) -> std::string { return ""; });
+  ScriptedPeer silent([&](int, const pb::PeerRequest&) -> std::string { return ""; });
   std::vector<std::unique_ptr<ScriptedPeer>> prompt;
   for (int i = 0; i < kPrompt; ++i)
-    prompt.push_back(std::make_unique<ScriptedPeer>([&](int, const pb::Ask& ask) {
-      wire::RealClock().sleep(1ms);
+    prompt.push_back(std::make_unique<ScriptedPeer>([&](int, const pb::PeerRequest& ask) {
+      wire::SystemClock().sleep(1ms);
       return ScriptedPeer::frame(numbered(ask));
     }));
-  wire::PeerNet net(kMost);
-  expect(own(net.ask(prompt[0]->address(), fetch(1), kPlenty), 1),
+  wire::PeerClient net(kMost);
+  expect(own(net.call(prompt[0]->address(), fetch(1), kPlenty), 1),
          "a first ask, which ends what others left idle");
   int left = (kPrompt + 1) * kAsks, answered = 0;
   size_t peak = 0;
   auto ask = [&](const ScriptedPeer& peer, int name, Duration limit) {
     pool().spawn([&, name, limit] {
-      answered += own(net.ask(peer.address(), fetch(name), limit), name);
+      answered += own(net.call(peer.address(), fetch(name), limit), name);
       peak = std::max(peak, connections.open());
       --left;
     });
@@ -178,7 +179,7 @@
       "all asks end");
   same(answered, kPrompt * kAsks, "asks answered by the prompt relays, beside a silent one");
   expect(peak <= kMost, fmt::format("{} connections were open, {} are allowed", peak, kMost));
-  expect(own(net.ask(prompt[0]->address(), fetch(1), kPlenty), 1), "an ask after them");
+  expect(own(net.call(prompt[0]->address(), fetch(1), kPlenty), 1), "an ask after them");
 }
 
 // The number stands in every ask and comes back in the reply of our own server.
@@ -187,15 +188,15 @@
   std::vector<uint64_t> numbers;
   for (int port = 23100 + static_cast<int>(::getpid() % 500);; ++port) {
     address = fmt::format("127.0.0.1:{}", port);
-    if (!wire::serve_peers(pool(), address, [&](const pb::Ask& ask) {
-          numbers.push_back(ask.number());
+    if (!wire::serve_peers(pool(), address, [&](const pb::PeerRequest& ask) {
+          numbers.push_back(ask.request_id());
           return reply_to(ask);
         }))
       break;
   }
-  wire::PeerNet net;
+  wire::PeerClient net;
   for (uint64_t name = 1; name <= 5; ++name)
-    expect(own(net.ask(address, fetch(name), kPlenty), name), "an ask");
+    expect(own(net.call(address, fetch(name), kPlenty), name), "an ask");
   std::sort(numbers.begin(), numbers.end());
   expect(std::unique(numbers.begin(), numbers.end()) == numbers.end(), "a number was used twice");
   expect(numbers.front() > 0, "an ask without a number");
--- a/test/wire_server.cpp
+++ b/test/wire_server.cpp
@@ -10,19 +10,19 @@
 namespace {
 const std::string kGet = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
 wire::HttpHandler echo() {
-  return [](base::Request& q) -> base::Response {
-    if (q.target == "/hollow") return {200, {}, ""};
-    if (q.target == "/none") return {204, {}, "left out"};
-    if (q.target == "/same") return {304, {{"ETag", "\"1\""}}, "left out"};
-    if (q.target == "/odd") return {200, {{"Connection", "close"}, {"Content-Length", "99"}}, "odd"};
-    return {200, {{"X", "y"}}, q.method + " " + q.target + " " + q.body};
+  return [](base::Request& request) -> base::Response {
+    if (request.target == "/hollow") return {200, {}, ""};
+    if (request.target == "/none") return {204, {}, "left out"};
+    if (request.target == "/same") return {304, {{"ETag", "\"1\""}}, "left out"};
+    if (request.target == "/odd") return {200, {{"Connection", "close"}, {"Content-Length", "99"}}, "odd"};
+    return {200, {{"X", "y"}}, request.method + " " + request.target + " " + request.body};
   };
 }
 
 void answers() {
   for (int to : {1, 3}) {
     Served v({}, echo(), 0, to);
-    Raw r(v.addr);
+    Raw r(v.address);
     same(r.ask(kGet, "GET /a "), "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 7\r\n\r\nGET /a ", "an answer");
     same(r.ask("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
          "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 8\r\n\r\n", "an answer to HEAD");
@@ -54,7 +54,7 @@
     r.ask("POST /big HTTP/1.1\r\nHost: h\r\nContent-Length: 300000\r\n\r\n" + big, "POST /big " + big);
     auto o = r.ask("GET /a HTTP/1.0\r\n\r\n");
     expect(r.ended && o.find("Connection: close") != o.npos, "HTTP/1.0 was kept open: " + o);
-    Raw k(v.addr);
+    Raw k(v.address);
     o = k.ask("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "GET /a ");
     expect(o.find("Connection: keep-alive") != o.npos, "HTTP/1.0 asked to be kept: " + o);
   }
@@ -68,7 +68,7 @@
         "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
         "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "GET x HTTP/1.1\r\nHost: h\r\n\r\n",
         "nonsense\r\n\r\n", "GET / HTTP/1.1\r\nHo st: h\r\n\r\n"}) {
-    Raw r(v.addr);
+    Raw r(v.address);
     auto a = r.ask(q + kGet);
     expect(a.starts_with("HTTP/1.1 400") && r.ended && a.find("HTTP/1.1 ", 1) == a.npos,
            q + " was answered " + a);
@@ -81,7 +81,7 @@
   l.body_bytes = 1000;
   Served v(l, echo());
   auto status = [&](const std::string& q) {
-    Raw r(v.addr);
+    Raw r(v.address);
     auto a = r.ask(q);
     expect(r.ended && a.find("Connection: close") != a.npos, "its connection was to end: " + a);
     return a.substr(9, 3);
@@ -94,20 +94,20 @@
   same(status("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n" +
               std::string(1001, 'x')),
        "413", "a long body in chunks");
-  Raw r(v.addr);
+  Raw r(v.address);
   r.ask("POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n" + std::string(1000, 'x'), "xxx");
   l.head_bytes = 2000;
-  v.s.limits(l);
-  Raw after(v.addr);
+  v.s.set_limits(l);
+  Raw after(v.address);
   after.ask("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x') + "\r\n\r\n", "GET / ");
 }
 
 void slow() {
   wire::HttpLimits l;
-  l.idle = 200ms;
-  l.read = l.body = l.write = 200ms;
+  l.idle_timeout = 200ms;
+  l.head_timeout = l.body_timeout = l.write_timeout = 200ms;
   Served v(l, echo());
-  Raw idle(v.addr), head(v.addr), body(v.addr), kept(v.addr);
+  Raw idle(v.address), head(v.address), body(v.address), kept(v.address);
   kept.ask(kGet, "GET /a ");
   head.send("GET / HT");
   body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nx");
@@ -119,14 +119,14 @@
 
 void budget() {
   wire::HttpLimits l;
-  l.bodies = 1500;
+  l.all_bodies_bytes = 1500;
   Served v(l, echo());
-  Raw a(v.addr);
+  Raw a(v.address);
   a.send("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n");
   std::string q = "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 501\r\n\r\n" + std::string(501, 'x'), s;
   until(
       [&] {
-        Raw b(v.addr);
+        Raw b(v.address);
         b.send(q);
         s = b.read("\r\n\r\n");
         return s.starts_with("HTTP/1.1 503");
@@ -134,25 +134,25 @@
       "a body beyond the budget is turned away");
   expect(s.find("Connection: close") != s.npos, "its connection was to end: " + s);
   expect(s.find("Retry-After: 1\r\n") != s.npos, "it was not told when to come back: " + s);
-  Raw c(v.addr);
+  Raw c(v.address);
   s = c.ask(
       "POST /3 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1f5\r\n" + std::string(501, 'x'),
       "\r\n\r\n");
   expect(s.starts_with("HTTP/1.1 503"), "a chunked body beyond the budget: " + s);
   a.ask(std::string(1000, 'y'), "yyy");
-  Raw d(v.addr);
+  Raw d(v.address);
   expect(d.ask(q, "POST /2 x").starts_with("HTTP/1.1 200"), "the budget was not given back");
 }
 
 void ends() {
   Served v({}, echo());
-  Raw a(v.addr), b(v.addr), fresh(v.addr), half(v.addr);
+  Raw a(v.address), b(v.address), fresh(v.address), half(v.address);
   a.ask(kGet, "GET /a ");
   b.ask(kGet, "GET /a ");
   half.send("GET /a HTTP/1.1\r\n");
-  until([&] { return v.s.open() == 4; }, "four connections");
-  wire::RealClock().sleep(5ms);  // for the half head to be read
-  v.s.wind_down();
+  until([&] { return v.s.open_connections() == 4; }, "four connections");
+  wire::SystemClock().sleep(5ms);  // for the half head to be read
+  v.s.drain();
   auto last = a.ask(kGet);
   expect(a.ended && last.find("Connection: close") != last.npos, "not the last answer: " + last);
   v.s.close_idle();
@@ -164,19 +164,19 @@
 
 void crowded() {
   wire::HttpLimits l;
-  l.most = 2;
+  l.max_connections = 2;
   Served v(l, echo());
-  Raw a(v.addr);
+  Raw a(v.address);
   a.ask(kGet, "GET /a ");
-  Raw b(v.addr);
+  Raw b(v.address);
   b.ask(kGet, "GET /a ");
-  wire::RealClock().sleep(2ms);
+  wire::SystemClock().sleep(2ms);
   b.ask(kGet, "GET /a ");
-  Raw c(v.addr);
+  Raw c(v.address);
   c.ask(kGet, "GET /a ");
   same(a.read(), "", "the longest idle one");
   b.ask(kGet, "GET /a ");
-  expect(v.s.open() <= 2, "more connections than allowed");
+  expect(v.s.open_connections() <= 2, "more connections than allowed");
 }
 
 // The server's thread is busy while a request arrives on another connection and that one is
@@ -192,9 +192,9 @@
     return echo()(request);
   };
   server = std::make_unique<Served>(wire::HttpLimits{}, handler);
-  idle = std::make_unique<Raw>(server->addr);
+  idle = std::make_unique<Raw>(server->address);
   idle->ask(kGet, "GET /a ");
-  Raw busy(server->addr);
+  Raw busy(server->address);
   busy.ask("GET /busy HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy ");
   expect(idle->read("GET /a ").starts_with("HTTP/1.1 200"), "a request that had come was cut off");
 }
@@ -224,7 +224,7 @@
   int left = kRequests;
   for (int i = 0; i < kRequests; ++i)
     pool().spawn([&] {
-      Raw client(server.addr);
+      Raw client(server.address);
       client.send(kGet);
       answered += client.read("GET /a ").ends_with("GET /a ");
       --left;
@@ -238,33 +238,33 @@
 
 void shorter_idle_limit_spares_what_rests() {
   wire::HttpLimits limits;
-  limits.idle = 400ms;
+  limits.idle_timeout = 400ms;
   Served v(limits, echo());
-  Raw a(v.addr);
+  Raw a(v.address);
   a.ask(kGet, "GET /a ");
-  wire::RealClock().sleep(100ms);
-  limits.idle = 50ms;  // the client went by the limit of before
-  v.s.limits(limits);
-  wire::RealClock().sleep(200ms);
+  wire::SystemClock().sleep(100ms);
+  limits.idle_timeout = 50ms;  // the client went by the limit of before
+  v.s.set_limits(limits);
+  wire::SystemClock().sleep(200ms);
   expect(a.ask(kGet, "GET /a ").starts_with("HTTP/1.1 200"), "the limit of before did not hold");
-  wire::RealClock().sleep(300ms);
+  wire::SystemClock().sleep(300ms);
   same(a.read(), "", "the new limit holds from the next request on");
 }
 
 // Connections that wait for room make busy ones end with their answer.
 void crowded_answers_are_the_last() {
   wire::HttpLimits limits;
-  limits.most = 1;
+  limits.max_connections = 1;
   std::unique_ptr<Served> server;
   server = std::make_unique<Served>(limits, [](base::Request& request) -> base::Response {
-    wire::RealClock().sleep(50ms);
+    wire::SystemClock().sleep(50ms);
     return echo()(request);
   });
-  Raw a(server->addr);
+  Raw a(server->address);
   a.send(kGet);
-  until([&] { return server->s.running() == 1; }, "it runs");
-  Raw b(server->addr);
-  wire::RealClock().sleep(20ms);
+  until([&] { return server->s.running_requests() == 1; }, "it runs");
+  Raw b(server->address);
+  wire::SystemClock().sleep(20ms);
   auto last = a.read();
   expect(a.ended && last.find("Connection: close") != last.npos, "not the last answer: " + last);
   b.ask(kGet, "GET /a ");
@@ -272,19 +272,20 @@
 
 void unread() {
   wire::HttpLimits l;
-  l.write = 200ms;
+  l.write_timeout = 200ms;
   Served v(l, [](base::Request&) -> base::Response { return {200, {}, std::string(64 << 20, 'x')}; });
-  Raw a(v.addr);
+  Raw a(v.address);
   a.send(kGet);
-  until([&] { return v.s.running() == 1; }, "it runs");
-  until([&] { return v.s.open() == 0 && v.s.running() == 0; }, "an answer nobody reads is given up");
+  until([&] { return v.s.running_requests() == 1; }, "it runs");
+  until([&] { return v.s.open_connections() == 0 && v.s.running_requests() == 0; },
+        "an answer nobody reads is given up");
 }
 
 void trailers() {
-  Served v({}, [](base::Request& q) -> base::Response {
-    return {200, {}, base::header(q.headers, "X") + "!" + q.body};
+  Served v({}, [](base::Request& request) -> base::Response {
+    return {200, {}, base::header(request.headers, "X") + "!" + request.body};
   });
-  Raw r(v.addr);
+  Raw r(v.address);
   auto a =
       r.ask("POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: late\r\n\r\n",
             "!a");
@@ -305,9 +306,9 @@
     taken.pop_back();
   }
   {
-    Raw r(v.addr);
+    Raw r(v.address);
     r.send(kGet);
-    wire::RealClock().sleep(5ms);
+    wire::SystemClock().sleep(5ms);
     for (int fd : taken) ::close(fd);
     ::setrlimit(RLIMIT_NOFILE, &was);
     expect(r.read("GET /a ").starts_with("HTTP/1.1 200"), "the connection was lost");
@@ -315,20 +316,20 @@
 }
 
 void lone_thread() {
-  auto* one = new wire::Pool(1);
+  auto* one = new wire::EventLoopPool(1);
   auto* srv = new wire::HttpServer(*one, "one", {}, echo());
   std::atomic<bool> up{false};
-  std::string addr;
+  std::string address;
   std::thread([&] {
     one->run([&] {
       int port = 20000 + ::getpid() % 2000;  // below those that the system gives out
-      do addr = fmt::format("127.0.0.1:{}", ++port);
-      while (srv->listen(addr, 0, 1));
+      do address = fmt::format("127.0.0.1:{}", ++port);
+      while (srv->listen(address, 0, 1));
       up = true;
     });
   }).detach();
   until([&] { return up.load(); }, "the lone thread runs");
-  Raw r(addr);
+  Raw r(address);
   for (int i = 0; i < 50; ++i) r.ask(kGet, "GET /a ");
 }
 }  // namespace
--- a/test/wire_test.cpp
+++ b/test/wire_test.cpp
@@ -12,14 +12,14 @@
 using namespace dunlinwing;
 using namespace std::chrono_literals;
 
-dunlinwing::wire::Pool& dunlinwing::test::pool() {
-  static wire::Pool p(3);
+dunlinwing::wire::EventLoopPool& dunlinwing::test::pool() {
+  static wire::EventLoopPool p(3);
   return p;
 }
 
 namespace {
-wire::Pool& pool = test::pool();
-wire::RealClock clk;
+wire::EventLoopPool& pool = test::pool();
+wire::SystemClock clk;
 
 // Takes connections and never says anything.
 struct Mute {
@@ -61,22 +61,22 @@
 
 void silent() {
   Mute m;
-  wire::HttpOrigin http(1 << 20);
-  wire::PeerNet net;
+  wire::HttpClient http(1 << 20);
+  wire::PeerClient net;
   auto from = clk.now();
   auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 100ms);
   test::expect(std::get<base::AttemptError>(r) == base::AttemptError::unknown,
                "bytes left, yet it was not unknown");
-  auto p = net.ask(m.addr(), pb::Ask(), 100ms);
-  test::expect(std::get<base::NetError>(p) == base::NetError::timed_out, "a silent peer did not time out");
+  auto p = net.call(m.addr(), pb::PeerRequest(), 100ms);
+  test::expect(std::get<base::PeerError>(p) == base::PeerError::timed_out, "a silent peer did not time out");
   test::expect(clk.now() - from < 20s, "the limits did not bind");
   auto gone = m.addr();
   m.acc.close();
   r = http.send(gone, {"", "POST", "/", "x", {}}, 1s);
   test::expect(std::get<base::AttemptError>(r) == base::AttemptError::unsent,
                "a refused connection sent something");
-  p = net.ask(gone, pb::Ask(), 1s);
-  test::expect(std::get<base::NetError>(p) == base::NetError::unreachable,
+  p = net.call(gone, pb::PeerRequest(), 1s);
+  test::expect(std::get<base::PeerError>(p) == base::PeerError::unreachable,
                "a refused connection was not unreachable");
 }
 
@@ -98,7 +98,7 @@
       wire::await<size_t>([&](auto h) { s.async_write_some(boost::asio::buffer(a), std::move(h)); });
     }
   });
-  wire::HttpOrigin http(1 << 20);
+  wire::HttpClient http(1 << 20);
   for (int i = 0; i < 20; ++i) {
     auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 5s);
     test::expect(std::holds_alternative<base::Response>(r),
@@ -124,7 +124,7 @@
       wire::await<size_t>([&](auto h) { s.async_read_some(boost::asio::buffer(b), std::move(h)); });
       wire::await<size_t>([&](auto h) { s.async_write_some(boost::asio::buffer(a), std::move(h)); });
     });
-    wire::HttpOrigin http(1 << 20);
+    wire::HttpClient http(1 << 20);
     auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 5s);
     test::expect(std::holds_alternative<base::AttemptError>(r),
                  "taken for a whole answer: " + a.substr(0, 60));
@@ -147,6 +147,6 @@
          {test::server_cases(), test::origin_cases(), test::answer_cases(), test::client_byte_cases(),
           test::peer_cases(), test::compatibility_wire_cases(), test::forward_cases(), test::soak_cases()})
       all.insert(all.end(), more.begin(), more.end());
-    wire::Pool::stop(test::run_all(all, only));
+    wire::EventLoopPool::stop(test::run_all(all, only));
   });
 }
--- a/test/worker.cpp
+++ b/test/worker.cpp
@@ -29,22 +29,22 @@
 using namespace dunlinwing;
 
 namespace {
-constexpr base::Log lg("worker");
+constexpr base::Log logger("worker");
 
 struct App {
-  wire::Pool pool{2};
-  wire::RealClock clock;
-  wire::RealChance random;
-  wire::HttpOrigin post{1 << 20};
+  wire::EventLoopPool pool{2};
+  wire::SystemClock clock;
+  wire::SystemRandom random;
+  wire::HttpClient post{1 << 20};
   test::Journal journal{FLAGS_journal};
-  std::string instance = base::token(random).substr(0, 12);
+  std::string instance = base::random_token(random).substr(0, 12);
   std::vector<std::string> relays;
   std::atomic<int> load{0};
   std::atomic<bool> leaving{false};
   uint64_t number = 0;
 
-  base::Response answer(base::Request& q) {
-    auto h = [&](const char* n) { return base::header(q.headers, n); };
+  base::Response answer(base::Request& request) {
+    auto h = [&](const char* n) { return base::header(request.headers, n); };
     if (h("Dunlinwing-Service") != FLAGS_service || h("Dunlinwing-Version") != FLAGS_runs ||
         h("Dunlinwing-Instance") != instance)
       return {421,
@@ -60,18 +60,19 @@
     clock.sleep(Duration(fault == "slow" ? FLAGS_work_ms * 500 : FLAGS_work_ms));
     auto body = fmt::format(
         R"({{"service":"{}","version":"{}","instance":"{}","target":{},"echo":{},"produced":{},"pad":"{}"}})",
-        FLAGS_service, FLAGS_runs, instance, test::qt(q.target), test::qt(id), at,
+        FLAGS_service, FLAGS_runs, instance, test::qt(request.target), test::qt(id), at,
         std::string(static_cast<size_t>(FLAGS_pad), 'x'));
     auto sum = base::sha256_base64(body);
     bool bad = fault == "error" || fault == "wrong_bytes" || fault == "wrong_name" || fault == "lose_answer";
     journal.line(fmt::format(
         R"({{"t":"run","id":{},"rid":"{}","method":"{}","target":{},"in":"{}","out":"{}","service":"{}","version":"{}","instance":"{}","relay":"{}","gen":"{}","at":{},"bad":{}}})",
-        test::qt(id), h("Dunlinwing-Request"), q.method, test::qt(q.target), base::sha256_base64(q.body), sum,
-        FLAGS_service, FLAGS_runs, instance, h("Dunlinwing-Relay"), h("Dunlinwing-Generation"), at, bad));
+        test::qt(id), h("Dunlinwing-Request"), request.method, test::qt(request.target),
+        base::sha256_base64(request.body), sum, FLAGS_service, FLAGS_runs, instance, h("Dunlinwing-Relay"),
+        h("Dunlinwing-Generation"), at, bad));
     if (fault == "lose_answer") clock.sleep(3600s);  // the work is done and the answer never comes
-    base::Response r{fault == "error" ? 500 : 200, {}, body};
-    if (fault == "wrong_bytes") r.body[r.body.size() / 2] ^= 1;
-    auto put = [&](const char* k, std::string v) { r.headers.emplace_back(k, std::move(v)); };
+    base::Response response{fault == "error" ? 500 : 200, {}, body};
+    if (fault == "wrong_bytes") response.body[response.body.size() / 2] ^= 1;
+    auto put = [&](const char* k, std::string v) { response.headers.emplace_back(k, std::move(v)); };
     put("Content-Type", "application/json");
     put("Content-Digest", "sha-256=:" + sum + ":");
     put("Dunlinwing-Service", FLAGS_service);
@@ -79,22 +80,22 @@
     put("Dunlinwing-Instance", fault == "wrong_name" ? "somebody" : instance);
     put("Dunlinwing-Request", h("Dunlinwing-Request"));
     put("Dunlinwing-Load", std::to_string(load.load()));
-    if (FLAGS_max_age > 0 && q.method == "GET")
+    if (FLAGS_max_age > 0 && request.method == "GET")
       put("Cache-Control", fmt::format("max-age={}", FLAGS_max_age));
     --load;
-    return r;
+    return response;
   }
 
   bool beat() {
-    base::Request q;
-    q.method = "POST";
-    q.target = "/v1/beats";
-    q.body = fmt::format(
+    base::Request request;
+    request.method = "POST";
+    request.target = "/v1/beats";
+    request.body = fmt::format(
         R"({{"service":"{}","version":"{}","instance":"{}","zone":"{}","address":"{}","capacity":{},"leaving":{},"number":{},"period_ms":{}}})",
         FLAGS_service, FLAGS_runs, instance, FLAGS_zone, FLAGS_address, FLAGS_capacity, leaving.load(),
         ++number, FLAGS_period_ms);
     for (int i = 0; i < 4; ++i) {
-      auto r = post.send(relays[random.below(relays.size())], q, 1500ms);
+      auto r = post.send(relays[random.below(relays.size())], request, 1500ms);
       auto* a = std::get_if<base::Response>(&r);
       if (a && a->status == 200) return true;
     }
@@ -117,7 +118,7 @@
         break;
       }
     clock.sleep(3000ms);
-    wire::Pool::stop(0);
+    wire::EventLoopPool::stop(0);
   }
 };
 }  // namespace
@@ -126,7 +127,7 @@
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   std::signal(SIGPIPE, SIG_IGN);
   App a;
-  a.relays = base::words(FLAGS_relays, ',');
+  a.relays = base::split_list(FLAGS_relays, ',');
   if (a.relays.empty() || FLAGS_service.empty()) {
     std::cerr << "worker: --service and --relays are needed\n";
     return 2;
