--- a/test/compatibility_unit.cpp
+++ b/test/compatibility_unit.cpp
@@ -41,30 +41,24 @@
 
 /// The messages that no other one holds as a field, by their names in 0a5d9f4.
 const std::map<std::string, const gp::Descriptor*> kRoots = {
-    {"Ask", pb::Ask::descriptor()},
-    {"Reply", pb::Reply::descriptor()},
-    {"Record", pb::Record::descriptor()},
-    {"Image", pb::Image::descriptor()},
-    {"Rollout", pb::Rollout::descriptor()},
-    {"Act", pb::Act::descriptor()},
-    {"LeaderLease", pb::LeaderLease::descriptor()},
-    {"PurgeSet", pb::PurgeSet::descriptor()},
-    {"ServiceState", pb::ServiceState::descriptor()},
-    {"Order", pb::Order::descriptor()},
-    {"Deregistered", pb::Deregistered::descriptor()},
-    {"Drain", pb::Drain::descriptor()},
-    {"Shares", pb::Shares::descriptor()},
+    {"Ask", pb::PeerRequest::descriptor()},           {"Reply", pb::PeerResponse::descriptor()},
+    {"Record", pb::LogRecord::descriptor()},          {"Image", pb::Snapshot::descriptor()},
+    {"Rollout", pb::RolloutState::descriptor()},      {"Act", pb::OperatorAction::descriptor()},
+    {"LeaderLease", pb::LeaderLease::descriptor()},   {"PurgeSet", pb::PurgeSet::descriptor()},
+    {"ServiceState", pb::ServiceState::descriptor()}, {"Order", pb::NumberedConfiguration::descriptor()},
+    {"Deregistered", pb::Deregistered::descriptor()}, {"Drain", pb::Drain::descriptor()},
+    {"Shares", pb::RateQuotas::descriptor()},
 };
 
 /// What a register holds, by the whole name or, where it ends with a slash, the beginning of the name.
 /// Null: a JSON document.
 const std::map<std::string, const gp::Descriptor*> kRegisters = {
-    {"act/", pb::Act::descriptor()},           {"departed", pb::Deregistered::descriptor()},
-    {"drain/", pb::Drain::descriptor()},       {"duty/", pb::LeaderLease::descriptor()},
-    {"holders", pb::ReplicaSet::descriptor()}, {"order", pb::Order::descriptor()},
-    {"purge/", pb::PurgeSet::descriptor()},    {"release/", nullptr},
-    {"rollout", pb::Rollout::descriptor()},    {"service/", pb::ServiceState::descriptor()},
-    {"share/", pb::Shares::descriptor()},
+    {"act/", pb::OperatorAction::descriptor()},  {"departed", pb::Deregistered::descriptor()},
+    {"drain/", pb::Drain::descriptor()},         {"duty/", pb::LeaderLease::descriptor()},
+    {"holders", pb::ReplicaSet::descriptor()},   {"order", pb::NumberedConfiguration::descriptor()},
+    {"purge/", pb::PurgeSet::descriptor()},      {"release/", nullptr},
+    {"rollout", pb::RolloutState::descriptor()}, {"service/", pb::ServiceState::descriptor()},
+    {"share/", pb::RateQuotas::descriptor()},
 };
 
 std::string read_file(const fs::path& path) {
@@ -286,13 +280,13 @@
   return out;
 }
 
-void same_image(const base::Loaded& loaded) {
+void same_snapshot(const base::LoadedSnapshot& loaded) {
   auto want = expected();
-  expect(!loaded.doubt && !loaded.unwritten, "the data folder is not believed");
-  same(int(loaded.image.stage()), want.stage, "stage");
-  expect(serialized(loaded.image.set()) == serialized(want.set), "the replica set is another");
-  same(size_t(loaded.image.slots_size()), want.registers.size(), "registers");
-  for (auto& slot : loaded.image.slots()) {
+  expect(!loaded.possibly_lost && !loaded.unwritten, "the data folder is not believed");
+  same(int(loaded.snapshot.stage()), want.stage, "stage");
+  expect(serialized(loaded.snapshot.replica_set()) == serialized(want.set), "the replica set is another");
+  same(size_t(loaded.snapshot.registers_size()), want.registers.size(), "registers");
+  for (auto& slot : loaded.snapshot.registers()) {
     all_known(slot, slot.name());
     expect(want.registers.count(slot.name()) && serialized(slot) == serialized(want.registers[slot.name()]),
            "register " + slot.name() + " is another");
@@ -308,7 +302,7 @@
   }
   ~FolderCopy() { fs::remove_all(path); }
 
-  base::Loaded load() const {
+  base::LoadedSnapshot load() const {
     auto folder = storage::open_folder(path.string());
     expect(std::holds_alternative<std::unique_ptr<storage::Files>>(folder), "the folder does not open");
     return storage::SnapshotStore(std::move(std::get<std::unique_ptr<storage::Files>>(folder)), kLogBytes)
@@ -319,14 +313,14 @@
 /// Once as the old program left it, and once as today's wrote it anew while loading.
 void data_folder_is_loaded() {
   FolderCopy copy;
-  same_image(copy.load());
-  same_image(copy.load());
+  same_snapshot(copy.load());
+  same_snapshot(copy.load());
 }
 
 /// The replica whose folder it is, in a world of its own.
 struct Replica {
   struct NoOrigin final : base::Origin {
-    bool reach(const std::string&, Duration) override { return false; }
+    bool can_connect(const std::string&, Duration) override { return false; }
     std::variant<base::Response, base::AttemptError> send(const std::string&, const base::Request&,
                                                           const base::AttemptRules&) override {
       return base::AttemptError::unsent;
@@ -334,17 +328,17 @@
   };
 
   simulation::World world{7};
-  simulation::LifePtr life = std::make_shared<simulation::Life>();
-  simulation::Platter platter{read_folder("data")};
+  simulation::ProcessRunPtr process = std::make_shared<simulation::ProcessRun>();
+  simulation::DiskContents disk_contents{read_folder("data")};
   simulation::Directory directory;
   int64_t wall = 0;
-  simulation::Clock clock{world, life, &wall};
+  simulation::Clock clock{world, process, &wall};
   simulation::Random random{world};
-  simulation::Tasks tasks{world, life};
-  simulation::Net net{world, life, directory};
+  simulation::Tasks tasks{world, process};
+  simulation::Net net{world, process, directory};
   NoOrigin origin;
   base::Ports ports{clock, random, tasks, net, origin};
-  simulation::Disk disk{world, life, platter};
+  simulation::Disk disk{world, process, disk_contents};
   consensus::ReplicaSetView set{{{"a1", "peer:a1"}}};
   consensus::Acceptor acceptor{ports, disk, "a1", set, Duration(500)};
 
@@ -352,9 +346,9 @@
   void run(const std::function<void()>& steps) {
     std::string failure = "the steps did not come to their end";
     world.run(world.now() + Duration(60000), nullptr, [&] {
-      life->host = "a1";
+      process->host = "a1";
       acceptor.start({});
-      world.spawn(life, [&] {
+      world.spawn(process, [&] {
         try {
           steps();
           failure.clear();
@@ -363,23 +357,23 @@
         }
       });
     });
-    world.kill(life);
+    world.kill(process);
     world.run(world.now() + Duration(1000), nullptr, nullptr);
     expect(failure.empty(), failure);
   }
 
-  pb::Ask ask() const {
-    pb::Ask ask;
-    ask.set_epoch(set.epoch());
-    return ask;
+  pb::PeerRequest request() const {
+    pb::PeerRequest request;
+    request.set_epoch(set.epoch());
+    return request;
   }
-  pb::Vote peek(const std::string& name) {
-    auto peek = ask();
-    peek.mutable_peek()->set_name(name);
-    return acceptor.answer(peek).vote();
+  pb::Vote read(const std::string& name) {
+    auto read = request();
+    read.mutable_read_register()->set_name(name);
+    return acceptor.answer(read).vote();
   }
   pb::Vote prepare(const std::string& name, const pb::Ballot& ballot) {
-    auto prepare = ask();
+    auto prepare = request();
     prepare.mutable_prepare()->set_name(name);
     *prepare.mutable_prepare()->mutable_ballot() = ballot;
     return acceptor.answer(prepare).vote();
@@ -388,25 +382,29 @@
 
 /// A promise once given binds, and a higher ballot is told the value that was accepted.
 void votes_as_before(Replica& replica, const std::string& name, const pb::RegisterState& state) {
-  auto peeked = replica.peek(name);
-  expect(peeked.yes() && serialized(peeked.slot()) == serialized(state), name + ": peeked is another");
+  auto present = replica.read(name);
+  expect(present.granted() && serialized(present.register_state()) == serialized(state),
+         name + ": another state is read");
   expect(state.promised().round() > 0, name + " was promised to nobody");
   auto again = replica.prepare(name, state.promised());
-  expect(!again.yes() && !again.mute(), name + ": promised twice under one ballot");
+  expect(!again.granted() && !again.non_voting(), name + ": promised twice under one ballot");
   auto higher = state.promised();
   higher.set_round(higher.round() + 1);
   auto vote = replica.prepare(name, higher);
-  expect(vote.yes(), name + ": no promise to a higher ballot");
-  expect(serialized(vote.slot().promised()) == serialized(higher), name + ": the promise is another");
-  expect(serialized(vote.slot().accepted()) == serialized(state.accepted()), name + ": another was accepted");
-  expect(serialized(vote.slot().value()) == serialized(state.value()), name + ": the value is another");
+  expect(vote.granted(), name + ": no promise to a higher ballot");
+  expect(serialized(vote.register_state().promised()) == serialized(higher),
+         name + ": the promise is another");
+  expect(serialized(vote.register_state().accepted()) == serialized(state.accepted()),
+         name + ": another was accepted");
+  expect(serialized(vote.register_state().value()) == serialized(state.value()),
+         name + ": the value is another");
 }
 
 void replica_votes() {
   Replica replica;
   auto want = expected();
   replica.run([&] {
-    expect(!replica.acceptor.mute(), "the replica does not vote");
+    expect(!replica.acceptor.non_voting(), "the replica does not vote");
     same(replica.set.epoch(), want.set.epoch(), "epoch");
     for (auto& [name, state] : want.registers) votes_as_before(replica, name, state);
   });
@@ -435,14 +433,14 @@
 
 void register_names() {
   same(std::string(rollout::kRolloutKey), std::string("rollout"), "rollout");
-  same(std::string(traffic::kOrderKey), std::string("order"), "numbered configuration");
+  same(std::string(traffic::kNumberedConfigurationKey), std::string("order"), "numbered configuration");
   same(std::string(membership::kDeregisteredKey), std::string("departed"), "deregistered instances");
   same(std::string(consensus::kReplicaSetKey), std::string("holders"), "replica set");
   same(membership::leadership_key("rollout"), std::string("duty/rollout"), "lease");
   same(rollout::service_key("x"), std::string("service/x"), "service");
-  same(rollout::share_key("x"), std::string("share/x"), "shares");
+  same(rollout::quota_key("x"), std::string("share/x"), "shares");
   same(rollout::release_key("layout", "x"), std::string("release/layout/x"), "release");
-  same(rollout::act_key("layout", "x"), std::string("act/layout/x"), "acts on a release");
+  same(rollout::operator_action_key("layout", "x"), std::string("act/layout/x"), "acts on a release");
   same(relay::drain_key("node", "x"), std::string("drain/node/x"), "drain");
 }
 
--- a/test/wire_compatibility.cpp
+++ b/test/wire_compatibility.cpp
@@ -42,32 +42,33 @@
   return out;
 }
 
-/// The bytes of the next frame on the line, without its length.
-std::string read_frame(wire::Line& line) {
+/// The bytes of the next frame on the connection, without its length.
+std::string read_frame(wire::Connection& connection) {
   auto size = [&] {
-    auto got = line.got();
+    auto got = connection.buffered();
     if (got.size() < 4) return size_t(4);
     size_t bytes = 0;
     for (int i = 0; i < 4; ++i) bytes = bytes << 8 | static_cast<unsigned char>(got[i]);
     return 4 + bytes;
   };
-  while (line.got().size() < size()) expect(!line.fill(), "the connection ended within a reply");
-  auto bytes = std::string(line.got().substr(4, size() - 4));
-  line.use(size());
+  while (connection.buffered().size() < size())
+    expect(!connection.read_more(), "the connection ended within a reply");
+  auto bytes = std::string(connection.buffered().substr(4, size() - 4));
+  connection.consume(size());
   return bytes;
 }
 
 /// What the relay under test was asked last, and what it is to reply.
 struct Exchange {
   std::string asked;
-  pb::Reply reply;
+  pb::PeerResponse reply;
 };
 
 /// Serves on an address of its own for as long as the process lives.
 std::string serve(const std::shared_ptr<Exchange>& exchange) {
   for (int port = 23700 + static_cast<int>(::getpid() % 300);; ++port) {
     auto address = fmt::format("127.0.0.1:{}", port);
-    if (!wire::serve_peers(pool(), address, [exchange](const pb::Ask& ask) {
+    if (!wire::serve_peers(pool(), address, [exchange](const pb::PeerRequest& ask) {
           exchange->asked = serialized(ask);
           return exchange->reply;
         }))
@@ -86,13 +87,13 @@
     auto& reply = replies[i % replies.size()];
     expect(exchange->reply.ParseFromString(reply), "an old reply is not read");
     old_relay.send(length_of(asks[i]) + asks[i]);
-    pb::Reply back;
-    expect(back.ParseFromString(read_frame(*old_relay.l)), "the reply is not read");
+    pb::PeerResponse back;
+    expect(back.ParseFromString(read_frame(*old_relay.connection)), "the reply is not read");
     expect(exchange->asked == asks[i], fmt::format("ask {} was heard as other bytes", i));
-    pb::Ask ask;
+    pb::PeerRequest ask;
     ask.ParseFromString(asks[i]);
-    expect(back.number() > 0 && back.number() == ask.number(), "the reply is for another ask");
-    back.set_number(exchange->reply.number());
+    expect(back.request_id() > 0 && back.request_id() == ask.request_id(), "the reply is for another ask");
+    back.set_request_id(exchange->reply.request_id());
     expect(serialized(back) == reply, fmt::format("the reply to ask {} went out as other bytes", i));
   }
 }
@@ -102,27 +103,28 @@
   auto asks = old_frames("Ask."), replies = old_frames("Reply.");
   expect(asks.size() == 10 && replies.size() == 7, "fixtures are missing");
   size_t next = 0;
-  pb::Ask heard;
-  ScriptedPeer old_relay([&](int, const pb::Ask& ask) {
+  pb::PeerRequest heard;
+  ScriptedPeer old_relay([&](int, const pb::PeerRequest& ask) {
     heard = ask;
-    pb::Reply number;
-    number.set_number(ask.number());  // read as one message with what stands before
+    pb::PeerResponse number;
+    number.set_request_id(ask.request_id());  // read as one message with what stands before
     auto bytes = replies[next % replies.size()] + number.SerializeAsString();
     return length_of(bytes) + bytes;
   });
-  wire::PeerNet net;
+  wire::PeerClient client;
   for (; next < asks.size(); ++next) {
-    pb::Ask ask;
+    pb::PeerRequest ask;
     expect(ask.ParseFromString(asks[next]), "an old ask is not read");
-    auto answer = net.ask(old_relay.address(), ask, kPlenty);
-    auto* reply = std::get_if<pb::Reply>(&answer);
+    auto answer = client.call(old_relay.address(), ask, kPlenty);
+    auto* reply = std::get_if<pb::PeerResponse>(&answer);
     expect(reply != nullptr, fmt::format("no reply to ask {}", next));
-    expect(reply->number() > 0 && reply->number() == heard.number(), "the reply is for another ask");
-    pb::Reply sent;
+    expect(reply->request_id() > 0 && reply->request_id() == heard.request_id(),
+           "the reply is for another ask");
+    pb::PeerResponse sent;
     sent.ParseFromString(replies[next % replies.size()]);
-    reply->set_number(sent.number());
+    reply->set_request_id(sent.request_id());
     expect(serialized(*reply) == replies[next % replies.size()], "a reply was heard as other bytes");
-    heard.set_number(ask.number());
+    heard.set_request_id(ask.request_id());
     expect(serialized(heard) == asks[next], fmt::format("ask {} was sent as other bytes", next));
   }
 }
