--- a/src/control_api/services.cpp
+++ b/src/control_api/services.cpp
@@ -14,7 +14,8 @@
 namespace {
 using RoutingConfigurationPtr = std::shared_ptr<const traffic::RoutingConfiguration>;
 
-std::variant<RoutingConfigurationPtr, base::Response> numbered_configuration(relay::Node& node, const std::string& data) {
+std::variant<RoutingConfigurationPtr, base::Response> numbered_configuration(relay::Node& node,
+                                                                             const std::string& data) {
   pb::NumberedConfiguration held;
   held.ParseFromString(data);
   auto table = node.request_handler().snapshot();
