--- a/src/base/common.hpp
+++ b/src/base/common.hpp
@@ -1,5 +1,6 @@
-// The project's one common header: the names every part uses for time and
-// results, and the helper that visits a variant. Nothing here does any work.
+/// @file
+/// What every part uses: the names for time, and the standard headers that nearly all need. Nothing here
+/// does any work.
 #pragma once
 #include <chrono>
 #include <cstdint>
@@ -16,20 +17,15 @@
 namespace dunlinwing {
 
 using Duration = std::chrono::milliseconds;
-using TimePoint = std::chrono::milliseconds;  // since boot, counting sleep
+/// Since boot, counting the time that the machine slept; comparable on one machine only.
+using TimePoint = std::chrono::milliseconds;
 
-template <class... F>
-struct Overloaded : F... {
-  using F::operator()...;
-};
-template <class... F>
-Overloaded(F...) -> Overloaded<F...>;
-
-template <class T, class... V>
-const T* as(const std::variant<V...>& v) {
-  return std::get_if<T>(&v);
+/// The alternative of type T, or null when the variant holds another.
+template <class T, class... Alternatives>
+const T* as(const std::variant<Alternatives...>& value) {
+  return std::get_if<T>(&value);
 }
 
-extern const char* const kSoftware;  // this program's version
+extern const char* const kSoftware;  ///< this program's version
 
 }  // namespace dunlinwing
--- /dev/null
+++ b/src/base/http.hpp
@@ -0,0 +1,35 @@
+/// @file
+/// HTTP requests and responses as plain data, apart from any connection.
+#pragma once
+#include "base/common.hpp"
+
+namespace dunlinwing::base {
+
+/// One header line. Names are compared without regard to the case of ASCII letters.
+struct Header {
+  Header(std::string header_name, std::string header_value)
+      : name(std::move(header_name)), value(std::move(header_value)) {}
+
+  std::string name;
+  std::string value;
+};
+using Headers = std::vector<Header>;  ///< in their order; a name may stand more than once
+
+struct Request {
+  std::string id;  ///< the client's, for its journey through the relays; empty where there is none
+  std::string method;
+  std::string target;  ///< path and query
+  std::string body;
+  Headers headers;
+};
+
+struct Response {
+  int status = 0;
+  Headers headers;
+  std::string body;
+};
+
+/// The value of the first header of that name, empty when there is none.
+std::string header(const Headers& headers, std::string_view name);
+
+}  // namespace dunlinwing::base
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -1,6 +1,7 @@
-// RapidJSON behind the Json and Schema faces. Its validator stops at the first
-// defect, so a schema is taken apart into levels, each checked on its own, and what
-// is missing or unknown is told by hand: a document hears of all that is wrong.
+/// @file
+/// RapidJSON behind Json and Schema. Its validator stops at the first error, so a schema is taken apart
+/// into levels, each checked by itself; members that are missing or unknown are found here, not by
+/// RapidJSON. Thus a document hears of all that is wrong with it.
 #include "base/json.hpp"
 
 #define RAPIDJSON_HAS_STDSTRING 1
@@ -17,199 +18,217 @@
 namespace rj = rapidjson;
 
 struct Json::Impl {
-  std::shared_ptr<rj::Document> doc;
-  const rj::Value* v = nullptr;
+  std::shared_ptr<const rj::Document> document;  ///< holds the memory of `value`
+  const rj::Value* value = nullptr;
 };
 
-Json::Json() {
-  static const auto none = [] {
-    auto i = std::make_shared<Impl>();
-    i->doc = std::make_shared<rj::Document>();
-    i->v = i->doc.get();
-    return i;
-  }();
-  impl_ = none;
+namespace {
+std::string pointer_below(const std::string& pointer, std::string_view key) {
+  return fmt::format("{}/{}", pointer, key);
 }
 
-namespace {
-// RapidJSON keeps the last of two members of one name; an operator who wrote
-// a key twice should be told instead.
-std::optional<ValidationError> twice(const rj::Value& v, const std::string& at) {
-  if (v.IsObject()) {
-    std::map<std::string, int> n;
-    for (auto& m : v.GetObject()) {
-      std::string k = m.name.GetString();
-      if (++n[k] > 1) return ValidationError{at + "/" + k, "the key stands twice"};
-      if (auto d = twice(m.value, at + "/" + k)) return d;
+std::string to_text(const rj::Value& value) {
+  rj::StringBuffer buffer;
+  rj::Writer<rj::StringBuffer> writer(buffer);
+  value.Accept(writer);
+  return buffer.GetString();
+}
+
+/// RapidJSON keeps the last of two members of one name; an operator who wrote a key twice should be told
+/// instead.
+std::optional<ValidationError> find_repeated_key(const rj::Value& value, const std::string& pointer) {
+  if (value.IsObject()) {
+    std::map<std::string, int> counts;
+    for (const auto& member : value.GetObject()) {
+      std::string key = member.name.GetString();
+      auto place = pointer_below(pointer, key);
+      if (++counts[key] > 1) return ValidationError{place, "the key stands twice"};
+      if (auto error = find_repeated_key(member.value, place)) return error;
     }
-  } else if (v.IsArray()) {
-    for (rj::SizeType i = 0; i < v.Size(); ++i)
-      if (auto d = twice(v[i], fmt::format("{}/{}", at, i))) return d;
+  } else if (value.IsArray()) {
+    for (rj::SizeType i = 0; i < value.Size(); ++i)
+      if (auto error = find_repeated_key(value[i], fmt::format("{}/{}", pointer, i))) return error;
   }
   return {};
 }
 }  // namespace
 
-std::variant<Json, ValidationError> Json::parse(std::string_view t) {
-  auto d = std::make_shared<rj::Document>();
-  d->Parse<rj::kParseIterativeFlag | rj::kParseValidateEncodingFlag>(t.data(), t.size());
-  if (d->HasParseError())
-    return ValidationError{"", fmt::format("not JSON at byte {}: {}", d->GetErrorOffset(),
-                                           rj::GetParseError_En(d->GetParseError()))};
-  if (auto w = twice(*d, "")) return *w;
-  auto i = std::make_shared<Impl>();
-  i->doc = d;
-  i->v = d.get();
-  Json json;
-  json.impl_ = i;
-  return json;
+Json::Json() {
+  static const auto null_value = [] {
+    auto document = std::make_shared<rj::Document>();
+    return std::make_shared<const Impl>(Impl{document, document.get()});
+  }();
+  impl_ = null_value;
+}
+
+std::variant<Json, ValidationError> Json::parse(std::string_view text) {
+  auto document = std::make_shared<rj::Document>();
+  document->Parse<rj::kParseIterativeFlag | rj::kParseValidateEncodingFlag>(text.data(), text.size());
+  if (document->HasParseError())
+    return ValidationError{"", fmt::format("not JSON at byte {}: {}", document->GetErrorOffset(),
+                                           rj::GetParseError_En(document->GetParseError()))};
+  if (auto error = find_repeated_key(*document, "")) return *error;
+  return Json(std::make_shared<const Impl>(Impl{document, document.get()}));
 }
 
-bool Json::has(const char* k) const { return impl_->v->IsObject() && impl_->v->HasMember(k); }
+bool Json::has(const char* key) const { return impl_->value->IsObject() && impl_->value->HasMember(key); }
 
-Json Json::at(const char* k) const {
-  if (!has(k)) return {};
-  auto i = std::make_shared<Impl>(*impl_);
-  i->v = &(*impl_->v)[k];
-  Json json;
-  json.impl_ = i;
-  return json;
+Json Json::at(const char* key) const {
+  if (!has(key)) return {};
+  return Json(std::make_shared<const Impl>(Impl{impl_->document, &(*impl_->value)[key]}));
 }
 
-std::vector<std::pair<std::string, Json>> Json::members() const {
-  std::vector<std::pair<std::string, Json>> out;
-  if (impl_->v->IsObject())
-    for (auto& m : impl_->v->GetObject()) out.emplace_back(m.name.GetString(), at(m.name.GetString()));
-  return out;
+std::vector<Json::Member> Json::members() const {
+  std::vector<Member> all;
+  if (!impl_->value->IsObject()) return all;
+  all.reserve(impl_->value->MemberCount());
+  for (const auto& member : impl_->value->GetObject())
+    all.push_back({member.name.GetString(), at(member.name.GetString())});
+  return all;
 }
 
 std::vector<Json> Json::items() const {
-  std::vector<Json> out;
-  if (!impl_->v->IsArray()) return out;
-  for (auto& e : impl_->v->GetArray()) {
-    auto i = std::make_shared<Impl>(*impl_);
-    i->v = &e;
-    Json json;
-    json.impl_ = i;
-    out.push_back(json);
-  }
-  return out;
+  std::vector<Json> all;
+  if (!impl_->value->IsArray()) return all;
+  all.reserve(impl_->value->Size());
+  for (const auto& element : impl_->value->GetArray())
+    all.push_back(Json(std::make_shared<const Impl>(Impl{impl_->document, &element})));
+  return all;
 }
 
-std::string Json::string_or(const std::string& def) const {
-  return impl_->v->IsString() ? std::string(impl_->v->GetString(), impl_->v->GetStringLength()) : def;
+std::string Json::string_or(const std::string& fallback) const {
+  const auto& value = *impl_->value;
+  return value.IsString() ? std::string(value.GetString(), value.GetStringLength()) : fallback;
 }
-int64_t Json::integer_or(int64_t def) const { return impl_->v->IsInt64() ? impl_->v->GetInt64() : def; }
-double Json::real_or(double def) const { return impl_->v->IsNumber() ? impl_->v->GetDouble() : def; }
-bool Json::bool_or(bool def) const { return impl_->v->IsBool() ? impl_->v->GetBool() : def; }
 
-std::vector<std::string> Json::strings() const {
-  std::vector<std::string> out;
-  for (auto& i : items()) out.push_back(i.string_or());
-  return out;
+int64_t Json::integer_or(int64_t fallback) const {
+  return impl_->value->IsInt64() ? impl_->value->GetInt64() : fallback;
 }
 
-std::string Json::text() const {
-  rj::StringBuffer b;
-  rj::Writer<rj::StringBuffer> w(b);
-  impl_->v->Accept(w);
-  return b.GetString();
+double Json::real_or(double fallback) const {
+  return impl_->value->IsNumber() ? impl_->value->GetDouble() : fallback;
 }
 
-struct Schema::Impl {
-  struct Node {
-    std::unique_ptr<rj::Document> text;  // this level alone, its children left open
-    std::unique_ptr<rj::SchemaDocument> doc;
-    std::map<std::string, std::unique_ptr<Node>> named;
-    std::unique_ptr<Node> others, items;
-    bool closed = false;
-    std::vector<std::string> required;
-  };
-  Node root;
-};
+bool Json::bool_or(bool fallback) const {
+  return impl_->value->IsBool() ? impl_->value->GetBool() : fallback;
+}
+
+std::vector<std::string> Json::strings() const {
+  std::vector<std::string> all;
+  for (auto& item : items()) all.push_back(item.string_or());
+  return all;
+}
+
+std::string Json::text() const { return to_text(*impl_->value); }
 
 namespace {
-void build(const rj::Value& s, Schema::Impl::Node& n) {
-  n.text = std::make_unique<rj::Document>();
-  n.text->CopyFrom(s, n.text->GetAllocator());
-  auto child = [](const rj::Value& v) {
-    auto c = std::make_unique<Schema::Impl::Node>();
-    build(v, *c);
-    return c;
-  };
-  auto& t = *n.text;
-  if (s.HasMember("properties"))
-    for (auto& m : s["properties"].GetObject()) {
-      n.named[m.name.GetString()] = child(m.value);
-      t["properties"][m.name.GetString()].SetObject();
-    }
-  if (s.HasMember("additionalProperties")) {
-    if (s["additionalProperties"].IsObject()) {
-      n.others = child(s["additionalProperties"]);
-      t["additionalProperties"].SetObject();
-    } else {
-      n.closed = !s["additionalProperties"].GetBool();
-      t.RemoveMember("additionalProperties");
+/// One level of a schema, its children taken out and compiled by themselves.
+struct SchemaLevel {
+  std::unique_ptr<rj::Document> text;
+  std::unique_ptr<rj::SchemaDocument> compiled;  ///< of `text`
+  std::map<std::string, std::unique_ptr<SchemaLevel>> properties;
+  std::unique_ptr<SchemaLevel> other_properties;  ///< null: whatever `closed` says
+  std::unique_ptr<SchemaLevel> items;             ///< null: any
+  bool closed = false;                            ///< properties that the schema does not name are errors
+  std::vector<std::string> required;
+};
+
+std::unique_ptr<SchemaLevel> compile(const rj::Value& schema);
+
+void take_out_properties(const rj::Value& schema, SchemaLevel& level) {
+  if (schema.HasMember("properties"))
+    for (const auto& member : schema["properties"].GetObject()) {
+      level.properties[member.name.GetString()] = compile(member.value);
+      (*level.text)["properties"][member.name.GetString()].SetObject();
     }
+  if (!schema.HasMember("additionalProperties")) return;
+  const auto& others = schema["additionalProperties"];
+  if (others.IsObject()) {
+    level.other_properties = compile(others);
+    (*level.text)["additionalProperties"].SetObject();
+  } else {
+    level.closed = !others.GetBool();
+    level.text->RemoveMember("additionalProperties");
   }
-  if (s.HasMember("items")) {
-    n.items = child(s["items"]);
-    t["items"].SetObject();
+}
+
+std::unique_ptr<SchemaLevel> compile(const rj::Value& schema) {
+  auto level = std::make_unique<SchemaLevel>();
+  level->text = std::make_unique<rj::Document>();
+  level->text->CopyFrom(schema, level->text->GetAllocator());
+  take_out_properties(schema, *level);
+  if (schema.HasMember("items")) {
+    level->items = compile(schema["items"]);
+    (*level->text)["items"].SetObject();
+  }
+  if (schema.HasMember("required"))
+    for (const auto& name : schema["required"].GetArray()) level->required.emplace_back(name.GetString());
+  level->text->RemoveMember("required");
+  level->compiled = std::make_unique<rj::SchemaDocument>(*level->text);
+  return level;
+}
+
+/// Checks documents against a compiled schema and collects what is wrong.
+struct Validation {
+  std::vector<ValidationError> errors;
+
+  void check(const rj::Value& value, const SchemaLevel& level, const std::string& pointer) {
+    check_level(value, level, pointer);
+    if (value.IsObject()) check_object(value, level, pointer);
+    if (value.IsArray() && level.items)
+      for (rj::SizeType i = 0; i < value.Size(); ++i)
+        check(value[i], *level.items, fmt::format("{}/{}", pointer, i));
   }
-  if (s.HasMember("required"))
-    for (auto& r : s["required"].GetArray()) n.required.push_back(r.GetString());
-  t.RemoveMember("required");
-  n.doc = std::make_unique<rj::SchemaDocument>(t);
-}
-
-void walk(const rj::Value& v, const Schema::Impl::Node& n, const std::string& at,
-          std::vector<ValidationError>& out) {
-  rj::SchemaValidator val(*n.doc);
-  if (!v.Accept(val)) {
-    std::string k = val.GetInvalidSchemaKeyword() ? val.GetInvalidSchemaKeyword() : "schema";
-    rj::StringBuffer b;
-    rj::Writer<rj::StringBuffer> w(b);
-    if (n.text->HasMember(k)) (*n.text)[k].Accept(w);
-    out.push_back({at, fmt::format("breaks {} {}", k, b.GetString())});
+
+ private:
+  void check_level(const rj::Value& value, const SchemaLevel& level, const std::string& pointer) {
+    rj::SchemaValidator validator(*level.compiled);
+    if (value.Accept(validator)) return;
+    const auto* invalid = validator.GetInvalidSchemaKeyword();
+    std::string keyword = invalid ? invalid : "schema";
+    auto limit = level.text->HasMember(keyword) ? to_text((*level.text)[keyword]) : "";
+    errors.push_back({pointer, fmt::format("breaks {} {}", keyword, limit)});
   }
-  if (v.IsObject())
-    for (auto& r : n.required)
-      if (!v.HasMember(r)) out.push_back({at + "/" + r, "is missing"});
-  if (v.IsObject())
-    for (auto& m : v.GetObject()) {
-      std::string k = m.name.GetString(), here = at + "/" + k;
-      if (auto f = n.named.find(k); f != n.named.end())
-        walk(m.value, *f->second, here, out);
-      else if (n.others)
-        walk(m.value, *n.others, here, out);
-      else if (n.closed)
-        out.push_back({here, "is not a known key"});
+
+  void check_object(const rj::Value& object, const SchemaLevel& level, const std::string& pointer) {
+    for (const auto& name : level.required)
+      if (!object.HasMember(name)) errors.push_back({pointer_below(pointer, name), "is missing"});
+    for (const auto& member : object.GetObject()) {
+      std::string key = member.name.GetString();
+      auto place = pointer_below(pointer, key);
+      if (auto found = level.properties.find(key); found != level.properties.end())
+        check(member.value, *found->second, place);
+      else if (level.other_properties)
+        check(member.value, *level.other_properties, place);
+      else if (level.closed)
+        errors.push_back({place, "is not a known key"});
     }
-  if (v.IsArray() && n.items)
-    for (rj::SizeType i = 0; i < v.Size(); ++i) walk(v[i], *n.items, fmt::format("{}/{}", at, i), out);
-}
+  }
+};
 }  // namespace
 
-Schema::Schema(std::string_view t) {
-  auto p = std::make_shared<Impl>();
-  rj::Document d;
-  d.Parse(t.data(), t.size());
-  if (d.HasParseError()) throw std::logic_error("a built-in schema is not JSON");
-  build(d, p->root);
-  impl_ = p;
+struct Schema::Impl {
+  std::unique_ptr<SchemaLevel> root;
+};
+
+Schema::Schema(std::string_view text) {
+  rj::Document schema;
+  schema.Parse(text.data(), text.size());
+  if (schema.HasParseError()) throw std::logic_error("a built-in schema is not JSON");
+  impl_ = std::make_shared<const Impl>(Impl{compile(schema)});
 }
 
-std::vector<ValidationError> Schema::check(const Json& json) const {
-  std::vector<ValidationError> out;
-  walk(*json.impl_->v, impl_->root, "", out);
-  return out;
+std::vector<ValidationError> Schema::check(const Json& document) const {
+  Validation validation;
+  validation.check(*document.impl_->value, *impl_->root, "");
+  return std::move(validation.errors);
 }
 
-std::string quote(std::string_view s) {
-  rj::StringBuffer b;
-  rj::Writer<rj::StringBuffer> w(b);
-  w.String(s.data(), static_cast<rj::SizeType>(s.size()));
-  return b.GetString();
+std::string quote(std::string_view text) {
+  rj::StringBuffer buffer;
+  rj::Writer<rj::StringBuffer> writer(buffer);
+  writer.String(text.data(), static_cast<rj::SizeType>(text.size()));
+  return buffer.GetString();
 }
 
 }  // namespace dunlinwing::base
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -1,37 +1,43 @@
-// One write a line, so that lines of several threads do not mix.
+/// @file
+/// One write a line, so that lines of several threads do not mix.
 #include "base/log.hpp"
 
 #include <unistd.h>
 
+#include <array>
 #include <atomic>
 #include <ctime>
 
 namespace dunlinwing::base {
 namespace {
-std::atomic<Level> floor_level{Level::info};
-}
+std::atomic<Level> lowest_level{Level::info};
+constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info", "warn", "error"};  ///< by Level
+constexpr int64_t kNanosecondsPerMillisecond = 1000000;
+}  // namespace
 
-void set_level(Level l) { floor_level = l; }
+void set_level(Level level) { lowest_level = level; }
 
-bool parse_level(std::string_view s, Level& out) {
-  static const std::pair<std::string_view, Level> all[] = {
-      {"debug", Level::debug}, {"info", Level::info}, {"warn", Level::warn}, {"error", Level::error}};
-  for (auto& [n, l] : all)
-    if (n == s) return out = l, true;
+bool parse_level(std::string_view name, Level& level) {
+  for (size_t i = 0; i < kLevelNames.size(); ++i) {
+    if (kLevelNames[i] != name) continue;
+    level = static_cast<Level>(i);
+    return true;
+  }
   return false;
 }
 
-void log_line(Level l, std::string_view part, const std::string& text) {
-  if (l < floor_level.load()) return;
-  static const char* const marks[] = {"debug", "info", "warn", "error"};
-  timespec t{};
-  clock_gettime(CLOCK_REALTIME, &t);
-  tm g{};
-  gmtime_r(&t.tv_sec, &g);
-  auto s = fmt::format("{:04}-{:02}-{:02}T{:02}:{:02}:{:02}.{:03}Z {:5} {}: {}\n", g.tm_year + 1900,
-                       g.tm_mon + 1, g.tm_mday, g.tm_hour, g.tm_min, g.tm_sec, t.tv_nsec / 1000000,
-                       marks[static_cast<int>(l)], part, text);
-  if (::write(2, s.data(), s.size()) < 0) return;
+void log_line(Level level, std::string_view part, const std::string& text) {
+  if (level < lowest_level.load()) return;
+  timespec now{};
+  clock_gettime(CLOCK_REALTIME, &now);
+  tm date{};
+  gmtime_r(&now.tv_sec, &date);
+  auto line = fmt::format("{:04}-{:02}-{:02}T{:02}:{:02}:{:02}.{:03}Z {:5} {}: {}\n", date.tm_year + 1900,
+                          date.tm_mon + 1, date.tm_mday, date.tm_hour, date.tm_min, date.tm_sec,
+                          now.tv_nsec / kNanosecondsPerMillisecond, kLevelNames[static_cast<size_t>(level)],
+                          part, text);
+  // A line that cannot be written has nowhere to be told of.
+  if (::write(STDERR_FILENO, line.data(), line.size()) < 0) return;
 }
 
 }  // namespace dunlinwing::base
--- a/src/base/ports.hpp
+++ b/src/base/ports.hpp
@@ -1,8 +1,12 @@
-// The ports through which the product meets time, random, tasks, the network
-// and disks. The real ones are in wire and disk; the simulated ones are in
-// sim, and run the very same callers on invented time.
+/// @file
+/// The ports through which the product meets time, chance, tasks, the network and disks. The real ones are
+/// in the network and storage folders; the simulated ones run the very same code on invented time.
+///
+/// Threads: the ports may be used from any fiber of the process. A function that waits suspends its
+/// fiber alone.
 #pragma once
-#include "base/common.hpp"
+#include "base/http.hpp"
+#include "base/text.hpp"
 #include "wire.pb.h"  // generated from proto/wire.proto
 
 namespace dunlinwing::base {
@@ -11,104 +15,110 @@
  public:
   virtual ~Clock() = default;
   virtual TimePoint now() = 0;
+  /// Milliseconds since 1970 by the machine's calendar clock, which may be wrong and may jump.
   virtual int64_t wall_ms() = 0;
-  virtual void sleep(Duration s) = 0;
+  virtual void sleep(Duration duration) = 0;
 };
 
 class Random {
  public:
   virtual ~Random() = default;
   virtual uint64_t draw() = 0;
-  uint64_t below(uint64_t n) { return n ? draw() % n : 0; }
+  /// A number from 0 up to, without, the bound; 0 when the bound is 0.
+  uint64_t below(uint64_t bound) { return bound ? draw() % bound : 0; }
 };
 
-// A place where one fiber waits until another wakes it or its time is up.
+/// A place where one fiber waits until another wakes it or its time is up.
 class Condition {
  public:
   virtual ~Condition() = default;
-  virtual bool wait(Duration s) = 0;  // true when woken, false when time ran out
-  virtual void notify() = 0;          // from any thread, any number of times
+  /// @return true when woken, false when the time ran out
+  virtual bool wait(Duration limit) = 0;
+  /// From any thread, any number of times; when nobody waits, the next wait returns at once.
+  virtual void notify() = 0;
 };
 
 class Tasks {
  public:
   virtual ~Tasks() = default;
-  virtual void spawn(std::function<void()> f) = 0;
+  /// Runs the function in a fiber of its own.
+  virtual void spawn(std::function<void()> task) = 0;
   virtual std::shared_ptr<Condition> condition() = 0;
 };
 
-// Only `unreachable` says that nothing was sent.
+/// How a call to another relay failed. Only `unreachable` says that nothing was sent.
 enum class PeerError { unreachable, broken, timed_out, malformed };
 
+/// Calls to other relays.
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
+  /// @param address  IP:port
+  /// @param limit    in which the whole reply must be here
   virtual std::variant<pb::PeerResponse, PeerError> call(const std::string& address,
                                                          const pb::PeerRequest& request, Duration limit) = 0;
 };
 
 enum class DiskError { failed };
 
+/// What a disk holds when the process starts.
 struct LoadedSnapshot {
   pb::Snapshot snapshot;
-  bool possibly_lost = false;  // something synced earlier can no longer be read
-  // The image could not be written anew, so it may stand in caches only: nothing of it may
-  // be told of until Disk::rewrite() succeeds.
+  bool possibly_lost = false;  ///< something synced earlier can no longer be read
+  /// The snapshot could not be written anew, so it may stand in caches only: nothing of it may
+  /// be told of until Disk::rewrite() succeeds.
   bool unwritten = false;
 };
 
+/// The replica's disk.
 class Disk {
  public:
   virtual ~Disk() = default;
   virtual LoadedSnapshot load() = 0;
-  // Returns once all records are synced. `whole` is called when a fresh image is due. After an
-  // error each later save fails too, until a rewrite() succeeds.
+  /// Appends records and returns once all are synced. After an error each later save fails too, until a
+  /// rewrite() succeeds.
+  /// @param whole  called when a fresh snapshot is due
   virtual std::optional<DiskError> save(const std::vector<pb::LogRecord>& records,
                                         const std::function<pb::Snapshot()>& whole) = 0;
-  // The way back after an error: writes the whole image beside what is there, syncs it and reads
-  // it back. Until it succeeds, what was synced before stays what is loaded; after an error
-  // it may be called again.
+  /// The way back after an error: writes the whole snapshot beside what is there, syncs it and reads
+  /// it back. Until it succeeds, what was synced before stays what is loaded; after an error
+  /// it may be called again.
   virtual std::optional<DiskError> rewrite(const pb::Snapshot& whole) = 0;
 };
 
-struct Request {
-  std::string id, method, target, body;
-  std::vector<std::pair<std::string, std::string>> headers;
-};
-
-struct Response {
-  int status = 0;
-  std::vector<std::pair<std::string, std::string>> headers;
-  std::string body;
-};
-
-// How an attempt at a backend instance failed: nothing was sent; the instance itself
-// said that it did not run it; or nobody can tell.
+/// How an attempt at a backend instance failed: nothing was sent; the instance itself
+/// said that it did not run it; or nobody can tell.
 enum class AttemptError { unsent, not_run, unknown };
 
-// What an attempt is bound by. `mine` tells an answer to this request from one that
-// belongs to an earlier request on the same connection; null: every answer is.
-// `nameless` tells an answer that is taken for this request's though it names none: it
-// has no weight where another answer may still come. Null: every answer has a name.
+/// What an attempt is bound by.
 struct AttemptRules {
-  template <class R, class P>
-  AttemptRules(std::chrono::duration<R, P> l) : timeout(l) {}  // a bare limit is a rule
-  Duration timeout;                                            // in which the whole answer must be here
-  Duration connect_timeout{0};  // in which a new connection must stand; 0: the limit
-  int max_connections = 0;      // connections held to this address at once; 0: no bound
-  bool idempotent = false;      // may ride a connection that the worker may be about to close
-  std::function<bool(const Response&)> is_own_response, is_anonymous;
+  /// A bare limit is a rule.
+  template <class Count, class Period>
+  AttemptRules(std::chrono::duration<Count, Period> whole_limit) : timeout(whole_limit) {}
+
+  Duration timeout;             ///< in which the whole response must be here
+  Duration connect_timeout{0};  ///< in which a new connection must stand; 0: `timeout`
+  int max_connections = 0;      ///< connections open to this address at once; 0: no bound
+  bool idempotent = false;      ///< may use a connection that the backend instance may be about to close
+  /// Tells a response to this request from one that belongs to an earlier request on the same
+  /// connection. Null: every response is this request's.
+  std::function<bool(const Response&)> is_own_response;
+  /// Tells a response that is taken for this request's though it names none: it has no weight where
+  /// another response may still come. Null: every response names its request.
+  std::function<bool(const Response&)> is_anonymous;
 };
 
+/// Requests to backend instances.
 class Origin {
  public:
   virtual ~Origin() = default;
-  virtual bool can_connect(const std::string& address,
-                           Duration limit) = 0;  // whether a connection can be made; no byte is sent
+  /// Whether a connection can be made; no byte is sent.
+  virtual bool can_connect(const std::string& address, Duration limit) = 0;
   virtual std::variant<Response, AttemptError> send(const std::string& address, const Request& request,
-                                                    const AttemptRules& r) = 0;
+                                                    const AttemptRules& rules) = 0;
 };
 
+/// The ports of one process. All outlive what uses them.
 struct Ports {
   Clock& clock;
   Random& random;
@@ -117,10 +127,7 @@
   Origin& origin;
 };
 
-std::string header(const std::vector<std::pair<std::string, std::string>>& headers, std::string_view name);
-bool equals_ignore_case(std::string_view a, std::string_view b);    // ASCII case folded
-std::vector<std::string> split_list(std::string_view s, char sep);  // trimmed, none empty
-std::string sha256_base64(std::string_view body);
+/// 128 random bits as 32 hexadecimal digits.
 std::string random_token(Random& random);
 
 }  // namespace dunlinwing::base
--- a/src/base/version.cpp
+++ b/src/base/version.cpp
@@ -1,4 +1,5 @@
-// The version of this program, alone in its file so that a test can link another.
+/// @file
+/// The version of this program, alone in its file so that a test can link another.
 #include "base/common.hpp"
 
 namespace dunlinwing {
--- a/src/cache/cache.cpp
+++ b/src/cache/cache.cpp
@@ -1,66 +1,74 @@
-// The table is one map under one lock, which is never held while waiting.
+/// @file
+/// The entries and the fetches under way stand under one lock, each fetch's state under its own.
+/// Neither is held while the other is taken or while waiting.
 #include "cache/cache.hpp"
 
-#include <algorithm>
-#include <charconv>
 #include <list>
 #include <mutex>
 
 namespace dunlinwing::cache {
+namespace {
+/// Bytes counted for each entry beside its key and body: headers and bookkeeping, as an estimate.
+constexpr size_t kEntryOverheadBytes = 512;
+}  // namespace
 
 struct Cache::Fetch {
   std::mutex mutex;
   bool done = false;
-  CachedResponsePtr item;
-  std::vector<std::shared_ptr<base::Condition>> waits;
+  CachedResponsePtr cached;                                  ///< meaningful once done
+  std::vector<std::shared_ptr<base::Condition>> conditions;  ///< of those who wait; empty once done
 };
 
 struct Cache::Impl {
-  struct Cell {
-    CachedResponsePtr item;
+  struct Entry {
+    CachedResponsePtr cached;
     size_t bytes;
-    std::list<std::string>::iterator use;
+    std::list<std::string>::iterator use;  ///< its place in `uses`
   };
-  mutable std::mutex mutex;
-  std::map<std::string, Cell> by;
-  std::list<std::string> uses;
-  std::map<std::string, std::shared_ptr<Fetch>> fills;
-  size_t bytes = 0;
-
-  void erase(std::map<std::string, Cell>::iterator i) {
-    bytes -= i->second.bytes;
-    uses.erase(i->second.use);
-    by.erase(i);
+  using Entries = std::map<std::string, Entry>;
+
+  mutable std::mutex mutex;     ///< guards all below
+  Entries entries;              ///< by key
+  std::list<std::string> uses;  ///< the keys of all entries, the most recently used first
+  std::map<std::string, std::shared_ptr<Fetch>> fetches;  ///< those under way, by key
+  size_t bytes = 0;                                       ///< the sum over the entries
+
+  void erase(Entries::iterator entry) {
+    bytes -= entry->second.bytes;
+    uses.erase(entry->second.use);
+    entries.erase(entry);
   }
 };
 
 Cache::Cache() : impl_(std::make_unique<Impl>()) {}
 Cache::~Cache() = default;
 
-CachedResponsePtr Cache::find(const std::string& k) {
+CachedResponsePtr Cache::find(const std::string& key) {
   std::lock_guard lock(impl_->mutex);
-  auto f = impl_->by.find(k);
-  if (f == impl_->by.end()) return {};
-  impl_->uses.splice(impl_->uses.begin(), impl_->uses, f->second.use);
-  return f->second.item;
+  auto found = impl_->entries.find(key);
+  if (found == impl_->entries.end()) return {};
+  impl_->uses.splice(impl_->uses.begin(), impl_->uses, found->second.use);
+  return found->second.cached;
 }
 
-void Cache::put(const std::string& k, CachedResponsePtr cached, size_t most) {
-  size_t n = cached->response.body.size() + k.size() + 512;
+void Cache::put(const std::string& key, CachedResponsePtr cached, size_t max_bytes) {
+  size_t added = cached->response.body.size() + key.size() + kEntryOverheadBytes;
   std::lock_guard lock(impl_->mutex);
-  if (auto f = impl_->by.find(k); f != impl_->by.end()) impl_->erase(f);
-  if (n > most) return;
-  while (impl_->bytes + n > most && !impl_->uses.empty()) impl_->erase(impl_->by.find(impl_->uses.back()));
-  impl_->uses.push_front(k);
-  impl_->by[k] = {std::move(cached), n, impl_->uses.begin()};
-  impl_->bytes += n;
+  if (auto found = impl_->entries.find(key); found != impl_->entries.end()) impl_->erase(found);
+  if (added > max_bytes) return;
+  while (impl_->bytes + added > max_bytes && !impl_->uses.empty())
+    impl_->erase(impl_->entries.find(impl_->uses.back()));
+  impl_->uses.push_front(key);
+  impl_->entries[key] = {std::move(cached), added, impl_->uses.begin()};
+  impl_->bytes += added;
 }
 
 void Cache::evict_expired(TimePoint now) {
   std::lock_guard lock(impl_->mutex);
-  for (auto i = impl_->by.begin(); i != impl_->by.end();) {
-    auto at = i++;
-    if (now - at->second.item->generated_at > at->second.item->lifetime) impl_->erase(at);
+  for (auto it = impl_->entries.begin(); it != impl_->entries.end();) {
+    auto entry = it++;
+    const auto& kept = *entry->second.cached;
+    if (now - kept.generated_at > kept.lifetime) impl_->erase(entry);
   }
 }
 
@@ -69,122 +77,40 @@
   return impl_->bytes;
 }
 
-std::shared_ptr<Cache::Fetch> Cache::join_fetch(const std::string& k, bool& lead) {
+Cache::JoinedFetch Cache::join_fetch(const std::string& key) {
   std::lock_guard lock(impl_->mutex);
-  auto& f = impl_->fills[k];
-  lead = !f;
-  if (lead) f = std::make_shared<Fetch>();
-  return f;
+  auto& fetch = impl_->fetches[key];
+  bool leads = !fetch;
+  if (leads) fetch = std::make_shared<Fetch>();
+  return {fetch, leads};
 }
 
-void Cache::finish_fetch(const std::string& k, const std::shared_ptr<Fetch>& f, CachedResponsePtr cached) {
+void Cache::finish_fetch(const std::string& key, const std::shared_ptr<Fetch>& fetch,
+                         CachedResponsePtr cached) {
   {
     std::lock_guard lock(impl_->mutex);
-    if (auto x = impl_->fills.find(k); x != impl_->fills.end() && x->second == f) impl_->fills.erase(x);
+    auto found = impl_->fetches.find(key);
+    if (found != impl_->fetches.end() && found->second == fetch) impl_->fetches.erase(found);
   }
-  std::lock_guard lock(f->mutex);
-  f->done = true;
-  f->item = std::move(cached);
-  for (auto& w : f->waits) w->notify();
-  f->waits.clear();
+  std::lock_guard lock(fetch->mutex);
+  fetch->done = true;
+  fetch->cached = std::move(cached);
+  for (auto& condition : fetch->conditions) condition->notify();
+  fetch->conditions.clear();
 }
 
-std::optional<CachedResponsePtr> Cache::await_fetch(const std::shared_ptr<Fetch>& f,
-                                                    std::shared_ptr<base::Condition> s, Duration limit) {
+std::optional<CachedResponsePtr> Cache::await_fetch(const std::shared_ptr<Fetch>& fetch,
+                                                    const std::shared_ptr<base::Condition>& condition,
+                                                    Duration limit) {
   {
-    std::lock_guard lock(f->mutex);
-    if (f->done) return f->item;
-    f->waits.push_back(s);
+    std::lock_guard lock(fetch->mutex);
+    if (fetch->done) return fetch->cached;
+    fetch->conditions.push_back(condition);
   }
-  s->wait(limit);
-  std::lock_guard lock(f->mutex);
-  if (f->done) return f->item;
+  condition->wait(limit);
+  std::lock_guard lock(fetch->mutex);
+  if (fetch->done) return fetch->cached;
   return {};
 }
 
-namespace {
-std::optional<int64_t> number(std::string_view s) {
-  int64_t v = 0;
-  auto [p, e] = std::from_chars(s.data(), s.data() + s.size(), v);
-  if (e != std::errc() || p != s.data() + s.size() || v < 0) return {};
-  return v;
-}
-
-std::map<std::string, std::string> directives(const std::string& h) {
-  std::map<std::string, std::string> out;
-  for (auto& d : base::split_list(h, ',')) {
-    auto q = d.find('=');
-    auto n = d.substr(0, q);
-    std::transform(n.begin(), n.end(), n.begin(), [](unsigned char c) { return std::tolower(c); });
-    auto v = q == d.npos ? "" : d.substr(q + 1);
-    if (v.size() >= 2 && v.front() == '"' && v.back() == '"') v = v.substr(1, v.size() - 2);
-    if (!n.empty()) out[n] = v;
-  }
-  return out;
-}
-
-std::string joined(const std::vector<std::pair<std::string, std::string>>& headers, std::string_view name) {
-  std::string out;
-  for (auto& [k, v] : headers)
-    if (base::equals_ignore_case(k, name)) out += (out.empty() ? "" : ",") + v;
-  return out;
-}
-}  // namespace
-
-bool is_cacheable_request(const base::Request& request, bool cuts) {
-  if (request.method != "GET" && request.method != "HEAD") return false;
-  for (auto* h :
-       {"Authorization", "If-Modified-Since", "If-Match", "If-Unmodified-Since", "If-Range", "Cookie"})
-    if (!base::header(request.headers, h).empty()) return false;
-  if (!cuts)
-    for (auto* h : {"Range", "If-None-Match"})
-      if (!base::header(request.headers, h).empty()) return false;
-  auto cc = directives(joined(request.headers, "Cache-Control"));
-  return !cc.count("no-store") && !cc.count("no-cache");
-}
-
-std::optional<Duration> response_lifetime(const base::Request& request, const base::Response& response) {
-  if (response.status != 200 || request.method != "GET") return {};
-  if (!base::header(response.headers, "Vary").empty() ||
-      !base::header(response.headers, "Set-Cookie").empty())
-    return {};
-  auto cc = directives(joined(response.headers, "Cache-Control"));
-  for (auto* d : {"no-store", "private", "no-cache"})
-    if (cc.count(d)) return {};
-  for (auto* d : {"s-maxage", "max-age"})
-    if (auto f = cc.find(d); f != cc.end()) {
-      auto n = number(f->second);
-      if (!n || *n == 0) return {};
-      return Duration(std::min<int64_t>(*n, 31536000) * 1000);
-    }
-  return {};
-}
-
-std::optional<Duration> configured_lifetime(const base::Response& response, Duration life) {
-  if (response.status != 200 || !base::header(response.headers, "Set-Cookie").empty()) return {};
-  auto cc = directives(joined(response.headers, "Cache-Control"));
-  for (auto* d : {"no-store", "private", "no-cache"})
-    if (cc.count(d)) return {};
-  return life;
-}
-
-std::optional<ByteRange> parse_byte_range(std::string_view s, size_t bytes) {
-  constexpr std::string_view unit = "bytes=";
-  if (s.substr(0, unit.size()) != unit) return {};
-  s.remove_prefix(unit.size());
-  auto dash = s.find('-');
-  if (dash == s.npos || s.find(',') != s.npos) return {};
-  auto from = number(s.substr(0, dash));
-  auto to = dash + 1 == s.size() ? std::optional<int64_t>(INT64_MAX) : number(s.substr(dash + 1));
-  if (!from || !to || *to < *from) return {};
-  auto at = static_cast<size_t>(*from);
-  if (at >= bytes) return ByteRange{at, 0};
-  return ByteRange{at, static_cast<size_t>(std::min<int64_t>(*to, static_cast<int64_t>(bytes) - 1)) - at + 1};
-}
-
-Duration age_header(const base::Response& response) {
-  auto n = number(base::header(response.headers, "Age"));
-  return Duration(n ? std::min<int64_t>(*n, 31536000) * 1000 : 0);
-}
-
 }  // namespace dunlinwing::cache
--- a/src/cache/cache.hpp
+++ b/src/cache/cache.hpp
@@ -1,17 +1,23 @@
-// Cached receipts, bounded by bytes, oldest use first out; and the fills under
-// way, so that requests for one object wait for one fetch.
+/// @file
+/// The cache of responses, and the fetches under way so that requests for one object wait for one
+/// fetch (request collapsing).
+///
+/// The cache is bounded by bytes; the least recently used response goes first.
+/// Threads: every function may be called from any thread. No lock is held while waiting.
 #pragma once
 #include "base/ports.hpp"
 
 namespace dunlinwing::cache {
 
+/// A response as it is kept, with what decides whether it may still be used.
 struct CachedResponse {
   base::Response response;
-  std::string service, version;
-  std::vector<std::string> tags;
-  TimePoint generated_at{0};  // before the fetch began, less the Age it came with
+  std::string service;            ///< whose response it is
+  std::string version;            ///< the version of the backend instance that gave it
+  std::vector<std::string> tags;  ///< by which it can be purged
+  TimePoint generated_at{0};      ///< before the fetch began, less the Age it came with
   Duration lifetime{0};
-  uint64_t purge_number = 0;  // the purge number known when the fetch began
+  uint64_t purge_number = 0;  ///< the purge number known when the fetch began
 };
 using CachedResponsePtr = std::shared_ptr<const CachedResponse>;
 
@@ -19,36 +25,47 @@
  public:
   Cache();
   ~Cache();
+
+  /// The response under the key, or null; counts as a use of it.
   CachedResponsePtr find(const std::string& key);
-  void put(const std::string& key, CachedResponsePtr cached, size_t most_bytes);
+
+  /// Keeps a response in place of the one under the key, if any.
+  /// @param cached     not null
+  /// @param max_bytes  least recently used responses go until all together take no more; a response
+  ///                   that takes more by itself is not kept
+  void put(const std::string& key, CachedResponsePtr cached, size_t max_bytes);
+
+  /// Bytes of all that is kept, keys and bookkeeping included.
   size_t bytes() const;
+
+  /// Drops what is past its freshness lifetime.
   void evict_expired(TimePoint now);
 
-  // One fill a key: the first caller leads, the others wait for its item, which
-  // is null when what came back may not be shared.
+  /// One fetch under way, from join_fetch() to finish_fetch().
   struct Fetch;
-  std::shared_ptr<Fetch> join_fetch(const std::string& key, bool& lead);
-  void finish_fetch(const std::string& key, const std::shared_ptr<Fetch>& f, CachedResponsePtr cached);
-  std::optional<CachedResponsePtr> await_fetch(const std::shared_ptr<Fetch>& f,
-                                               std::shared_ptr<base::Condition> s, Duration limit);
+
+  struct JoinedFetch {
+    std::shared_ptr<Fetch> fetch;
+    bool leads = false;  ///< this caller has to fetch and to finish_fetch(); the others await_fetch()
+  };
+
+  /// Joins the fetch under way for the key, or begins one.
+  JoinedFetch join_fetch(const std::string& key);
+
+  /// Ends a fetch and wakes all who wait for it.
+  /// @param cached  null when what came back may not be shared
+  void finish_fetch(const std::string& key, const std::shared_ptr<Fetch>& fetch, CachedResponsePtr cached);
+
+  /// Waits until a fetch has ended.
+  /// @param condition  one of the caller's own; not used again
+  /// @return what finish_fetch() was given, nothing when the time ran out
+  std::optional<CachedResponsePtr> await_fetch(const std::shared_ptr<Fetch>& fetch,
+                                               const std::shared_ptr<base::Condition>& condition,
+                                               Duration limit);
 
  private:
   struct Impl;
   std::unique_ptr<Impl> impl_;
 };
 
-// How long a shared cache may keep a receipt by RFC 9111, nothing when it may
-// not; and the Age it came with.
-std::optional<Duration> response_lifetime(const base::Request& request, const base::Response& response);
-Duration age_header(const base::Response& response);
-// `cuts`: single ranges and If-None-Match are answered from whole receipts.
-bool is_cacheable_request(const base::Request& request, bool cuts);
-// The operators' own lifetime, unless the worker forbids it.
-std::optional<Duration> configured_lifetime(const base::Response& response, Duration life);
-struct ByteRange {
-  size_t first = 0, size = 0;  // size 0: beyond the end
-};
-// One range that names its first byte; nothing when it is another kind, which may be ignored.
-std::optional<ByteRange> parse_byte_range(std::string_view range, size_t bytes);
-
 }  // namespace dunlinwing::cache
--- a/src/console/link.cpp
+++ b/src/console/link.cpp
@@ -34,8 +34,7 @@
 
 Reply Client::get(const std::string& path, Duration limit) { return any({"", "GET", path, "", {}}, limit); }
 
-Reply Client::put(const std::string& path, const std::string& body,
-                  std::vector<std::pair<std::string, std::string>> headers) {
+Reply Client::put(const std::string& path, const std::string& body, base::Headers headers) {
   return any({"", "PUT", path, body, std::move(headers)}, Duration(8000));
 }
 
--- a/src/console/link.hpp
+++ b/src/console/link.hpp
@@ -20,8 +20,7 @@
  public:
   Client(base::Origin& http, ClientOptions r) : http_(http), r_(std::move(r)) {}
   Reply get(const std::string& path, Duration limit = Duration(8000));
-  Reply put(const std::string& path, const std::string& body,
-            std::vector<std::pair<std::string, std::string>> headers = {});
+  Reply put(const std::string& path, const std::string& body, base::Headers headers = {});
   Reply at(const std::string& seed, const std::string& path, Duration limit);
   const std::vector<std::string>& seeds() const { return r_.seeds; }
 
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -260,8 +260,7 @@
 }
 
 OperatorResponse Fleet::operator_call(const std::string& method, const std::string& target,
-                                      const std::string& body,
-                                      std::vector<std::pair<std::string, std::string>> headers) {
+                                      const std::string& body, base::Headers headers) {
   auto* host = random_host(false);
   if (!host) return {0, {}, {}, true};
   if (target == "/v1/beats" && breaks(host->name, "beats"))
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -102,8 +102,7 @@
            Host* to = nullptr);
   void generate_requests(int per_second, TimePoint until, std::function<void()> one);
   OperatorResponse operator_call(const std::string& method, const std::string& target,
-                                 const std::string& body,
-                                 std::vector<std::pair<std::string, std::string>> headers = {});
+                                 const std::string& body, base::Headers headers = {});
   Exchange exchange(Host& to, base::Request request, bool control, Duration most);
   void spawn_outside(std::function<void()> f);
   void sleep(Duration s);
--- a/src/simulation/origin.cpp
+++ b/src/simulation/origin.cpp
@@ -5,8 +5,7 @@
 
 namespace dunlinwing::simulation {
 namespace {
-std::vector<std::pair<std::string, std::string>> head(const SimulatedBackend& x, const std::string& rid,
-                                                      std::vector<std::pair<std::string, std::string>> more) {
+base::Headers head(const SimulatedBackend& x, const std::string& rid, base::Headers more) {
   more.emplace_back("Dunlinwing-Service", x.service);
   more.emplace_back("Dunlinwing-Version", x.version);
   more.emplace_back("Dunlinwing-Instance", x.instance);
--- a/src/traffic/face.cpp
+++ b/src/traffic/face.cpp
@@ -10,7 +10,7 @@
 
 namespace dunlinwing::traffic {
 
-void strip_hop_by_hop(std::vector<std::pair<std::string, std::string>>& headers) {
+void strip_hop_by_hop(base::Headers& headers) {
   static const char* const hop[] = {"Connection",
                                     "Keep-Alive",
                                     "Proxy-Connection",
@@ -28,9 +28,9 @@
       for (auto& w : base::split_list(v, ',')) named.push_back(w);
   std::erase_if(headers, [&](auto& h) {
     for (auto* n : hop)
-      if (base::equals_ignore_case(h.first, n)) return true;
+      if (base::equals_ignore_case(h.name, n)) return true;
     for (auto& n : named)
-      if (base::equals_ignore_case(h.first, n)) return true;
+      if (base::equals_ignore_case(h.name, n)) return true;
     return false;
   });
 }
@@ -40,9 +40,9 @@
   return name.size() > 11 && base::equals_ignore_case(std::string_view(name).substr(0, 11), "Dunlinwing-");
 }
 
-void strip(std::vector<std::pair<std::string, std::string>>& headers) {
+void strip(base::Headers& headers) {
   strip_hop_by_hop(headers);
-  std::erase_if(headers, [](auto& h) { return ours(h.first); });
+  std::erase_if(headers, [](auto& h) { return ours(h.name); });
 }
 
 class Own final : public ProtocolAdapter {
--- a/src/traffic/face.hpp
+++ b/src/traffic/face.hpp
@@ -63,6 +63,6 @@
 bool is_unrequested_partial(const base::Request& request, const base::Response& response);
 
 // Headers that belong to one connection only, taken out.
-void strip_hop_by_hop(std::vector<std::pair<std::string, std::string>>& headers);
+void strip_hop_by_hop(base::Headers& headers);
 
 }  // namespace dunlinwing::traffic
--- a/src/traffic/fills.cpp
+++ b/src/traffic/fills.cpp
@@ -6,6 +6,8 @@
 
 #include <algorithm>
 
+#include "cache/cacheability.hpp"
+
 namespace dunlinwing::traffic {
 namespace {
 constexpr Duration kShieldRest{2000};
@@ -26,7 +28,7 @@
   auto known = base::header(request.headers, "If-None-Match");
   auto range = base::header(request.headers, "Range");
   base::Response response{cached.response.status, cached.response.headers, {}};
-  std::erase_if(response.headers, [](auto& h) { return base::equals_ignore_case(h.first, "Age"); });
+  std::erase_if(response.headers, [](auto& h) { return base::equals_ignore_case(h.name, "Age"); });
   if (!kept)
     response.headers.emplace_back(
         "Age", std::to_string(std::max<int64_t>(0, (now - cached.generated_at).count()) / 1000));
@@ -161,8 +163,8 @@
   RequestContext direct = context;
   direct.request.method = "GET";
   std::erase_if(direct.request.headers, [](auto& h) {
-    return base::equals_ignore_case(h.first, "Range") || base::equals_ignore_case(h.first, "If-None-Match") ||
-           base::equals_ignore_case(h.first, "If-Range");
+    return base::equals_ignore_case(h.name, "Range") || base::equals_ignore_case(h.name, "If-None-Match") ||
+           base::equals_ignore_case(h.name, "If-Range");
   });
   auto& get = direct.request;
   if (auto to = shield_for(*context.snapshot, key); !to.empty()) {
@@ -240,9 +242,8 @@
   }
   auto flight = fmt::format("{}|{}|{}", key, context.configuration->name,
                             purge_number(*snapshot_(), context.service->name));
-  bool lead = false;
-  auto f = cache_.join_fetch(flight, lead);
-  if (!lead) {
+  auto [f, leads] = cache_.join_fetch(flight);
+  if (!leads) {
     // Half of its time is for the other's fetch, half for one of its own.
     auto i =
         cache_.await_fetch(f, ports_.tasks.condition(),
--- a/src/traffic/serve.cpp
+++ b/src/traffic/serve.cpp
@@ -5,6 +5,8 @@
 
 #include <mutex>
 
+#include "cache/cacheability.hpp"
+
 namespace dunlinwing::traffic {
 
 struct RequestHandler::Impl {
--- a/test/control_api_stories.cpp
+++ b/test/control_api_stories.cpp
@@ -11,7 +11,7 @@
 
 struct Order {
   std::string method, target, body;
-  std::vector<std::pair<std::string, std::string>> headers = {};
+  base::Headers headers = {};
 };
 
 // A numbered configuration as it is stated; `more` adds a service of the name "fresh".
--- a/test/fleet.cpp
+++ b/test/fleet.cpp
@@ -286,8 +286,7 @@
 bool Fleet::caller_done(pid_t p) { return waitpid(p, nullptr, WNOHANG) == p; }
 
 base::Response Fleet::http(const std::string& node, const std::string& method, const std::string& target,
-                           const std::string& body,
-                           std::vector<std::pair<std::string, std::string>> headers) {
+                           const std::string& body, base::Headers headers) {
   base::Request request{"", method, target, body, std::move(headers)};
   auto r = http_.send(at(node).control, request, 5s);
   if (auto* a = std::get_if<base::Response>(&r)) return *a;
--- a/test/fleet.hpp
+++ b/test/fleet.hpp
@@ -56,8 +56,7 @@
   bool caller_done(pid_t p);
 
   base::Response http(const std::string& node, const std::string& method, const std::string& target,
-                      const std::string& body = {},
-                      std::vector<std::pair<std::string, std::string>> headers = {});
+                      const std::string& body = {}, base::Headers headers = {});
   base::Response any(const std::string& method, const std::string& target, const std::string& body = {});
   bool until(Duration most, const std::function<bool()>& what);  // polls a condition
   bool all_ready(Duration most);
--- a/test/platform/rules_unit.cpp
+++ b/test/platform/rules_unit.cpp
@@ -86,12 +86,12 @@
       {"platform rules: MIXED",
        [] {
          fires("MIXED", "no stamp", [](Diary& d) { d.tries["ide"].receipt.headers.pop_back(); });
-         fires("MIXED", "another's id", [](Diary& d) { d.tries["ide"].receipt.headers[0].second = "non"; });
+         fires("MIXED", "another's id", [](Diary& d) { d.tries["ide"].receipt.headers[0].value = "non"; });
          fires("MIXED", "cut short", [](Diary& d) { d.tries["ide"].receipt.body.pop_back(); });
          fires("MIXED", "a failure", [](Diary& d) { d.made["s-ide"].failed = true; });
          fires("MIXED", "another's answer", [](Diary& d) {
            d.tries["ide"].receipt = d.tries["non"].receipt;
-           d.tries["ide"].receipt.headers[0].second = "ide";
+           d.tries["ide"].receipt.headers[0].value = "ide";
          });
          fires("MIXED", "a wrong range", [](Diary& d) {
            auto& response = d.tries["cac"].receipt;
--- a/test/platform/words_unit.cpp
+++ b/test/platform/words_unit.cpp
@@ -165,10 +165,10 @@
   auto f = platform::protocol_adapter();
   traffic::BackendInstance instance{"i-1", "b", "v1", "z", "10.0.0.1:80"};
   base::Request request{"id1", "GET", "/", "", {}};
-  auto look = [&](int st, std::vector<std::pair<std::string, std::string>> headers) {
+  auto look = [&](int st, base::Headers headers) {
     return f->classify({st, std::move(headers), "x"}, instance, request);
   };
-  auto is = [&](ResponseClass want, int st, std::vector<std::pair<std::string, std::string>> headers) {
+  auto is = [&](ResponseClass want, int st, base::Headers headers) {
     expect(look(st, headers) == want, fmt::format("{} with {} headers", st, headers.size()));
   };
   is(ResponseClass::good, 200, {{"Attempt-Id", "id1"}, {"Edge-Signature", "s"}});
--- a/test/traffic_unit.cpp
+++ b/test/traffic_unit.cpp
@@ -1,5 +1,5 @@
 // Budgets, trials, purges, cache lifetimes and headers.
-#include "cache/cache.hpp"
+#include "cache/cacheability.hpp"
 #include "control_api/purger.hpp"
 #include "traffic/budget.hpp"
 #include "traffic/face.hpp"
@@ -17,7 +17,7 @@
   void sleep(Duration) override {}
 };
 
-std::optional<int64_t> life(std::vector<std::pair<std::string, std::string>> headers) {
+std::optional<int64_t> life(base::Headers headers) {
   base::Request request{"", "GET", "/x", "", {}};
   auto l = cache::response_lifetime(request, {200, std::move(headers), "b"});
   if (!l) return {};
@@ -154,9 +154,9 @@
          h = {{"connection", "close, X-Mine"}, {"X-Mine", "1"},          {"TE", "trailers"},
               {"dunlinwing-instance", "x"},    {"Idempotency-Key", "k"}, {"Accept", "a"}};
          traffic::native_protocol_adapter()->strip_internal_headers(response);
-         expect(h.size() == 3 && h[2].first == "Via" && h[0].first == "Idempotency-Key" &&
-                    h[1].first == "Accept",
-                "what is left");
+         expect(
+             h.size() == 3 && h[2].name == "Via" && h[0].name == "Idempotency-Key" && h[1].name == "Accept",
+             "what is left");
        }},
       {"versions: a move holds only while the layout allows it, quarantine always",
        [] {
