--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -164,9 +164,9 @@
     hand = std::make_unique<dw::storage::DiskExecutor>(pool);
     if (!settings.data_directory.empty())
       shelf = std::make_unique<dw::storage::ArtifactFiles>(settings.data_directory);
-    artifacts = std::make_unique<dw::software::Artifacts>(ports, node->registers(), node->state_cache(),
-                                                          settings.node.name, shelf.get(), hand.get(),
-                                                          settings.node.bound);
+    artifacts = std::make_unique<dw::software::Artifacts>(
+        ports, node->registers(), node->state_cache(), settings.node.name,
+        dw::software::ArtifactStorage{shelf.get(), hand.get()}, settings.node.bound);
     node->artifacts(artifacts.get());
     dw::software::StagerPorts sp;
     sp.wanted = [this] { return node->wanted_software(); };
@@ -182,8 +182,9 @@
       return in * 3 < static_cast<size_t>(snapshot->nodes) * 2;
     };
     sp.terminate = [this](int status) { finish(status); };
-    stager = std::make_unique<dw::software::Stager>(ports, *artifacts, *hand, sp, settings.release_directory,
-                                                    program, settings.node.bound);
+    stager = std::make_unique<dw::software::Stager>(
+        ports, *artifacts, *hand, sp,
+        dw::software::StagerOptions{settings.release_directory, program, settings.node.bound});
   }
 
   void finish(int status) {
--- a/src/software/artifacts.cpp
+++ b/src/software/artifacts.cpp
@@ -1,5 +1,5 @@
-// A piece is acknowledged once a majority of holders has synced it. A holder
-// keeps only what a recorded release names, so the shelf holds no strays.
+/// @file
+/// A replica keeps only what a recorded release names, so what was never released leaves no files.
 #include "software/artifacts.hpp"
 
 #include <fcntl.h>
@@ -13,21 +13,38 @@
 namespace dunlinwing::software {
 namespace {
 constexpr base::Log logger("software");
+constexpr std::string_view kReleasePrefix = "release/software/";  ///< of the registers that name releases
+constexpr mode_t kProgramMode = 0750;
+
+/// Why a replica did not store a chunk. The text crosses the network and decides between the errors.
+constexpr const char* kNotReplica = "this node holds no state";
+constexpr const char* kNotRecorded = "no recorded release names it";
+constexpr const char* kNotNext = "it does not follow what is here";
+
+bool append_synced(const std::string& path, const std::string& data) {
+  int fd = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kProgramMode);
+  if (fd < 0) return false;
+  bool synced =
+      ::write(fd, data.data(), data.size()) == static_cast<ssize_t>(data.size()) && ::fsync(fd) == 0;
+  ::close(fd);
+  return synced;
 }
+}  // namespace
 
 std::map<std::string, SoftwareTarget> recorded_software(const membership::ChosenValues& chosen) {
-  std::map<std::string, SoftwareTarget> out;
-  for (auto i = chosen.lower_bound("release/software/");
-       i != chosen.end() && i->first.starts_with("release/software/"); ++i) {
-    auto name = i->first.substr(17);
-    auto g = rollout::parse_release("software", name, i->second.data);
-    auto* r = std::get_if<rollout::Release>(&g);
-    if (!r) continue;
-    SoftwareTarget w{name, r->content.at("version").string_or(), r->content.at("sha256").string_or(),
-                     static_cast<uint64_t>(r->content.at("bytes").integer_or())};
-    out[w.sha256] = w;
+  std::map<std::string, SoftwareTarget> targets;
+  const std::string prefix(kReleasePrefix);
+  for (auto it = chosen.lower_bound(prefix); it != chosen.end() && it->first.starts_with(prefix); ++it) {
+    auto name = it->first.substr(prefix.size());
+    auto parsed = rollout::parse_release("software", name, it->second.data);
+    const auto* release = std::get_if<rollout::Release>(&parsed);
+    if (!release) continue;
+    const auto& content = release->content;
+    SoftwareTarget target{name, content.at("version").string_or(), content.at("sha256").string_or(),
+                          static_cast<uint64_t>(content.at("bytes").integer_or())};
+    targets[target.sha256] = target;
   }
-  return out;
+  return targets;
 }
 
 struct Artifacts::Impl {
@@ -35,120 +52,132 @@
   consensus::RegisterClient& registers;
   membership::StateCache& state_cache;
   std::string node_name;
-  storage::ArtifactFiles* shelf;
-  storage::DiskExecutor* hand;
+  ArtifactStorage local;
   Duration bound;
 
+  bool is_recorded(const std::string& sha256) const {
+    return recorded_software(state_cache.chosen()).count(sha256) > 0;
+  }
+
   pb::PeerResponse answer(const pb::PeerRequest& request) {
     pb::PeerResponse out;
-    auto* r = out.mutable_artifact_chunk();
-    if (!shelf) {
-      r->set_reason("this node holds no state");
-      return out;
-    }
-    storage::ArtifactProgress k;
-    if (request.has_artifact_chunk()) {
-      auto& c = request.artifact_chunk();
-      bool ok = false;
-      if (!recorded_software(state_cache.chosen()).count(c.sha256())) {
-        r->set_reason("no recorded release names it");
-        return out;
-      }
-      hand->run([&] {
-        auto p = shelf->append(c.sha256(), c.offset(), c.data(), c.total());
-        ok = p.has_value();
-        k = p ? *p : shelf->progress(c.sha256());
-      });
-      if (!ok) r->set_reason("it does not follow what is here");
-    } else {
-      auto& f = request.artifact_read();
-      hand->run([&] {
-        k = shelf->progress(f.sha256());
-        r->set_data(shelf->read(f.sha256(), f.offset(), std::min(f.bytes(), kChunkBytes)));
-      });
-    }
-    r->set_received(k.bytes);
-    r->set_complete(k.complete);
+    auto& response = *out.mutable_artifact_chunk();
+    if (!local.files)
+      response.set_reason(kNotReplica);
+    else if (request.has_artifact_chunk())
+      store(request.artifact_chunk(), response);
+    else
+      read(request.artifact_read(), response);
     return out;
   }
 
-  consensus::PeerResponses ask_holders(const pb::PeerRequest& request, Duration limit) {
-    consensus::LocalReplica local;
-    if (shelf) local = [this](const pb::PeerRequest& x) { return answer(x); };
+  void store(const pb::ArtifactChunk& chunk, pb::ArtifactChunkResponse& response) {
+    if (!is_recorded(chunk.sha256())) return response.set_reason(kNotRecorded);
+    local.executor->run([&] {
+      auto appended = local.files->append(chunk.sha256(), chunk.offset(), chunk.data(), chunk.total());
+      if (!appended) response.set_reason(kNotNext);
+      set_progress(appended ? *appended : local.files->progress(chunk.sha256()), response);
+    });
+  }
+
+  void read(const pb::ArtifactRead& wanted, pb::ArtifactChunkResponse& response) {
+    local.executor->run([&] {
+      set_progress(local.files->progress(wanted.sha256()), response);
+      response.set_data(
+          local.files->read(wanted.sha256(), wanted.offset(), std::min(wanted.bytes(), kChunkBytes)));
+    });
+  }
+
+  static void set_progress(const storage::ArtifactProgress& progress, pb::ArtifactChunkResponse& response) {
+    response.set_received(progress.bytes);
+    response.set_complete(progress.complete);
+  }
+
+  consensus::PeerResponses call_replicas(const pb::PeerRequest& request, Duration limit) {
+    consensus::LocalReplica local_replica;
+    if (local.files)
+      local_replica = [this](const pb::PeerRequest& own_request) { return answer(own_request); };
     return consensus::call_replicas(
         ports, registers.replicas(), [&](size_t) { return request; }, limit, [](auto&) { return false; },
-        node_name, local);
+        node_name, local_replica);
   }
 
-  // How much a majority of holders has.
-  std::variant<pb::ArtifactChunkResponse, ChunkError> settled(const consensus::PeerResponses& rs,
-                                                              uint64_t need) {
-    std::vector<uint64_t> held;
-    size_t whole = 0;
-    std::string why;
-    for (auto& r : rs) {
-      if (!r || !r->has_artifact_chunk()) continue;
-      held.push_back(r->artifact_chunk().received());
-      whole += r->artifact_chunk().complete();
-      if (!r->artifact_chunk().reason().empty()) why = r->artifact_chunk().reason();
+  /// How much a majority of the replicas has.
+  /// @param needed_bytes  fewer are an error
+  Progress majority_progress(const consensus::PeerResponses& responses, uint64_t needed_bytes) const {
+    std::vector<uint64_t> received;
+    size_t complete = 0;
+    std::string reason;
+    for (const auto& response : responses) {
+      if (!response || !response->has_artifact_chunk()) continue;
+      const auto& chunk = response->artifact_chunk();
+      received.push_back(chunk.received());
+      complete += chunk.complete() ? 1 : 0;
+      if (!chunk.reason().empty()) reason = chunk.reason();
     }
-    if (held.size() < registers.sufficient_count()) return ChunkError::no_majority;
-    std::sort(held.rbegin(), held.rend());
-    pb::ArtifactChunkResponse p;
-    p.set_received(held[registers.sufficient_count() - 1]);
-    p.set_complete(whole >= registers.sufficient_count());
-    if (p.received() >= need) return p;
-    return why.find("names") != why.npos ? ChunkError::unknown_artifact : ChunkError::gap;
+    const auto majority = registers.sufficient_count();
+    if (received.size() < majority) return ChunkError::no_majority;
+    std::sort(received.rbegin(), received.rend());
+    pb::ArtifactChunkResponse result;
+    result.set_received(received[majority - 1]);
+    result.set_complete(complete >= majority);
+    if (result.received() >= needed_bytes) return result;
+    return reason == kNotRecorded ? ChunkError::unknown_artifact : ChunkError::gap;
   }
 
-  // One piece of an artifact from any holder that has it.
-  std::optional<pb::ArtifactChunkResponse> piece(const std::string& sha, uint64_t offset) {
-    auto hs = registers.replicas();
-    for (size_t i = hs.size(); i > 1; --i) std::swap(hs[i - 1], hs[ports.random.below(i)]);
+  /// One chunk of an artifact from any other replica that has it, asked in random order.
+  std::optional<pb::ArtifactChunkResponse> fetch_chunk(const std::string& sha256, uint64_t offset) {
+    auto replicas = registers.replicas();
+    for (size_t i = replicas.size(); i > 1; --i) std::swap(replicas[i - 1], replicas[ports.random.below(i)]);
     pb::PeerRequest request;
-    request.mutable_artifact_read()->set_sha256(sha);
+    request.mutable_artifact_read()->set_sha256(sha256);
     request.mutable_artifact_read()->set_offset(offset);
     request.mutable_artifact_read()->set_bytes(kChunkBytes);
-    for (auto& h : hs) {
-      if (h.name == node_name) continue;
-      auto r = ports.peers.call(h.address, request, bound);
-      auto* response = std::get_if<pb::PeerResponse>(&r);
+    for (const auto& replica : replicas) {
+      if (replica.name == node_name) continue;
+      auto result = ports.peers.call(replica.address, request, bound);
+      const auto* response = std::get_if<pb::PeerResponse>(&result);
       if (response && response->has_artifact_chunk() && !response->artifact_chunk().data().empty())
         return response->artifact_chunk();
     }
     return {};
   }
 
+  /// Fetches what this replica misses of all recorded artifacts, as far as it is to be had.
   void repair() {
-    for (auto& [sha, w] : recorded_software(state_cache.chosen())) {
-      storage::ArtifactProgress k;
-      hand->run([&, s = sha] { k = shelf->progress(s); });
-      bool begun = !k.complete;
-      while (!k.complete) {
-        auto p = piece(sha, k.bytes);
-        if (!p) break;
-        std::optional<storage::ArtifactProgress> n;
-        hand->run([&, s = sha, total = w.bytes] { n = shelf->append(s, k.bytes, p->data(), total); });
-        if (!n) break;
-        k = *n;
+    for (auto& [sha256, target] : recorded_software(state_cache.chosen())) {
+      storage::ArtifactProgress progress;
+      local.executor->run([&, &digest = sha256] { progress = local.files->progress(digest); });
+      if (progress.complete) continue;
+      while (!progress.complete && fetch_next_chunk(target, progress)) {
       }
-      if (begun && k.complete) logger.info("{}: artifact of {} is whole here now.", node_name, w.name);
+      if (progress.complete) logger.info("{}: artifact of {} is whole here now.", node_name, target.name);
     }
   }
+
+  bool fetch_next_chunk(const SoftwareTarget& target, storage::ArtifactProgress& progress) {
+    auto chunk = fetch_chunk(target.sha256, progress.bytes);
+    if (!chunk) return false;
+    std::optional<storage::ArtifactProgress> appended;
+    local.executor->run(
+        [&] { appended = local.files->append(target.sha256, progress.bytes, chunk->data(), target.bytes); });
+    if (appended) progress = *appended;
+    return appended.has_value();
+  }
 };
 
 Artifacts::Artifacts(base::Ports& ports, consensus::RegisterClient& registers,
-                     membership::StateCache& state_cache, std::string node_name, storage::ArtifactFiles* s,
-                     storage::DiskExecutor* h, Duration bound)
-    : impl_(new Impl{ports, registers, state_cache, std::move(node_name), s, h, bound}) {}
+                     membership::StateCache& state_cache, std::string node_name, ArtifactStorage local,
+                     Duration bound)
+    : impl_(new Impl{ports, registers, state_cache, std::move(node_name), local, bound}) {}
 Artifacts::~Artifacts() = default;
 
 void Artifacts::start() {
-  if (!impl_->shelf) return;
-  impl_->ports.tasks.spawn([p = impl_] {
+  if (!impl_->local.files) return;
+  impl_->ports.tasks.spawn([impl = impl_] {
     for (;;) {
-      p->ports.clock.sleep(p->bound * 2);
-      if (p->state_cache.has_read_lease()) p->repair();
+      impl->ports.clock.sleep(impl->bound * 2);
+      if (impl->state_cache.has_read_lease()) impl->repair();
     }
   });
 }
@@ -157,44 +186,38 @@
   return impl_->answer(request);
 }
 
-std::variant<pb::ArtifactChunkResponse, ChunkError> Artifacts::append(const std::string& sha, uint64_t offset,
-                                                                      const std::string& data) {
-  auto all = recorded_software(impl_->state_cache.chosen());
-  auto f = all.find(sha);
-  if (f == all.end()) return ChunkError::unknown_artifact;
+Artifacts::Progress Artifacts::append(const std::string& sha256, uint64_t offset, const std::string& data) {
+  auto targets = recorded_software(impl_->state_cache.chosen());
+  auto found = targets.find(sha256);
+  if (found == targets.end()) return ChunkError::unknown_artifact;
+  const auto total = found->second.bytes;
   pb::PeerRequest request;
-  auto* c = request.mutable_artifact_chunk();
-  c->set_sha256(sha);
-  c->set_offset(offset);
-  c->set_data(data);
-  c->set_total(f->second.bytes);
-  return impl_->settled(impl_->ask_holders(request, impl_->bound * 2),
-                        std::min<uint64_t>(offset + data.size(), f->second.bytes));
+  auto& chunk = *request.mutable_artifact_chunk();
+  chunk.set_sha256(sha256);
+  chunk.set_offset(offset);
+  chunk.set_data(data);
+  chunk.set_total(total);
+  return impl_->majority_progress(impl_->call_replicas(request, impl_->bound * 2),
+                                  std::min<uint64_t>(offset + data.size(), total));
 }
 
-std::variant<pb::ArtifactChunkResponse, ChunkError> Artifacts::progress(const std::string& sha) {
-  if (!recorded_software(impl_->state_cache.chosen()).count(sha)) return ChunkError::unknown_artifact;
+Artifacts::Progress Artifacts::progress(const std::string& sha256) {
+  if (!impl_->is_recorded(sha256)) return ChunkError::unknown_artifact;
   pb::PeerRequest request;
-  request.mutable_artifact_read()->set_sha256(sha);
-  return impl_->settled(impl_->ask_holders(request, impl_->bound), 0);
+  request.mutable_artifact_read()->set_sha256(sha256);
+  return impl_->majority_progress(impl_->call_replicas(request, impl_->bound), 0);
 }
 
-bool Artifacts::fetch(const SoftwareTarget& w, const std::string& path, storage::DiskExecutor& hand) {
-  uint64_t at = 0;
-  hand.run([&] { ::unlink(path.c_str()); });
-  while (at < w.bytes) {
-    auto p = impl_->piece(w.sha256, at);
-    if (!p) return false;
-    bool ok = false;
-    hand.run([&] {
-      int fd = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0750);
-      ok = fd >= 0 &&
-           ::write(fd, p->data().data(), p->data().size()) == static_cast<ssize_t>(p->data().size()) &&
-           ::fsync(fd) == 0;
-      if (fd >= 0) ::close(fd);
-    });
-    if (!ok) return false;
-    at += p->data().size();
+bool Artifacts::fetch(const SoftwareTarget& target, const std::string& path,
+                      storage::DiskExecutor& executor) {
+  executor.run([&] { ::unlink(path.c_str()); });
+  for (uint64_t fetched = 0; fetched < target.bytes;) {
+    auto chunk = impl_->fetch_chunk(target.sha256, fetched);
+    if (!chunk) return false;
+    bool written = false;
+    executor.run([&] { written = append_synced(path, chunk->data()); });
+    if (!written) return false;
+    fetched += chunk->data().size();
   }
   return true;
 }
--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -1,5 +1,6 @@
-// In the release folder: `current` names the last good program, `next` the staged
-// one with its digest, `refused` lists digests that did not prove themselves here.
+/// @file
+/// In the release directory: `current` names the last good program, `next` the staged one with its digest,
+/// `refused` lists the digests that did not prove themselves here.
 #include "software/stager.hpp"
 
 #include <sys/stat.h>
@@ -10,112 +11,156 @@
 namespace dunlinwing::software {
 namespace {
 constexpr base::Log logger("software");
-constexpr int kProofBounds = 15;  // within so many bounds a new program must prove itself
-constexpr int kSoundBounds = 2;   // and be sound for so long without a break
+constexpr const char* kCurrentFile = "current";
+constexpr const char* kNextFile = "next";
+constexpr const char* kRefusedFile = "refused";
+constexpr const char* kStagingFile = "staging";  ///< the program while it is fetched
+constexpr mode_t kProgramMode = 0750;
+
+constexpr int kProofBounds = 15;   ///< within so many bounds a new program must prove itself
+constexpr int kHealthyBounds = 2;  ///< and be healthy for so long without a break
+constexpr int kHealthChecksPerBound = 8;
 }  // namespace
 
 struct Stager::Impl {
   base::Ports& ports;
   Artifacts& artifacts;
-  storage::DiskExecutor& hand;
-  StagerPorts sp;
-  std::string dir, program;
-  Duration bound;
-
-  std::string file(const char* n) const { return dir + "/" + n; }
-  std::string text(const char* n) {
-    std::string out;
-    hand.run([&] { out = storage::read_small(file(n)).value_or(""); });
-    while (!out.empty() && out.back() == '\n') out.pop_back();
-    return out;
+  storage::DiskExecutor& executor;
+  StagerPorts node;
+  StagerOptions options;
+
+  std::string path(const std::string& file) const { return options.release_directory + "/" + file; }
+
+  /// What a file says, without the line ends at its end; empty when it cannot be read.
+  std::string read(const char* file) {
+    std::string text;
+    executor.run([&] { text = storage::read_small(path(file)).value_or(""); });
+    while (!text.empty() && text.back() == '\n') text.pop_back();
+    return text;
   }
-  bool put(const char* n, const std::string& s) {
-    bool ok = false;
-    hand.run([&] { ok = storage::write_synced(file(n), s + "\n"); });
-    return ok;
+
+  bool write(const char* file, const std::string& text) {
+    bool written = false;
+    executor.run([&] { written = storage::write_synced(path(file), text + "\n"); });
+    return written;
   }
-  void refuse(const std::string& sha) { put("refused", text("refused") + "\n" + sha); }
-  void drop_next() {
-    hand.run([&] {
-      ::unlink(file("next").c_str());
-      storage::sync_dir(dir);
+
+  void refuse(const std::string& sha256) {
+    auto refused = read(kRefusedFile);
+    refused += "\n";
+    refused += sha256;
+    write(kRefusedFile, refused);
+  }
+
+  void remove_next() {
+    executor.run([&] {
+      ::unlink(path(kNextFile).c_str());
+      storage::sync_dir(options.release_directory);
     });
   }
 
-  // The program named in `next` is this one: it has so long to prove itself.
-  void prove(const std::string& sha) {
-    logger.info("This program, {}, is new here and has to prove itself.", program);
-    TimePoint end = ports.clock.now() + bound * kProofBounds, since = ports.clock.now();
+  /// Whether this program, which has to prove itself, was healthy long enough and is recorded as good.
+  bool proves_itself() {
+    const TimePoint end = ports.clock.now() + options.bound * kProofBounds;
+    TimePoint healthy_since = ports.clock.now();
     while (ports.clock.now() < end) {
-      if (!sp.is_healthy()) since = ports.clock.now();
-      if (ports.clock.now() - since >= bound * kSoundBounds) {
-        if (!put("current", program)) break;
-        drop_next();
-        logger.info("This program, {}, has proved itself.", program);
-        return;
-      }
-      ports.clock.sleep(bound / 8);
+      if (!node.is_healthy()) healthy_since = ports.clock.now();
+      if (ports.clock.now() - healthy_since >= options.bound * kHealthyBounds)
+        return write(kCurrentFile, options.program);
+      ports.clock.sleep(options.bound / kHealthChecksPerBound);
+    }
+    return false;
+  }
+
+  /// The program that `next` names is this one.
+  void prove(const std::string& sha256) {
+    logger.info("This program, {}, is new here and has to prove itself.", options.program);
+    if (proves_itself()) {
+      remove_next();
+      logger.info("This program, {}, has proved itself.", options.program);
+      return;
     }
     logger.error("This program, {}, did not prove itself; the machine goes back to the last good one.",
-                 program);
-    refuse(sha);
-    drop_next();
-    sp.terminate(kGoBack);
+                 options.program);
+    refuse(sha256);
+    remove_next();
+    node.terminate(kGoBack);
   }
 
+  /// Settles what an earlier process staged.
   void settle_next() {
-    auto n = text("next");
-    if (n.empty()) {
-      if (text("current").empty()) put("current", program);
+    auto next = read(kNextFile);
+    if (next.empty()) {
+      if (read(kCurrentFile).empty()) write(kCurrentFile, options.program);
       return;
     }
-    auto sp1 = n.find(' ');
-    auto name = n.substr(0, sp1), sha = sp1 == n.npos ? "" : n.substr(sp1 + 1);
-    if (name == program) return prove(sha);
+    auto space = next.find(' ');
+    auto name = next.substr(0, space);
+    auto sha256 = space == std::string::npos ? "" : next.substr(space + 1);
+    if (name == options.program) return prove(sha256);
     logger.warn("The staged program {} did not come up; it is refused here.", name);
-    refuse(sha);
-    drop_next();
+    refuse(sha256);
+    remove_next();
   }
 
-  void stage(const SoftwareTarget& w) {
-    auto name = "relay-" + w.version;
-    if (text("refused").find(w.sha256) != std::string::npos)
-      return sp.report_error("software/" + w.name + ": it was tried here and did not prove itself");
-    auto part = file("staging");
-    if (!artifacts.fetch(w, part, hand)) return;  // not all there yet; it will be tried again
-    bool right = false, put_up = false;
-    hand.run([&] {
-      right = storage::sha256_hex_of(part) == w.sha256;
-      if (!right) return;
-      put_up = ::chmod(part.c_str(), 0750) == 0 && ::rename(part.c_str(), file(name.c_str()).c_str()) == 0 &&
-               storage::sync_dir(dir);
+  enum class Placed { done, wrong_digest, failed };
+
+  /// Gives the fetched program its name, if it is the right one.
+  Placed place_program(const std::string& program, const std::string& sha256) {
+    auto fetched = path(kStagingFile);
+    auto placed = Placed::failed;
+    executor.run([&] {
+      if (storage::sha256_hex_of(fetched) != sha256)
+        placed = Placed::wrong_digest;
+      else if (::chmod(fetched.c_str(), kProgramMode) == 0 &&
+               ::rename(fetched.c_str(), path(program).c_str()) == 0 &&
+               storage::sync_dir(options.release_directory))
+        placed = Placed::done;
     });
-    if (!right) return sp.report_error("software/" + w.name + ": what came has another digest");
-    if (!put_up) return sp.report_error("software/" + w.name + ": it cannot be staged in the release folder");
-    while (sp.too_many_restarting()) ports.clock.sleep(bound / 2);
-    if (!put("next", name + " " + w.sha256))
-      return sp.report_error("software/" + w.name + ": the release folder cannot be written");
-    logger.info("{} is staged; this process ends so that it can be started.", name);
-    sp.terminate(kStartNext);
+    return placed;
+  }
+
+  void report(const SoftwareTarget& target, const std::string& reason) {
+    node.report_error(fmt::format("software/{}: {}", target.name, reason));
+  }
+
+  void stage(const SoftwareTarget& target) {
+    auto program = "relay-" + target.version;
+    if (read(kRefusedFile).find(target.sha256) != std::string::npos)
+      return report(target, "it was tried here and did not prove itself");
+    // When it is not all there yet, it will be tried again.
+    if (!artifacts.fetch(target, path(kStagingFile), executor)) return;
+    auto placed = place_program(program, target.sha256);
+    if (placed == Placed::wrong_digest) return report(target, "what came has another digest");
+    if (placed == Placed::failed) return report(target, "it cannot be staged in the release folder");
+    while (node.too_many_restarting()) ports.clock.sleep(options.bound / 2);
+    if (!write(kNextFile, program + " " + target.sha256))
+      return report(target, "the release folder cannot be written");
+    logger.info("{} is staged; this process ends so that it can be started.", program);
+    node.terminate(kStartNext);
+  }
+
+  void stage_if_wanted() {
+    auto target = node.wanted();
+    if (!target) return;
+    if (options.release_directory.empty())
+      report(*target, "no release folder is set for this machine");
+    else
+      stage(*target);
   }
 };
 
-Stager::Stager(base::Ports& ports, Artifacts& a, storage::DiskExecutor& h, StagerPorts sp, std::string dir,
-               std::string program, Duration bound)
-    : impl_(new Impl{ports, a, h, std::move(sp), std::move(dir), std::move(program), bound}) {}
+Stager::Stager(base::Ports& ports, Artifacts& artifacts, storage::DiskExecutor& executor, StagerPorts node,
+               StagerOptions options)
+    : impl_(new Impl{ports, artifacts, executor, std::move(node), std::move(options)}) {}
 Stager::~Stager() = default;
 
 void Stager::start() {
-  impl_->ports.tasks.spawn([p = impl_] {
-    if (!p->dir.empty()) p->settle_next();
+  impl_->ports.tasks.spawn([impl = impl_] {
+    if (!impl->options.release_directory.empty()) impl->settle_next();
     for (;;) {
-      p->ports.clock.sleep(p->bound / 2);
-      auto w = p->sp.wanted();
-      if (!w) continue;
-      if (p->dir.empty())
-        p->sp.report_error("software/" + w->name + ": no release folder is set for this machine");
-      else
-        p->stage(*w);
+      impl->ports.clock.sleep(impl->options.bound / 2);
+      impl->stage_if_wanted();
     }
   });
 }
