--- a/src/traffic/jury.cpp
+++ b/src/canary/canary_analysis.cpp
@@ -1,10 +1,10 @@
 // Counts are kept by incarnation, so that a relay's restart in a trial takes
 // nothing away from what it had told before.
-#include "traffic/jury.hpp"
+#include "canary/canary_analysis.hpp"
 
 #include <algorithm>
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::canary {
 
 void CanaryAnalysis::update(const std::map<std::string, pb::ServiceState>& states,
                             const std::map<std::string, pb::NodeStatus>& statuses, uint64_t limit) {
@@ -34,4 +34,4 @@
   }
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::canary
--- a/src/traffic/jury.hpp
+++ b/src/canary/canary_analysis.hpp
@@ -5,9 +5,9 @@
 #pragma once
 #include <set>
 
-#include "traffic/docket.hpp"
+#include "canary/canary_statistics.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::canary {
 
 class CanaryAnalysis {
  public:
@@ -27,4 +27,4 @@
   std::set<std::string> aborted_;
 };
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::canary
--- a/src/traffic/docket.cpp
+++ b/src/canary/canary_statistics.cpp
@@ -4,15 +4,15 @@
 // A route whose own share can't give enough answers in the time is thin. Thin routes are
 // judged as one, so that none holds a good version back; a few poor answers on one of them
 // are enough to refuse a bad one.
-#include "traffic/docket.hpp"
+#include "canary/canary_statistics.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "traffic/trial.hpp"
+#include "canary/canary_share.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::canary {
 namespace {
 constexpr uint64_t kPlain = 8;        // poor answers without which nothing is plain
 constexpr double kPlainRate = 0.2;    // beyond the old version's, and
@@ -236,4 +236,4 @@
 
 std::string regression_after_switch(const CanarySample& s) { return poor_thin_route(s, kRefuted); }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::canary
--- a/src/traffic/docket.hpp
+++ b/src/canary/canary_statistics.hpp
@@ -5,7 +5,7 @@
 #include "base/common.hpp"
 #include "wire.pb.h"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::canary {
 
 struct OutcomeCounts {
   uint64_t good = 0, bad = 0, slow = 0, total_ms = 0;
@@ -60,4 +60,4 @@
 /// What, seen in the switch, ends it on a route too rare for `worse`. Empty: nothing.
 std::string regression_after_switch(const CanarySample& s);
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::canary
--- a/src/traffic/order.cpp
+++ b/src/config/numbered_configuration.cpp
@@ -1,10 +1,10 @@
 // A document is checked before it is recorded; one that cannot be read here was
 // written by a newer program, and the node keeps what it has and is unready.
-#include "traffic/order.hpp"
+#include "config/numbered_configuration.hpp"
 
 #include "base/log.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::config {
 namespace {
 constexpr base::Log logger("layout");
 }
@@ -24,4 +24,4 @@
   return active_;
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::config
--- a/src/traffic/order.hpp
+++ b/src/config/numbered_configuration.hpp
@@ -2,10 +2,10 @@
 // document. It is in force on every node as soon as the node has heard of it, and
 // while there is one no layout comes by a release.
 #pragma once
+#include "config/routing_configuration.hpp"
 #include "membership/state_cache.hpp"
-#include "traffic/layout.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::config {
 
 inline constexpr const char* kNumberedConfigurationKey = "order";
 
@@ -26,4 +26,4 @@
 
 std::string numbered_configuration_name(uint64_t number);  // of its layout, in tallies and carries
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::config
--- a/src/rollout/release.cpp
+++ b/src/config/release.cpp
@@ -1,14 +1,14 @@
 // The envelope of a release and the minimum holds of the source's table.
-#include "rollout/release.hpp"
+#include "config/release.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "rollout/system.hpp"
-#include "traffic/layout.hpp"
+#include "config/routing_configuration.hpp"
+#include "config/system_options.hpp"
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::config {
 namespace {
 using namespace std::chrono_literals;
 constexpr const char* kSchema = R"({
@@ -59,10 +59,10 @@
     for (auto& d : more) ds.push_back({"/content" + d.pointer, d.message});
   };
   if (kind == "layout") {
-    auto l = traffic::parse_routing_configuration(name, c);
+    auto l = config::parse_routing_configuration(name, c);
     if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&l)) under(*errors);
   } else if (kind == "system") {
-    under(check_system_options(c));
+    under(config::check_system_options(c));
   } else {
     under(soft.check(c));
   }
@@ -88,4 +88,4 @@
   return r;
 }
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::config
--- a/src/rollout/release.hpp
+++ b/src/config/release.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include "base/json.hpp"
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::config {
 
 inline constexpr const char* kKinds[] = {"layout", "system", "software"};
 bool is_kind(std::string_view k);
@@ -28,4 +28,4 @@
 std::string operator_action_key(std::string_view kind, std::string_view name);
 bool is_valid_name(std::string_view n);
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::config
--- a/src/traffic/layout.cpp
+++ b/src/config/routing_configuration.cpp
@@ -1,6 +1,6 @@
 // The schema checks each value on its own; what follows it checks that the
 // parts of the document name each other rightly.
-#include "traffic/layout.hpp"
+#include "config/routing_configuration.hpp"
 
 #include <fmt/format.h>
 
@@ -11,7 +11,7 @@
 
 #include "base/ports.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::config {
 
 std::string_view routing_configuration_schema() {
   return R"({
@@ -156,4 +156,4 @@
   return parse_routing_configuration(name, std::get<base::Json>(p));
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::config
--- a/src/traffic/layout.hpp
+++ b/src/config/routing_configuration.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include "base/json.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::config {
 
 struct ServiceConfiguration {
   std::string name;
@@ -55,4 +55,4 @@
 RoutingConfigurationResult parse_routing_configuration(const std::string& name, std::string_view text);
 std::string_view routing_configuration_schema();
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::config
--- a/src/rollout/system.cpp
+++ b/src/config/system_options.cpp
@@ -1,7 +1,7 @@
 // Schema and reading of system options. All of them take effect at once.
-#include "rollout/system.hpp"
+#include "config/system_options.hpp"
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::config {
 
 std::string_view system_options_schema() {
   return R"({
@@ -59,4 +59,4 @@
   return s;
 }
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::config
--- a/src/rollout/system.hpp
+++ b/src/config/system_options.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include "base/json.hpp"
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::config {
 
 struct QuietHours {
   int start_minute = 0, end_minute = 24 * 60;  // UTC minutes of the day; equal: never closed
@@ -28,4 +28,4 @@
     const base::Json& json, const SystemOptions& base = {});  // what the document leaves out is as in `base`
 std::string_view system_options_schema();
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::config
--- a/src/consensus/ask.cpp
+++ b/src/consensus/quorum_call.cpp
@@ -1,6 +1,6 @@
 // The shared table of replies outlives the caller, so that a late reply finds
 // a place to go and is then forgotten.
-#include "consensus/ask.hpp"
+#include "consensus/quorum_call.hpp"
 
 namespace dunlinwing::consensus {
 
--- a/src/consensus/replica_set.hpp
+++ b/src/consensus/replica_set.hpp
@@ -7,7 +7,7 @@
 //
 // Used by the thread that runs control only.
 #pragma once
-#include "consensus/ask.hpp"
+#include "consensus/quorum_call.hpp"
 
 namespace dunlinwing::consensus {
 
--- a/src/console/link.cpp
+++ b/src/console/client.cpp
@@ -1,6 +1,6 @@
 // A PUT is idempotent by name, so one that broke off is simply stated again to
 // the next seed.
-#include "console/link.hpp"
+#include "console/client.hpp"
 
 #include <fmt/format.h>
 
--- a/src/console/commands.hpp
+++ b/src/console/commands.hpp
@@ -1,6 +1,6 @@
 // The operators' commands, by name.
 #pragma once
-#include "console/link.hpp"
+#include "console/client.hpp"
 
 namespace dunlinwing::console {
 
--- a/src/console/main.cpp
+++ b/src/console/main.cpp
@@ -6,8 +6,8 @@
 
 #include "base/log.hpp"
 #include "console/commands.hpp"
-#include "wire/http.hpp"
-#include "wire/peer.hpp"
+#include "net/http.hpp"
+#include "net/peer.hpp"
 
 DEFINE_string(seeds, "", "control addresses of relays, with commas; else DUNLINWING_SEEDS");
 DEFINE_bool(json, false, "give the relay's own JSON");
@@ -43,17 +43,17 @@
   if (auto* e = std::getenv("DUNLINWING_SEEDS"); seeds.empty() && e) seeds = e;
   r.seeds = base::split_list(seeds, ',');
   for (auto& x : r.seeds)
-    if (!wire::split_address(x)) return bad("\"" + x + "\" is not IP:port");
+    if (!net::split_address(x)) return bad("\"" + x + "\" is not IP:port");
   if (r.seeds.empty()) return bad("--seeds names no relay");
   std::signal(SIGPIPE, SIG_IGN);
-  wire::EventLoopPool pool(1);
-  wire::HttpClient http(64u << 20);
-  wire::SystemClock clock;
+  net::EventLoopPool pool(1);
+  net::HttpClient http(64u << 20);
+  net::SystemClock clock;
   pool.run([&] {
     console::Client link(http, r);
     console::Session s{link, clock, args, FLAGS_json, FLAGS_reason, FLAGS_wait};
     int rc = f->second.run(s);
     std::cout << std::flush;
-    wire::EventLoopPool::stop(rc);
+    net::EventLoopPool::stop(rc);
   });
 }
--- a/src/control_api/call.cpp
+++ b/src/control_api/api_request.cpp
@@ -1,5 +1,5 @@
 // Paths, queries, ETags and error responses.
-#include "control_api/call.hpp"
+#include "control_api/api_request.hpp"
 
 #include <fmt/format.h>
 #include <google/protobuf/util/json_util.h>
--- a/src/control_api/artifact_pieces.cpp
+++ b/src/control_api/artifact_chunks.cpp
@@ -1,12 +1,12 @@
 // Which artifacts there are is known from the recorded releases. One that is not known is
 // looked for again after a pull, since its release may have been recorded a moment ago.
-#include "control_api/artifact_pieces.hpp"
+#include "control_api/artifact_chunks.hpp"
 
 #include <fmt/format.h>
 
 #include <charconv>
 
-#include "control_api/contact.hpp"
+#include "control_api/majority_contact.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
@@ -32,7 +32,7 @@
 }
 }  // namespace
 
-base::Response put_artifact_chunk(relay::Node& node, ApiRequest& call) {
+base::Response put_artifact_chunk(node::Node& node, ApiRequest& call) {
   auto* artifacts = node.artifacts();
   if (!artifacts) return error_response(503, "this node takes no artifacts");
   uint64_t offset = 0;
@@ -52,7 +52,7 @@
   return piece_response(result);
 }
 
-base::Response get_artifact(relay::Node& node, ApiRequest& call) {
+base::Response get_artifact(node::Node& node, ApiRequest& call) {
   auto* artifacts = node.artifacts();
   if (!artifacts) return error_response(503, "this node takes no artifacts");
   return piece_response(artifacts->progress(call.path[2]));
--- a/src/control_api/artifact_pieces.hpp
+++ b/src/control_api/artifact_chunks.hpp
@@ -1,13 +1,13 @@
 // Artifacts of software releases, sent in pieces.
 #pragma once
-#include "control_api/call.hpp"
-#include "relay/node.hpp"
+#include "control_api/api_request.hpp"
+#include "node/node.hpp"
 
 namespace dunlinwing::control_api {
 
 // PUT /v1/artifacts/SHA256?offset=N: pieces in order, each of a mebibyte at most.
-base::Response put_artifact_chunk(relay::Node& node, ApiRequest& call);
+base::Response put_artifact_chunk(node::Node& node, ApiRequest& call);
 // GET /v1/artifacts/SHA256: how much of it a majority holds.
-base::Response get_artifact(relay::Node& node, ApiRequest& call);
+base::Response get_artifact(node::Node& node, ApiRequest& call);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/heartbeats.cpp
+++ b/src/control_api/heartbeats.cpp
@@ -25,7 +25,7 @@
 }
 }  // namespace
 
-base::Response post_heartbeat(relay::Node& node, ApiRequest& call) {
+base::Response post_heartbeat(node::Node& node, ApiRequest& call) {
   auto body = parse_body(call.request.body, heartbeat_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
   if (!node.accept_heartbeat(heartbeat_of(std::get<base::Json>(body))))
@@ -33,7 +33,7 @@
   return json_response(200, kKnown);
 }
 
-base::Response delete_instance(relay::Node& node, ApiRequest& call) {
+base::Response delete_instance(node::Node& node, ApiRequest& call) {
   if (!node.deregister_instance(call.path[2]))
     return error_response(503, "this node cannot record it; try another");
   return json_response(200, kKnown);
--- a/src/control_api/views.cpp
+++ b/src/control_api/listings.cpp
@@ -1,15 +1,15 @@
 // Registers that hold one message each are listed by the rest of their names.
-#include "control_api/views.hpp"
+#include "control_api/listings.hpp"
 
 #include <fmt/format.h>
 
+#include "config/release.hpp"
 #include "membership/deregistered.hpp"
-#include "rollout/release.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
 template <class Message>
-base::Response list_registers(relay::Node& node, const std::string& prefix, const char* what) {
+base::Response list_registers(node::Node& node, const std::string& prefix, const char* what) {
   std::string list;
   for (auto& [key, held] : node.state_cache().chosen()) {
     if (!key.starts_with(prefix)) continue;
@@ -21,7 +21,7 @@
   return json_response(200, fmt::format("{{\"{}\":{{{}}}}}", what, list));
 }
 
-std::string deregistered_names(relay::Node& node) {
+std::string deregistered_names(node::Node& node) {
   auto& chosen = node.state_cache().chosen();
   auto found = chosen.find(membership::kDeregisteredKey);
   std::string list;
@@ -32,7 +32,7 @@
 }
 }  // namespace
 
-base::Response list_nodes(relay::Node& node, TimePoint now) {
+base::Response list_nodes(node::Node& node, TimePoint now) {
   std::set<std::string> members;
   for (auto& member : node.state_cache().statuses().members(now)) members.insert(member.name);
   std::string list;
@@ -45,7 +45,7 @@
   return json_response(200, "{\"nodes\":[" + list + "]}");
 }
 
-base::Response list_instances(relay::Node& node, TimePoint now) {
+base::Response list_instances(node::Node& node, TimePoint now) {
   std::string list;
   for (auto& [instance, worker] : node.state_cache().statuses().backend_instances(now)) {
     list +=
@@ -55,19 +55,19 @@
   return json_response(200, "{\"workers\":[" + list + "],\"departed\":[" + deregistered_names(node) + "]}");
 }
 
-base::Response list_drains(relay::Node& node) { return list_registers<pb::Drain>(node, "drain/", "drains"); }
-base::Response list_purges(relay::Node& node) {
+base::Response list_drains(node::Node& node) { return list_registers<pb::Drain>(node, "drain/", "drains"); }
+base::Response list_purges(node::Node& node) {
   return list_registers<pb::PurgeSet>(node, "purge/", "purges");
 }
 
-base::Response get_assignments(relay::Node& node) {
+base::Response get_assignments(node::Node& node) {
   auto& chosen = node.state_cache().chosen();
   auto found = chosen.find(rollout::kRolloutKey);
   uint64_t version = found == chosen.end() ? 0 : found->second.version;
   return json_response(200, message_json(rollout::read_rollout_state(chosen)), version);
 }
 
-base::Response get_assignment(relay::Node& node, const std::string& name) {
+base::Response get_assignment(node::Node& node, const std::string& name) {
   auto rollout = rollout::read_rollout_state(node.state_cache().chosen());
   auto found = rollout.nodes().find(name);
   if (found == rollout.nodes().end()) return error_response(404, "no such node");
--- a/src/control_api/contact.cpp
+++ b/src/control_api/majority_contact.cpp
@@ -1,7 +1,7 @@
 // A register operation has a time of its own, which is longer than clients wait. It is not
 // broken off, since a vote may be on its way; the client is told in time that its outcome
 // is unknown.
-#include "control_api/contact.hpp"
+#include "control_api/majority_contact.hpp"
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
 
 Duration contact_limit(Duration bound) { return std::min(bound / 3, kLongestContact); }
 
-std::optional<base::Response> await_majority_contact(relay::Node& node) {
+std::optional<base::Response> await_majority_contact(node::Node& node) {
   if (node.state_cache().await_pull(contact_limit(node.config().bound))) return {};
   return error_response(503, kNoMajority);
 }
--- a/src/control_api/contact.hpp
+++ b/src/control_api/majority_contact.hpp
@@ -3,8 +3,8 @@
 // Either this relay has heard a majority since the request came, or the response is a 503.
 #pragma once
 #include "consensus/register_client.hpp"
-#include "control_api/call.hpp"
-#include "relay/node.hpp"
+#include "control_api/api_request.hpp"
+#include "node/node.hpp"
 
 namespace dunlinwing::control_api {
 
@@ -17,7 +17,7 @@
 
 // Waits until a pull that began after this call has heard a majority: all that was
 // acknowledged before is then in the state cache. The response to give when none is heard.
-std::optional<base::Response> await_majority_contact(relay::Node& node);
+std::optional<base::Response> await_majority_contact(node::Node& node);
 
 // What a register operation that failed is told as. Always 503.
 base::Response register_error(consensus::RegisterError error);
--- a/src/control_api/report.cpp
+++ b/src/control_api/metrics.cpp
@@ -1,5 +1,5 @@
 // Counters are this process's own, since its start.
-#include "control_api/report.hpp"
+#include "control_api/metrics.hpp"
 
 #include <fmt/format.h>
 
@@ -20,7 +20,7 @@
 };
 }  // namespace
 
-std::string metrics(relay::Node& node, TimePoint now) {
+std::string metrics(node::Node& node, TimePoint now) {
   Page p;
   auto& c = node.request_handler().counters();
   p.one("requests_total", "counter", "Requests of callers answered.", c.requests.load());
@@ -53,7 +53,7 @@
     p.out += fmt::format("dunlinwing_waiting{{service=\"{}\"}} {}\n", s,
                          node.request_handler().upstream_client().load(s).second);
   p.head("shots_total", "counter", "UpstreamClient by version and how they ended.");
-  std::map<std::pair<std::string, std::string>, traffic::VersionOutcomes> sums;  // over the routes
+  std::map<std::pair<std::string, std::string>, proxy::VersionOutcomes> sums;  // over the routes
   for (auto& [k, v] : node.request_handler().upstream_client().counts()) {
     auto& x = sums[{k.service, k.version}];
     x.good += v.good;
@@ -68,7 +68,7 @@
   return p.out;
 }
 
-std::string status(relay::Node& node, TimePoint now) {
+std::string status(node::Node& node, TimePoint now) {
   auto& config = node.config();
   auto& k = node.request_handler().counters();
   return fmt::format(
--- a/src/control_api/self.cpp
+++ b/src/control_api/node_identity.cpp
@@ -1,5 +1,5 @@
 // The other half, which reads it, is membership/discovery.
-#include "control_api/self.hpp"
+#include "control_api/node_identity.hpp"
 
 #include <fmt/format.h>
 
@@ -15,7 +15,7 @@
 }
 }  // namespace
 
-base::Response node_identity(relay::Node& node) {
+base::Response node_identity(node::Node& node) {
   auto& config = node.config();
   auto& set = node.registers().set();
   return json_response(
--- a/src/control_api/numbered_configuration.cpp
+++ b/src/control_api/numbered_configuration.cpp
@@ -9,8 +9,8 @@
 #include <charconv>
 
 #include "base/log.hpp"
-#include "control_api/contact.hpp"
-#include "traffic/order.hpp"
+#include "config/numbered_configuration.hpp"
+#include "control_api/majority_contact.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
@@ -32,12 +32,12 @@
   if (auto* error = std::get_if<base::ValidationError>(&parsed)) return validation_errors({*error});
   auto& json = std::get<base::Json>(parsed);
   auto read =
-      traffic::parse_routing_configuration(traffic::numbered_configuration_name(*number), json.at("content"));
+      config::parse_routing_configuration(config::numbered_configuration_name(*number), json.at("content"));
   if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&read))
     return validation_errors(*errors);
   pb::NumberedConfiguration stated;
   stated.set_number(*number);
-  stated.set_document(std::get<std::shared_ptr<const traffic::RoutingConfiguration>>(read)->text);
+  stated.set_document(std::get<std::shared_ptr<const config::RoutingConfiguration>>(read)->text);
   stated.set_operator_text(json.at("stated").string_or());
   return stated;
 }
@@ -56,11 +56,11 @@
 }
 }  // namespace
 
-base::Response put_numbered_configuration(base::Ports& ports, relay::Node& node, ApiRequest& call) {
+base::Response put_numbered_configuration(base::Ports& ports, node::Node& node, ApiRequest& call) {
   auto request = read_request(call);
   if (auto* response = std::get_if<base::Response>(&request)) return *response;
   auto& stated = std::get<pb::NumberedConfiguration>(request);
-  auto read = node.registers().read(traffic::kNumberedConfigurationKey);
+  auto read = node.registers().read(config::kNumberedConfigurationKey);
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
   auto held = std::get<consensus::VersionedValue>(read);
   for (int i = 0; i < kAttempts && (i == 0 || ports.clock.now() < call.deadline); ++i) {
@@ -68,7 +68,7 @@
     now.ParseFromString(held.data);
     if (now.number() >= stated.number()) return nothing_changed(now, stated, held.version);
     auto written =
-        node.registers().write(traffic::kNumberedConfigurationKey, held.version, stated.SerializeAsString());
+        node.registers().write(config::kNumberedConfigurationKey, held.version, stated.SerializeAsString());
     if (auto* value = std::get_if<consensus::VersionedValue>(&written)) {
       logger.info("Layout {} was recorded.", stated.number());
       node.state_cache().pull_soon();
@@ -81,9 +81,9 @@
   return error_response(503, "other writes came first; send it again");
 }
 
-base::Response get_numbered_configuration(relay::Node& node) {
+base::Response get_numbered_configuration(node::Node& node) {
   auto& chosen = node.state_cache().chosen();
-  auto found = chosen.find(traffic::kNumberedConfigurationKey);
+  auto found = chosen.find(config::kNumberedConfigurationKey);
   pb::NumberedConfiguration held;
   if (found == chosen.end() || !held.ParseFromString(found->second.data) || !held.number())
     return error_response(404, "no layout was ever stated under a number");
--- a/src/control_api/purger.cpp
+++ b/src/control_api/purge_writer.cpp
@@ -1,7 +1,7 @@
 // One write a service is under way at a time; what comes meanwhile goes into
 // the next. Folding makes a purge wider, never narrower, so nothing purged can
 // come back.
-#include "control_api/purger.hpp"
+#include "control_api/purge_writer.hpp"
 
 #include <algorithm>
 
--- a/src/control_api/purges.cpp
+++ b/src/control_api/purges.cpp
@@ -4,9 +4,9 @@
 
 #include <fmt/format.h>
 
-#include "control_api/contact.hpp"
+#include "control_api/majority_contact.hpp"
 #include "control_api/schemas.hpp"
-#include "traffic/table.hpp"
+#include "proxy/routing_snapshot.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
@@ -19,7 +19,7 @@
 }
 
 // The other service that has a purge of this name, as of the latest pull.
-std::optional<std::string> other_service_with(relay::Node& node, const std::string& name,
+std::optional<std::string> other_service_with(node::Node& node, const std::string& name,
                                               const std::string& service) {
   for (auto& [key, held] : node.state_cache().chosen()) {
     if (!key.starts_with(kPurgePrefix)) continue;
@@ -41,7 +41,7 @@
 }
 }  // namespace
 
-base::Response put_purge(relay::Node& node, PurgeWriter& purger, ApiRequest& call) {
+base::Response put_purge(node::Node& node, PurgeWriter& purger, ApiRequest& call) {
   auto body = parse_body(call.request.body, purge_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
   auto& json = std::get<base::Json>(body);
@@ -49,8 +49,8 @@
   if (call.path.size() > 2) purge.set_name(call.path[2]);
   if (purge.kind() != kWholeService && purge.path().empty())
     return validation_errors({{purge.kind() == "tag" ? "/tag" : "/path", "is missing"}});
-  auto service = json.at("service").string_or(traffic::kAllServices);
-  if (service == traffic::kAllServices && purge.kind() == kWholeService)
+  auto service = json.at("service").string_or(proxy::kAllServices);
+  if (service == proxy::kAllServices && purge.kind() == kWholeService)
     return validation_errors({{"/service", "is missing"}});
   if (!purge.name().empty()) {
     if (auto unheard = await_majority_contact(node)) return *unheard;
--- a/src/control_api/change.hpp
+++ b/src/control_api/register_change.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <google/protobuf/util/message_differencer.h>
 
-#include "control_api/contact.hpp"
+#include "control_api/majority_contact.hpp"
 
 namespace dunlinwing::control_api {
 
@@ -12,8 +12,8 @@
 // A change that is in force already is acknowledged, also when only the client's own write,
 // whose answer was lost, can have overtaken its precondition (RFC 9110, 13.1.1).
 template <class Message, class Edit>
-base::Response change_register(base::Ports& ports, relay::Node& node, ApiRequest& call,
-                               const std::string& key, Edit edit) {
+base::Response change_register(base::Ports& ports, node::Node& node, ApiRequest& call, const std::string& key,
+                               Edit edit) {
   auto read = node.registers().read(key);
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
   auto held = std::get<consensus::VersionedValue>(read);
--- a/src/control_api/releases.cpp
+++ b/src/control_api/releases.cpp
@@ -7,18 +7,18 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "control_api/change.hpp"
+#include "control_api/register_change.hpp"
 #include "control_api/schemas.hpp"
 #include "control_api/services.hpp"
-#include "rollout/checks.hpp"
-#include "rollout/moves.hpp"
+#include "rollout/release_checks.hpp"
+#include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
 constexpr base::Log logger("control-api");
 constexpr std::string_view kReleasePrefix = "release/";
 
-std::optional<consensus::VersionedValue> chosen(relay::Node& node, const std::string& key) {
+std::optional<consensus::VersionedValue> chosen(node::Node& node, const std::string& key) {
   auto& all = node.state_cache().chosen();
   auto found = all.find(key);
   if (found == all.end() || found->second.version == 0) return {};
@@ -31,12 +31,12 @@
   return "null";
 }
 
-base::Response get_release(relay::Node& node, const std::string& kind, const std::string& name,
+base::Response get_release(node::Node& node, const std::string& kind, const std::string& name,
                            bool with_document) {
-  auto held = chosen(node, rollout::release_key(kind, name));
+  auto held = chosen(node, config::release_key(kind, name));
   if (!held) return error_response(404, "no such release");
   pb::OperatorAction action;
-  if (auto stated = chosen(node, rollout::operator_action_key(kind, name)))
+  if (auto stated = chosen(node, config::operator_action_key(kind, name)))
     action.ParseFromString(stated->data);
   auto rollout = rollout::read_rollout_state(node.state_cache().chosen());
   std::string body = fmt::format(R"({{"kind":{},"name":{},"course":{},"acts":{})", base::quote(kind),
@@ -45,7 +45,7 @@
   return json_response(200, body + "}", held->version);
 }
 
-base::Response list_releases(relay::Node& node, const std::string& only_kind) {
+base::Response list_releases(node::Node& node, const std::string& only_kind) {
   std::string list;
   for (auto& [key, held] : node.state_cache().chosen()) {
     if (!key.starts_with(kReleasePrefix) || !held.version) continue;
@@ -67,7 +67,7 @@
 }
 
 // Whether the configuration has a version that serves the service now or served it before.
-bool keeps_a_version(const traffic::ServiceConfiguration& service, const pb::ServiceState& state) {
+bool keeps_a_version(const config::ServiceConfiguration& service, const pb::ServiceState& state) {
   auto allowed = [&](const std::string& version) {
     return std::find(service.versions.begin(), service.versions.end(), version) != service.versions.end();
   };
@@ -77,13 +77,13 @@
 
 // A worker version goes into service by a move, on trial; never by a configuration that
 // leaves out the one in place. The response when this one does, or when that cannot be told.
-std::optional<base::Response> check_versions(relay::Node& node, const rollout::Release& release) {
-  auto read = traffic::parse_routing_configuration(release.name, release.content);
-  auto* next = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&read);
+std::optional<base::Response> check_versions(node::Node& node, const config::Release& release) {
+  auto read = config::parse_routing_configuration(release.name, release.content);
+  auto* next = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&read);
   if (!next) return {};
   auto in_force = configuration_in_force(node);
   if (auto* response = std::get_if<base::Response>(&in_force)) return *response;
-  auto now = std::get<std::shared_ptr<const traffic::RoutingConfiguration>>(in_force);
+  auto now = std::get<std::shared_ptr<const config::RoutingConfiguration>>(in_force);
   for (auto& [name, service] : (*next)->services) {
     if (!now || !now->services.count(name)) continue;
     auto held = node.registers().read(rollout::service_key(name));
@@ -106,23 +106,23 @@
 }
 }  // namespace
 
-base::Response put_release(relay::Node& node, ApiRequest& call) {
+base::Response put_release(node::Node& node, ApiRequest& call) {
   auto &kind = call.path[2], &name = call.path[3];
-  if (!rollout::is_kind(kind)) return error_response(404, "no such kind of release");
-  if (!rollout::is_valid_name(name))
+  if (!config::is_kind(kind)) return error_response(404, "no such kind of release");
+  if (!config::is_valid_name(name))
     return error_response(422, "a release is named by letters, digits, '-', '_' and '.'");
-  auto release = rollout::parse_release(kind, name, call.request.body);
+  auto release = config::parse_release(kind, name, call.request.body);
   if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&release))
     return validation_errors(*errors);
   auto path = fmt::format("/v1/releases/{}/{}", kind, name);
-  auto key = rollout::release_key(kind, name);
+  auto key = config::release_key(kind, name);
   auto read = node.registers().read(key);
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
   auto& held = std::get<consensus::VersionedValue>(read);
   if (held.version > 0) return already_recorded(call, held, path);
   if (auto failed = check_precondition(call.request, held.version)) return *failed;
   if (kind == "layout")
-    if (auto response = check_versions(node, std::get<rollout::Release>(release))) return *response;
+    if (auto response = check_versions(node, std::get<config::Release>(release))) return *response;
   auto written = node.registers().write(key, 0, call.request.body);
   if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
   if (auto* conflict = std::get_if<consensus::VersionConflict>(&written))
@@ -134,7 +134,7 @@
   return response;
 }
 
-base::Response put_operator_action(base::Ports& ports, relay::Node& node, ApiRequest& call) {
+base::Response put_operator_action(base::Ports& ports, node::Node& node, ApiRequest& call) {
   auto &kind = call.path[2], &name = call.path[3], &what = call.path[4];
   std::string check = call.path.size() > 5 ? call.path[5] : "";
   bool waiver = what == "waivers" && std::any_of(std::begin(rollout::kChecks), std::end(rollout::kChecks),
@@ -144,7 +144,7 @@
   auto body = parse_body(call.request.body, reason_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
   auto reason = std::get<base::Json>(body).at("reason").string_or();
-  auto release = node.registers().read(rollout::release_key(kind, name));
+  auto release = node.registers().read(config::release_key(kind, name));
   if (auto* error = std::get_if<consensus::RegisterError>(&release)) return register_error(*error);
   if (std::get<consensus::VersionedValue>(release).version == 0)
     return error_response(404, "no such release");
@@ -155,13 +155,13 @@
       (what == "express" ? *action.mutable_express() : *action.mutable_withdrawn()) = reason;
     return {};
   };
-  return change_register<pb::OperatorAction>(ports, node, call, rollout::operator_action_key(kind, name),
+  return change_register<pb::OperatorAction>(ports, node, call, config::operator_action_key(kind, name),
                                              edit);
 }
 
-base::Response get_releases(relay::Node& node, ApiRequest& call) {
+base::Response get_releases(node::Node& node, ApiRequest& call) {
   auto& path = call.path;
-  if (path.size() > 2 && !rollout::is_kind(path[2])) return error_response(404, "no such kind of release");
+  if (path.size() > 2 && !config::is_kind(path[2])) return error_response(404, "no such kind of release");
   if (path.size() == 4) return get_release(node, path[2], path[3], true);
   return list_releases(node, path.size() == 3 ? path[2] : "");
 }
--- a/src/control_api/replicas.cpp
+++ b/src/control_api/replicas.cpp
@@ -6,9 +6,9 @@
 
 #include <algorithm>
 
-#include "control_api/contact.hpp"
+#include "control_api/majority_contact.hpp"
 #include "control_api/schemas.hpp"
-#include "wire/peer.hpp"
+#include "net/peer.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
@@ -28,14 +28,14 @@
 }
 }  // namespace
 
-base::Response get_replicas(relay::Node& node) {
+base::Response get_replicas(node::Node& node) {
   auto& chosen = node.state_cache().chosen();
   auto found = chosen.find(consensus::kReplicaSetKey);
   uint64_t version = found == chosen.end() ? 0 : found->second.version;
   return json_response(200, message_json(node.registers().set().message()), version);
 }
 
-base::Response put_replica(relay::Node& node, ApiRequest& call) {
+base::Response put_replica(node::Node& node, ApiRequest& call) {
   auto body = parse_body(call.request.body, replica_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
   auto& json = std::get<base::Json>(body);
--- a/src/control_api/control.cpp
+++ b/src/control_api/router.cpp
@@ -1,24 +1,24 @@
 // Routes each request to its resource. A read waits for a pull that began after it came in,
 // so it shows whatever was acknowledged before. A write is compare-and-set on the register of
 // its resource, and is answered in time, come what may (contact.hpp).
-#include "control_api/control.hpp"
+#include "control_api/router.hpp"
 
 #include <algorithm>
 #include <charconv>
 
-#include "control_api/artifact_pieces.hpp"
-#include "control_api/contact.hpp"
+#include "control_api/artifact_chunks.hpp"
 #include "control_api/drains.hpp"
 #include "control_api/heartbeats.hpp"
-#include "control_api/moves.hpp"
+#include "control_api/listings.hpp"
+#include "control_api/majority_contact.hpp"
+#include "control_api/metrics.hpp"
+#include "control_api/node_identity.hpp"
 #include "control_api/numbered_configuration.hpp"
 #include "control_api/purges.hpp"
 #include "control_api/releases.hpp"
 #include "control_api/replicas.hpp"
-#include "control_api/report.hpp"
-#include "control_api/self.hpp"
 #include "control_api/services.hpp"
-#include "control_api/views.hpp"
+#include "control_api/version_rollouts.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
@@ -42,10 +42,10 @@
 
 struct Router::Impl {
   base::Ports& ports;
-  relay::Node& node;
+  node::Node& node;
   PurgeWriter purger;
 
-  Impl(base::Ports& p, relay::Node& n) : ports(p), node(n), purger(p, n.registers()) {}
+  Impl(base::Ports& p, node::Node& n) : ports(p), node(n), purger(p, n.registers()) {}
 
   base::Response read(ApiRequest& call) {
     auto& path = call.path;
@@ -126,7 +126,7 @@
   }
 };
 
-Router::Router(base::Ports& ports, relay::Node& node) : impl_(std::make_shared<Impl>(ports, node)) {}
+Router::Router(base::Ports& ports, node::Node& node) : impl_(std::make_shared<Impl>(ports, node)) {}
 Router::~Router() = default;
 
 base::Response Router::handle(base::Request& request) {
--- a/src/control_api/moves.cpp
+++ b/src/control_api/version_rollouts.cpp
@@ -1,17 +1,17 @@
 // A move is acknowledged once it is recorded. The same request again is the same move: while
 // it runs, after it has ended, and for a while after a newer one took its place. Another
 // takes the place of a running one, unless the service is just being switched.
-#include "control_api/moves.hpp"
+#include "control_api/version_rollouts.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cstdlib>
 
-#include "control_api/contact.hpp"
+#include "control_api/majority_contact.hpp"
 #include "control_api/schemas.hpp"
 #include "control_api/services.hpp"
-#include "rollout/moves.hpp"
+#include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
@@ -95,7 +95,7 @@
 }
 }  // namespace
 
-base::Response get_version_rollout(relay::Node& node, ApiRequest& call) {
+base::Response get_version_rollout(node::Node& node, ApiRequest& call) {
   auto& chosen = node.state_cache().chosen();
   auto found = chosen.find(rollout::service_key(call.path[2]));
   pb::ServiceState state;
@@ -105,7 +105,7 @@
   return move_response(state, found->second.version);
 }
 
-base::Response put_version_rollout(base::Ports& ports, relay::Node& node, ApiRequest& call) {
+base::Response put_version_rollout(base::Ports& ports, node::Node& node, ApiRequest& call) {
   auto body = parse_body(call.request.body, version_rollout_schema());
   if (auto* response = std::get_if<base::Response>(&body)) return *response;
   auto& json = std::get<base::Json>(body);
@@ -113,7 +113,7 @@
                    json.at("lift_quarantine").bool_or()};
   auto looked_up = service_for_version(node, move.service, move.version);
   if (auto* response = std::get_if<base::Response>(&looked_up)) return *response;
-  auto service = std::get<std::shared_ptr<const traffic::ServiceConfiguration>>(looked_up);
+  auto service = std::get<std::shared_ptr<const config::ServiceConfiguration>>(looked_up);
   auto key = rollout::service_key(move.service);
   auto read = node.registers().read(key);
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
--- a/src/traffic/budget.cpp
+++ b/src/limits/budget.cpp
@@ -4,11 +4,11 @@
 // A process that has just started knows nothing of what its forerunner spent, so
 // it starts with nothing saved up, and its first paced send comes a whole
 // interval after its start.
-#include "traffic/budget.hpp"
+#include "limits/budget.hpp"
 
 #include <algorithm>
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::limits {
 namespace {
 constexpr double kMargin = 0.75;  // of the allowance: what arrives is less even than what leaves
 constexpr double kLateMs = 100;   // a turn missed by more is taken anew
@@ -52,4 +52,4 @@
   return share >= t.quota * 0.999 && static_cast<double>(clock_.now().count()) <= t.due_ms + kLateMs;
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::limits
--- a/src/traffic/budget.hpp
+++ b/src/limits/budget.hpp
@@ -5,7 +5,7 @@
 
 #include "base/ports.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::limits {
 
 // Which part of the fleet's allowance of repeats this relay may save up: whole
 // repeats only, so that with more relays than allowance some save up none.
@@ -47,4 +47,4 @@
   std::map<std::string, double> next_ms_;
 };
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::limits
--- a/src/rollout/pacer.cpp
+++ b/src/limits/rate_allocator.cpp
@@ -2,12 +2,12 @@
 // they should fall or may rise. After taking the leadership up it does not know when
 // shares last fell, and so waits a bound before it lets any rise; nor what is asked
 // where, and so lowers none for want of demand until it has looked a few times.
-#include "rollout/pacer.hpp"
+#include "limits/rate_allocator.hpp"
 
 #include "base/log.hpp"
-#include "traffic/order.hpp"
+#include "config/numbered_configuration.hpp"
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::limits {
 namespace {
 constexpr base::Log logger("shares");
 constexpr double kFresh = 0.3;   // the weight of the latest look at demand
@@ -34,10 +34,10 @@
   std::map<std::string, TimePoint> fell;
   std::map<std::string, int64_t> rates;
   std::string rates_of;
-  traffic::NumberedConfigurationReader orders;
+  config::NumberedConfigurationReader orders;
 
   // The least rate that any layout assigned now states; a rate holds for all.
-  void read_rates(const pb::RolloutState& r, const std::map<std::string, Release>& releases) {
+  void read_rates(const pb::RolloutState& r, const std::map<std::string, config::Release>& releases) {
     if (auto& o = orders.read(state_cache.chosen()); o.number) {
       rates.clear();
       if (o.configuration)
@@ -53,10 +53,10 @@
     if (key == rates_of) return;
     rates.clear();
     for (auto& [n, x] : names) {
-      auto rel = releases.find(release_key("layout", n));
+      auto rel = releases.find(config::release_key("layout", n));
       if (rel == releases.end()) return;
-      auto l = traffic::parse_routing_configuration(n, rel->second.content);
-      auto* y = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&l);
+      auto l = config::parse_routing_configuration(n, rel->second.content);
+      auto* y = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&l);
       if (!y) continue;
       for (auto& [k, s] : (*y)->services) {
         if (!s.rate) continue;
@@ -70,14 +70,14 @@
   // Writes the term into the shares, so that what was decided under an earlier one can no longer be
   // written. True when it is in them; the shares are as they were.
   bool take_up(const std::string& svc, pb::RateQuotas shares, uint64_t version,
-               const LeadershipFence& fence) {
+               const membership::LeadershipFence& fence) {
     if (!version || shares.term() == fence.term()) return fence.allows(shares.term());
     fence.write(registers, quota_key(svc), version, shares.term(), shares);
     return false;  // the next look finds what stands
   }
 
-  void tick(TimePoint now, const pb::RolloutState& r, const std::map<std::string, Release>& releases,
-            const LeadershipFence& fence) {
+  void tick(TimePoint now, const pb::RolloutState& r, const std::map<std::string, config::Release>& releases,
+            const membership::LeadershipFence& fence) {
     if (term != fence.term()) {
       term = fence.term();
       fell.clear();
@@ -150,7 +150,7 @@
   }
 
   void write(const std::string& svc, const QuotaInput& input, const pb::RateQuotas& have, uint64_t version,
-             const LeadershipFence& fence) {
+             const membership::LeadershipFence& fence) {
     auto o = step(have, input);
     if (!o.decreased && !o.increased) return;
     // Whatever becomes of the write, what it lowers may have been lowered now.
@@ -165,9 +165,10 @@
                              membership::StateCache& state_cache, Duration bound)
     : impl_(new Impl{ports, registers, state_cache, bound}) {}
 RateAllocator::~RateAllocator() = default;
-void RateAllocator::tick(TimePoint now, const pb::RolloutState& r, const std::map<std::string, Release>& rs,
-                         const LeadershipFence& fence) {
+void RateAllocator::tick(TimePoint now, const pb::RolloutState& r,
+                         const std::map<std::string, config::Release>& rs,
+                         const membership::LeadershipFence& fence) {
   impl_->tick(now, r, rs, fence);
 }
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::limits
--- a/src/rollout/pacer.hpp
+++ b/src/limits/rate_allocator.hpp
@@ -1,22 +1,22 @@
 // Keeps the shares of stated rates, for the holder of the rollout leadership.
 #pragma once
-#include "rollout/fence.hpp"
-#include "rollout/release.hpp"
-#include "rollout/shares.hpp"
+#include "config/release.hpp"
+#include "limits/rate_quotas.hpp"
+#include "membership/leadership_fence.hpp"
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::limits {
 
 class RateAllocator {
  public:
   RateAllocator(base::Ports& ports, consensus::RegisterClient& registers, membership::StateCache& state_cache,
                 Duration bound);
   ~RateAllocator();
-  void tick(TimePoint now, const pb::RolloutState& r, const std::map<std::string, Release>& releases,
-            const LeadershipFence& fence);
+  void tick(TimePoint now, const pb::RolloutState& r, const std::map<std::string, config::Release>& releases,
+            const membership::LeadershipFence& fence);
 
  private:
   struct Impl;
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::limits
--- a/src/rollout/shares.cpp
+++ b/src/limits/rate_quotas.cpp
@@ -1,12 +1,12 @@
 // Each share may be early by one request, so N shares may be early by N in any
 // five seconds. What is handed out, and to how many, leaves room for that within
 // a tenth of the rate; the rest of the margin is for uneven arrival.
-#include "rollout/shares.hpp"
+#include "limits/rate_quotas.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::limits {
 namespace {
 constexpr double kHandedOut = 0.97;
 constexpr double kFloor = 0.2;    // of the rate, spread evenly, so that no relay starts from nothing
@@ -68,4 +68,4 @@
   return o;
 }
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::limits
--- a/src/rollout/shares.hpp
+++ b/src/limits/rate_quotas.hpp
@@ -4,7 +4,7 @@
 #include "base/common.hpp"
 #include "wire.pb.h"
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::limits {
 
 struct QuotaInput {
   int64_t rate = 0;                      // requests a second over the fleet
@@ -21,4 +21,4 @@
 QuotaStep step(const pb::RateQuotas& quotas, const QuotaInput& input);
 std::string quota_key(const std::string& service);
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::limits
--- a/src/rollout/fence.cpp
+++ b/src/membership/leadership_fence.cpp
@@ -1,6 +1,6 @@
-#include "rollout/fence.hpp"
+#include "membership/leadership_fence.hpp"
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::membership {
 
 bool may_replace(const LeaseObservation& lease, uint64_t decided, uint64_t in_force) {
   if (!lease.held) return false;
@@ -17,4 +17,4 @@
   return may_replace({leadership_.held(), leadership_.term()}, term_, in_force);
 }
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::membership
--- a/src/rollout/fence.hpp
+++ b/src/membership/leadership_fence.hpp
@@ -7,7 +7,7 @@
 #include "consensus/register_client.hpp"
 #include "membership/leadership.hpp"
 
-namespace dunlinwing::rollout {
+namespace dunlinwing::membership {
 
 // What is known right before a write.
 struct LeaseObservation {
@@ -45,4 +45,4 @@
   uint64_t term_ = 0;
 };
 
-}  // namespace dunlinwing::rollout
+}  // namespace dunlinwing::membership
--- a/src/membership/replica_answers.cpp
+++ b/src/membership/replica_responses.cpp
@@ -1,4 +1,4 @@
-#include "membership/replica_answers.hpp"
+#include "membership/replica_responses.hpp"
 
 #include <algorithm>
 #include <set>
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -14,7 +14,7 @@
 #include "consensus/vote.hpp"
 #include "membership/deregistered.hpp"
 #include "membership/pull_schedule.hpp"
-#include "membership/replica_answers.hpp"
+#include "membership/replica_responses.hpp"
 
 namespace dunlinwing::membership {
 namespace {
--- a/src/membership/state_cache.hpp
+++ b/src/membership/state_cache.hpp
@@ -8,7 +8,7 @@
 
 #include "consensus/acceptor.hpp"
 #include "consensus/register_client.hpp"
-#include "membership/replica_answers.hpp"
+#include "membership/replica_responses.hpp"
 #include "membership/status_table.hpp"
 
 namespace dunlinwing::membership {
--- a/src/wire/line.cpp
+++ b/src/net/connection.cpp
@@ -1,6 +1,6 @@
 // Asio waits; the bytes themselves are sent by plain calls first, so that an
 // answer that fits costs one system call and no round through the reactor.
-#include "wire/line.hpp"
+#include "net/connection.hpp"
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -8,9 +8,9 @@
 #include <array>
 #include <cerrno>
 
-#include "wire/peer.hpp"
+#include "net/peer.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
@@ -144,4 +144,4 @@
   socket_.shutdown(Socket::shutdown_send, ig);
 }
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/line.hpp
+++ b/src/net/connection.hpp
@@ -5,9 +5,9 @@
 #pragma once
 #include <boost/asio/ip/tcp.hpp>
 
-#include "wire/loop.hpp"
+#include "net/event_loop.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 
 // What each of our connections is set to: no delay, and not stuck behind a cut.
 void configure_socket(boost::asio::ip::tcp::socket& s);
@@ -58,4 +58,4 @@
   std::function<void()> on_read_done_;
 };
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/kept.cpp
+++ b/src/net/connection_pool.cpp
@@ -1,11 +1,11 @@
 // An idle connection has a read pending, so its end is noticed at once and the
 // descriptor given back. Those that only grew old go when any other is sought:
 // no timer watches over them.
-#include "wire/kept.hpp"
+#include "net/connection_pool.hpp"
 
 #include <boost/asio/post.hpp>
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 namespace asio = boost::asio;
 
 namespace {
@@ -179,4 +179,4 @@
   return f == hosts_.end() ? 0 : f->second.open;
 }
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/kept.hpp
+++ b/src/net/connection_pool.hpp
@@ -4,9 +4,9 @@
 #include <deque>
 #include <mutex>
 
-#include "wire/line.hpp"
+#include "net/connection.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 
 constexpr size_t kResponseReadSize = 8 << 10;  // most answers fit in one read
 
@@ -69,4 +69,4 @@
   Hosts hosts_;
 };
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/loop.cpp
+++ b/src/net/event_loop.cpp
@@ -3,7 +3,7 @@
 // Fibers meet across threads through the io_context alone; on one thread a notify
 // is a mere push. The reactor is asked when no fiber is ready, and once in a
 // number of rounds when some always is: each asking is a system call.
-#include "wire/loop.hpp"
+#include "net/event_loop.hpp"
 
 #include <sys/mman.h>
 #include <sys/random.h>
@@ -23,7 +23,7 @@
 
 #include "base/log.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 namespace asio = boost::asio;
 namespace bf = boost::fibers;
 
@@ -270,4 +270,4 @@
   return g();
 }
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/loop.hpp
+++ b/src/net/event_loop.hpp
@@ -11,7 +11,7 @@
 
 #include "base/ports.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 
 using ErrorCode = boost::system::error_code;
 
@@ -88,4 +88,4 @@
   uint64_t draw() override;
 };
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/http.hpp
+++ b/src/net/http.hpp
@@ -2,5 +2,5 @@
 // function, and a client that fires one request at a worker and says honestly
 // how far it got.
 #pragma once
-#include "wire/http_origin.hpp"
-#include "wire/http_server.hpp"
+#include "net/http_client.hpp"
+#include "net/http_server.hpp"
--- a/src/wire/http_origin.cpp
+++ b/src/net/http_client.cpp
@@ -2,14 +2,14 @@
 // Beast does the parsing. Whatever leaves a doubt about where an answer ends,
 // or whose it is, costs the connection, and the answer too. A connection that was
 // given up is reset, so that what lies in its buffer is not delivered later.
-#include "wire/http_origin.hpp"
+#include "net/http_client.hpp"
 
 #include <boost/beast/http.hpp>
 #include <charconv>
 
-#include "wire/kept.hpp"
+#include "net/connection_pool.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using base::AttemptError;
@@ -159,4 +159,4 @@
   return given_up(AttemptError::unknown);
 }
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/http_origin.hpp
+++ b/src/net/http_client.hpp
@@ -1,9 +1,9 @@
 // An HTTP/1.1 client that fires one request at a worker and says honestly how
 // far it got. Connections that ended well are kept for the next.
 #pragma once
-#include "wire/loop.hpp"
+#include "net/event_loop.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 
 class HttpClient final : public base::Origin {
  public:
@@ -24,4 +24,4 @@
   std::shared_ptr<Impl> impl_;
 };
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -1,7 +1,7 @@
 // Beast does the parsing. What is ours: whole bodies within bounds, framing
 // that Beast would let pass but RFC 9112 forbids, one write for an answer, and
 // one coarse sweep a thread in place of a timer for each read and write.
-#include "wire/http_server.hpp"
+#include "net/http_server.hpp"
 
 #include <algorithm>
 #include <atomic>
@@ -10,10 +10,10 @@
 #include <list>
 
 #include "base/log.hpp"
-#include "wire/line.hpp"
-#include "wire/peer.hpp"
+#include "net/connection.hpp"
+#include "net/peer.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
@@ -394,4 +394,4 @@
   return {};
 }
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,9 +1,9 @@
 // An HTTP/1.1 server that hands whole requests to a function, one fiber a
 // connection. Its limits may be changed while it runs.
 #pragma once
-#include "wire/loop.hpp"
+#include "net/event_loop.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 
 struct HttpLimits {
   size_t head_bytes = 16 << 10;
@@ -38,4 +38,4 @@
   std::shared_ptr<Impl> impl_;
 };
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/peer.cpp
+++ b/src/net/peer.cpp
@@ -2,7 +2,7 @@
 // which its reply repeats; a connection whose ask did not end well is reset, so no reply
 // can meet another's ask and no ask is delivered after it was given up. A silent one is dropped: by the
 // server after a while, by us well before.
-#include "wire/peer.hpp"
+#include "net/peer.hpp"
 
 #include <algorithm>
 #include <atomic>
@@ -11,10 +11,10 @@
 #include <list>
 
 #include "base/log.hpp"
-#include "wire/line.hpp"
-#include "wire/peer_connections.hpp"
+#include "net/connection.hpp"
+#include "net/peer_connections.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
@@ -196,4 +196,4 @@
   return {};
 }
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/peer.hpp
+++ b/src/net/peer.hpp
@@ -2,9 +2,9 @@
 // four bytes of length before it, over TCP. An ask and its reply use one
 // connection at a time; idle connections are kept per thread.
 #pragma once
-#include "wire/loop.hpp"
+#include "net/event_loop.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 
 class PeerClient final : public base::PeerTransport {
  public:
@@ -31,4 +31,4 @@
 };
 std::optional<Address> split_address(const std::string& s);
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -1,8 +1,8 @@
-#include "wire/peer_connections.hpp"
+#include "net/peer_connections.hpp"
 
 #include <algorithm>
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 namespace {
 constexpr std::chrono::seconds kKeptIdle(20);  // well before the other side closes it
 constexpr std::chrono::seconds kPruneEvery(5);
@@ -129,4 +129,4 @@
   }
 }
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/wire/peer_connections.hpp
+++ b/src/net/peer_connections.hpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <vector>
 
-#include "wire/line.hpp"
+#include "net/connection.hpp"
 
-namespace dunlinwing::wire {
+namespace dunlinwing::net {
 
 class PeerConnections {
  public:
@@ -63,4 +63,4 @@
 // Those of the calling thread.
 PeerConnections& peer_connections();
 
-}  // namespace dunlinwing::wire
+}  // namespace dunlinwing::net
--- a/src/relay/main.cpp
+++ b/src/node/main.cpp
@@ -9,16 +9,16 @@
 #include <sstream>
 
 #include "base/log.hpp"
-#include "control_api/control.hpp"
-#include "platform/face.hpp"
-#include "platform/gate.hpp"
-#include "relay/reread.hpp"
-#include "relay/socket_budget.hpp"
+#include "control_api/router.hpp"
+#include "net/http.hpp"
+#include "net/peer.hpp"
+#include "node/settings_reloader.hpp"
+#include "node/socket_budget.hpp"
+#include "platform/control_adapter.hpp"
+#include "platform/protocol_adapter.hpp"
 #include "software/stager.hpp"
 #include "storage/async_disk.hpp"
 #include "storage/snapshot_store.hpp"
-#include "wire/http.hpp"
-#include "wire/peer.hpp"
 
 DEFINE_string(config, "", "the settings file (JSON)");
 DEFINE_bool(check, false, "check the settings and stop");
@@ -33,7 +33,7 @@
 constexpr dw::base::Log logger("relay");
 constexpr int kBadSettings = 2, kCannotStart = 3;
 
-std::optional<dw::relay::Settings> settings() {
+std::optional<dw::node::Settings> settings() {
   if (FLAGS_config.empty()) {
     std::cerr << "relay: --config names no file\n";
     return {};
@@ -45,14 +45,14 @@
     std::cerr << "relay: cannot read " << FLAGS_config << "\n";
     return {};
   }
-  auto g = dw::relay::parse_settings(b.str());
+  auto g = dw::node::parse_settings(b.str());
   if (auto* ds = std::get_if<std::vector<dw::base::ValidationError>>(&g)) {
     for (auto& d : *ds)
       std::cerr << "relay: " << FLAGS_config << ": " << (d.pointer.empty() ? "/" : d.pointer) << " "
                 << d.message << "\n";
     return {};
   }
-  auto c = std::get<dw::relay::Settings>(g);
+  auto c = std::get<dw::node::Settings>(g);
   if (!FLAGS_name.empty()) c.node.name = FLAGS_name;
   if (!FLAGS_zone.empty()) c.node.zone = FLAGS_zone;
   if (!FLAGS_log_level.empty()) c.log_level = FLAGS_log_level;
@@ -66,29 +66,29 @@
 }
 
 struct App {
-  dw::relay::Settings settings;
-  dw::wire::EventLoopPool pool;
-  dw::wire::SystemClock clock;
-  dw::wire::SystemRandom random;
-  dw::relay::SocketBudget sockets;
-  dw::wire::PeerClient net;
-  dw::wire::HttpClient origin;
+  dw::node::Settings settings;
+  dw::net::EventLoopPool pool;
+  dw::net::SystemClock clock;
+  dw::net::SystemRandom random;
+  dw::node::SocketBudget sockets;
+  dw::net::PeerClient net;
+  dw::net::HttpClient origin;
   dw::base::Ports ports{clock, random, pool, net, origin};
   std::unique_ptr<dw::storage::AsyncDisk> disk;
-  std::unique_ptr<dw::relay::Node> node;
+  std::unique_ptr<dw::node::Node> node;
   std::unique_ptr<dw::storage::ArtifactFiles> shelf;
   std::unique_ptr<dw::storage::DiskExecutor> hand;
   std::unique_ptr<dw::software::Artifacts> artifacts;
   std::unique_ptr<dw::software::Stager> stager;
   std::unique_ptr<dw::control_api::Router> control;
-  std::unique_ptr<dw::wire::HttpServer> callers, operators, readiness;
+  std::unique_ptr<dw::net::HttpServer> callers, operators, readiness;
   int next = 0;
   bool ending = false;
 
-  explicit App(dw::relay::Settings cc)
+  explicit App(dw::node::Settings cc)
       : settings(std::move(cc)),
         pool(settings.threads),
-        sockets(dw::relay::share_sockets(settings.max_sockets, !settings.data_directory.empty())),
+        sockets(dw::node::share_sockets(settings.max_sockets, !settings.data_directory.empty())),
         net(sockets.peers_asked),
         origin(16u << 20, sockets.upstream_idle) {}
 
@@ -114,28 +114,28 @@
   }
 
   std::optional<std::string> listen() {
-    if (auto e = dw::wire::serve_peers(
+    if (auto e = dw::net::serve_peers(
             pool, settings.node.peer_address, [this](auto& a) { return answer(a); }, sockets.peers_served))
       return e;
     if (settings.client_address.empty()) return {};
-    dw::wire::HttpLimits lim;
+    dw::net::HttpLimits lim;
     lim.body_bytes = 8u << 20;
     lim.all_bodies_bytes = settings.memory_mb > 0 ? static_cast<size_t>(settings.memory_mb * (1 << 20) / 4)
                                                   : lim.all_bodies_bytes;
     lim.max_connections = sockets.operators;
     auto calls = lim;
     calls.max_connections = sockets.clients;
-    callers = std::make_unique<dw::wire::HttpServer>(pool, "callers", calls,
-                                                     [this](auto& q) { return node->handle(q); });
-    dw::wire::HttpHandler product = [this](auto& q) { return control->handle(q); };
-    dw::wire::HttpHandler told = product;
+    callers = std::make_unique<dw::net::HttpServer>(pool, "callers", calls,
+                                                    [this](auto& q) { return node->handle(q); });
+    dw::net::HttpHandler product = [this](auto& q) { return control->handle(q); };
+    dw::net::HttpHandler told = product;
     if (settings.protocol_adapter == "platform")
       told = [this, product](auto& q) { return dw::platform::handle(q, settings.heartbeat_period, product); };
-    operators = std::make_unique<dw::wire::HttpServer>(pool, "control", lim, told);
+    operators = std::make_unique<dw::net::HttpServer>(pool, "control", lim, told);
     if (auto e = operators->listen(settings.control_address, 0, 1)) return e;
     if (!settings.readiness_address.empty()) {
       lim.max_connections = sockets.readiness;
-      readiness = std::make_unique<dw::wire::HttpServer>(pool, "readiness", lim, told);
+      readiness = std::make_unique<dw::net::HttpServer>(pool, "readiness", lim, told);
       if (auto e = readiness->listen(settings.readiness_address, 0, 1)) return e;
     }
     return callers->listen(settings.client_address, pool.size() > 1 ? 1 : 0, pool.size());
@@ -143,12 +143,12 @@
 
   // The limits of callers' connections are the layout's.
   void follow_limits() {
-    std::shared_ptr<const dw::traffic::RoutingConfiguration> seen;
+    std::shared_ptr<const dw::config::RoutingConfiguration> seen;
     for (;; clock.sleep(settings.node.bound / 8)) {
       auto configuration = node->request_handler().snapshot()->configuration;
       if (!configuration || configuration == seen || !callers) continue;
       seen = configuration;
-      dw::wire::HttpLimits lim;
+      dw::net::HttpLimits lim;
       lim.head_bytes = static_cast<size_t>(configuration->head_bytes);
       lim.body_bytes = static_cast<size_t>(configuration->body_bytes);
       if (settings.memory_mb > 0)
@@ -209,7 +209,7 @@
     };
     while (busy() && clock.now() < end) clock.sleep(10ms);
     logger.info("{}: stopped.", settings.node.name);
-    dw::wire::EventLoopPool::stop(status);
+    dw::net::EventLoopPool::stop(status);
   }
 };
 }  // namespace
@@ -243,7 +243,7 @@
     app.disk = std::make_unique<dw::storage::AsyncDisk>(std::move(s), app.pool);
   }
   if (c->protocol_adapter == "platform") c->node.protocol_adapter = dw::platform::protocol_adapter();
-  app.node = std::make_unique<dw::relay::Node>(app.ports, c->node, app.disk.get());
+  app.node = std::make_unique<dw::node::Node>(app.ports, c->node, app.disk.get());
   std::string program = argv[0];
   app.software(program.substr(program.rfind('/') + 1));
   app.control = std::make_unique<dw::control_api::Router>(app.ports, *app.node);
@@ -255,8 +255,7 @@
   sigs.async_wait([&](auto ec, int) {
     if (!ec) app.pool.spawn([&] { app.finish(0); });
   });
-  dw::relay::SettingsReloader reread(FLAGS_config,
-                                     [&](auto seeds) { app.node->set_seeds(std::move(seeds)); });
+  dw::node::SettingsReloader reread(FLAGS_config, [&](auto seeds) { app.node->set_seeds(std::move(seeds)); });
   boost::asio::signal_set hups(app.pool.io(0), SIGHUP);
   std::function<void(boost::system::error_code, int)> on_hup = [&](auto ec, int) {
     if (ec) return;
--- a/src/relay/node.cpp
+++ b/src/node/node.cpp
@@ -1,18 +1,18 @@
 // After each good pull the tables of the data plane are built anew from what
 // is chosen and swapped whole. A layout is loaded whole or not at all; the
 // generation shown never falls.
-#include "relay/node.hpp"
+#include "node/node.hpp"
 
 #include <atomic>
 
 #include "base/log.hpp"
+#include "canary/canary_analysis.hpp"
+#include "config/numbered_configuration.hpp"
 #include "membership/deregistered.hpp"
 #include "membership/discovery.hpp"
 #include "membership/replica_repair.hpp"
-#include "traffic/jury.hpp"
-#include "traffic/order.hpp"
 
-namespace dunlinwing::relay {
+namespace dunlinwing::node {
 namespace {
 constexpr base::Log logger("relay");
 }
@@ -29,16 +29,16 @@
   membership::Discovery discovery;
   std::unique_ptr<membership::ReplicaRepair> replica_repair;  // null without a disk
   rollout::RolloutController rollout_controller;
-  traffic::RequestHandler request_handler;
+  proxy::RequestHandler request_handler;
   std::atomic<bool> leaving{false}, drained{false};
   std::map<std::string, std::pair<pb::Heartbeat, TimePoint>> heartbeats;
-  std::map<std::string, std::shared_ptr<const traffic::RoutingConfiguration>> configurations;
+  std::map<std::string, std::shared_ptr<const config::RoutingConfiguration>> configurations;
   std::map<std::string, std::string> running;
   std::string load_error, software_error;
   std::optional<software::SoftwareTarget> wanted_software;
   software::Artifacts* artifacts = nullptr;
-  traffic::CanaryAnalysis canary_analysis;
-  traffic::NumberedConfigurationReader numbered_configuration;
+  canary::CanaryAnalysis canary_analysis;
+  config::NumberedConfigurationReader numbered_configuration;
   TimePoint cache_swept{0};
   std::atomic<uint64_t> generation{0};
   uint64_t heartbeats_accepted = 0, heartbeats_rejected = 0;
@@ -77,7 +77,7 @@
   }
 
   static NodeConfig with_face(NodeConfig config) {
-    if (!config.protocol_adapter) config.protocol_adapter = traffic::native_protocol_adapter();
+    if (!config.protocol_adapter) config.protocol_adapter = proxy::native_protocol_adapter();
     return config;
   }
 
@@ -115,21 +115,21 @@
     request_handler.report_status(status);
   }
 
-  std::shared_ptr<const traffic::RoutingConfiguration> load_configuration(const std::string& name,
-                                                                          std::string& why) {
+  std::shared_ptr<const config::RoutingConfiguration> load_configuration(const std::string& name,
+                                                                         std::string& why) {
     if (auto f = configurations.find(name); f != configurations.end()) return f->second;
-    auto r = state_cache.chosen().find(rollout::release_key("layout", name));
+    auto r = state_cache.chosen().find(config::release_key("layout", name));
     if (r == state_cache.chosen().end()) {
       why = "the release is not known here";
       return {};
     }
-    auto g = rollout::parse_release("layout", name, r->second.data);
+    auto g = config::parse_release("layout", name, r->second.data);
     if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&g)) {
       why = errors->empty() ? "unreadable" : errors->front().pointer + " " + errors->front().message;
       return {};
     }
-    auto l = traffic::parse_routing_configuration(name, std::get<rollout::Release>(g).content);
-    auto* x = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&l);
+    auto l = config::parse_routing_configuration(name, std::get<config::Release>(g).content);
+    auto* x = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&l);
     if (!x) {
       why = "unreadable";
       return {};
@@ -137,7 +137,7 @@
     return configurations[name] = *x;
   }
 
-  void load_assignment(const pb::NodeAssignment& assignment, traffic::RoutingSnapshot& snapshot) {
+  void load_assignment(const pb::NodeAssignment& assignment, proxy::RoutingSnapshot& snapshot) {
     auto old = request_handler.snapshot();
     snapshot.configuration = old->configuration;
     snapshot.generation = old->generation;
@@ -150,19 +150,19 @@
     };
     std::string lay = want("layout"), sys = want("system");
     auto configuration = lay.empty() ? nullptr : load_configuration(lay, why);
-    rollout::SystemOptions s = config.system;
+    config::SystemOptions s = config.system;
     bool ok = lay.empty() || configuration;
     if (!ok) load_error = "layout/" + lay + ": " + why;
     auto now_sys = running.find("system");
     if (ok && now_sys != running.end() && now_sys->second == sys) {
       s = old->system;  // releases do not change, so it need not be read again
     } else if (ok && !sys.empty()) {
-      auto r = state_cache.chosen().find(rollout::release_key("system", sys));
+      auto r = state_cache.chosen().find(config::release_key("system", sys));
       ok = r != state_cache.chosen().end();
       if (ok) {
-        auto g = rollout::parse_release("system", sys, r->second.data);
-        if (auto* x = std::get_if<rollout::Release>(&g))
-          s = rollout::parse_system_options(x->content, config.system);
+        auto g = config::parse_release("system", sys, r->second.data);
+        if (auto* x = std::get_if<config::Release>(&g))
+          s = config::parse_system_options(x->content, config.system);
         else
           ok = false;
       }
@@ -215,7 +215,7 @@
       logger.info("{}: {}.", config.name,
                   drained ? "drained; callers are sent elsewhere" : "no longer drained");
     leadership.set_passive(drained);
-    auto t = std::make_shared<traffic::RoutingSnapshot>();
+    auto t = std::make_shared<proxy::RoutingSnapshot>();
     auto roll = rollout::read_rollout_state(state_cache.chosen());
     if (auto f = roll.nodes().find(config.name); f != roll.nodes().end())
       load_assignment(f->second, *t);
@@ -235,7 +235,7 @@
         logger.info("{}: layout {} is in force here.", config.name, o.number);
       t->configuration_number = t->generation = o.number;
       t->configuration = o.configuration;
-      load_error = o.configuration ? "" : traffic::numbered_configuration_name(o.number) + ": unreadable";
+      load_error = o.configuration ? "" : config::numbered_configuration_name(o.number) + ": unreadable";
     }
     if (t->configuration) t->configurations[t->configuration->name] = t->configuration;
     std::vector<std::string> alive;
@@ -271,7 +271,7 @@
     canary_analysis.update(t->service_states, state_cache.statuses().latest(now),
                            static_cast<uint64_t>(t->system.max_canary_failures));
     t->aborted_canaries = canary_analysis.aborted();
-    traffic::finalize_snapshot(*t);
+    proxy::finalize_snapshot(*t);
     for (auto& m : state_cache.statuses().members(now))
       if (m.info.shield() && m.info.ready()) t->shields.push_back({m.name, m.info.peer_address()});
     t->nodes = std::max<int>(roll.nodes_size(), 1);
@@ -283,7 +283,7 @@
   bool ready() const {
     auto snapshot = request_handler.snapshot();
     return !leaving && !drained && state_cache.has_read_lease() && snapshot->configuration &&
-           !traffic::is_superseded(*snapshot, config.name, snapshot->generation);
+           !proxy::is_superseded(*snapshot, config.name, snapshot->generation);
   }
 };
 
@@ -396,7 +396,7 @@
 membership::Leadership& Node::leadership() { return impl_->leadership; }
 consensus::Acceptor* Node::acceptor() { return impl_->acceptor.get(); }
 void Node::set_seeds(std::vector<std::string> addresses) { impl_->discovery.seeds(std::move(addresses)); }
-traffic::RequestHandler& Node::request_handler() { return impl_->request_handler; }
+proxy::RequestHandler& Node::request_handler() { return impl_->request_handler; }
 uint64_t Node::generation() const { return impl_->generation; }
 std::optional<software::SoftwareTarget> Node::wanted_software() const { return impl_->wanted_software; }
 void Node::report_software_error(const std::string& why) {
@@ -410,4 +410,4 @@
   return configuration ? configuration->name : std::string();
 }
 
-}  // namespace dunlinwing::relay
+}  // namespace dunlinwing::node
--- a/src/relay/node.hpp
+++ b/src/node/node.hpp
@@ -3,11 +3,11 @@
 // serve() and carry() may be called from any.
 #pragma once
 #include "membership/leadership.hpp"
-#include "rollout/conductor.hpp"
+#include "proxy/request_handler.hpp"
+#include "rollout/rollout_controller.hpp"
 #include "software/artifacts.hpp"
-#include "traffic/serve.hpp"
 
-namespace dunlinwing::relay {
+namespace dunlinwing::node {
 
 struct NodeConfig {
   std::string name, zone, peer_address, http_address;
@@ -18,10 +18,10 @@
   bool shield = false;
   Duration bound{2000};
   double scale = 1;
-  rollout::SystemOptions system;      // in force while no system release is
+  config::SystemOptions system;       // in force while no system release is
   int max_sockets = 0;                // that the process may have open; 0: not stated
   size_t max_cache_bytes = SIZE_MAX;  // of this machine
-  std::shared_ptr<const traffic::ProtocolAdapter> protocol_adapter;  // null: the product's own
+  std::shared_ptr<const proxy::ProtocolAdapter> protocol_adapter;  // null: the product's own
 };
 
 class Node {
@@ -49,7 +49,7 @@
   membership::Leadership& leadership();
   consensus::Acceptor* acceptor();
   void set_seeds(std::vector<std::string> addresses);
-  traffic::RequestHandler& request_handler();
+  proxy::RequestHandler& request_handler();
   uint64_t generation() const;
   std::string configuration_name() const;
   std::optional<software::SoftwareTarget> wanted_software() const;  // assigned, and not what runs
@@ -64,4 +64,4 @@
 
 std::string drain_key(const std::string& what, const std::string& name);  // what: node or zone
 
-}  // namespace dunlinwing::relay
+}  // namespace dunlinwing::node
--- a/src/relay/config.cpp
+++ b/src/node/settings.cpp
@@ -1,13 +1,13 @@
 // Schema and cross-checks of the settings.
-#include "relay/config.hpp"
+#include "node/settings.hpp"
 
 #include <fmt/format.h>
 
 #include "base/log.hpp"
-#include "rollout/release.hpp"
-#include "wire/peer.hpp"
+#include "config/release.hpp"
+#include "net/peer.hpp"
 
-namespace dunlinwing::relay {
+namespace dunlinwing::node {
 namespace {
 constexpr int kOtherFiles = 200;
 }
@@ -59,7 +59,7 @@
   Settings settings;
   auto& n = settings.node;
   auto addr = [&](const std::string& at, const std::string& s) {
-    if (!s.empty() && !wire::split_address(s)) ds.push_back({at, "is not IP:port"});
+    if (!s.empty() && !net::split_address(s)) ds.push_back({at, "is not IP:port"});
     return s;
   };
   n.name = json.at("name").string_or();
@@ -116,9 +116,9 @@
   if (settings.memory_mb > 0) n.max_cache_bytes = static_cast<size_t>(settings.memory_mb * (1 << 20) / 4);
   if (json.has("cache_bytes")) n.max_cache_bytes = static_cast<size_t>(json.at("cache_bytes").integer_or());
   if (json.has("system")) {
-    for (auto& d : rollout::check_system_options(json.at("system")))
+    for (auto& d : config::check_system_options(json.at("system")))
       ds.push_back({"/system" + d.pointer, d.message});
-    n.system = rollout::parse_system_options(json.at("system"), n.system);
+    n.system = config::parse_system_options(json.at("system"), n.system);
   }
   n.scale = json.at("hold_scale").real_or(1);
   bool named = false;
@@ -130,4 +130,4 @@
   return settings;
 }
 
-}  // namespace dunlinwing::relay
+}  // namespace dunlinwing::node
--- a/src/relay/config.hpp
+++ b/src/node/settings.hpp
@@ -2,9 +2,9 @@
 // its place before anything is started.
 #pragma once
 #include "base/json.hpp"
-#include "relay/node.hpp"
+#include "node/node.hpp"
 
-namespace dunlinwing::relay {
+namespace dunlinwing::node {
 
 struct Settings {
   NodeConfig node;
@@ -23,4 +23,4 @@
 SettingsResult parse_settings(std::string_view text);
 std::string_view settings_schema();
 
-}  // namespace dunlinwing::relay
+}  // namespace dunlinwing::node
--- a/src/relay/reread.cpp
+++ b/src/node/settings_reloader.cpp
@@ -1,5 +1,5 @@
 // Settings with a defect change nothing; what was in force stays.
-#include "relay/reread.hpp"
+#include "node/settings_reloader.hpp"
 
 #include <sys/stat.h>
 
@@ -10,7 +10,7 @@
 
 #include "base/log.hpp"
 
-namespace dunlinwing::relay {
+namespace dunlinwing::node {
 namespace {
 constexpr base::Log logger("relay");
 
@@ -93,4 +93,4 @@
 
 void SettingsReloader::check(bool asked) { impl_->look(asked); }
 
-}  // namespace dunlinwing::relay
+}  // namespace dunlinwing::node
--- a/src/relay/reread.hpp
+++ b/src/node/settings_reloader.hpp
@@ -2,9 +2,9 @@
 // changed, or when somebody says so. New seeds are taken over; whatever else has
 // changed is named in the log and waits for the next start.
 #pragma once
-#include "relay/config.hpp"
+#include "node/settings.hpp"
 
-namespace dunlinwing::relay {
+namespace dunlinwing::node {
 
 // The keys whose values differ between two valid settings, in the order of their names.
 std::vector<std::string> changed_keys(std::string_view before, std::string_view after);
@@ -20,4 +20,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace dunlinwing::relay
+}  // namespace dunlinwing::node
--- a/src/relay/socket_budget.hpp
+++ b/src/node/socket_budget.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace dunlinwing::relay {
+namespace dunlinwing::node {
 
 // The most connections of each kind, all open at once.
 struct SocketBudget {
@@ -36,4 +36,4 @@
   return budget;
 }
 
-}  // namespace dunlinwing::relay
+}  // namespace dunlinwing::node
--- a/src/traffic/waitlist.cpp
+++ b/src/proxy/admission_queue.cpp
@@ -1,11 +1,11 @@
 // First come, first served. A request that would wait longer than it may
 // behind those that wait is turned away at once, and one that has waited so long
 // because the list stopped moving is turned away then.
-#include "traffic/waitlist.hpp"
+#include "proxy/admission_queue.hpp"
 
 #include <algorithm>
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 AdmissionResult AdmissionQueues::admit(const std::string& s, int inflight, int longest, TimePoint start_by) {
   auto w = std::make_shared<Waiter>();
@@ -71,4 +71,4 @@
   return n;
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/waitlist.hpp
+++ b/src/proxy/admission_queue.hpp
@@ -6,7 +6,7 @@
 
 #include "base/ports.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 enum class AdmissionResult { admitted, queue_full, too_late };
 
@@ -35,4 +35,4 @@
   std::map<std::string, Queue> queues_;
 };
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/fills.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -1,6 +1,6 @@
 // The locks (shields', cache's, a fill's) are leaves: none is held while another is
 // taken, nor while a fiber parks.
-#include "traffic/fills.hpp"
+#include "proxy/cached_request_handler.hpp"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 
 #include "cache/cacheability.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 namespace {
 constexpr Duration kShieldRest{2000};
 constexpr int kFewNodes = 24;  // fewer fetch for themselves: a hop costs more than the origin is spared
@@ -116,7 +116,7 @@
   Duration most = std::min(cached->lifetime, configured_lifetime(context));
   auto st = snapshot->service_states.find(context.service->name);
   bool banned = st != snapshot->service_states.end() && st->second.quarantined().count(cached->version);
-  if (traffic::is_superseded(*snapshot, context.entry_node, context.generation)) return false;
+  if (proxy::is_superseded(*snapshot, context.entry_node, context.generation)) return false;
   return now - cached->generated_at < most && !banned &&
          !purged(*snapshot, named(context, *cached), cached->purge_number) && has_read_lease_();
 }
@@ -272,4 +272,4 @@
   return got.first;
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/fills.hpp
+++ b/src/proxy/cached_request_handler.hpp
@@ -6,9 +6,9 @@
 #include <mutex>
 
 #include "cache/cache.hpp"
-#include "traffic/upstream_client.hpp"
+#include "proxy/upstream_client.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 struct RequestCounters {
   std::atomic<uint64_t> requests{0}, failures{0}, rejected{0}, unknown{0}, cache_hits{0}, cache_fetches{0},
@@ -66,4 +66,4 @@
   std::map<std::string, TimePoint> shield_backoff_;  // shields, until when
 };
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/trial.cpp
+++ b/src/proxy/canary_admission.cpp
@@ -1,62 +1,42 @@
 // A share is earned request by request and spent whole, so a relay that restarts begins
 // with nothing but its part of what may be spent ahead.
-#include "traffic/trial.hpp"
+#include "proxy/canary_admission.hpp"
 
 #include <algorithm>
 
-#include "traffic/budget.hpp"
+#include "limits/budget.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 namespace {
-constexpr size_t kAsked = 2;
 constexpr int64_t kOne = 100;
 }  // namespace
 
-std::vector<BackendInstance> canary_instances(const std::vector<BackendInstance>& instances,
-                                              const std::string& version, bool term) {
-  std::vector<BackendInstance> v;
-  for (auto& instance : instances)
-    if (instance.version == version) v.push_back(instance);
-  if (!term) return v;
-  std::sort(v.begin(), v.end(), [](auto& a, auto& b) { return a.instance < b.instance; });
-  if (v.size() > kAsked) v.resize(kAsked);
-  return v;
-}
-
-std::vector<BackendInstance> instance_in_turn(const std::vector<BackendInstance>& workers,
-                                              const std::string& version, uint64_t turn) {
-  std::vector<BackendInstance> warm;
-  for (auto& worker : workers)
-    if (worker.version == version && worker.cold_until == TimePoint(0)) warm.push_back(worker);
-  if (warm.empty()) return {};
-  std::sort(warm.begin(), warm.end(), [](auto& a, auto& b) { return a.instance < b.instance; });
-  return {warm[turn % warm.size()]};
-}
-
-std::vector<BackendInstance> CanaryAdmission::admit(const RoutingSnapshot& snapshot,
-                                                    const std::string& service, const std::string& version,
-                                                    const std::string& route) {
+std::vector<membership::BackendInstance> CanaryAdmission::admit(const RoutingSnapshot& snapshot,
+                                                                const std::string& service,
+                                                                const std::string& version,
+                                                                const std::string& route) {
   auto st = snapshot.service_states.find(service);
   auto instances = snapshot.backend_instances.find(service);
   if (version.empty() || st == snapshot.service_states.end() ||
       instances == snapshot.backend_instances.end() || snapshot.aborted_canaries.count(service))
     return {};
   bool term = st->second.deadline_ms() > 0;
-  auto v = canary_instances(instances->second, version, term);
+  auto v = canary::canary_instances(instances->second, version, term);
   if (v.empty()) return {};
   auto share = static_cast<int>(snapshot.system.canary_percent);
   ShareParameters p{share, share, 0};
   if (term) {
-    p.earn = std::min(share, kDeadlinePercent);
+    p.earn = std::min(share, canary::kDeadlinePercent);
     p.spend = static_cast<int>(st->second.percent());
     if (p.spend >= p.earn)
-      p.initial_credit = retry_allowance_of_node(kInitialCredit, snapshot.nodes, snapshot.rank);
+      p.initial_credit =
+          limits::retry_allowance_of_node(canary::kInitialCredit, snapshot.nodes, snapshot.rank);
   }
   if (!admit(service, st->second.canary_number(), version, term ? route : std::string(), p)) return {};
   if (!term) return v;
   auto turn = next_turn(service, snapshot.rank);
   if (!turn) return v;
-  auto one = instance_in_turn(instances->second, version, *turn);
+  auto one = canary::instance_in_turn(instances->second, version, *turn);
   return one.empty() ? v : one;
 }
 
@@ -90,4 +70,4 @@
   return true;
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/trial.hpp
+++ b/src/proxy/canary_admission.hpp
@@ -4,31 +4,17 @@
 #include <mutex>
 #include <optional>
 
-#include "traffic/table.hpp"
+#include "canary/canary_share.hpp"
+#include "proxy/routing_snapshot.hpp"
 
-namespace dunlinwing::traffic {
-
-// Of the tenth that the rule leaves to a move with a term, and of the fifty beyond it,
-// which may be spent ahead; while its workers are cold and answers say little, less.
-inline constexpr int kDeadlinePercent = 8, kColdPercent = 3;
-inline constexpr int64_t kInitialCredit = 20;
-
-// Of a move with a term two workers of the new version are asked first, the first two by
-// name, so that they have something to do. All relays choose alike, from the same statuses.
-std::vector<BackendInstance> canary_instances(const std::vector<BackendInstance>& instances,
-                                              const std::string& version, bool term);
-
-/// Returns the worker whose turn it is with trial request number `turn`: every warm worker of
-/// the version has its turn, however fast it is and wherever it stands. Empty: all are cold.
-std::vector<BackendInstance> instance_in_turn(const std::vector<BackendInstance>& workers,
-                                              const std::string& version, uint64_t turn);
+namespace dunlinwing::proxy {
 
 class CanaryAdmission {
  public:
   // The workers among which a granted request is placed; none when it is not granted.
   // Once what had been saved for warm workers is spent, each warm worker is asked in turn.
-  std::vector<BackendInstance> admit(const RoutingSnapshot& snapshot, const std::string& service,
-                                     const std::string& version, const std::string& route);
+  std::vector<membership::BackendInstance> admit(const RoutingSnapshot& snapshot, const std::string& service,
+                                                 const std::string& version, const std::string& route);
 
   // The bare share: the n-th trial request needs n times the full share before, but for
   // `ahead`, which is given once. Below its share no more than `spend` is used, and the
@@ -54,4 +40,4 @@
   std::map<std::string, Share> shares_;
 };
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/load_balancer.cpp
+++ b/src/proxy/load_balancer.cpp
@@ -1,13 +1,13 @@
 // A worker's load is the greater of what this relay has under way there and what
 // the worker last said of itself, which fades, since others' requests end unseen.
 // Its pace is learnt from answers that had nothing waiting before them.
-#include "traffic/load_balancer.hpp"
+#include "proxy/load_balancer.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <mutex>
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 namespace {
 constexpr int kFailsAside = 5;
 constexpr int kUnsentAside = 2;  // connections that could not be made tell more than bad answers
@@ -41,7 +41,7 @@
   std::map<std::string, double> pace;  // by service
   std::string relay;
 
-  uint64_t lot(const BackendInstance& instance) {
+  uint64_t lot(const membership::BackendInstance& instance) {
     auto& s = by[instance.instance];
     if (!s.lot) s.lot = std::hash<std::string>()(relay + "\n" + instance.instance) | 1;
     return s.lot;
@@ -55,19 +55,19 @@
     double told = s.told * std::exp(-static_cast<double>((now - s.told_at).count()) / kFadeMs);
     return std::max(told, static_cast<double>(s.running)) + 1;
   }
-  double fill(const BackendInstance& instance, TimePoint now) {
+  double fill(const membership::BackendInstance& instance, TimePoint now) {
     auto& s = by[instance.instance];
     return load(s, now) / std::max(s.slots ? s.slots : instance.capacity, 1);
   }
-  double one(const BackendInstance& instance, TimePoint now) {
+  double one(const membership::BackendInstance& instance, TimePoint now) {
     auto& s = by[instance.instance];
     double t = s.pace > 0 ? s.pace : usual(instance.service) > 0 ? usual(instance.service) : kUnknownMs;
     return instance.cold_until > now ? t * kCold : t;
   }
-  double wait(const BackendInstance& instance, TimePoint now) {
+  double wait(const membership::BackendInstance& instance, TimePoint now) {
     return one(instance, now) * std::max(0.0, fill(instance, now) - 1);
   }
-  double expected(const BackendInstance& instance, TimePoint now) {
+  double expected(const membership::BackendInstance& instance, TimePoint now) {
     auto& s = by[instance.instance];
     double one = this->one(instance, now);
     double f = fill(instance, now);
@@ -81,13 +81,12 @@
 LoadBalancer::LoadBalancer(base::Clock& clock, base::Random& r) : impl_(new Impl{clock, r, {}, {}, {}, {}}) {}
 LoadBalancer::~LoadBalancer() = default;
 
-std::optional<BackendSelection> LoadBalancer::choose(const std::vector<BackendInstance>& instances,
-                                                     const std::vector<std::string>& vs,
-                                                     const std::string& zone,
-                                                     const std::vector<std::string>& tried, size_t few) {
+std::optional<BackendSelection> LoadBalancer::choose(
+    const std::vector<membership::BackendInstance>& instances, const std::vector<std::string>& vs,
+    const std::string& zone, const std::vector<std::string>& tried, size_t few) {
   std::lock_guard lock(impl_->mutex);
   TimePoint now = impl_->clock.now();
-  std::vector<const BackendInstance*> fit, near, aside;
+  std::vector<const membership::BackendInstance*> fit, near, aside;
   for (auto& instance : instances) {
     if (std::find(vs.begin(), vs.end(), instance.version) == vs.end()) continue;
     if (std::find(tried.begin(), tried.end(), instance.instance) != tried.end()) continue;
@@ -108,8 +107,8 @@
   for (auto* w : fit)
     if (w->zone == zone) near.push_back(w);
   // The best of a few drawn by lot: the very best for all would be everybody's choice at once.
-  auto pick = [&](std::vector<const BackendInstance*> v) {
-    const BackendInstance* best = nullptr;
+  auto pick = [&](std::vector<const membership::BackendInstance*> v) {
+    const membership::BackendInstance* best = nullptr;
     double least = 0;
     for (size_t i = 0; i < kLook && i < v.size(); ++i) {
       std::swap(v[i], v[i + impl_->random.below(v.size() - i)]);
@@ -118,7 +117,7 @@
     }
     return best;
   };
-  const BackendInstance* w = near.empty() ? nullptr : pick(near);
+  const membership::BackendInstance* w = near.empty() ? nullptr : pick(near);
   if (!w || impl_->fill(*w, now) > kRoom) {
     auto* o = pick(fit);
     if (!w || impl_->expected(*o, now) < impl_->expected(*w, now)) w = o;
@@ -131,13 +130,13 @@
 
 void LoadBalancer::set_node_name(const std::string& relay) { impl_->relay = relay; }
 
-void LoadBalancer::attempt_started(const BackendInstance& instance) {
+void LoadBalancer::attempt_started(const membership::BackendInstance& instance) {
   std::lock_guard lock(impl_->mutex);
   auto& s = impl_->by[instance.instance];
   if (!s.running++) s.progress = impl_->clock.now();
 }
 
-void LoadBalancer::attempt_finished(const BackendInstance& instance, const AttemptReport& e) {
+void LoadBalancer::attempt_finished(const membership::BackendInstance& instance, const AttemptReport& e) {
   std::lock_guard lock(impl_->mutex);
   auto& s = impl_->by[instance.instance];
   TimePoint now = impl_->clock.now();
@@ -165,7 +164,7 @@
   ++s.rounds;
 }
 
-void LoadBalancer::mark_wrong_instance(const BackendInstance& instance) {
+void LoadBalancer::mark_wrong_instance(const membership::BackendInstance& instance) {
   std::lock_guard lock(impl_->mutex);
   auto& s = impl_->by[instance.instance];
   s.fails = kFailsAside;
@@ -185,4 +184,4 @@
   return Duration(static_cast<int64_t>(impl_->usual(service)));
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/load_balancer.hpp
+++ b/src/proxy/load_balancer.hpp
@@ -6,13 +6,13 @@
 #include <mutex>
 
 #include "base/ports.hpp"
-#include "traffic/face.hpp"
-#include "traffic/table.hpp"
+#include "proxy/protocol_adapter.hpp"
+#include "proxy/routing_snapshot.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 struct BackendSelection {
-  BackendInstance instance;
+  membership::BackendInstance instance;
   Duration expected{0};  // until its answer
   Duration queueing{0};  // the part of it spent behind others there
 };
@@ -29,14 +29,14 @@
   ~LoadBalancer();
   // Null when no worker of these versions is left that is not in `tried`. Of more than
   // `few` that fit, this relay uses its own few, the same as long as they fit.
-  std::optional<BackendSelection> choose(const std::vector<BackendInstance>& instances,
+  std::optional<BackendSelection> choose(const std::vector<membership::BackendInstance>& instances,
                                          const std::vector<std::string>& versions, const std::string& zone,
                                          const std::vector<std::string>& tried, size_t few = SIZE_MAX);
   void set_node_name(const std::string& relay);  // by which this relay's few are drawn
-  void attempt_started(const BackendInstance& instance);
-  void attempt_finished(const BackendInstance& instance, const AttemptReport& e);
+  void attempt_started(const membership::BackendInstance& instance);
+  void attempt_finished(const membership::BackendInstance& instance, const AttemptReport& e);
   // Somebody else stands at its address: it is left alone until it is known again.
-  void mark_wrong_instance(const BackendInstance& instance);
+  void mark_wrong_instance(const membership::BackendInstance& instance);
   void retain(const std::vector<std::string>& alive);
   // What an answer of this service usually takes; 0 while nothing is known.
   Duration typical_latency(const std::string& service) const;
@@ -46,4 +46,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/face.cpp
+++ b/src/proxy/protocol_adapter.cpp
@@ -1,6 +1,6 @@
 // The product's own face. Every header of ours begins with Dunlinwing-, and none
 // that a caller or worker sends under such a name is passed on.
-#include "traffic/face.hpp"
+#include "proxy/protocol_adapter.hpp"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 
 #include "base/json.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 void strip_hop_by_hop(base::Headers& headers) {
   static const char* const hop[] = {"Connection",
@@ -71,7 +71,7 @@
   }
 
   // Whether what came back is the named worker's own whole answer to this request.
-  ResponseClass classify(const base::Response& response, const BackendInstance& instance,
+  ResponseClass classify(const base::Response& response, const membership::BackendInstance& instance,
                          const base::Request& request) const override {
     auto is = [&](const char* h, const std::string& v) { return base::header(response.headers, h) == v; };
     bool this_one = is_response_to(response, request.id) &&
@@ -135,4 +135,4 @@
 
 std::unique_ptr<ProtocolAdapter> native_protocol_adapter() { return std::make_unique<Own>(); }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/face.hpp
+++ b/src/proxy/protocol_adapter.hpp
@@ -4,9 +4,9 @@
 // start; it only translates, and keeps nothing.
 #pragma once
 #include "base/ports.hpp"
-#include "traffic/table.hpp"
+#include "proxy/routing_snapshot.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 // What a worker's answer is. `elsewhere`: another than the one meant stands there;
 // it did not run the request. `broken`: not the meant worker's whole answer.
@@ -25,7 +25,7 @@
 };
 
 struct AttemptContext {
-  const BackendInstance& instance;
+  const membership::BackendInstance& instance;
   std::string entry_node;
   uint64_t generation = 0;
   Duration remaining{0};
@@ -36,7 +36,7 @@
   virtual ~ProtocolAdapter() = default;
   virtual RequestIdentity read_identity(const base::Request& request, base::Random& random) const = 0;
   virtual void prepare_request(base::Request& request, const AttemptContext& d) const = 0;
-  virtual ResponseClass classify(const base::Response& response, const BackendInstance& instance,
+  virtual ResponseClass classify(const base::Response& response, const membership::BackendInstance& instance,
                                  const base::Request& request) const = 0;
   virtual bool is_response_to(const base::Response& response,
                               const std::string& id) const = 0;  // whether it answers this request
@@ -65,4 +65,4 @@
 // Headers that belong to one connection only, taken out.
 void strip_hop_by_hop(base::Headers& headers);
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/serve.cpp
+++ b/src/proxy/request_handler.cpp
@@ -1,13 +1,13 @@
 // Lock order: the tally's lock, the shields', the cache's, a fill's, the waitlists',
 // the places', the budgets'. In fact none is held while another is taken, nor
 // while a fiber parks.
-#include "traffic/serve.hpp"
+#include "proxy/request_handler.hpp"
 
 #include <mutex>
 
 #include "cache/cacheability.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 struct RequestHandler::Impl {
   base::Ports& ports;
@@ -46,8 +46,8 @@
   }
 
   // One of the route's services, by weight.
-  const ServiceConfiguration* select_service(const RoutingConfiguration& configuration,
-                                             const RouteConfiguration& route) const {
+  const config::ServiceConfiguration* select_service(const config::RoutingConfiguration& configuration,
+                                                     const config::RouteConfiguration& route) const {
     double all = 0;
     for (auto& [k, w] : route.weighted_services) all += w;
     if (all <= 0) return nullptr;
@@ -106,8 +106,9 @@
                          arrived,        arrived + most,
                          impl.node_name, snapshot->generation,
                          again};
-        bool keep = CachedRequestHandler::configured_lifetime(x) > Duration(0) &&
-                    (route->kind == RequestKind::by_method || route->kind == RequestKind::cacheable);
+        bool keep =
+            CachedRequestHandler::configured_lifetime(x) > Duration(0) &&
+            (route->kind == config::RequestKind::by_method || route->kind == config::RequestKind::cacheable);
         if (keep && cache::is_cacheable_request(request, route->cache_lifetime > Duration(0)))
           return impl.cached_requests.handle(x);
         return impl.outcomes.from(impl.upstream_client.execute(x));
@@ -202,7 +203,7 @@
   for (auto& [name, s] : snapshot->configuration->services) {
     auto f = snapshot->backend_instances.find(name);
     if (f == snapshot->backend_instances.end() || f->second.empty()) continue;
-    RouteConfiguration any;
+    config::RouteConfiguration any;
     RequestContext context{snapshot,
                            snapshot->configuration,
                            &s,
@@ -270,4 +271,4 @@
   }
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/serve.hpp
+++ b/src/proxy/request_handler.hpp
@@ -1,9 +1,9 @@
 // The way of a request through a relay, as one function read from top to
 // bottom; and the shield's side of a carried one.
 #pragma once
-#include "traffic/fills.hpp"
+#include "proxy/cached_request_handler.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 class RequestHandler {
  public:
@@ -31,4 +31,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/table.cpp
+++ b/src/proxy/routing_snapshot.cpp
@@ -1,11 +1,11 @@
 // Which versions may be asked, and what has been purged.
-#include "traffic/table.hpp"
+#include "proxy/routing_snapshot.hpp"
 
 #include <algorithm>
 
 #include "base/ports.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 void finalize_snapshot(RoutingSnapshot& snapshot) {
   for (auto& s : snapshot.aborted_canaries)
@@ -21,7 +21,8 @@
   }
 }
 
-EligibleVersions eligible_versions(const ServiceConfiguration& service, const pb::ServiceState* state) {
+EligibleVersions eligible_versions(const config::ServiceConfiguration& service,
+                                   const pb::ServiceState* state) {
   EligibleVersions v;
   auto allowed = [&](const std::string& x) {
     return !x.empty() &&
@@ -97,4 +98,4 @@
   return (s && hit(*s, n, since & 0xffffffff)) || (all && hit(*all, n, since >> 32));
 }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/table.hpp
+++ b/src/proxy/routing_snapshot.hpp
@@ -3,18 +3,13 @@
 #pragma once
 #include <set>
 
+#include "config/routing_configuration.hpp"
+#include "config/system_options.hpp"
+#include "membership/backend_instance.hpp"
 #include "membership/status_table.hpp"
-#include "rollout/system.hpp"
-#include "traffic/layout.hpp"
 #include "wire.pb.h"
 
-namespace dunlinwing::traffic {
-
-struct BackendInstance {
-  std::string instance, service, version, zone, address;
-  int capacity = 1;
-  TimePoint cold_until{0};  // it has just started and is slow until then; 0: it says it is not
-};
+namespace dunlinwing::proxy {
 
 struct Shield {
   std::string name, address;
@@ -23,18 +18,18 @@
 struct RoutingSnapshot {
   uint64_t generation = 0;            // that runs here
   uint64_t configuration_number = 0;  // the numbered layout in force; 0: layouts come as releases
-  std::map<std::string, uint64_t> assigned_generations;       // by node: the latest generation written for it
-  std::shared_ptr<const RoutingConfiguration> configuration;  // this node's own; null: none yet
-  std::map<std::string, std::shared_ptr<const RoutingConfiguration>>
+  std::map<std::string, uint64_t> assigned_generations;  // by node: the latest generation written for it
+  std::shared_ptr<const config::RoutingConfiguration> configuration;  // this node's own; null: none yet
+  std::map<std::string, std::shared_ptr<const config::RoutingConfiguration>>
       configurations;  // by release name, for carried requests
-  std::map<std::string, std::vector<BackendInstance>> backend_instances;  // by service
+  std::map<std::string, std::vector<membership::BackendInstance>> backend_instances;  // by service
   std::map<std::string, pb::ServiceState> service_states;
   std::set<std::string> aborted_canaries;  // services whose trial this node has given up
   std::map<std::string, pb::PurgeSet> purges;
   std::map<std::string, double> rate_quotas;  // this node's part of each stated rate
   std::vector<Shield> shields;
   int nodes = 1, rank = 0;  // among how many fleet-wide allowances are shared; this node's place among them
-  rollout::SystemOptions system;
+  config::SystemOptions system;
 };
 
 using RoutingSnapshotPtr = std::shared_ptr<const RoutingSnapshot>;
@@ -50,7 +45,8 @@
   std::vector<std::string> open;
   std::string canary;
 };
-EligibleVersions eligible_versions(const ServiceConfiguration& service, const pb::ServiceState* state);
+EligibleVersions eligible_versions(const config::ServiceConfiguration& service,
+                                   const pb::ServiceState* state);
 
 // Whether a request that entered at `relay` under `generation` has been overtaken
 // by a newer assignment of that relay.
@@ -66,4 +62,4 @@
 };
 bool purged(const RoutingSnapshot& snapshot, const PurgeTarget& n, uint64_t since);
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -2,13 +2,13 @@
 // meant; nothing was sent; the worker said it did not run it; or nobody can
 // tell. Only safe requests are sent again after the last, and within budget.
 // A caller is promised "not run" only when no byte of any shot left.
-#include "traffic/upstream_client.hpp"
+#include "proxy/upstream_client.hpp"
 
 #include <fmt/format.h>
 
 #include <mutex>
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 namespace {
 constexpr int kMostTries = 8;    // workers looked for, sent to or not
 constexpr int kWorkPart = 4;     // of its deadline a first shot must still have half this part
@@ -31,8 +31,9 @@
 }  // namespace
 
 bool RequestContext::is_idempotent() const {
-  if (route->kind == RequestKind::by_method) return plainly_safe(request.method) && service->retry_idempotent;
-  return route->kind != RequestKind::unsafe;
+  if (route->kind == config::RequestKind::by_method)
+    return plainly_safe(request.method) && service->retry_idempotent;
+  return route->kind != config::RequestKind::unsafe;
 }
 
 struct UpstreamClient::Impl {
@@ -43,8 +44,8 @@
   std::function<RoutingSnapshotPtr()> snapshot;
   LoadBalancer load_balancer;
   CanaryAdmission canary_admission;
-  RetryBudget retry_budget;
-  RateLimiter rate_limiter;
+  limits::RetryBudget retry_budget;
+  limits::RateLimiter rate_limiter;
   AdmissionQueues admission_queues;
   mutable std::mutex mutex;
   std::map<OutcomeKey, VersionOutcomes> counts;
@@ -64,7 +65,7 @@
         rate_limiter(p.clock),
         admission_queues(p) {}
 
-  void record_outcome(const RequestContext& context, const BackendInstance& instance, bool good,
+  void record_outcome(const RequestContext& context, const membership::BackendInstance& instance, bool good,
                       Duration took) {
     auto t = snapshot();
     auto st = t->service_states.find(instance.service);
@@ -112,7 +113,7 @@
       if (context.route->latency_target > Duration(0))
         most = std::min(most, context.route->latency_target * 3 / 4);
       auto r = rate_limiter.reserve(service.name, rate_quota(service.name), most);
-      auto* t = std::get_if<RateReservation>(&r);
+      auto* t = std::get_if<limits::RateReservation>(&r);
       if (!t) return std::get<Duration>(r);
       if (t->wait > Duration(0)) ports.clock.sleep(t->wait);
       if (rate_limiter.is_valid(*t, rate_quota(service.name))) return {};
@@ -156,7 +157,7 @@
   auto snapshot = impl_->snapshot();
   if (!impl_->retry_budget.try_acquire(
           context.service->name,
-          retry_allowance_of_node(snapshot->system.retry_allowance, snapshot->nodes, snapshot->rank)))
+          limits::retry_allowance_of_node(snapshot->system.retry_allowance, snapshot->nodes, snapshot->rank)))
     return false;
   ++impl_->retries;
   return true;
@@ -319,4 +320,4 @@
 void UpstreamClient::set_max_instances(int m) { impl_->max_instances = m; }
 void UpstreamClient::retain_instances(const std::vector<std::string>& a) { impl_->load_balancer.retain(a); }
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/traffic/upstream_client.hpp
+++ b/src/proxy/upstream_client.hpp
@@ -4,18 +4,18 @@
 #include <atomic>
 
 #include "base/ports.hpp"
-#include "traffic/budget.hpp"
-#include "traffic/load_balancer.hpp"
-#include "traffic/trial.hpp"
-#include "traffic/waitlist.hpp"
+#include "limits/budget.hpp"
+#include "proxy/admission_queue.hpp"
+#include "proxy/canary_admission.hpp"
+#include "proxy/load_balancer.hpp"
 
-namespace dunlinwing::traffic {
+namespace dunlinwing::proxy {
 
 struct RequestContext {
   RoutingSnapshotPtr snapshot;
-  std::shared_ptr<const RoutingConfiguration> configuration;
-  const ServiceConfiguration* service = nullptr;
-  const RouteConfiguration* route = nullptr;
+  std::shared_ptr<const config::RoutingConfiguration> configuration;
+  const config::ServiceConfiguration* service = nullptr;
+  const config::RouteConfiguration* route = nullptr;
   base::Request request;
   std::string host;  // part of a receipt's name when the route is bound to a host
   TimePoint arrived{0}, deadline{0};
@@ -78,4 +78,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace dunlinwing::traffic
+}  // namespace dunlinwing::proxy
--- a/src/rollout/checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -1,7 +1,7 @@
 // The source leaves open what its checks measure. Ours compare the nodes on a
 // release with those not on it over the same time, so that a bad hour for all
 // does not stop a release, and a release that is only bad is stopped.
-#include "rollout/checks.hpp"
+#include "rollout/release_checks.hpp"
 
 #include <fmt/format.h>
 
--- a/src/rollout/checks.hpp
+++ b/src/rollout/release_checks.hpp
@@ -1,7 +1,7 @@
 // What gates a phase: whether the release's nodes run it, whether a check has
 // failed, and whether there is enough evidence to go on.
 #pragma once
-#include "rollout/reducer.hpp"
+#include "rollout/release_state_machine.hpp"
 
 namespace dunlinwing::rollout {
 
--- a/src/rollout/reducer.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -1,7 +1,7 @@
 // The phases in their fixed order, and what ends them. The checks themselves
 // are in checks.cpp. An assignment never falls back to a lower generation: a
 // release that is stopped leaves its nodes by a higher one with the old content.
-#include "rollout/reducer.hpp"
+#include "rollout/release_state_machine.hpp"
 
 #include <fmt/format.h>
 #include <google/protobuf/util/message_differencer.h>
@@ -9,11 +9,11 @@
 #include <algorithm>
 #include <set>
 
-#include "rollout/checks.hpp"
+#include "rollout/release_checks.hpp"
 
 namespace dunlinwing::rollout {
 
-Duration RolloutRules::hold(const Release& r, pb::Phase p) const {
+Duration RolloutRules::hold(const config::Release& r, pb::Phase p) const {
   double ms = static_cast<double>(p == pb::ONE ? r.holds.one.count() : r.holds.two.count());
   if (p == pb::THREE) ms /= 4;  // each zone of the rest
   return Duration(static_cast<int64_t>(ms / scale));
@@ -228,7 +228,7 @@
     (*state.mutable_in_force())[progress.kind()] = progress.release();
   }
 
-  void drive(pb::ReleaseProgress& progress, const Release& rel, const pb::OperatorAction& action) {
+  void drive(pb::ReleaseProgress& progress, const config::Release& rel, const pb::OperatorAction& action) {
     if (!action.withdrawn().empty()) return leave(progress, pb::WITHDRAWN, action.withdrawn());
     if (!action.express().empty()) return everywhere(progress, "express: " + action.express());
     accumulate_evidence(progress, observation, state);
@@ -259,13 +259,13 @@
         wait = &progress;
     }
     auto act_of = [&](const pb::ReleaseProgress& progress) {
-      auto f = observation.operator_actions.find(release_key(progress.kind(), progress.release()));
+      auto f = observation.operator_actions.find(config::release_key(progress.kind(), progress.release()));
       return f == observation.operator_actions.end() ? pb::OperatorAction() : f->second;
     };
     // A waiting release may be withdrawn, put through by express, or take the place of the one under way.
     for (auto& progress : *state.mutable_releases()) {
       if (progress.kind() != kind || progress.phase() != pb::WAITING) continue;
-      auto f = observation.releases.find(release_key(kind, progress.release()));
+      auto f = observation.releases.find(config::release_key(kind, progress.release()));
       auto a = act_of(progress);
       if (!a.withdrawn().empty()) {
         progress.set_phase(pb::WITHDRAWN);
@@ -286,10 +286,10 @@
       }
     }
     if (on) {
-      auto f = observation.releases.find(release_key(kind, on->release()));
+      auto f = observation.releases.find(config::release_key(kind, on->release()));
       if (f != observation.releases.end()) drive(*on, f->second, act_of(*on));
     } else if (wait && wait->phase() == pb::WAITING) {
-      if (!observation.releases.count(release_key(kind, wait->release()))) return;
+      if (!observation.releases.count(config::release_key(kind, wait->release()))) return;
       bool first = kind == "layout" && !state.in_force().count(kind) && !state.nodes().empty();
       if (first) return everywhere(*wait, "the fleet had no layout");
       if (!observation.in_quiet_hours) return wait->set_reason("waiting for the quiet hours");
@@ -341,7 +341,7 @@
   }
   Work w(state, std::get<FleetObservation>(event), rules);
   w.join();
-  for (auto* k : kKinds) w.run(k);
+  for (auto* k : config::kKinds) w.run(k);
   w.forget();
   if (w.changed)
     w.out.push_back(PersistEffect{true});
--- a/src/rollout/reducer.hpp
+++ b/src/rollout/release_state_machine.hpp
@@ -5,8 +5,8 @@
 #include <set>
 
 #include "base/common.hpp"
-#include "rollout/release.hpp"
-#include "rollout/system.hpp"
+#include "config/release.hpp"
+#include "config/system_options.hpp"
 #include "wire.pb.h"
 
 namespace dunlinwing::rollout {
@@ -26,13 +26,13 @@
 };
 
 struct ReleaseRecorded {
-  Release release;
+  config::Release release;
 };
 struct FleetObservation {
   Duration elapsed{0};  // observed under the read_lease since the last sight
   bool in_quiet_hours = true;
   std::vector<NodeObservation> nodes;
-  std::map<std::string, Release> releases;                     // by register name
+  std::map<std::string, config::Release> releases;             // by register name
   std::map<std::string, pb::OperatorAction> operator_actions;  // by release register name
   // Entries of Rollout.forgotten whose mark in their act register every leader must know by now.
   std::set<std::string> forgotten_everywhere;
@@ -53,8 +53,8 @@
 struct RolloutRules {
   double scale = 1;  // holds are divided by it; only the fleet runner sets it
   Duration bound{2000};
-  SystemOptions system;
-  Duration hold(const Release& r, pb::Phase p) const;
+  config::SystemOptions system;
+  Duration hold(const config::Release& r, pb::Phase p) const;
   Duration settle_time() const { return bound; }
   // Software restarts its machine, which may be away for a while.
   Duration absence(const std::string& kind) const { return kind == "software" ? bound * 20 : Duration(0); }
--- a/src/rollout/conductor.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -3,16 +3,16 @@
 // Writes are compare-and-set on the version last read and go through the fence, so a
 // leader that was frozen past its lease can change nothing (rollout/fence.hpp). Who takes
 // up the leadership writes its term into each service's state before it acts on it.
-#include "rollout/conductor.hpp"
+#include "rollout/rollout_controller.hpp"
 
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "rollout/fence.hpp"
-#include "rollout/pacer.hpp"
-#include "rollout/versions.hpp"
-#include "rollout/watch.hpp"
-#include "traffic/order.hpp"
+#include "config/numbered_configuration.hpp"
+#include "limits/rate_allocator.hpp"
+#include "membership/leadership_fence.hpp"
+#include "rollout/version_initializer.hpp"
+#include "rollout/version_rollout_observer.hpp"
 
 namespace dunlinwing::rollout {
 namespace {
@@ -68,13 +68,13 @@
   RolloutRules rules;
   pb::RolloutState state;
   uint64_t version = 0;
-  LeadershipFence fence;
+  membership::LeadershipFence fence;
   bool loaded = false;
   size_t turn = 0;
   TimePoint last{0}, saved{0}, looked{0};
   std::map<std::string, Count> counts;
   std::map<std::string, std::pair<uint64_t, uint64_t>> probes;
-  std::map<std::string, Release> releases;
+  std::map<std::string, config::Release> releases;
   std::map<std::string, TimePoint> marks_seen;  // by entry of Rollout.forgotten: since when its mark is known
   std::map<std::string, std::map<std::string, std::pair<uint64_t, VersionTotals>>>
       bad;  // source -> service/version
@@ -86,9 +86,9 @@
   std::vector<Moment> recent;
   std::map<std::string, std::pair<uint64_t, pb::ServiceState>> services;
   std::map<std::string, TimePoint> service_saved;
-  std::shared_ptr<const traffic::RoutingConfiguration> layout;
-  traffic::NumberedConfigurationReader orders;
-  RateAllocator pacer;
+  std::shared_ptr<const config::RoutingConfiguration> layout;
+  config::NumberedConfigurationReader orders;
+  limits::RateAllocator pacer;
   VersionInitializer settler;
   VersionRolloutObserver watch;
 
@@ -173,8 +173,8 @@
       if (k.starts_with("release/")) {
         if (auto f = releases.find(k); f != releases.end()) continue;
         auto a = k.find('/', 8);
-        auto g = parse_release(k.substr(8, a - 8), k.substr(a + 1), h.data);
-        if (auto* r = std::get_if<Release>(&g)) releases[k] = *r;
+        auto g = config::parse_release(k.substr(8, a - 8), k.substr(a + 1), h.data);
+        if (auto* r = std::get_if<config::Release>(&g)) releases[k] = *r;
       } else if (k.starts_with("act/")) {
         observation.operator_actions["release/" + k.substr(4)].ParseFromString(h.data);
       }
@@ -277,15 +277,15 @@
     }
   }
 
-  std::shared_ptr<const traffic::RoutingConfiguration> layout_in_force() {
+  std::shared_ptr<const config::RoutingConfiguration> layout_in_force() {
     if (auto& o = orders.read(state_cache.chosen()); o.number) return o.configuration;
     auto f = state.in_force().find("layout");
     if (f == state.in_force().end()) return {};
     if (layout && layout->name == f->second) return layout;
-    auto rel = releases.find(release_key("layout", f->second));
+    auto rel = releases.find(config::release_key("layout", f->second));
     if (rel == releases.end()) return {};
-    auto g = traffic::parse_routing_configuration(f->second, rel->second.content);
-    auto* l = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&g);
+    auto g = config::parse_routing_configuration(f->second, rel->second.content);
+    auto* l = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&g);
     return layout = l ? *l : nullptr;
   }
 
@@ -382,8 +382,8 @@
     if (!fence.allows(state.term())) return;
     if (state.term() < fence.term() && !feed(LeadershipAcquired{fence.term()})) return;
     if (auto a = state.in_force().find("system"); a != state.in_force().end())
-      if (auto f = releases.find(release_key("system", a->second)); f != releases.end())
-        rules.system = parse_system_options(f->second.content);
+      if (auto f = releases.find(config::release_key("system", a->second)); f != releases.end())
+        rules.system = config::parse_system_options(f->second.content);
     auto observation = look(now, dt);
     for (auto& [k, r] : observation.releases) {
       if (auto act = observation.operator_actions.find(k);
--- a/src/rollout/conductor.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -2,7 +2,7 @@
 // feeds the reducers, and writes what they decide to the registers.
 #pragma once
 #include "membership/leadership.hpp"
-#include "rollout/moves.hpp"
+#include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::rollout {
 
--- a/src/rollout/versions.cpp
+++ b/src/rollout/version_initializer.cpp
@@ -1,13 +1,13 @@
 // A version whose workers are all gone for long gives way to another that beats, without
 // a trial: nothing serves otherwise, and nobody has asked for a move. It takes ten
 // seconds beyond the missing of beats, so that a crash of all is not taken for that.
-#include "rollout/versions.hpp"
+#include "rollout/version_initializer.hpp"
 
 #include <algorithm>
 #include <optional>
 
 #include "base/log.hpp"
-#include "rollout/moves.hpp"
+#include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::rollout {
 namespace {
@@ -32,9 +32,9 @@
   membership::StateCache& state_cache;
   Duration bound;
   std::string settled;  // the layout of which all is known to be in place
-  std::shared_ptr<const traffic::RoutingConfiguration> now;
-  const LeadershipFence* fence = nullptr;  // of the tick under way
-  std::map<std::string, TimePoint> gone;   // since when no worker of the version in place beats
+  std::shared_ptr<const config::RoutingConfiguration> now;
+  const membership::LeadershipFence* fence = nullptr;  // of the tick under way
+  std::map<std::string, TimePoint> gone;               // since when no worker of the version in place beats
 
   pb::ServiceState state(const std::string& name, uint64_t& version) {
     pb::ServiceState st;
@@ -113,8 +113,8 @@
   impl_->gone.clear();
 }
 
-void VersionInitializer::tick(std::shared_ptr<const traffic::RoutingConfiguration> layout,
-                              const LeadershipFence& fence) {
+void VersionInitializer::tick(std::shared_ptr<const config::RoutingConfiguration> layout,
+                              const membership::LeadershipFence& fence) {
   auto& impl = *impl_;
   if (!layout) return;
   impl.fence = &fence;
--- a/src/rollout/versions.hpp
+++ b/src/rollout/version_initializer.hpp
@@ -1,8 +1,8 @@
 // Which worker version of a service is in place when no move has said so: the layout's
 // first, or, where it names none, what most of the service's workers report.
 #pragma once
-#include "rollout/fence.hpp"
-#include "traffic/layout.hpp"
+#include "config/routing_configuration.hpp"
+#include "membership/leadership_fence.hpp"
 
 namespace dunlinwing::rollout {
 
@@ -18,7 +18,8 @@
   ~VersionInitializer();
   // While the leadership is held: records what is in place, and what takes the place of a version that is
   // gone.
-  void tick(std::shared_ptr<const traffic::RoutingConfiguration> in_force, const LeadershipFence& fence);
+  void tick(std::shared_ptr<const config::RoutingConfiguration> in_force,
+            const membership::LeadershipFence& fence);
   void reset();  // the leadership is not held
 
  private:
--- a/src/rollout/moves.cpp
+++ b/src/rollout/version_rollout.cpp
@@ -1,7 +1,7 @@
 // Fifty bad answers of a version on trial put it into quarantine for good, however
 // the version in place fares. A promoted version that turns bad (fifty in ten
 // seconds, or in a minute) while its forerunner still has workers gives way to it.
-#include "rollout/moves.hpp"
+#include "rollout/version_rollout.hpp"
 
 #include <fmt/format.h>
 #include <google/protobuf/util/message_differencer.h>
--- a/src/rollout/moves.hpp
+++ b/src/rollout/version_rollout.hpp
@@ -1,8 +1,8 @@
 // Moving a service to a new worker version: a trial of a bounded share, then
 // promotion on evidence, or quarantine. A pure step, like rollout's own.
 #pragma once
-#include "rollout/reducer.hpp"
-#include "traffic/docket.hpp"
+#include "canary/canary_statistics.hpp"
+#include "rollout/release_state_machine.hpp"
 
 namespace dunlinwing::rollout {
 
@@ -22,7 +22,7 @@
   Duration since_switch{0};                   // so long ago at the most its switch was recorded
   std::map<std::string, int> warm_instances;  // by version, beating and not cold
   bool all_warm = false;  // the workers that the trial asks are warm, and were a while ago
-  traffic::CanarySample sample;
+  canary::CanarySample sample;
 };
 
 struct VersionRolloutStep {
--- a/src/rollout/term.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -7,8 +7,8 @@
 
 #include <algorithm>
 
-#include "rollout/moves.hpp"
-#include "traffic/trial.hpp"
+#include "proxy/canary_admission.hpp"
+#include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::rollout {
 namespace {
@@ -38,7 +38,7 @@
   state.set_reason("on trial");
   state.set_deadline_ms(static_cast<uint64_t>(within.count()));
   state.set_longest_ms(static_cast<uint64_t>(longest.count()));
-  state.set_percent(within > Duration(0) ? traffic::kColdPercent : 0);
+  state.set_percent(within > Duration(0) ? canary::kColdPercent : 0);
   if (within == Duration(0)) return;
   state.set_requested(version);
   state.set_outcome("running");
@@ -54,7 +54,7 @@
   VersionRolloutStep result{state, {}};
   auto& n = result.state;
   auto to = state.canary();
-  auto all = traffic::sum(observation.sample.canary), from = traffic::sum(observation.sample.baseline);
+  auto all = canary::sum(observation.sample.canary), from = canary::sum(observation.sample.baseline);
   n.set_held_ms(std::max(state.held_ms(), static_cast<uint64_t>(observation.since_requested.count())));
   n.set_good(std::max(state.good(), all.good));
   n.set_bad(std::max(state.bad(), all.bad));
@@ -82,14 +82,14 @@
   auto figures = fmt::format("{} bad answers of {}, {} slow, against {} and {} of {}", all.bad, all.total(),
                              all.slow, from.bad, from.slow, from.total());
   if (observation.aborted || n.bad() >= static_cast<uint64_t>(rules.system.max_canary_failures) ||
-      traffic::is_clearly_worse(observation.sample)) {
+      canary::is_clearly_worse(observation.sample)) {
     back(figures);
-  } else if (auto why = traffic::regression(observation.sample); !why.empty()) {
+  } else if (auto why = canary::regression(observation.sample); !why.empty()) {
     back(why);
   } else if (state.switching()) {
     if (!of(observation.instances, to)) {
       back("its workers went away in the switch");
-    } else if (auto poor = traffic::regression_after_switch(observation.sample); !poor.empty()) {
+    } else if (auto poor = canary::regression_after_switch(observation.sample); !poor.empty()) {
       back(poor);
     } else if (observation.since_switch >= ending) {
       auto* k = n.mutable_previous_versions();
@@ -106,14 +106,14 @@
              std::max(1, of(observation.instances, state.current())) * 3;
     };
     why = !observation.all_warm ? std::string("its workers are not warm yet")
-                                : traffic::promotion_blocker(observation.sample);
+                                : canary::promotion_blocker(observation.sample);
     if (why.empty() && few())
       why = fmt::format("{} warm workers for {} of the version in place", of(observation.warm_instances, to),
                         of(observation.instances, state.current()));
     // What is not needed for the verdict is left for the switch, should it have to go back.
-    uint32_t share = observation.all_warm && !traffic::has_ample_evidence(observation.sample)
-                         ? traffic::kDeadlinePercent
-                         : traffic::kColdPercent;
+    uint32_t share = observation.all_warm && !canary::has_ample_evidence(observation.sample)
+                         ? canary::kDeadlinePercent
+                         : canary::kColdPercent;
     if (observation.all_warm && state.percent() != share) {
       n.set_percent(share);
       save(true);
--- a/src/rollout/watch.cpp
+++ b/src/rollout/version_rollout_observer.cpp
@@ -1,11 +1,11 @@
 // A move was asked for after the pull that came before the look that first showed it. Who
 // begins to look in its midst takes what is recorded, and adds the span of a read_lease and
 // a bound for what was recorded late: whatever is not known counts against it.
-#include "rollout/watch.hpp"
+#include "rollout/version_rollout_observer.hpp"
 
 #include <algorithm>
 
-#include "traffic/trial.hpp"
+#include "proxy/canary_admission.hpp"
 
 namespace dunlinwing::rollout {
 
@@ -13,7 +13,7 @@
                                     const std::map<std::string, pb::NodeStatus>& statuses,
                                     const std::map<std::string, membership::BackendInstanceStatus>& workers) {
   std::map<std::string, pb::ServiceState> states;
-  std::map<std::string, std::vector<traffic::BackendInstance>> by;
+  std::map<std::string, std::vector<membership::BackendInstance>> by;
   std::map<std::string, std::map<std::string, int>> warm_by;
   std::set<std::string> cold, warm;
   for (auto& [i, w] : workers) {
@@ -39,7 +39,7 @@
       c.requested = last_ == TimePoint(0) ? now - Duration(static_cast<int64_t>(state.held_ms())) - bound_ * 3
                                           : last_ - bound_ / 8;
     }
-    auto asked = traffic::canary_instances(by[name], state.canary(), true);
+    auto asked = canary::canary_instances(by[name], state.canary(), true);
     bool any_cold = std::any_of(asked.begin(), asked.end(), [&](auto& w) { return cold.count(w.instance); });
     if (asked.empty() || any_cold)
       c.warm_since = TimePoint(0);
--- a/src/rollout/watch.hpp
+++ b/src/rollout/version_rollout_observer.hpp
@@ -3,7 +3,7 @@
 // its workers are warm, and what came back.
 #pragma once
 #include "membership/state_cache.hpp"
-#include "rollout/moves.hpp"
+#include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::rollout {
 
@@ -25,7 +25,7 @@
   Duration bound_;
   TimePoint last_{0};
   std::map<std::string, ObservedRollout> cases_;
-  traffic::CanaryStatistics docket_;
+  canary::CanaryStatistics docket_;
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -77,7 +77,7 @@
   host.ports.reset(new base::Ports{*host.clock, *host.random, *host.tasks, *host.net, *host.origin});
   if (host.has_disk || host.spare)
     host.disk = std::make_unique<Disk>(world_, host.process, host.disk_contents);
-  relay::NodeConfig config;
+  node::NodeConfig config;
   config.name = n;
   config.zone = host.zone;
   config.peer_address = host.address;
@@ -92,7 +92,7 @@
   host.started_before = true;
   for (auto& x : hosts_)
     if (x->has_disk && !shape_.seeded) config.replicas.push_back({x->name, x->address});
-  host.node = std::make_unique<relay::Node>(*host.ports, config, host.disk.get());
+  host.node = std::make_unique<node::Node>(*host.ports, config, host.disk.get());
   host.router = std::make_unique<control_api::Router>(*host.ports, *host.node);
   auto* node = host.node.get();
   directory_[host.address] = {n, host.process, [node](const pb::PeerRequest& request) {
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -2,7 +2,7 @@
 // operators, and the faults that can befall them. Journals come out in the
 // form of the stand-ins', so that one checker reads both.
 #pragma once
-#include "control_api/control.hpp"
+#include "control_api/router.hpp"
 #include "simulation/ports.hpp"
 
 namespace dunlinwing::simulation {
@@ -21,7 +21,7 @@
   // A deployment that speaks other words: they go into each relay's settings, stand
   // before its control face, and take the place of the workers below.
   using Handler = std::function<base::Response(base::Request&)>;
-  std::function<void(relay::NodeConfig&)> settings;
+  std::function<void(node::NodeConfig&)> settings;
   std::function<base::Response(base::Request&, const Handler& product)> translate;
   std::function<std::variant<base::Response, base::AttemptError>(
       const ProcessRunPtr&, const std::string& address, const base::Request&, const base::AttemptRules&)>
@@ -47,7 +47,7 @@
   std::unique_ptr<base::Origin> origin;
   std::unique_ptr<base::Ports> ports;
   std::unique_ptr<Disk> disk;
-  std::unique_ptr<relay::Node> node;
+  std::unique_ptr<node::Node> node;
   std::unique_ptr<control_api::Router> router;
   bool up() const { return process && !process->dead; }
 };
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -8,7 +8,7 @@
 #include <boost/fiber/context.hpp>
 #include <boost/fiber/fiber.hpp>
 
-#include "wire/loop.hpp"
+#include "net/event_loop.hpp"
 
 namespace dunlinwing::simulation {
 namespace bf = boost::fibers;
@@ -38,11 +38,11 @@
     done = true;
     bf::context::active()->schedule(me);
   });
-  wire::run_fibers([this] { step(); }, [] {},
-                   [&] {
-                     if (first) first();
-                     while (!done) me->suspend();
-                   });
+  net::run_fibers([this] { step(); }, [] {},
+                  [&] {
+                    if (first) first();
+                    while (!done) me->suspend();
+                  });
   check_ = nullptr;
 }
 
--- a/src/software/artifacts.cpp
+++ b/src/software/artifacts.cpp
@@ -8,7 +8,7 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "rollout/release.hpp"
+#include "config/release.hpp"
 
 namespace dunlinwing::software {
 namespace {
@@ -36,8 +36,8 @@
   const std::string prefix(kReleasePrefix);
   for (auto it = chosen.lower_bound(prefix); it != chosen.end() && it->first.starts_with(prefix); ++it) {
     auto name = it->first.substr(prefix.size());
-    auto parsed = rollout::parse_release("software", name, it->second.data);
-    const auto* release = std::get_if<rollout::Release>(&parsed);
+    auto parsed = config::parse_release("software", name, it->second.data);
+    const auto* release = std::get_if<config::Release>(&parsed);
     if (!release) continue;
     const auto& content = release->content;
     SoftwareTarget target{name, content.at("version").string_or(), content.at("sha256").string_or(),
--- a/test/checker.cpp
+++ b/test/checker/checker.cpp
@@ -1,7 +1,7 @@
 // Times are all of one machine's boot clock, so they compare. Where a journal
 // shows something later than it happened, the rule is checked in the sense
 // that can only miss a breach by that margin, never invent one.
-#include "checker.hpp"
+#include "checker/checker.hpp"
 
 #include <fmt/format.h>
 
--- a/test/checker_main.cpp
+++ b/test/checker/main.cpp
@@ -3,7 +3,7 @@
 #include <filesystem>
 #include <iostream>
 
-#include "checker.hpp"
+#include "checker/checker.hpp"
 
 int main(int argc, char** argv) {
   if (argc != 2) {
--- a/test/worker.cpp
+++ b/test/fleet/backend.cpp
@@ -8,8 +8,8 @@
 #include <iostream>
 
 #include "base/log.hpp"
-#include "journal.hpp"
-#include "wire/http.hpp"
+#include "net/http.hpp"
+#include "support/journal.hpp"
 
 DEFINE_string(service, "", "the service it runs");
 DEFINE_string(runs, "1", "its version");
@@ -32,10 +32,10 @@
 constexpr base::Log logger("worker");
 
 struct App {
-  wire::EventLoopPool pool{2};
-  wire::SystemClock clock;
-  wire::SystemRandom random;
-  wire::HttpClient post{1 << 20};
+  net::EventLoopPool pool{2};
+  net::SystemClock clock;
+  net::SystemRandom random;
+  net::HttpClient post{1 << 20};
   test::Journal journal{FLAGS_journal};
   std::string instance = base::random_token(random).substr(0, 12);
   std::vector<std::string> relays;
@@ -118,7 +118,7 @@
         break;
       }
     clock.sleep(3000ms);
-    wire::EventLoopPool::stop(0);
+    net::EventLoopPool::stop(0);
   }
 };
 }  // namespace
@@ -132,7 +132,7 @@
     std::cerr << "worker: --service and --relays are needed\n";
     return 2;
   }
-  wire::HttpServer srv(a.pool, "worker", {}, [&](auto& q) { return a.answer(q); });
+  net::HttpServer srv(a.pool, "worker", {}, [&](auto& q) { return a.answer(q); });
   if (auto e = srv.listen(FLAGS_address, 1, 2)) {
     std::cerr << "worker: " << *e << "\n";
     return 3;
--- a/test/caller.cpp
+++ b/test/fleet/client.cpp
@@ -9,8 +9,8 @@
 #include <random>
 
 #include "base/log.hpp"
-#include "journal.hpp"
-#include "wire/http.hpp"
+#include "net/http.hpp"
+#include "support/journal.hpp"
 
 DEFINE_string(relays, "", "callers@control addresses, with commas");
 DEFINE_string(deployment, "lobby", "lobby or practice");
@@ -30,9 +30,9 @@
 };
 
 struct App {
-  wire::EventLoopPool pool{3};
-  wire::SystemClock clock;
-  wire::HttpClient http{4 << 20};
+  net::EventLoopPool pool{3};
+  net::SystemClock clock;
+  net::HttpClient http{4 << 20};
   test::Journal journal{FLAGS_journal};
   std::vector<std::unique_ptr<Relay>> relays;
   std::mt19937_64 rng{FLAGS_seed};
@@ -128,7 +128,7 @@
     std::cout << fmt::format("asked {} ok {} not_run {} unknown {} other {} lost {}\n", all, ok.load(),
                              away.load(), unknown.load(), other.load(), lost.load())
               << std::flush;
-    wire::EventLoopPool::stop(0);
+    net::EventLoopPool::stop(0);
   }
 };
 }  // namespace
--- a/test/fleet.cpp
+++ b/test/fleet/fleet.cpp
@@ -1,6 +1,6 @@
 // Processes are started by fork and exec from here, the stand-in of the
 // platform; only processes started here are ever signalled, by their id.
-#include "fleet.hpp"
+#include "fleet/fleet.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -35,7 +35,7 @@
                      lobby ? "/lobbies/" : "/balances/", lobby ? "/fees" : "/filings");
 }
 
-Fleet::Fleet(wire::EventLoopPool& pool, FleetConfig c)
+Fleet::Fleet(net::EventLoopPool& pool, FleetConfig c)
     : pool_(pool),
       c_(std::move(c)),
       links_(pool),
--- a/test/fleet.hpp
+++ b/test/fleet/fleet.hpp
@@ -6,9 +6,9 @@
 
 #include <deque>
 
-#include "journal.hpp"
-#include "links.hpp"
-#include "wire/http.hpp"
+#include "fleet/links.hpp"
+#include "net/http.hpp"
+#include "support/journal.hpp"
 
 namespace dunlinwing::test {
 
@@ -33,7 +33,7 @@
 
 class Fleet {
  public:
-  Fleet(wire::EventLoopPool& pool, FleetConfig c);
+  Fleet(net::EventLoopPool& pool, FleetConfig c);
   void lay_out();  // writes settings, opens links; starts nothing
   void start(const std::string& name);
   void start_relays();
@@ -68,15 +68,15 @@
   Machine& at(const std::string& name);
   std::string relay_list(bool pairs) const;
   const FleetConfig& config() const { return c_; }
-  wire::SystemClock clock;
+  net::SystemClock clock;
 
  private:
   pid_t spawn(const std::string& program, const std::vector<std::string>& args, const std::string& log);
-  wire::EventLoopPool& pool_;
+  net::EventLoopPool& pool_;
   FleetConfig c_;
   Links links_;
   std::deque<Machine> ms_;  // fibers hold on to one while others are added
-  wire::HttpClient http_{32u << 20};
+  net::HttpClient http_{32u << 20};
   Journal events_;
   int workers_ = 0;
   bool stopping_ = false, watching_ = false;
--- a/test/fleet_test.cpp
+++ b/test/fleet/fleet_test.cpp
@@ -1,6 +1,6 @@
 // A whole fleet of real processes, briefly, and the HTTP edges that only real
 // sockets can show. Waits on conditions, never on time alone.
-#include "fleet.hpp"
+#include "fleet/fleet.hpp"
 
 #include <gflags/gflags.h>
 #include <unistd.h>
@@ -11,9 +11,9 @@
 #include <csignal>
 #include <filesystem>
 
-#include "checker.hpp"
-#include "expect.hpp"
-#include "wire/peer.hpp"
+#include "checker/checker.hpp"
+#include "net/peer.hpp"
+#include "support/expect.hpp"
 
 DEFINE_string(bin, ".", "where the programs are");
 DEFINE_string(dir, "fleet_test_run", "where everything goes");
@@ -24,28 +24,28 @@
 
 namespace {
 // Sends bytes as they are and reads until the relay closes or goes quiet.
-std::string raw(wire::EventLoopPool& pool, const std::string& address, const std::string& bytes) {
+std::string raw(net::EventLoopPool& pool, const std::string& address, const std::string& bytes) {
   namespace asio = boost::asio;
   asio::ip::tcp::socket s(pool.io(0));
-  auto a = wire::split_address(address);
-  auto [e] = wire::await<>([&](auto h) {
+  auto a = net::split_address(address);
+  auto [e] = net::await<>([&](auto h) {
     s.async_connect(asio::ip::tcp::endpoint(asio::ip::make_address(a->ip), a->port), std::move(h));
   });
   if (e) return "cannot connect";
-  wire::await<size_t>([&](auto h) { asio::async_write(s, asio::buffer(bytes), std::move(h)); });
+  net::await<size_t>([&](auto h) { asio::async_write(s, asio::buffer(bytes), std::move(h)); });
   std::string out;
-  wire::SystemClock clock;
+  net::SystemClock clock;
   auto shut = std::make_shared<bool>(false);
   pool.spawn([&pool, shut, &s] {
-    wire::SystemClock c;
+    net::SystemClock c;
     for (int i = 0; i < 60 && !*shut; ++i) c.sleep(20ms);
     if (*shut) return;
-    wire::ErrorCode ec;
+    net::ErrorCode ec;
     s.cancel(ec);
   });
   for (;;) {
     char b[4096];
-    auto [e2, n] = wire::await<size_t>([&](auto h) { s.async_read_some(asio::buffer(b), std::move(h)); });
+    auto [e2, n] = net::await<size_t>([&](auto h) { s.async_read_some(asio::buffer(b), std::move(h)); });
     if (e2) break;
     out.append(b, n);
     if (out.find("\r\n\r\n") != out.npos && bytes.find("close") != bytes.npos && out.size() > 4096) break;
@@ -61,7 +61,7 @@
   return n;
 }
 
-void framing(wire::EventLoopPool& pool, test::Fleet& f) {
+void framing(net::EventLoopPool& pool, test::Fleet& f) {
   auto at = f.at("e2").callers;
   auto starts = [&](const std::string& what, const std::string& bytes, const std::string& want) {
     auto r = raw(pool, at, bytes);
@@ -127,7 +127,7 @@
   test::same(f.http("e1", "DELETE", "/v1/nodes").status, 405, "a method that resources do not take");
 }
 
-void whole(wire::EventLoopPool& pool) {
+void whole(net::EventLoopPool& pool) {
   test::FleetConfig c{std::filesystem::absolute(FLAGS_dir).string(), FLAGS_bin, "lobby", FLAGS_port, 1500};
   test::Fleet f(pool, c);
   f.lay_out();
@@ -192,9 +192,9 @@
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   std::signal(SIGPIPE, SIG_IGN);
   std::filesystem::remove_all(FLAGS_dir);
-  wire::EventLoopPool pool(1);
+  net::EventLoopPool pool(1);
   pool.run([&] {
     int rc = test::run_all({{"fleet: a day in small", [&] { whole(pool); }}}, "");
-    wire::EventLoopPool::stop(rc);
+    net::EventLoopPool::stop(rc);
   });
 }
--- a/test/links.cpp
+++ b/test/fleet/links.cpp
@@ -1,18 +1,18 @@
 // Each connection has two fibers, one a direction; a cut closes them all and
 // new ones are closed as soon as they are taken.
-#include "links.hpp"
+#include "fleet/links.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/write.hpp>
 
 #include "base/log.hpp"
-#include "wire/peer.hpp"
+#include "net/peer.hpp"
 
 namespace dunlinwing::test {
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
-using wire::await;
-using wire::ErrorCode;
+using net::await;
+using net::ErrorCode;
 
 namespace {
 constexpr base::Log logger("links");
@@ -52,7 +52,7 @@
                  const std::string& target) {
   auto l = std::make_shared<Link>(pool_.io(0));
   auto ep = [](const std::string& s) {
-    auto a = wire::split_address(s);
+    auto a = net::split_address(s);
     return tcp::endpoint(asio::ip::make_address(a->ip), a->port);
   };
   l->to = ep(target);
--- a/test/links.hpp
+++ b/test/fleet/links.hpp
@@ -3,13 +3,13 @@
 #pragma once
 #include <set>
 
-#include "wire/loop.hpp"
+#include "net/event_loop.hpp"
 
 namespace dunlinwing::test {
 
 class Links {
  public:
-  explicit Links(wire::EventLoopPool& pool) : pool_(pool) {}
+  explicit Links(net::EventLoopPool& pool) : pool_(pool) {}
   void open(const std::string& from, const std::string& to, const std::string& listen,
             const std::string& target);
   void cut(const std::string& from, const std::string& to);
@@ -19,7 +19,7 @@
 
  private:
   struct Link;
-  wire::EventLoopPool& pool_;
+  net::EventLoopPool& pool_;
   std::map<std::pair<std::string, std::string>, std::shared_ptr<Link>> by_;
 };
 
--- a/test/load_scenarios.cpp
+++ b/test/fleet/load_scenarios.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 #include <random>
 
-#include "scenarios.hpp"
+#include "fleet/scenarios.hpp"
 
 namespace dunlinwing::test {
 using namespace std::chrono_literals;
--- a/test/fleet_main.cpp
+++ b/test/fleet/main.cpp
@@ -8,8 +8,8 @@
 #include <iostream>
 
 #include "base/log.hpp"
-#include "fleet.hpp"
-#include "scenarios.hpp"
+#include "fleet/fleet.hpp"
+#include "fleet/scenarios.hpp"
 
 DEFINE_string(dir, "run", "where settings, data, logs and journals go");
 DEFINE_string(bin, "build", "where the programs are");
@@ -39,7 +39,7 @@
   }
   if (!FLAGS_keep) std::filesystem::remove_all(FLAGS_dir);
   auto dir = std::filesystem::absolute(FLAGS_dir).string();
-  wire::EventLoopPool pool(1);
+  net::EventLoopPool pool(1);
   test::FleetConfig c{dir, std::filesystem::absolute(FLAGS_bin).string(), FLAGS_deployment, FLAGS_port,
                       FLAGS_scale};
   test::Fleet fleet(pool, c);
@@ -54,6 +54,6 @@
     fleet.stop_all();
     std::cout << (ok ? "scenario " : "SCENARIO FAILED ") << FLAGS_scenario << " " << FLAGS_deployment << "\n"
               << std::flush;
-    wire::EventLoopPool::stop(ok ? 0 : 1);
+    net::EventLoopPool::stop(ok ? 0 : 1);
   });
 }
--- a/test/scenarios.cpp
+++ b/test/fleet/scenarios.cpp
@@ -1,6 +1,6 @@
 // Each scenario begins with a fleet that serves its first layout, lets callers
 // call, brings its failure about, and waits on conditions.
-#include "scenarios.hpp"
+#include "fleet/scenarios.hpp"
 
 #include <signal.h>
 
--- a/test/scenarios.hpp
+++ b/test/fleet/scenarios.hpp
@@ -1,6 +1,6 @@
 // What can be brought about in a whole fleet of real processes.
 #pragma once
-#include "fleet.hpp"
+#include "fleet/fleet.hpp"
 
 namespace dunlinwing::test {
 
--- a/test/measure/delays.cpp
+++ b/test/measure/delays.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <iostream>
 
-#include "rollout/conductor.hpp"
-#include "story.hpp"
+#include "rollout/rollout_controller.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::measure {
 using namespace dunlinwing::test;
@@ -101,7 +101,7 @@
         purge(s, fmt::format("p{}", i), "service", "");
         auto want = static_cast<uint64_t>(i + 1);
         purge_seen.v.push_back(till_all(s, [&](simulation::Host& host) {
-          return traffic::purge_number(*host.node->request_handler().snapshot(), "content") >= want;
+          return proxy::purge_number(*host.node->request_handler().snapshot(), "content") >= want;
         }));
       }
       auto doc = sim_layout("\"1\"", 3, 0, R"(,"express":"measured")");
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -109,10 +109,10 @@
   NoOrigin origin;
   base::Ports ports;
   std::unique_ptr<simulation::Disk> disk;
-  std::unique_ptr<relay::Node> node;
+  std::unique_ptr<node::Node> node;
   std::unique_ptr<control_api::Router> control;
 
-  Proc(Hollow& f, Node& n, simulation::ProcessRunPtr process, const relay::NodeConfig& config)
+  Proc(Hollow& f, Node& n, simulation::ProcessRunPtr process, const node::NodeConfig& config)
       : life(process),
         clock(f.world, process, &n.wall),
         random(f.world),
@@ -120,12 +120,12 @@
         net(f, n, process),
         ports{clock, random, tasks, net, origin},
         disk(n.holder ? std::make_unique<simulation::Disk>(f.world, process, n.platter) : nullptr),
-        node(std::make_unique<relay::Node>(ports, config, disk.get())),
+        node(std::make_unique<node::Node>(ports, config, disk.get())),
         control(std::make_unique<control_api::Router>(ports, *node)) {}
 };
 
 bool Node::up() const { return proc && !proc->life->dead; }
-relay::Node& Node::relay() const { return *proc->node; }
+node::Node& Node::relay() const { return *proc->node; }
 control_api::Router& Node::control() const { return *proc->control; }
 const simulation::ProcessRunPtr& Node::life() const { return proc->life; }
 base::Ports& Node::ports() const { return proc->ports; }
@@ -152,7 +152,7 @@
   if (n.up()) return;
   auto process = std::make_shared<simulation::ProcessRun>();
   process->host = n.name;
-  relay::NodeConfig config;
+  node::NodeConfig config;
   config.name = n.name;
   config.zone = n.zone;
   config.peer_address = n.address;
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -2,7 +2,7 @@
 // rollout) without callers, many in one process on invented time. What goes between
 // two of them is encoded and decoded as on a wire, and counted at both ends.
 #pragma once
-#include "control_api/control.hpp"
+#include "control_api/router.hpp"
 #include "simulation/ports.hpp"
 
 namespace dunlinwing::measure {
@@ -34,7 +34,7 @@
   uint64_t answer_ns = 0;  // processor time spent on others' pulls
   std::shared_ptr<Proc> proc;
   bool up() const;
-  relay::Node& relay() const;
+  node::Node& relay() const;
   control_api::Router& control() const;
   const simulation::ProcessRunPtr& life() const;
   base::Ports& ports() const;
--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -9,8 +9,8 @@
 #include <future>
 #include <thread>
 
+#include "net/peer.hpp"
 #include "steady.hpp"
-#include "wire/peer.hpp"
 
 namespace dunlinwing::measure {
 namespace {
@@ -37,7 +37,7 @@
   Toll toll;
 
  private:
-  wire::PeerClient net_;
+  net::PeerClient net_;
 };
 
 class NoOrigin final : public base::Origin {
@@ -55,14 +55,14 @@
   NoOrigin origin;
   std::unique_ptr<base::Ports> ports;
   std::unique_ptr<storage::SnapshotStore> disk;
-  std::unique_ptr<relay::Node> node;
+  std::unique_ptr<node::Node> node;
   std::unique_ptr<control_api::Router> control;
 };
 
 struct Run {
-  wire::EventLoopPool pool{1};
-  wire::SystemClock clock;
-  wire::SystemRandom random;
+  net::EventLoopPool pool{1};
+  net::SystemClock clock;
+  net::SystemRandom random;
   std::vector<std::unique_ptr<Real>> all;
   std::promise<Figures> told;
 
@@ -88,18 +88,18 @@
       if (i < s.holders)
         r->disk = std::make_unique<storage::SnapshotStore>(
             std::make_unique<simulation::MemoryFiles>(r->platter), 16384);
-      relay::NodeConfig config;
+      node::NodeConfig config;
       config.name = fmt::format("{}{}", i < s.holders ? "h" : "e", i + 1);
       config.zone = fmt::format("z{}", i % s.zones);
       config.peer_address = config.http_address = addr(i);
       config.replicas = hs;
       config.bound = s.bound;
       config.scale = 600;
-      r->node = std::make_unique<relay::Node>(*r->ports, config, r->disk.get());
+      r->node = std::make_unique<node::Node>(*r->ports, config, r->disk.get());
       r->control = std::make_unique<control_api::Router>(*r->ports, *r->node);
       auto* node = r->node.get();
       if (i < s.holders)
-        if (auto e = wire::serve_peers(pool, config.peer_address, [node](const pb::PeerRequest& request) {
+        if (auto e = net::serve_peers(pool, config.peer_address, [node](const pb::PeerRequest& request) {
               return node->handle_peer_request(request);
             }))
           return *e;
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -2,9 +2,9 @@
 // acknowledged; times count from the asking.
 #include <fmt/format.h>
 
-#include "control_api/purger.hpp"
+#include "config/routing_configuration.hpp"
+#include "control_api/purge_writer.hpp"
 #include "steady.hpp"
-#include "traffic/layout.hpp"
 
 namespace dunlinwing::measure {
 namespace {
--- a/test/wire_answers.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -2,8 +2,8 @@
 // fails at every single byte. Whatever is lost, a request that may not be repeated
 // reaches a backend whole at most once, nobody gets another's answer, a cut answer
 // never passes for a whole one, and what was promised not to run never runs.
-#include "byte_backend.hpp"
-#include "wire_relay.hpp"
+#include "net/node_under_test.hpp"
+#include "support/byte_backend.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -70,7 +70,7 @@
       }
       --running;
     });
-  wire::SystemClock clock;
+  net::SystemClock clock;
   while (running) clock.sleep(1ms);
   expect(failures == 0, fmt::format("{} of {} cases, first {}", failures, all.size(), first));
 }
@@ -234,7 +234,7 @@
       backend.freeze();
       auto answer = relay.ask("victim", safe, kFrozenMs, std::string(bytes, 'b'));
       backend.thaw();
-      wire::SystemClock().sleep(100ms);
+      net::SystemClock().sleep(100ms);
       same(backend.whole("victim"), 0, "runs of what was given up before it was sent whole");
       if (promises_not_run(answer.status)) expect(!backend.begun("victim"), "some of it had left");
     }
@@ -284,7 +284,7 @@
     StandIn backend([&](int, int, const std::string& head) {
       auto at = head.find("Attempt-Id: ") + 12;
       auto id = head.substr(at, head.find('\r', at) - at);
-      wire::SystemClock().sleep(10ms);
+      net::SystemClock().sleep(10ms);
       if (fetched++ == 0 && cut) return std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalfcut");
       return good_answer(id, false);
     });
--- a/test/wire_client_bytes.cpp
+++ b/test/net/client_bytes_test.cpp
@@ -3,7 +3,7 @@
 // each answer goes to the connection and the request that it belongs to.
 #include <sys/socket.h>
 
-#include "wire_cases.hpp"
+#include "net/net_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -15,7 +15,7 @@
 
 struct Counted {
   std::map<std::string, int> runs;  // by target and body
-  wire::HttpHandler handler() {
+  net::HttpHandler handler() {
     return [this](base::Request& request) -> base::Response {
       auto what = request.target + " " + request.body;
       ++runs[what];
@@ -24,8 +24,8 @@
   }
 };
 
-wire::HttpLimits quick() {
-  wire::HttpLimits limits;
+net::HttpLimits quick() {
+  net::HttpLimits limits;
   limits.head_timeout = limits.body_timeout = limits.idle_timeout = 200ms;
   return limits;
 }
@@ -70,7 +70,7 @@
   for (size_t at = 0; at <= stream.size(); ++at) {
     Raw client(server.address);
     client.send(std::string_view(stream).substr(0, at));
-    wire::SystemClock().sleep(1ms);
+    net::SystemClock().sleep(1ms);
     client.send(std::string_view(stream).substr(at));
     for (std::string want : {"[/1 first]", "[/2 second]", "[/3 ]"}) {
       auto told = client.read("]");
@@ -130,7 +130,7 @@
 
 // An answer that cannot be delivered whole shows that it is cut.
 void undelivered() {
-  wire::HttpLimits limits;
+  net::HttpLimits limits;
   limits.write_timeout = 200ms;
   constexpr size_t kLong = 32 << 20;
   Served server(limits, [](base::Request&) -> base::Response { return {200, {}, std::string(kLong, 'x')}; });
--- a/test/wire_compatibility.cpp
+++ b/test/net/compatibility_test.cpp
@@ -7,8 +7,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "scripted_peer.hpp"
-#include "wire/peer.hpp"
+#include "net/peer.hpp"
+#include "support/scripted_peer.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -43,7 +43,7 @@
 }
 
 /// The bytes of the next frame on the connection, without its length.
-std::string read_frame(wire::Connection& connection) {
+std::string read_frame(net::Connection& connection) {
   auto size = [&] {
     auto got = connection.buffered();
     if (got.size() < 4) return size_t(4);
@@ -68,7 +68,7 @@
 std::string serve(const std::shared_ptr<Exchange>& exchange) {
   for (int port = 23700 + static_cast<int>(::getpid() % 300);; ++port) {
     auto address = fmt::format("127.0.0.1:{}", port);
-    if (!wire::serve_peers(pool(), address, [exchange](const pb::PeerRequest& ask) {
+    if (!net::serve_peers(pool(), address, [exchange](const pb::PeerRequest& ask) {
           exchange->asked = serialized(ask);
           return exchange->reply;
         }))
@@ -111,7 +111,7 @@
     auto bytes = replies[next % replies.size()] + number.SerializeAsString();
     return length_of(bytes) + bytes;
   });
-  wire::PeerClient client;
+  net::PeerClient client;
   for (; next < asks.size(); ++next) {
     pb::PeerRequest ask;
     expect(ask.ParseFromString(asks[next]), "an old ask is not read");
--- a/test/wire_forward.cpp
+++ b/test/net/forward_test.cpp
@@ -1,8 +1,8 @@
 // Requests that go through a shield, and receipts that are kept: what a shield may have
 // had run is never promised not to run, and what it hands on is judged anew.
-#include "byte_backend.hpp"
-#include "scripted_peer.hpp"
-#include "wire_relay.hpp"
+#include "net/node_under_test.hpp"
+#include "support/byte_backend.hpp"
+#include "support/scripted_peer.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -81,7 +81,7 @@
 void lifetime() {
   ByteBackend backend(Plan{});
   Relay relay(backend.address());
-  wire::SystemClock clock;
+  net::SystemClock clock;
   auto from = clock.now();
   same(relay.get("/brief/x", "first").body, good_body("first"), "the fetch");
   auto again = relay.get("/brief/x", "second").body;
--- a/test/wire_origin.cpp
+++ b/test/net/http_client_test.cpp
@@ -1,5 +1,5 @@
 // UpstreamClient at a stand-in worker that cuts, babbles, is late, full or leaving.
-#include "wire_cases.hpp"
+#include "net/net_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -35,7 +35,7 @@
            : n == 3 ? ok("a") + ok("b") + ok("c") + ok("2")
                     : ok("not");
   });
-  wire::HttpClient o(1 << 20);
+  net::HttpClient o(1 << 20);
   auto r = rules();
   r.is_own_response = mine("0");
   same(body(o.send(w.addr(), get(), r)), "0", "the first");
@@ -61,7 +61,7 @@
   for (bool has_name : {true, false}) {
     StandIn w(
         [&](int, int n, auto&) { return ok(n ? "early" : "first", has_name || !n ? "Id: x\r\n" : ""); });
-    wire::HttpClient o(1 << 20);
+    net::HttpClient o(1 << 20);
     auto r = rules();
     r.is_anonymous = [](const base::Response& x) { return base::header(x.headers, "Id").empty(); };
     same(body(o.send(w.addr(), get(), r)), "first", "the first on the connection");
@@ -74,7 +74,7 @@
 
 void leftovers() {
   StandIn w([](int, int n, auto&) { return n % 2 ? ok("x") : ok("good") + ok("nobody asked"); });
-  wire::HttpClient o(1 << 20);
+  net::HttpClient o(1 << 20);
   same(body(o.send(w.addr(), get(), rules())), "good", "a whole answer with more behind it");
   same(body(o.send(w.addr(), get(), rules())), "x", "the next");
   same(w.conns, 2, "connections");
@@ -89,7 +89,7 @@
                         std::string("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
                         std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")}) {
     StandIn w([a](int, int, auto&) { return a; });
-    wire::HttpClient o(1000);
+    net::HttpClient o(1000);
     expect(unknown(o.send(w.addr(), get(), rules())), "taken for a whole answer: " + a.substr(0, 60));
     same(o.connections_to(w.addr()), 0, "connections held");
   }
@@ -103,7 +103,7 @@
     if (n == 3) return std::string("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n");
     return ok("last", "Connection: close\r\n");
   });
-  wire::HttpClient o(1000);
+  net::HttpClient o(1000);
   auto a = std::get<base::Response>(o.send(w.addr(), get(), rules()));
   same(a.body, "zip", "an answer after an interim one");
   same(base::header(a.headers, "Content-Encoding"), "gzip", "its encoding");
@@ -119,8 +119,8 @@
 // waited for.
 void endless() {
   StandIn w([](int, int, auto&) { return std::string("HTTP/1.1 200 OK\r\n\r\nuntil I close"); });
-  wire::HttpClient o(1000);
-  wire::SystemClock clock;
+  net::HttpClient o(1000);
+  net::SystemClock clock;
   auto from = clock.now();
   expect(unknown(o.send(w.addr(), get(), rules())), "taken for a whole answer");
   expect(clock.now() - from < rules().timeout / 2, "it was waited for");
@@ -132,7 +132,7 @@
     head = h;
     return ok("");
   });
-  wire::HttpClient o(1000);
+  net::HttpClient o(1000);
   o.send(w.addr(), {"", "POST", "/p?q=1", "", {{"Host", "given"}, {"X-A", "b"}, {"content-length", "7"}}},
          rules());
   same(head, "POST /p?q=1 HTTP/1.1\r\nHost: given\r\nX-A: b\r\nContent-Length: 0\r\n\r\n",
@@ -145,8 +145,8 @@
   StandIn w([](int, int n, auto&) {
     return ok("", n == 0 ? "Keep-Alive: timeout=0\r\n" : "Keep-Alive: max=9, timeout=1\r\n");
   });
-  wire::HttpClient o(1000);
-  wire::SystemClock c;
+  net::HttpClient o(1000);
+  net::SystemClock c;
   o.send(w.addr(), get(), rules());
   o.send(w.addr(), get(), rules(false));
   same(w.conns, 2, "connections after one that was not to be kept");
@@ -165,7 +165,7 @@
 
 void noticed() {
   StandIn w([](int, int, auto&) { return ok("") + "cut"; });
-  wire::HttpClient o(1000);
+  net::HttpClient o(1000);
   o.send(w.addr(), get(), rules());
   until([&] { return o.idle() == 0 && o.connections_to(w.addr()) == 0; },
         "the end of an idle connection is noticed");
@@ -181,7 +181,7 @@
     }
     return ok(std::to_string(n));
   });
-  wire::HttpClient o(1000);
+  net::HttpClient o(1000);
   auto r = rules();
   r.max_connections = 1;
   std::string first, second;
@@ -216,12 +216,12 @@
   a.listen(0);
   auto address = fmt::format("127.0.0.1:{}", a.local_endpoint().port());
   auto soon = [] { return std::chrono::steady_clock::now() + 50ms; };
-  std::vector<std::shared_ptr<wire::Connection>> full;
-  while (auto connection = wire::Connection::connect(address, soon()).first) {
+  std::vector<std::shared_ptr<net::Connection>> full;
+  while (auto connection = net::Connection::connect(address, soon()).first) {
     full.push_back(connection);
     expect(full.size() < 20, "the queue has no end");
   }
-  wire::HttpClient o(1000);
+  net::HttpClient o(1000);
   auto r = rules();
   r.connect_timeout = 50ms;
   auto s = o.send(address, get(), r);
@@ -260,7 +260,7 @@
         return own;
     }
   });
-  wire::HttpClient o(1000);
+  net::HttpClient o(1000);
   std::atomic<int> left{6}, good{0}, wrong{0};
   for (int f = 0; f < 6; ++f)
     pool().spawn_on(f % 3, [&, f, a = w.addr()] {
@@ -282,7 +282,7 @@
 }
 
 void bounded() {
-  wire::HttpClient o(1000, 2);
+  net::HttpClient o(1000, 2);
   StandIn a([](int, int, auto&) { return ok(""); }), b([](int, int, auto&) { return ok(""); }),
       c([](int, int, auto&) { return ok(""); });
   for (auto* w : {&a, &b, &c}) o.send(w->addr(), get(), rules());
--- a/test/wire_server.cpp
+++ b/test/net/http_server_test.cpp
@@ -4,12 +4,12 @@
 
 #include <thread>
 
-#include "wire_cases.hpp"
+#include "net/net_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
 const std::string kGet = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
-wire::HttpHandler echo() {
+net::HttpHandler echo() {
   return [](base::Request& request) -> base::Response {
     if (request.target == "/hollow") return {200, {}, ""};
     if (request.target == "/none") return {204, {}, "left out"};
@@ -76,7 +76,7 @@
 }
 
 void bounds() {
-  wire::HttpLimits l;
+  net::HttpLimits l;
   l.head_bytes = 500;
   l.body_bytes = 1000;
   Served v(l, echo());
@@ -103,7 +103,7 @@
 }
 
 void slow() {
-  wire::HttpLimits l;
+  net::HttpLimits l;
   l.idle_timeout = 200ms;
   l.head_timeout = l.body_timeout = l.write_timeout = 200ms;
   Served v(l, echo());
@@ -118,7 +118,7 @@
 }
 
 void budget() {
-  wire::HttpLimits l;
+  net::HttpLimits l;
   l.all_bodies_bytes = 1500;
   Served v(l, echo());
   Raw a(v.address);
@@ -151,7 +151,7 @@
   b.ask(kGet, "GET /a ");
   half.send("GET /a HTTP/1.1\r\n");
   until([&] { return v.s.open_connections() == 4; }, "four connections");
-  wire::SystemClock().sleep(5ms);  // for the half head to be read
+  net::SystemClock().sleep(5ms);  // for the half head to be read
   v.s.drain();
   auto last = a.ask(kGet);
   expect(a.ended && last.find("Connection: close") != last.npos, "not the last answer: " + last);
@@ -163,14 +163,14 @@
 }
 
 void crowded() {
-  wire::HttpLimits l;
+  net::HttpLimits l;
   l.max_connections = 2;
   Served v(l, echo());
   Raw a(v.address);
   a.ask(kGet, "GET /a ");
   Raw b(v.address);
   b.ask(kGet, "GET /a ");
-  wire::SystemClock().sleep(2ms);
+  net::SystemClock().sleep(2ms);
   b.ask(kGet, "GET /a ");
   Raw c(v.address);
   c.ask(kGet, "GET /a ");
@@ -184,14 +184,14 @@
 void unread_request(const std::function<void(Served&)>& end_idle) {
   std::unique_ptr<Raw> idle;
   std::unique_ptr<Served> server;
-  wire::HttpHandler handler = [&](base::Request& request) -> base::Response {
+  net::HttpHandler handler = [&](base::Request& request) -> base::Response {
     if (request.target == "/busy") {
       idle->send(kGet);
       end_idle(*server);
     }
     return echo()(request);
   };
-  server = std::make_unique<Served>(wire::HttpLimits{}, handler);
+  server = std::make_unique<Served>(net::HttpLimits{}, handler);
   idle = std::make_unique<Raw>(server->address);
   idle->ask(kGet, "GET /a ");
   Raw busy(server->address);
@@ -237,41 +237,41 @@
 }
 
 void shorter_idle_limit_spares_what_rests() {
-  wire::HttpLimits limits;
+  net::HttpLimits limits;
   limits.idle_timeout = 400ms;
   Served v(limits, echo());
   Raw a(v.address);
   a.ask(kGet, "GET /a ");
-  wire::SystemClock().sleep(100ms);
+  net::SystemClock().sleep(100ms);
   limits.idle_timeout = 50ms;  // the client went by the limit of before
   v.s.set_limits(limits);
-  wire::SystemClock().sleep(200ms);
+  net::SystemClock().sleep(200ms);
   expect(a.ask(kGet, "GET /a ").starts_with("HTTP/1.1 200"), "the limit of before did not hold");
-  wire::SystemClock().sleep(300ms);
+  net::SystemClock().sleep(300ms);
   same(a.read(), "", "the new limit holds from the next request on");
 }
 
 // Connections that wait for room make busy ones end with their answer.
 void crowded_answers_are_the_last() {
-  wire::HttpLimits limits;
+  net::HttpLimits limits;
   limits.max_connections = 1;
   std::unique_ptr<Served> server;
   server = std::make_unique<Served>(limits, [](base::Request& request) -> base::Response {
-    wire::SystemClock().sleep(50ms);
+    net::SystemClock().sleep(50ms);
     return echo()(request);
   });
   Raw a(server->address);
   a.send(kGet);
   until([&] { return server->s.running_requests() == 1; }, "it runs");
   Raw b(server->address);
-  wire::SystemClock().sleep(20ms);
+  net::SystemClock().sleep(20ms);
   auto last = a.read();
   expect(a.ended && last.find("Connection: close") != last.npos, "not the last answer: " + last);
   b.ask(kGet, "GET /a ");
 }
 
 void unread() {
-  wire::HttpLimits l;
+  net::HttpLimits l;
   l.write_timeout = 200ms;
   Served v(l, [](base::Request&) -> base::Response { return {200, {}, std::string(64 << 20, 'x')}; });
   Raw a(v.address);
@@ -308,7 +308,7 @@
   {
     Raw r(v.address);
     r.send(kGet);
-    wire::SystemClock().sleep(5ms);
+    net::SystemClock().sleep(5ms);
     for (int fd : taken) ::close(fd);
     ::setrlimit(RLIMIT_NOFILE, &was);
     expect(r.read("GET /a ").starts_with("HTTP/1.1 200"), "the connection was lost");
@@ -316,8 +316,8 @@
 }
 
 void lone_thread() {
-  auto* one = new wire::EventLoopPool(1);
-  auto* srv = new wire::HttpServer(*one, "one", {}, echo());
+  auto* one = new net::EventLoopPool(1);
+  auto* srv = new net::HttpServer(*one, "one", {}, echo());
   std::atomic<bool> up{false};
   std::string address;
   std::thread([&] {
--- a/test/wire_test.cpp
+++ b/test/net/main.cpp
@@ -6,20 +6,20 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <csignal>
 
-#include "wire/peer.hpp"
-#include "wire_cases.hpp"
+#include "net/net_cases.hpp"
+#include "net/peer.hpp"
 
 using namespace dunlinwing;
 using namespace std::chrono_literals;
 
-dunlinwing::wire::EventLoopPool& dunlinwing::test::pool() {
-  static wire::EventLoopPool p(3);
+dunlinwing::net::EventLoopPool& dunlinwing::test::pool() {
+  static net::EventLoopPool p(3);
   return p;
 }
 
 namespace {
-wire::EventLoopPool& pool = test::pool();
-wire::SystemClock clk;
+net::EventLoopPool& pool = test::pool();
+net::SystemClock clk;
 
 // Takes connections and never says anything.
 struct Mute {
@@ -61,8 +61,8 @@
 
 void silent() {
   Mute m;
-  wire::HttpClient http(1 << 20);
-  wire::PeerClient net;
+  net::HttpClient http(1 << 20);
+  net::PeerClient net;
   auto from = clk.now();
   auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 100ms);
   test::expect(std::get<base::AttemptError>(r) == base::AttemptError::unknown,
@@ -87,18 +87,18 @@
   pool.spawn([&m, served] {
     for (;;) {
       boost::asio::ip::tcp::socket s(pool.io(0));
-      auto [e] = wire::await<>([&](auto h) { m.acc.async_accept(s, std::move(h)); });
+      auto [e] = net::await<>([&](auto h) { m.acc.async_accept(s, std::move(h)); });
       if (e) return;
       char b[1024];
       auto [e2, n] =
-          wire::await<size_t>([&](auto h) { s.async_read_some(boost::asio::buffer(b), std::move(h)); });
+          net::await<size_t>([&](auto h) { s.async_read_some(boost::asio::buffer(b), std::move(h)); });
       if (e2) continue;
       ++*served;
       std::string a = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-      wire::await<size_t>([&](auto h) { s.async_write_some(boost::asio::buffer(a), std::move(h)); });
+      net::await<size_t>([&](auto h) { s.async_write_some(boost::asio::buffer(a), std::move(h)); });
     }
   });
-  wire::HttpClient http(1 << 20);
+  net::HttpClient http(1 << 20);
   for (int i = 0; i < 20; ++i) {
     auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 5s);
     test::expect(std::holds_alternative<base::Response>(r),
@@ -118,13 +118,13 @@
     Mute m;
     pool.spawn([&m, a] {
       boost::asio::ip::tcp::socket s(pool.io(0));
-      auto [e] = wire::await<>([&](auto h) { m.acc.async_accept(s, std::move(h)); });
+      auto [e] = net::await<>([&](auto h) { m.acc.async_accept(s, std::move(h)); });
       if (e) return;
       char b[1024];
-      wire::await<size_t>([&](auto h) { s.async_read_some(boost::asio::buffer(b), std::move(h)); });
-      wire::await<size_t>([&](auto h) { s.async_write_some(boost::asio::buffer(a), std::move(h)); });
+      net::await<size_t>([&](auto h) { s.async_read_some(boost::asio::buffer(b), std::move(h)); });
+      net::await<size_t>([&](auto h) { s.async_write_some(boost::asio::buffer(a), std::move(h)); });
     });
-    wire::HttpClient http(1 << 20);
+    net::HttpClient http(1 << 20);
     auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 5s);
     test::expect(std::holds_alternative<base::AttemptError>(r),
                  "taken for a whole answer: " + a.substr(0, 60));
@@ -147,6 +147,6 @@
          {test::server_cases(), test::origin_cases(), test::answer_cases(), test::client_byte_cases(),
           test::peer_cases(), test::compatibility_wire_cases(), test::forward_cases(), test::soak_cases()})
       all.insert(all.end(), more.begin(), more.end());
-    wire::EventLoopPool::stop(test::run_all(all, only));
+    net::EventLoopPool::stop(test::run_all(all, only));
   });
 }
--- a/test/wire_cases.hpp
+++ b/test/net/net_cases.hpp
@@ -3,17 +3,17 @@
 #pragma once
 #include <unistd.h>
 
-#include "expect.hpp"
-#include "wire/http.hpp"
-#include "wire/line.hpp"
+#include "net/connection.hpp"
+#include "net/http.hpp"
+#include "support/expect.hpp"
 
 namespace dunlinwing::test {
 
 using namespace std::chrono_literals;
-wire::EventLoopPool& pool();
+net::EventLoopPool& pool();
 
 inline void until(const std::function<bool()>& f, const std::string& what) {
-  wire::SystemClock c;
+  net::SystemClock c;
   for (int i = 0; !f(); ++i) {
     if (i > 10000) throw Failed("it never came about: " + what);
     c.sleep(1ms);
@@ -22,16 +22,16 @@
 
 // A raw client: sends bytes, reads until `mark` stands or the other side ends.
 struct Raw {
-  std::shared_ptr<wire::Connection> connection;
+  std::shared_ptr<net::Connection> connection;
   bool ended = false;
   explicit Raw(const std::string& address)
-      : connection(wire::Connection::connect(address, std::chrono::steady_clock::now() + 10s).first) {
+      : connection(net::Connection::connect(address, std::chrono::steady_clock::now() + 10s).first) {
     expect(connection != nullptr, "no connection to " + address);
   }
   ~Raw() { connection->close(); }
   void send(std::string_view b) { connection->write(b); }
   std::string read(std::string_view mark = {}) {
-    wire::Timer a;
+    net::Timer a;
     a.set(std::chrono::steady_clock::now() + 20s, [this] { connection->interrupt(); });
     for (;;) {
       auto g = connection->buffered();
@@ -60,7 +60,7 @@
 struct StandIn {
   using Script = std::function<std::string(int conn, int request, const std::string& head)>;
   std::shared_ptr<boost::asio::ip::tcp::acceptor> acc;
-  std::vector<std::weak_ptr<wire::Connection>> lines;
+  std::vector<std::weak_ptr<net::Connection>> lines;
   int conns = 0, served = 0, open = 0;
   Script f;
   explicit StandIn(Script s)
@@ -70,11 +70,11 @@
     pool().spawn([this, acc = acc] {
       for (;;) {
         boost::asio::ip::tcp::socket s(pool().io(0));
-        auto [e] = wire::await<>([&](auto h) { acc->async_accept(s, std::move(h)); });
+        auto [e] = net::await<>([&](auto h) { acc->async_accept(s, std::move(h)); });
         if (e) return;
         int c = conns++;
         ++open;
-        auto connection = std::make_shared<wire::Connection>(std::move(s));
+        auto connection = std::make_shared<net::Connection>(std::move(s));
         lines.push_back(connection);
         pool().spawn([this, acc, c, connection] {
           serve(c, *connection);
@@ -88,13 +88,13 @@
     acc->close();
     for (auto& w : lines)
       if (auto connection = w.lock()) connection->interrupt();
-    wire::SystemClock c;
+    net::SystemClock c;
     while (open) c.sleep(1ms);
   }
   std::string addr() const { return fmt::format("127.0.0.1:{}", acc->local_endpoint().port()); }
 
  private:
-  void serve(int c, wire::Connection& connection) {
+  void serve(int c, net::Connection& connection) {
     for (;;) {
       size_t e;
       while ((e = connection.buffered().find("\r\n\r\n")) == std::string_view::npos)
@@ -112,9 +112,9 @@
 
 // A server on an address of its own, on threads [from, to) of the pool.
 struct Served {
-  wire::HttpServer s;
+  net::HttpServer s;
   std::string address;
-  explicit Served(wire::HttpLimits l, wire::HttpHandler h, int from = 0, int to = 1)
+  explicit Served(net::HttpLimits l, net::HttpHandler h, int from = 0, int to = 1)
       : s(pool(), "test", l, std::move(h)) {
     for (int port = 24100 + static_cast<int>(::getpid() % 500) * 16;; ++port) {
       address = fmt::format("127.0.0.1:{}", port);
--- a/test/wire_relay.hpp
+++ b/test/net/node_under_test.hpp
@@ -1,9 +1,9 @@
 // One relay's way of a request, over real connections, in the platform's words.
 #pragma once
-#include "platform/face.hpp"
-#include "traffic/serve.hpp"
-#include "wire/peer.hpp"
-#include "wire_cases.hpp"
+#include "net/net_cases.hpp"
+#include "net/peer.hpp"
+#include "platform/protocol_adapter.hpp"
+#include "proxy/request_handler.hpp"
 
 namespace dunlinwing::test {
 
@@ -18,7 +18,7 @@
         origin_(1 << 20),
         ports_{clock_, random_, pool(), net_, origin_},
         traffic_(ports_, *face_, "relay", "zone", [] { return true; }) {
-    auto table = std::make_shared<traffic::RoutingSnapshot>();
+    auto table = std::make_shared<proxy::RoutingSnapshot>();
     table->configuration = layout();
     table->generation = 1;
     for (auto* name : {"i-1", "i-2"})
@@ -51,24 +51,24 @@
   int held(const std::string& backend) const { return origin_.connections_to(backend); }
 
  private:
-  static std::shared_ptr<const traffic::RoutingConfiguration> layout() {
-    auto read = traffic::parse_routing_configuration(
+  static std::shared_ptr<const config::RoutingConfiguration> layout() {
+    auto read = config::parse_routing_configuration(
         "l", R"({"services":{"s":{"versions":["v1"],"inflight":1000}},"routes":[
       {"prefix":"/once/","service":"s","kind":"unsafe","shots":2,"timeout_ms":20000},
       {"prefix":"/any/","service":"s","kind":"safe","shots":2,"timeout_ms":20000},
       {"prefix":"/kept/","service":"s","kind":"cacheable","shots":2,"timeout_ms":20000,"keep_ms":60000},
       {"prefix":"/brief/","service":"s","kind":"cacheable","shots":2,"timeout_ms":20000,"keep_ms":100}],
       "limits":{"body_bytes":16777216}})");
-    return std::get<std::shared_ptr<const traffic::RoutingConfiguration>>(read);
+    return std::get<std::shared_ptr<const config::RoutingConfiguration>>(read);
   }
 
-  wire::SystemClock clock_;
-  wire::SystemRandom random_;
-  wire::PeerClient net_;
-  std::unique_ptr<traffic::ProtocolAdapter> face_;
-  wire::HttpClient origin_;
+  net::SystemClock clock_;
+  net::SystemRandom random_;
+  net::PeerClient net_;
+  std::unique_ptr<proxy::ProtocolAdapter> face_;
+  net::HttpClient origin_;
   base::Ports ports_;
-  traffic::RequestHandler traffic_;
+  proxy::RequestHandler traffic_;
 };
 
 }  // namespace dunlinwing::test
--- a/test/wire_peer.cpp
+++ b/test/net/peer_test.cpp
@@ -1,8 +1,9 @@
 // Asks between relays when the other side fails at every byte, answers twice, out of
 // turn or late, and when connections are reset under asks that wait.
-#include "scripted_peer.hpp"
-#include "wire/peer.hpp"
-#include "wire/peer_connections.hpp"
+#include "net/peer.hpp"
+
+#include "net/peer_connections.hpp"
+#include "support/scripted_peer.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -46,7 +47,7 @@
           auto whole = ScriptedPeer::frame(numbered(ask));
           return ask.artifact_read().offset() == 7 ? whole.substr(0, at) + end : whole;
         });
-        wire::PeerClient net;
+        net::PeerClient net;
         if (kept) expect(own(net.call(peer.address(), fetch(1), kPlenty), 1), "the first ask");
         auto answer = net.call(peer.address(), fetch(7), kPatience);
         expect(!own(answer, 7), fmt::format("a reply cut after {} bytes was taken", at));
@@ -73,7 +74,7 @@
           return mine + last.substr(0, 3);
       }
     });
-    wire::PeerClient net;
+    net::PeerClient net;
     int answered = 0;
     for (uint64_t name = 1; name <= 60; ++name)
       answered += own(net.call(peer.address(), fetch(name), kPatience), name);
@@ -83,14 +84,14 @@
 
 // A duplicate that comes late, when the connection waits or carries the next ask.
 void late_duplicate() {
-  std::vector<std::shared_ptr<wire::Connection>> lines;
+  std::vector<std::shared_ptr<net::Connection>> lines;
   ScriptedPeer peer([&](int, const pb::PeerRequest& ask) {
     auto mine = ScriptedPeer::frame(numbered(ask));
     return ask.artifact_read().offset() % 2
                ? mine
                : ScriptedPeer::frame(numbered(fetch(ask.artifact_read().offset() - 1))) + mine;
   });
-  wire::PeerClient net;
+  net::PeerClient net;
   for (uint64_t name = 1; name <= 40; ++name) own(net.call(peer.address(), fetch(name), kPlenty), name);
 }
 
@@ -102,12 +103,12 @@
   ScriptedPeer peer([&](int, const pb::PeerRequest& ask) -> std::string {
     if (down) {
       ++waiting;
-      while (down) wire::SystemClock().sleep(1ms);
+      while (down) net::SystemClock().sleep(1ms);
       return ask.artifact_read().offset() % 2 ? "reset" : ScriptedPeer::frame(numbered(ask)) + "reset";
     }
     return ScriptedPeer::frame(numbered(ask));
   });
-  wire::PeerClient net;
+  net::PeerClient net;
   constexpr int kAsks = 24;
   int left = kAsks, wrong = 0;
   for (int i = 0; i < kAsks; ++i)
@@ -134,7 +135,7 @@
     ++asked;
     return "reset";
   });
-  wire::PeerClient net;
+  net::PeerClient net;
   expect(own(net.call(peer.address(), fetch(1), kPlenty), 1), "the first ask");
   pb::PeerRequest forward;
   forward.mutable_forward()->set_id("a");
@@ -148,15 +149,15 @@
   constexpr size_t kMost = 6;
   constexpr int kAsks = 40, kPrompt = 4;
   constexpr Duration kSilentLimit(3000), kPromptLimit(2500);
-  auto& connections = wire::peer_connections();
+  auto& connections = net::peer_connections();
   ScriptedPeer silent([&](int, const pb::PeerRequest&) -> std::string { return ""; });
   std::vector<std::unique_ptr<ScriptedPeer>> prompt;
   for (int i = 0; i < kPrompt; ++i)
     prompt.push_back(std::make_unique<ScriptedPeer>([&](int, const pb::PeerRequest& ask) {
-      wire::SystemClock().sleep(1ms);
+      net::SystemClock().sleep(1ms);
       return ScriptedPeer::frame(numbered(ask));
     }));
-  wire::PeerClient net(kMost);
+  net::PeerClient net(kMost);
   expect(own(net.call(prompt[0]->address(), fetch(1), kPlenty), 1),
          "a first ask, which ends what others left idle");
   int left = (kPrompt + 1) * kAsks, answered = 0;
@@ -188,13 +189,13 @@
   std::vector<uint64_t> numbers;
   for (int port = 23100 + static_cast<int>(::getpid() % 500);; ++port) {
     address = fmt::format("127.0.0.1:{}", port);
-    if (!wire::serve_peers(pool(), address, [&](const pb::PeerRequest& ask) {
+    if (!net::serve_peers(pool(), address, [&](const pb::PeerRequest& ask) {
           numbers.push_back(ask.request_id());
           return reply_to(ask);
         }))
       break;
   }
-  wire::PeerClient net;
+  net::PeerClient net;
   for (uint64_t name = 1; name <= 5; ++name)
     expect(own(net.call(address, fetch(name), kPlenty), name), "an ask");
   std::sort(numbers.begin(), numbers.end());
--- a/test/wire_soak.cpp
+++ b/test/net/soak_test.cpp
@@ -2,8 +2,8 @@
 // draws for each request how it fails. A seed gives the same draws again.
 #include <random>
 
-#include "byte_backend.hpp"
-#include "wire_relay.hpp"
+#include "net/node_under_test.hpp"
+#include "support/byte_backend.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/platform/clients.cpp
+++ b/test/platform/clients.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "platform/people.hpp"
+#include "platform/operators_and_clients.hpp"
 
 namespace dunlinwing::test {
 
--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -4,8 +4,8 @@
 
 #include <fmt/format.h>
 
-#include "platform/face.hpp"
-#include "platform/gate.hpp"
+#include "platform/control_adapter.hpp"
+#include "platform/protocol_adapter.hpp"
 #include "platform/rules.hpp"
 
 namespace dunlinwing::test {
@@ -20,8 +20,8 @@
   s.tolerate = 1;
   s.scale = 1;
   s.max_delay = Duration(2);
-  std::shared_ptr<const traffic::ProtocolAdapter> face = platform::protocol_adapter();
-  s.settings = [face](relay::NodeConfig& config) {
+  std::shared_ptr<const proxy::ProtocolAdapter> face = platform::protocol_adapter();
+  s.settings = [face](node::NodeConfig& config) {
     config.protocol_adapter = face;
     config.shield = false;
     config.max_cache_bytes = 65 << 20;
--- a/test/platform/day.hpp
+++ b/test/platform/day.hpp
@@ -3,8 +3,8 @@
 #pragma once
 #include <functional>
 
-#include "expect.hpp"
-#include "platform/people.hpp"
+#include "platform/operators_and_clients.hpp"
+#include "support/expect.hpp"
 
 namespace dunlinwing::test {
 
--- a/test/platform/operator.cpp
+++ b/test/platform/operator.cpp
@@ -1,7 +1,7 @@
 // An order is sent again unchanged, to any node, until its answer is clear.
 #include <fmt/format.h>
 
-#include "platform/people.hpp"
+#include "platform/operators_and_clients.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/platform/people.hpp
+++ b/test/platform/operators_and_clients.hpp
@@ -1,7 +1,7 @@
 // Stand-in clients and operator: what they send, how long they wait, when they try
 // again, all as the users' page has it.
 #pragma once
-#include "platform/yard.hpp"
+#include "platform/platform_stub.hpp"
 
 namespace dunlinwing::test {
 
--- a/test/platform/yard.cpp
+++ b/test/platform/platform_stub.cpp
@@ -1,6 +1,6 @@
 // An answer is made once, written down with its stamp, and only then spoilt, cut or
 // lost on its way.
-#include "platform/yard.hpp"
+#include "platform/platform_stub.hpp"
 
 #include <fmt/format.h>
 
--- a/test/platform/yard.hpp
+++ b/test/platform/platform_stub.hpp
@@ -1,7 +1,7 @@
 // Stand-in workers: they run what they are sent, or say that they did not, keep
 // objects that change, beat, drain, crash, and misbehave as they are told to.
 #pragma once
-#include "platform/diary.hpp"
+#include "platform/event_journal.hpp"
 #include "simulation/fleet.hpp"
 
 namespace dunlinwing::test {
--- a/test/platform/rules.hpp
+++ b/test/platform/rules.hpp
@@ -1,6 +1,6 @@
 // The users' rules, judged from the diary alone, by the names that they have there.
 #pragma once
-#include "platform/diary.hpp"
+#include "platform/event_journal.hpp"
 
 namespace dunlinwing::test {
 
--- a/test/control_api_stories.cpp
+++ b/test/scenarios/control_api_scenarios.cpp
@@ -1,6 +1,6 @@
 // What operators are told, and when: by a relay that is cut off, by two relays that are asked
 // at once under one number, and by another relay after an answer was lost.
-#include "story.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/disk_stories.cpp
+++ b/test/scenarios/disk_scenarios.cpp
@@ -1,7 +1,7 @@
 // Disks of replicas that fail for some seconds and work again: full, refusing every write, or
 // answering nothing. The replica is mute meanwhile, votes again within a second of the end, and
 // nothing that was acknowledged is lost, whichever other replica falls right then.
-#include "story.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/fault_stories.cpp
+++ b/test/scenarios/fault_scenarios.cpp
@@ -1,6 +1,6 @@
 // Faults in the moment that hurts most, and several kinds at once.
-#include "rollout/conductor.hpp"
-#include "story.hpp"
+#include "rollout/rollout_controller.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/fence_stories.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -1,9 +1,9 @@
 // Leaders of the rollout that are frozen or cut off for longer than their lease, at each point
 // between reading a register and having it written, while their successors write too.
-#include "rollout/conductor.hpp"
-#include "rollout/moves.hpp"
-#include "rollout/shares.hpp"
-#include "story.hpp"
+#include "limits/rate_quotas.hpp"
+#include "rollout/rollout_controller.hpp"
+#include "rollout/version_rollout.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -24,7 +24,7 @@
     state.ParseFromString(data);
     return state.term();
   }
-  if (name.starts_with(rollout::quota_key(""))) {
+  if (name.starts_with(limits::quota_key(""))) {
     pb::RateQuotas quotas;
     quotas.ParseFromString(data);
     return quotas.term();
--- a/test/limit_stories.cpp
+++ b/test/scenarios/limit_scenarios.cpp
@@ -1,6 +1,6 @@
 // What holds over the whole fleet in figures: a trial's share and its end, repeats,
 // a stated rate, and how early those who are turned away are told.
-#include "story.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/machine_stories.cpp
+++ b/test/scenarios/machine_scenarios.cpp
@@ -1,5 +1,5 @@
 // Stories. Each begins with a fleet that serves its first layout.
-#include "story.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/sim_test.cpp
+++ b/test/scenarios/main.cpp
@@ -4,7 +4,7 @@
 #include <unistd.h>
 
 #include "base/log.hpp"
-#include "sim_cases.hpp"
+#include "scenarios/sim_cases.hpp"
 
 DEFINE_string(case_name, "", "only the case of this name, or all whose name contains this");
 DEFINE_uint64(seed, 0, "only this seed; 0: the first --seeds of them");
--- a/test/mixed_stories.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -1,7 +1,7 @@
 // Any faults of the brief's list, several at once, drawn from the seed: what a day
 // could bring that nobody thought of. Then all is mended, and within fifteen seconds
 // the fleet serves and every acknowledged statement is there.
-#include "story.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/traffic_stories.cpp
+++ b/test/scenarios/proxy_scenarios.cpp
@@ -1,5 +1,5 @@
 // Workers, versions, purges, crowds and slow machines, on a simulated fleet.
-#include "story.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/holder_stories.cpp
+++ b/test/scenarios/replica_scenarios.cpp
@@ -1,6 +1,6 @@
 // The set of holders forms out of the seeds, grows to what the tolerance needs and
 // heals, while machines fail; nothing that was acknowledged is lost.
-#include "story.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/rollout_stories.cpp
+++ b/test/scenarios/rollout_scenarios.cpp
@@ -1,6 +1,6 @@
 // Rollout, registers and duties under failure, on a simulated fleet.
-#include "rollout/conductor.hpp"
-#include "story.hpp"
+#include "rollout/rollout_controller.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/story.cpp
+++ b/test/scenarios/scenario.cpp
@@ -1,7 +1,7 @@
 // Common parts of the stories.
-#include "story.hpp"
+#include "scenarios/scenario.hpp"
 
-#include "rollout/conductor.hpp"
+#include "rollout/rollout_controller.hpp"
 
 namespace dunlinwing::test {
 
--- a/test/story.hpp
+++ b/test/scenarios/scenario.hpp
@@ -1,7 +1,7 @@
 // What stories have in common: the first layout, the callers' mix, and looks
 // at the fleet from outside.
 #pragma once
-#include "sim_cases.hpp"
+#include "scenarios/sim_cases.hpp"
 
 namespace dunlinwing::test {
 
--- a/test/sim_cases.hpp
+++ b/test/scenarios/sim_cases.hpp
@@ -1,9 +1,9 @@
 // The cases: each sets a simulated fleet up, brings one kind of failure about,
 // and says what must be seen besides that no rule is broken.
 #pragma once
-#include "checker.hpp"
-#include "expect.hpp"
+#include "checker/checker.hpp"
 #include "simulation/fleet.hpp"
+#include "support/expect.hpp"
 
 namespace dunlinwing::test {
 
--- a/test/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -3,8 +3,8 @@
 // journal is.
 #include <fstream>
 
-#include "rollout/conductor.hpp"
-#include "sim_cases.hpp"
+#include "rollout/rollout_controller.hpp"
+#include "scenarios/sim_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/move_stories.cpp
+++ b/test/scenarios/version_rollout_scenarios.cpp
@@ -2,7 +2,7 @@
 // ones, the order comes, and what it ends in is acted on at once.
 #include <deque>
 
-#include "story.hpp"
+#include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/byte_backend.hpp
+++ b/test/support/byte_backend.hpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <set>
 
-#include "wire_cases.hpp"
+#include "net/net_cases.hpp"
 
 namespace dunlinwing::test {
 
@@ -48,7 +48,7 @@
     acceptor_->close();
     for (auto& weak : lines_)
       if (auto connection = weak.lock()) connection->interrupt();
-    wire::SystemClock clock;
+    net::SystemClock clock;
     while (open_) clock.sleep(1ms);
   }
   std::string address() const { return fmt::format("127.0.0.1:{}", acceptor_->local_endpoint().port()); }
@@ -69,10 +69,10 @@
   void accept(Acceptor& acceptor) {
     for (;;) {
       boost::asio::ip::tcp::socket socket(pool().io(0));
-      auto [failed] = wire::await<>([&](auto done) { acceptor.async_accept(socket, std::move(done)); });
+      auto [failed] = net::await<>([&](auto done) { acceptor.async_accept(socket, std::move(done)); });
       if (failed) return;
       ++open_;
-      auto connection = std::make_shared<wire::Connection>(std::move(socket));
+      auto connection = std::make_shared<net::Connection>(std::move(socket));
       lines_.push_back(connection);
       pool().spawn([this, connection] {
         while (serve(*connection)) {
@@ -101,12 +101,12 @@
   }
 
   void wait_while_frozen() {
-    wire::SystemClock clock;
+    net::SystemClock clock;
     while (frozen_ && !closing_) clock.sleep(1ms);
   }
 
   // Ends the connection as planned; a silence lasts until the other side is gone.
-  bool fail(wire::Connection& connection) {
+  bool fail(net::Connection& connection) {
     if (plan_.trouble == Trouble::reset)
       connection.socket().set_option(boost::asio::socket_base::linger(true, 0));
     if (plan_.trouble == Trouble::silence) {
@@ -117,7 +117,7 @@
   }
 
   // Reads one request and answers it; false when the connection is to end.
-  bool serve(wire::Connection& connection) {
+  bool serve(net::Connection& connection) {
     bool told_early = false;
     std::optional<size_t> size;
     for (;;) {
@@ -150,7 +150,7 @@
     request_bytes_ = std::max(request_bytes_, size);
   }
 
-  bool answer(wire::Connection& connection, const std::string& id) {
+  bool answer(net::Connection& connection, const std::string& id) {
     auto proper = good_answer(id, plan_.chunked);
     if (id != plan_.victim || std::exchange(hit_, true)) return !connection.write(proper);
     if (!plan_.instead.empty()) proper = plan_.instead;
@@ -160,7 +160,7 @@
     }
     if (connection.write(plan_.before + proper + plan_.together)) return false;
     if (plan_.later.empty()) return true;
-    wire::SystemClock().sleep(1ms);
+    net::SystemClock().sleep(1ms);
     return !connection.write(plan_.later);
   }
 
@@ -171,7 +171,7 @@
  private:
   Plan plan_;
   std::shared_ptr<Acceptor> acceptor_;
-  std::vector<std::weak_ptr<wire::Connection>> lines_;
+  std::vector<std::weak_ptr<net::Connection>> lines_;
   std::map<std::string, int> whole_;
   std::set<std::string> begun_;
   size_t request_bytes_ = 0;
--- a/test/scripted_peer.hpp
+++ b/test/support/scripted_peer.hpp
@@ -1,6 +1,6 @@
 // The other side of asks between relays, with every byte in the test's hand.
 #pragma once
-#include "wire_cases.hpp"
+#include "net/net_cases.hpp"
 
 namespace dunlinwing::test {
 
@@ -16,10 +16,10 @@
     pool().spawn([this, acceptor = acceptor_] {
       for (;;) {
         boost::asio::ip::tcp::socket socket(pool().io(0));
-        auto [failed] = wire::await<>([&](auto done) { acceptor->async_accept(socket, std::move(done)); });
+        auto [failed] = net::await<>([&](auto done) { acceptor->async_accept(socket, std::move(done)); });
         if (failed) return;
         ++open_;
-        auto line = std::make_shared<wire::Connection>(std::move(socket));
+        auto line = std::make_shared<net::Connection>(std::move(socket));
         lines_.push_back(line);
         pool().spawn([this, line, connection = connections_++] {
           serve(connection, *line);
@@ -33,7 +33,7 @@
     acceptor_->close();
     for (auto& weak : lines_)
       if (auto connection = weak.lock()) connection->interrupt();
-    while (open_) wire::SystemClock().sleep(1ms);
+    while (open_) net::SystemClock().sleep(1ms);
   }
   std::string address() const { return fmt::format("127.0.0.1:{}", acceptor_->local_endpoint().port()); }
   int connections() const { return connections_; }
@@ -45,7 +45,7 @@
   }
 
  private:
-  void serve(int connection, wire::Connection& line) {
+  void serve(int connection, net::Connection& line) {
     for (;;) {
       auto size = [&] {
         auto got = line.buffered();
@@ -68,7 +68,7 @@
   }
   Script script_;
   std::shared_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
-  std::vector<std::weak_ptr<wire::Connection>> lines_;
+  std::vector<std::weak_ptr<net::Connection>> lines_;
   int connections_ = 0, open_ = 0;
 };
 
--- a/test/checker_unit.cpp
+++ b/test/unit/checker/checker_test.cpp
@@ -1,7 +1,8 @@
 // The checker is shown a clean journal, and then one doctored for each rule:
 // each rule must be able to fail, and to fail alone.
-#include "checker.hpp"
-#include "unit.hpp"
+#include "checker/checker.hpp"
+
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/compatibility_unit.cpp
+++ b/test/unit/compatibility/compatibility_test.cpp
@@ -17,19 +17,19 @@
 #include <fstream>
 #include <set>
 
+#include "config/numbered_configuration.hpp"
+#include "config/release.hpp"
 #include "consensus/acceptor.hpp"
-#include "control_api/call.hpp"
+#include "control_api/api_request.hpp"
+#include "limits/rate_quotas.hpp"
 #include "membership/deregistered.hpp"
 #include "membership/leadership.hpp"
-#include "relay/node.hpp"
-#include "rollout/conductor.hpp"
-#include "rollout/moves.hpp"
-#include "rollout/release.hpp"
-#include "rollout/shares.hpp"
+#include "node/node.hpp"
+#include "rollout/rollout_controller.hpp"
+#include "rollout/version_rollout.hpp"
 #include "simulation/ports.hpp"
 #include "storage/snapshot_store.hpp"
-#include "traffic/order.hpp"
-#include "unit.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -433,15 +433,15 @@
 
 void register_names() {
   same(std::string(rollout::kRolloutKey), std::string("rollout"), "rollout");
-  same(std::string(traffic::kNumberedConfigurationKey), std::string("order"), "numbered configuration");
+  same(std::string(config::kNumberedConfigurationKey), std::string("order"), "numbered configuration");
   same(std::string(membership::kDeregisteredKey), std::string("departed"), "deregistered instances");
   same(std::string(consensus::kReplicaSetKey), std::string("holders"), "replica set");
   same(membership::leadership_key("rollout"), std::string("duty/rollout"), "lease");
   same(rollout::service_key("x"), std::string("service/x"), "service");
-  same(rollout::quota_key("x"), std::string("share/x"), "shares");
-  same(rollout::release_key("layout", "x"), std::string("release/layout/x"), "release");
-  same(rollout::operator_action_key("layout", "x"), std::string("act/layout/x"), "acts on a release");
-  same(relay::drain_key("node", "x"), std::string("drain/node/x"), "drain");
+  same(limits::quota_key("x"), std::string("share/x"), "shares");
+  same(config::release_key("layout", "x"), std::string("release/layout/x"), "release");
+  same(config::operator_action_key("layout", "x"), std::string("act/layout/x"), "acts on a release");
+  same(node::drain_key("node", "x"), std::string("drain/node/x"), "drain");
 }
 
 // ---- The framing of records ----
--- a/test/acceptor_unit.cpp
+++ b/test/unit/consensus/acceptor_test.cpp
@@ -1,7 +1,8 @@
 // One acceptor on a simulated disk that fails or stalls: what it answers meanwhile, and after.
 #include "consensus/acceptor.hpp"
+
 #include "simulation/ports.hpp"
-#include "unit.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -1,6 +1,6 @@
 // Processes, messages and time of the scripted environment. A process that has ended is kept
 // until the harness goes, for its fibers unwind only when they are next resumed.
-#include "consensus_harness.hpp"
+#include "unit/consensus/consensus_harness.hpp"
 
 #include <algorithm>
 
--- a/test/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -7,9 +7,9 @@
 #pragma once
 #include <optional>
 
-#include "expect.hpp"
 #include "membership/state_cache.hpp"
 #include "simulation/ports.hpp"
+#include "support/expect.hpp"
 
 namespace dunlinwing::test {
 
--- a/test/consensus_history.cpp
+++ b/test/unit/consensus/consensus_history.cpp
@@ -1,5 +1,5 @@
 // The checks of a history, each made as soon as a call returns.
-#include "consensus_history.hpp"
+#include "unit/consensus/consensus_history.hpp"
 
 #include <fmt/format.h>
 
--- a/test/consensus_property_unit.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -6,10 +6,10 @@
 // ends with it.
 #include <algorithm>
 
-#include "consensus_harness.hpp"
-#include "consensus_history.hpp"
-#include "consensus_schedule.hpp"
-#include "unit.hpp"
+#include "unit/consensus/consensus_harness.hpp"
+#include "unit/consensus/consensus_history.hpp"
+#include "unit/consensus/consensus_schedule.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/consensus_unit.cpp
+++ b/test/unit/consensus/register_test.cpp
@@ -1,7 +1,7 @@
 // Votes on one register: whatever order messages come in, two different values
 // are never both chosen.
 #include "consensus/vote.hpp"
-#include "unit.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
