--- a/test/consensus_traces_unit.cpp
+++ b/test/unit/consensus/trace_test.cpp
@@ -3,8 +3,8 @@
 //
 // Where a trace lets a round stand longer than the product's round limit, its proposer crashes
 // after it has sent its requests: those may still arrive at any time.
-#include "consensus_harness.hpp"
-#include "unit.hpp"
+#include "unit/consensus/consensus_harness.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/control_state_unit.cpp
+++ b/test/unit/control_api/control_state_test.cpp
@@ -1,6 +1,6 @@
 // The sizes that docs/control-state.md states, and that no other part's cases look at.
-#include "control_api/purger.hpp"
-#include "unit.hpp"
+#include "control_api/purge_writer.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/unit_test.cpp
+++ b/test/unit/main.cpp
@@ -1,9 +1,8 @@
 // Properties and small examples of the pure parts.
-#include "unit.hpp"
-
 #include <gflags/gflags.h>
 
-#include "expect.hpp"
+#include "support/expect.hpp"
+#include "unit/unit_cases.hpp"
 
 DEFINE_string(case_name, "", "only the cases whose name contains this");
 
--- a/test/contact_unit.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -1,10 +1,10 @@
 // What keeps the control side reachable when a whole fleet has lost its contact at once: few
 // addresses are asked, failing pulls grow seldom, and descriptors suffice for control.
-#include "consensus_harness.hpp"
 #include "membership/discovery.hpp"
 #include "membership/pull_schedule.hpp"
-#include "relay/socket_budget.hpp"
-#include "unit.hpp"
+#include "node/socket_budget.hpp"
+#include "unit/consensus/consensus_harness.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -171,13 +171,13 @@
   constexpr size_t kListening = 4;
   for (int sockets = 40; sockets < 5000; ++sockets)
     for (bool disk : {false, true}) {
-      auto budget = relay::share_sockets(sockets, disk);
+      auto budget = node::share_sockets(sockets, disk);
       auto most = kListening + 2 * budget.clients + budget.upstream_idle + budget.operators +
                   budget.readiness + budget.peers_served + budget.peers_asked;
       expect(most <= static_cast<size_t>(sockets), fmt::format("{} of {} sockets", most, sockets));
       expect(budget.clients * 6 >= static_cast<size_t>(sockets), "clients get a sixth at the least");
     }
-  auto unbounded = relay::share_sockets(0, true);
+  auto unbounded = node::share_sockets(0, true);
   expect(unbounded.clients == 0 && unbounded.peers_served > 1000, "nothing stated, nothing bounded");
 }
 }  // namespace
--- a/test/fence_unit.cpp
+++ b/test/unit/membership/leadership_fence_test.cpp
@@ -1,10 +1,11 @@
 // What a leader may write: only under the lease of its decision, never over a higher term.
-#include "rollout/fence.hpp"
-#include "unit.hpp"
+#include "membership/leadership_fence.hpp"
+
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
-using rollout::may_replace;
+using membership::may_replace;
 
 void examples() {
   expect(may_replace({true, 3}, 3, 0), "the first write of a value was refused");
@@ -19,7 +20,7 @@
 // the register never fall.
 void terms_never_fall() {
   uint64_t in_force = 0;
-  rollout::LeaseObservation lease;
+  membership::LeaseObservation lease;
   std::vector<uint64_t> decisions;  // each the term under which it was made, and not yet written
   for (auto action : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4))) {
     if (action == 0) lease = {true, lease.term + 1};
--- a/test/replica_repair_unit.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -1,7 +1,8 @@
 // The step that keeps the set of holders, and the first set.
-#include "membership/discovery.hpp"
 #include "membership/replica_repair.hpp"
-#include "unit.hpp"
+
+#include "membership/discovery.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/config_unit.cpp
+++ b/test/unit/node/settings_test.cpp
@@ -2,11 +2,11 @@
 #include <fstream>
 #include <sstream>
 
-#include "relay/reread.hpp"
-#include "rollout/release.hpp"
-#include "rollout/system.hpp"
-#include "traffic/layout.hpp"
-#include "unit.hpp"
+#include "config/release.hpp"
+#include "config/routing_configuration.hpp"
+#include "config/system_options.hpp"
+#include "node/settings_reloader.hpp"
+#include "unit/unit_cases.hpp"
 #include "wire.pb.h"
 
 namespace dunlinwing::test {
@@ -17,12 +17,12 @@
   return s;
 }
 std::string bad_config(const std::string& t) {
-  auto r = relay::parse_settings(t);
+  auto r = node::parse_settings(t);
   auto* errors = std::get_if<std::vector<base::ValidationError>>(&r);
   return errors ? places(*errors) : "valid";
 }
 std::string bad_release(const std::string& kind, const std::string& t) {
-  auto r = rollout::parse_release(kind, "x", t);
+  auto r = config::parse_release(kind, "x", t);
   auto* errors = std::get_if<std::vector<base::ValidationError>>(&r);
   return errors ? places(*errors) : "valid";
 }
@@ -77,10 +77,10 @@
   return {
       {"config: a good one is taken", [good] { same(bad_config(good), std::string("valid"), "places"); }},
       {"config: the page of the settings holds every key",
-       [] { documented(relay::settings_schema(), "settings.md"); }},
+       [] { documented(node::settings_schema(), "settings.md"); }},
       {"layout: its page holds every key",
-       [] { documented(traffic::routing_configuration_schema(), "layout.md"); }},
-      {"system: its page holds every key", [] { documented(rollout::system_options_schema(), "layout.md"); }},
+       [] { documented(config::routing_configuration_schema(), "layout.md"); }},
+      {"system: its page holds every key", [] { documented(config::system_options_schema(), "layout.md"); }},
       {"wire: an older reader passes over what is new", older_peer},
       {"config: every defect is named by its place",
        [] {
@@ -103,12 +103,12 @@
        [good] {
          auto t = good;
          t.replace(t.find(R"("holders":{"h":"127.0.0.1:4"},)"), 30, "");
-         auto a = std::get<relay::Settings>(relay::parse_settings(t)).node,
-              b = std::get<relay::Settings>(relay::parse_settings(good)).node;
+         auto a = std::get<node::Settings>(node::parse_settings(t)).node,
+              b = std::get<node::Settings>(node::parse_settings(good)).node;
          expect(a.replicas.empty() && !a.initial_boot && a.tolerate == 1, "the defaults without holders");
          expect(b.initial_boot && b.tolerate == 0, "the defaults with holders");
          t.insert(1, R"("first_start":true,"tolerate":2,)");
-         a = std::get<relay::Settings>(relay::parse_settings(t)).node;
+         a = std::get<node::Settings>(node::parse_settings(t)).node;
          expect(a.initial_boot && a.tolerate == 2, "what is stated");
        }},
       {"config: what changed is named by its key",
@@ -118,9 +118,9 @@
          auto u = t;
          u.replace(u.find("127.0.0.1:2\"]"), 11, "127.0.0.1:9");
          std::string s;
-         for (auto& k : relay::changed_keys(good, u)) s += k + ";";
+         for (auto& k : node::changed_keys(good, u)) s += k + ";";
          same(s, std::string("seeds;threads;"), "keys");
-         expect(relay::changed_keys(t, t).empty(), "a key changed by itself");
+         expect(node::changed_keys(t, t).empty(), "a key changed by itself");
        }},
       {"layout: references are checked across the document",
        [] {
@@ -141,10 +141,10 @@
          };
          same(bad_release("layout", doc(14)), std::string("/holds/one_min;"), "places");
          same(bad_release("layout", doc(16)), std::string("valid"), "places");
-         auto m = rollout::minimum("software");
+         auto m = config::minimum("software");
          expect(m.one == std::chrono::hours(24) && m.two == std::chrono::hours(24),
                 "software holds 24 and 24 hours");
-         m = rollout::minimum("system");
+         m = config::minimum("system");
          expect(m.one == std::chrono::minutes(30) && m.two == std::chrono::hours(2),
                 "system holds 30 min and 2 h");
        }},
--- a/test/platform/rules_unit.cpp
+++ b/test/unit/platform/rules_test.cpp
@@ -1,9 +1,10 @@
 // Each rule of the stand-in platform has to be able to fire: one diary that breaks it
 // alone, made out of one that breaks none.
+#include "platform/rules.hpp"
+
 #include <algorithm>
 
-#include "platform/rules.hpp"
-#include "unit.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/platform/words_unit.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -5,11 +5,11 @@
 #include <random>
 #include <sstream>
 
-#include "platform/face.hpp"
-#include "platform/gate.hpp"
+#include "config/routing_configuration.hpp"
+#include "platform/control_adapter.hpp"
 #include "platform/page.hpp"
-#include "traffic/layout.hpp"
-#include "unit.hpp"
+#include "platform/protocol_adapter.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -40,29 +40,29 @@
   same(g.asked[0].body, want.body, target);
 }
 
-traffic::RoutingConfigurationResult read(const Page& p) {
+config::RoutingConfigurationResult read(const Page& p) {
   auto l = std::get<platform::TranslatedConfiguration>(platform::translate_configuration(p.text()));
   same(l.number, p.revision, "the number");
-  return traffic::parse_routing_configuration("x", l.document);
+  return config::parse_routing_configuration("x", l.document);
 }
 
 void fields() {
   auto g = read(first_page(590));
-  auto* l = std::get_if<std::shared_ptr<const traffic::RoutingConfiguration>>(&g);
+  auto* l = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&g);
   expect(l, "the first page is valid");
   bool other = false;
   auto& x = **l;
   auto* o = x.match("GET", "a.example:80", "/obj/1?q", other);
-  expect(o && o->kind == traffic::RequestKind::cacheable && o->cache_lifetime == Duration(6000) &&
+  expect(o && o->kind == config::RequestKind::cacheable && o->cache_lifetime == Duration(6000) &&
              o->timeout == Duration(1500) && o->latency_target == Duration(200) && o->priority == 2 &&
              o->max_attempts == 2 && o->name == "r-obj",
          "a cacheable route");
   auto* t = x.match("GET", "B.example", "/get/1", other);
-  expect(t && t->kind == traffic::RequestKind::safe && t->weighted_services.size() == 2 &&
+  expect(t && t->kind == config::RequestKind::safe && t->weighted_services.size() == 2 &&
              t->weighted_services[0].first == "huvo" && t->weighted_services[0].second == 70,
          "a split");
   auto* p = x.match("POST", "a.example", "/post/1", other);
-  expect(p && p->kind == traffic::RequestKind::unsafe && p->weighted_services.size() == 1,
+  expect(p && p->kind == config::RequestKind::unsafe && p->weighted_services.size() == 1,
          "a route that may run once");
   expect(!x.match("GET", "c.example", "/get/1", other), "another host");
   expect(x.services.at("huvo").rate == 590 && x.services.at("huvo").max_connections == 130 &&
@@ -82,7 +82,7 @@
     if (g.asked.empty()) continue;  // it could not be read at all
     auto json = std::get<base::Json>(base::Json::parse(g.asked[0].body));
     expect(std::holds_alternative<std::vector<base::ValidationError>>(
-               traffic::parse_routing_configuration("x", json.at("content"))),
+               config::parse_routing_configuration("x", json.at("content"))),
            what + " is no valid layout");
   }
 }
@@ -161,9 +161,9 @@
 };
 
 void looks() {
-  using traffic::ResponseClass;
+  using proxy::ResponseClass;
   auto f = platform::protocol_adapter();
-  traffic::BackendInstance instance{"i-1", "b", "v1", "z", "10.0.0.1:80"};
+  membership::BackendInstance instance{"i-1", "b", "v1", "z", "10.0.0.1:80"};
   base::Request request{"id1", "GET", "/", "", {}};
   auto look = [&](int st, base::Headers headers) {
     return f->classify({st, std::move(headers), "x"}, instance, request);
@@ -203,7 +203,7 @@
   auto a = f->read_identity(request, c);
   expect(a.id == "id1" && a.remaining == Duration(480), "what a client says of itself");
   request.id = a.id;
-  traffic::BackendInstance instance{"i-1", "b", "v1", "z", "10.0.0.1:80"};
+  membership::BackendInstance instance{"i-1", "b", "v1", "z", "10.0.0.1:80"};
   f->prepare_request(request, {instance, "e1", 3, Duration(333)});
   auto h = [&](const char* n) { return base::header(request.headers, n); };
   expect(h("Attempt-Id") == "id1" && h("Time-Remaining") == "333" && h("Target-Instance") == "i-1",
@@ -217,13 +217,12 @@
 
 void answers() {
   auto f = platform::protocol_adapter();
-  auto response = f->local_response(503, "full", traffic::ExecutionStatus::not_executed, Duration(1250));
+  auto response = f->local_response(503, "full", proxy::ExecutionStatus::not_executed, Duration(1250));
   expect(response.status == 503 && base::header(response.headers, "Retry-After") == "1.250",
          "fractions of a second");
-  expect(
-      base::header(f->local_response(502, "x", traffic::ExecutionStatus::unknown, {}).headers, "Retry-After")
-          .empty(),
-      "none when it does not help");
+  expect(base::header(f->local_response(502, "x", proxy::ExecutionStatus::unknown, {}).headers, "Retry-After")
+             .empty(),
+         "none when it does not help");
   base::Response kept{
       200, {{"Attempt-Id", "first"}, {"Edge-Signature", "s"}, {"Connection", "close"}, {"ETag", "e"}}, "x"};
   f->strip_internal_headers(kept);
--- a/test/traffic_unit.cpp
+++ b/test/unit/proxy/proxy_test.cpp
@@ -1,12 +1,12 @@
 // Budgets, trials, purges, cache lifetimes and headers.
 #include "cache/cacheability.hpp"
-#include "control_api/purger.hpp"
-#include "traffic/budget.hpp"
-#include "traffic/face.hpp"
-#include "traffic/load_balancer.hpp"
-#include "traffic/trial.hpp"
-#include "traffic/upstream_client.hpp"
-#include "unit.hpp"
+#include "control_api/purge_writer.hpp"
+#include "limits/budget.hpp"
+#include "proxy/canary_admission.hpp"
+#include "proxy/load_balancer.hpp"
+#include "proxy/protocol_adapter.hpp"
+#include "proxy/upstream_client.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -30,7 +30,7 @@
       property("budget: repeats stay within a fifth and the allowance in any ten seconds",
                [] {
                  DiskExecutor c;
-                 traffic::RetryBudget r;
+                 limits::RetryBudget r;
                  std::vector<std::pair<TimePoint, bool>> all;
                  for (int m : *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 1000))) {
                    c.t += Duration(m % 200);
@@ -49,13 +49,13 @@
       property("budget: the parts of all relays together are never more than the allowance",
                [] {
                  int allowance = *rc::gen::inRange(0, 200), nodes = *rc::gen::inRange(1, 129), sum = 0;
-                 for (int i = 0; i < nodes; ++i) sum += traffic::retry_allowance_of_node(allowance, nodes, i);
+                 for (int i = 0; i < nodes; ++i) sum += limits::retry_allowance_of_node(allowance, nodes, i);
                  RC_ASSERT(sum <= allowance);
                  RC_ASSERT(sum >= allowance * 3 / 4 - 1);
                }),
       {"budget: a process that starts has no repeats saved up",
        [] {
-         traffic::RetryBudget r;
+         limits::RetryBudget r;
          for (int i = 0; i < 4; ++i) r.record_request("s");
          expect(!r.try_acquire("s", 2), "four requests earned a repeat");
          r.record_request("s");
@@ -65,9 +65,9 @@
       {"budget: a turn does not stand once it is missed or the share has fallen",
        [] {
          DiskExecutor c;
-         traffic::RateLimiter p(c);
+         limits::RateLimiter p(c);
          auto turn = [&](double share) {
-           return std::get<traffic::RateReservation>(p.reserve("s", share, Duration(60000)));
+           return std::get<limits::RateReservation>(p.reserve("s", share, Duration(60000)));
          };
          auto a = turn(10);
          expect(a.wait == Duration(100), "a new process waits a whole interval");
@@ -79,13 +79,13 @@
       property("budget: a pace never lets a second hold more than its share and one",
                [] {
                  DiskExecutor c;
-                 traffic::RateLimiter p(c);
+                 limits::RateLimiter p(c);
                  double share = *rc::gen::inRange(1, 50);
                  std::vector<int64_t> at;
                  for (int m : *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 100))) {
                    c.t += Duration(m);
                    auto r = p.reserve("s", share, Duration(500));
-                   if (auto* w = std::get_if<traffic::RateReservation>(&r))
+                   if (auto* w = std::get_if<limits::RateReservation>(&r))
                      at.push_back((c.t + w->wait).count());
                  }
                  std::sort(at.begin(), at.end());
@@ -96,7 +96,7 @@
                }),
       property("trial: by count, never over its share, also at the first request",
                [] {
-                 traffic::CanaryAdmission t;
+                 proxy::CanaryAdmission t;
                  auto pct = *rc::gen::inRange(1, 11);
                  int got = 0;
                  for (int i = 1; i <= 500; ++i) {
@@ -118,10 +118,10 @@
                    done.emplace_back(purge.path(), control_api::add_purge(purges, purge).number);
                  }
                  RC_ASSERT(purges.purges_size() <= 128);
-                 traffic::RoutingSnapshot t;
+                 proxy::RoutingSnapshot t;
                  t.purges["s"] = purges;
                  for (auto& [path, num] : done)
-                   RC_ASSERT(traffic::purged(t, {"s", "", path, nullptr}, num - 1));
+                   RC_ASSERT(proxy::purged(t, {"s", "", path, nullptr}, num - 1));
                }),
       {"purge: the same name twice is one purge",
        [] {
@@ -153,28 +153,28 @@
          auto& h = response.headers;
          h = {{"connection", "close, X-Mine"}, {"X-Mine", "1"},          {"TE", "trailers"},
               {"dunlinwing-instance", "x"},    {"Idempotency-Key", "k"}, {"Accept", "a"}};
-         traffic::native_protocol_adapter()->strip_internal_headers(response);
+         proxy::native_protocol_adapter()->strip_internal_headers(response);
          expect(
              h.size() == 3 && h[2].name == "Via" && h[0].name == "Idempotency-Key" && h[1].name == "Accept",
              "what is left");
        }},
       {"versions: a move holds only while the layout allows it, quarantine always",
        [] {
-         traffic::ServiceConfiguration s;
+         config::ServiceConfiguration s;
          s.versions = {"1", "2"};
          pb::ServiceState state;
          state.set_current("2");
          state.add_previous_versions("1");
-         auto v = traffic::eligible_versions(s, &state);
+         auto v = proxy::eligible_versions(s, &state);
          expect(v.open.size() == 2 && v.open[0] == "2", "promoted and kept");
          (*state.mutable_quarantined())["2"] = "bad";
-         v = traffic::eligible_versions(s, &state);
+         v = proxy::eligible_versions(s, &state);
          expect(v.open.size() == 1 && v.open[0] == "1", "quarantined");
          s.versions = {"3"};
-         v = traffic::eligible_versions(s, &state);
+         v = proxy::eligible_versions(s, &state);
          expect(v.open.empty(), "a layout took the service to a version never on trial");
          state.clear_current();
-         v = traffic::eligible_versions(s, &state);
+         v = proxy::eligible_versions(s, &state);
          expect(v.open.size() == 1 && v.open[0] == "3", "a service that is new");
        }},
   };
--- a/test/rollout_unit.cpp
+++ b/test/unit/rollout/release_state_machine_test.cpp
@@ -1,8 +1,9 @@
 // The rollout reducer on invented fleets: its order, its holds, its checks.
-#include "rollout/moves.hpp"
-#include "rollout/reducer.hpp"
-#include "rollout/shares.hpp"
-#include "unit.hpp"
+#include "rollout/release_state_machine.hpp"
+
+#include "limits/rate_quotas.hpp"
+#include "rollout/version_rollout.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -32,12 +33,12 @@
     tick(Duration(0));
   }
   void record(const std::string& name, const std::string& more = "") {
-    auto g = parse_release("layout", name,
-                           R"({"content":{"services":{"a":{"versions":["1"]}},
+    auto g = config::parse_release("layout", name,
+                                   R"({"content":{"services":{"a":{"versions":["1"]}},
       "routes":[{"prefix":"/","service":"a"}]})" +
-                               more + "}");
-    auto& rel = std::get<Release>(g);
-    observation.releases[release_key("layout", name)] = rel;
+                                       more + "}");
+    auto& rel = std::get<config::Release>(g);
+    observation.releases[config::release_key("layout", name)] = rel;
     feed(ReleaseRecorded{rel});
   }
   void feed(const Event& event) {
@@ -333,7 +334,7 @@
   Duration now{0}, fell{0};
   for (int m : *rc::gen::container<std::vector<int>>(80, rc::gen::inRange(0, 1000))) {
     now += Duration(200 + m % 900);
-    QuotaInput input;
+    limits::QuotaInput input;
     input.rate = rate;
     input.since_decrease = now - fell;
     for (int i = 0; i < 6; ++i)
--- a/test/move_unit.cpp
+++ b/test/unit/rollout/version_rollout_test.cpp
@@ -1,11 +1,12 @@
 // Moves with a term: the docket, the share, and the pure step under noise.
+#include "rollout/version_rollout.hpp"
+
 #include <random>
 
-#include "rollout/moves.hpp"
-#include "traffic/budget.hpp"
-#include "traffic/jury.hpp"
-#include "traffic/trial.hpp"
-#include "unit.hpp"
+#include "canary/canary_analysis.hpp"
+#include "limits/budget.hpp"
+#include "proxy/canary_admission.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
@@ -20,11 +21,11 @@
   std::map<std::string, double> slow;
   double old_fails = 0;
   int per_second = 300, warm = 4, bad_from_ms = 0;
-  traffic::CanaryAdmission trials;
+  proxy::CanaryAdmission trials;
   bool by_count = false;  // the share is kept as relays keep it: by exact count, rarest routes first
   std::vector<std::string> routes{"a", "b", "c"};
   Duration now{0}, switched{-1}, warm_at{4000};
-  traffic::CanarySample seen;
+  canary::CanarySample seen;
   uint64_t to_trial = 0, all = 0;
 
   explicit Bench(uint64_t seed, Duration term = Duration(14000)) : rng(seed) {
@@ -38,7 +39,7 @@
       auto f = m.find(route);
       return f == m.end() || now < Duration(bad_from_ms) ? 0.0 : f->second;
     };
-    traffic::OutcomeCounts t;
+    canary::OutcomeCounts t;
     bool bad = draw() < (mine ? rate(fails) : old_fails), late = mine && draw() < rate(slow);
     (bad ? t.bad : t.good) = 1;
     t.slow = late && !bad;
@@ -54,9 +55,9 @@
     if (state.canary().empty()) return false;
     if (!by_count) return draw() * 100 < state.percent();
     int percent = static_cast<int>(state.percent());
-    bool whole = percent >= traffic::kDeadlinePercent;
+    bool whole = percent >= canary::kDeadlinePercent;
     return trials.admit("app", 1, "2", route,
-                        {traffic::kDeadlinePercent, percent, whole ? traffic::kInitialCredit : 0});
+                        {canary::kDeadlinePercent, percent, whole ? canary::kInitialCredit : 0});
   }
 
   void look(const std::vector<std::string>& routes) {
@@ -112,33 +113,33 @@
 
 // Enough answers of the service don't outweigh a route's own poor ones, however few.
 void rare_route_speaks() {
-  traffic::CanarySample seen;
+  canary::CanarySample seen;
   seen.baseline = seen.warm_baseline = {{"busy", {1000, 0, 0, 10000}}, {"rare", {5, 0, 0, 50}}};
   seen.canary = seen.warm_canary = {{"busy", {60, 0, 0, 600}}, {"rare", {3, 0, 0, 30}}};
-  same(traffic::promotion_blocker(seen), std::string(), "three good answers on a rare route");
+  same(canary::promotion_blocker(seen), std::string(), "three good answers on a rare route");
   seen.canary["rare"] = seen.warm_canary["rare"] = {2, 1, 0, 30};
-  expect(!traffic::promotion_blocker(seen).empty(),
+  expect(!canary::promotion_blocker(seen).empty(),
          "one poor answer of three on a rare route was passed over");
-  expect(traffic::regression_after_switch(seen).empty(), "one poor answer ends a switch");
+  expect(canary::regression_after_switch(seen).empty(), "one poor answer ends a switch");
   seen.canary["rare"] = seen.warm_canary["rare"] = {2, 0, 3, 90};
-  expect(!traffic::regression_after_switch(seen).empty(),
+  expect(!canary::regression_after_switch(seen).empty(),
          "three slow answers on a rare route don't end a switch");
   seen.canary["rare"] = {4, 1, 0, 50};
   seen.warm_canary["rare"] = {3, 0, 0, 30};
-  expect(!traffic::promotion_blocker(seen).empty(),
+  expect(!canary::promotion_blocker(seen).empty(),
          "a failure of a cold worker on a rare route was passed over");
   seen.baseline["rare"] = seen.warm_baseline["rare"] = {300, 0, 0, 3000};
   seen.canary["rare"] = seen.warm_canary["rare"] = {3, 0, 0, 30};
-  expect(!traffic::promotion_blocker(seen).empty(), "a busy route was taken for a rare one");
+  expect(!canary::promotion_blocker(seen).empty(), "a busy route was taken for a rare one");
 }
 
 // A poor answer or two among many are noise, and want some more answers, not thirty at any rate.
 void few_poor_are_noise() {
   auto against = [](uint64_t good, uint64_t slow) {
-    traffic::CanarySample seen;
+    canary::CanarySample seen;
     seen.baseline = seen.warm_baseline = {{"r", {1000, 0, 10, 10000}}};
     seen.canary = seen.warm_canary = {{"r", {good, 0, slow, good * 10}}};
-    return traffic::promotion_blocker(seen);
+    return canary::promotion_blocker(seen);
   };
   expect(against(12, 0).empty(), "twelve clean answers: " + against(12, 0));
   expect(!against(11, 0).empty(), "eleven clean answers are enough");
@@ -150,14 +151,14 @@
 
 // Each warm worker gets its turn once what had been saved is spent; a cold one gets none.
 void workers_in_turn() {
-  traffic::RoutingSnapshot table;
+  proxy::RoutingSnapshot table;
   for (auto* name : {"i1", "i2", "i3", "i4", "i5"})
     table.backend_instances["s"].push_back({name, "s", "2", "", "", 1});
   table.backend_instances["s"].back().cold_until = TimePoint(1000);
   rollout::start_canary(table.service_states["s"], "2", Duration(14000), Duration(500));
   table.service_states["s"].set_current("1");
-  table.service_states["s"].set_percent(traffic::kDeadlinePercent);
-  traffic::CanaryAdmission trials;
+  table.service_states["s"].set_percent(canary::kDeadlinePercent);
+  proxy::CanaryAdmission trials;
   std::map<std::string, int> asked;
   int granted = 0, burst = 0;
   for (int i = 0; i < 2000; ++i) {
@@ -172,7 +173,7 @@
       ++asked[among[0].instance];
     }
   }
-  expect(burst > 0 && burst <= traffic::kInitialCredit, fmt::format("{} requests in the burst", burst));
+  expect(burst > 0 && burst <= canary::kInitialCredit, fmt::format("{} requests in the burst", burst));
   same(asked.size(), size_t{4}, "workers in turn");
   for (auto& [name, times] : asked)
     expect(times >= 35, fmt::format("{} was asked {} times of {}", name, times, granted));
@@ -191,8 +192,8 @@
   Bench b(1);
   while (!b.state.switching()) b.look({"a"});
   auto from = b.now;
-  traffic::ServiceConfiguration svc;
-  auto v = traffic::eligible_versions(svc, &b.state);
+  config::ServiceConfiguration svc;
+  auto v = proxy::eligible_versions(svc, &b.state);
   expect(v.open == std::vector<std::string>{"2"} && v.canary.empty(),
          "another version is open in the switch");
   b.run({"a"});
@@ -201,7 +202,7 @@
 
 // In the switch a version that is bad under the whole load is noticed by a relay alone.
 void relay_goes_back() {
-  traffic::CanaryAnalysis j;
+  canary::CanaryAnalysis j;
   pb::ServiceState state;
   state.set_current("1");
   rollout::start_canary(state, "2", Duration(14000), Duration(500));
@@ -221,30 +222,30 @@
   x->set_bad(8);
   j.update({{"s", state}}, {{"r", status}}, 50);
   expect(j.is_aborted("s"), "eight of twenty bad were not plain");
-  traffic::RoutingSnapshot t;
+  proxy::RoutingSnapshot t;
   t.service_states["s"] = state;
   t.aborted_canaries = j.aborted();
-  traffic::finalize_snapshot(t);
-  auto v = traffic::eligible_versions({}, &t.service_states["s"]);
+  proxy::finalize_snapshot(t);
+  auto v = proxy::eligible_versions({}, &t.service_states["s"]);
   expect(v.open == std::vector<std::string>{"1"}, "it did not go back");
 }
 
 void any_version() {
-  traffic::ServiceConfiguration svc;
-  traffic::RoutingSnapshot t;
+  config::ServiceConfiguration svc;
+  proxy::RoutingSnapshot t;
   t.backend_instances["s"] = {{"i1", "s", "1", "", "", 1}, {"i2", "s", "2", "", "", 1}};
-  traffic::finalize_snapshot(t);
-  expect(traffic::eligible_versions(svc, &t.service_states["s"]).open.size() == 2,
+  proxy::finalize_snapshot(t);
+  expect(proxy::eligible_versions(svc, &t.service_states["s"]).open.size() == 2,
          "not all are open before one is in place");
   t.service_states["s"].Clear();  // each table has its states read anew
   t.service_states["s"].set_current("1");
-  traffic::finalize_snapshot(t);
-  expect(traffic::eligible_versions(svc, &t.service_states["s"]).open == std::vector<std::string>{"1"},
+  proxy::finalize_snapshot(t);
+  expect(proxy::eligible_versions(svc, &t.service_states["s"]).open == std::vector<std::string>{"1"},
          "a version that no move asked for is open");
 }
 
 void rare_routes() {
-  traffic::CanaryAdmission t;
+  proxy::CanaryAdmission t;
   std::map<bool, int> got;
   int all = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -258,7 +259,7 @@
 }
 
 void spared() {
-  traffic::CanaryAdmission t;
+  proxy::CanaryAdmission t;
   int got = 0;
   for (int i = 0; i < 1000; ++i) got += t.admit("s", 1, "2", "r", {8, 3, 0});
   same(got, 30, "requests while it is cold");
@@ -272,8 +273,8 @@
 // 88 relays of a few requests a second each, and 12 of more.
 void many_relays() {
   for (int n : {12, 88}) {
-    std::vector<std::unique_ptr<traffic::CanaryAdmission>> relays;
-    for (int i = 0; i < n; ++i) relays.push_back(std::make_unique<traffic::CanaryAdmission>());
+    std::vector<std::unique_ptr<proxy::CanaryAdmission>> relays;
+    for (int i = 0; i < n; ++i) relays.push_back(std::make_unique<proxy::CanaryAdmission>());
     std::mt19937_64 rng(7);
     int mine = 0, all = 0;
     std::map<std::string, int> by;
@@ -282,10 +283,10 @@
       std::string route = rng() % 3 ? "a" : "b";
       bool g = relays[k]->admit(
           "s", 1, "2", route,
-          {8, 8, traffic::retry_allowance_of_node(traffic::kInitialCredit, n, static_cast<int>(k))});
+          {8, 8, limits::retry_allowance_of_node(canary::kInitialCredit, n, static_cast<int>(k))});
       mine += g;
       by[route] += g;
-      expect(mine * 100 <= ++all * 8 + 100 * traffic::kInitialCredit, "over the share");
+      expect(mine * 100 <= ++all * 8 + 100 * canary::kInitialCredit, "over the share");
     }
     expect(by["a"] >= 40 && by["b"] >= 40,
            fmt::format("{} relays: {} and {} requests on trial", n, by["a"], by["b"]));
--- a/test/storage_unit.cpp
+++ b/test/unit/storage/snapshot_store_test.cpp
@@ -1,7 +1,8 @@
 // The disk format under torn and rotten bytes, and the store over restarts.
-#include "simulation/ports.hpp"
 #include "storage/snapshot_store.hpp"
-#include "unit.hpp"
+
+#include "simulation/ports.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/storage_faults_unit.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "storage/snapshot_store.hpp"
-#include "unit.hpp"
+#include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/unit.hpp
+++ b/test/unit/unit_cases.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <rapidcheck.h>
 
-#include "expect.hpp"
+#include "support/expect.hpp"
 
 namespace dunlinwing::test {
 
