--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -7,7 +7,7 @@
 
 #include <algorithm>
 
-#include "proxy/canary_admission.hpp"
+#include "canary/canary_share.hpp"
 #include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::rollout {
--- a/src/rollout/version_rollout_observer.cpp
+++ b/src/rollout/version_rollout_observer.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "proxy/canary_admission.hpp"
+#include "canary/canary_share.hpp"
 
 namespace dunlinwing::rollout {
 
