--- a/src/control_api/metrics.cpp
+++ b/src/control_api/metrics.cpp
@@ -47,11 +47,11 @@
   p.head("running", "gauge", "Requests at workers.");
   for (auto& [s, x] : snapshot->configuration->services)
     p.out += fmt::format("dunlinwing_running{{service=\"{}\"}} {}\n", s,
-                         node.request_handler().upstream_client().load(s).first);
+                         node.request_handler().upstream_client().load(s).running);
   p.head("waiting", "gauge", "Requests on the waitlist.");
   for (auto& [s, x] : snapshot->configuration->services)
     p.out += fmt::format("dunlinwing_waiting{{service=\"{}\"}} {}\n", s,
-                         node.request_handler().upstream_client().load(s).second);
+                         node.request_handler().upstream_client().load(s).waiting);
   p.head("shots_total", "counter", "UpstreamClient by version and how they ended.");
   std::map<std::pair<std::string, std::string>, proxy::VersionOutcomes> sums;  // over the routes
   for (auto& [k, v] : node.request_handler().upstream_client().counts()) {
--- a/src/proxy/admission_queue.cpp
+++ b/src/proxy/admission_queue.cpp
@@ -1,74 +1,85 @@
-// First come, first served. A request that would wait longer than it may
-// behind those that wait is turned away at once, and one that has waited so long
-// because the list stopped moving is turned away then.
 #include "proxy/admission_queue.hpp"
 
 #include <algorithm>
 
 namespace dunlinwing::proxy {
+namespace {
+constexpr double kLatencyWeight = 1.0 / 16;  // of the latest request in the mean
+}  // namespace
 
-AdmissionResult AdmissionQueues::admit(const std::string& s, int inflight, int longest, TimePoint start_by) {
-  auto w = std::make_shared<Waiter>();
-  Duration left;
+double AdmissionQueues::Queue::drain_ms() const {
+  return latency_ms * static_cast<double>(waiters.size() + 1) / std::max(limit, 1);
+}
+
+AdmissionResult AdmissionQueues::admit(const std::string& service, int max_running, int max_waiting,
+                                       TimePoint start_by) {
+  std::shared_ptr<Waiter> waiter;
+  Duration remaining;
   {
-    std::lock_guard lock(mutex_);
-    auto& t = queues_[s];
-    t.limit = inflight;
-    if (t.running < t.limit && t.waiters.empty()) {
-      ++t.running;
+    const std::lock_guard lock(mutex_);
+    auto& queue = queues_[service];
+    queue.limit = max_running;
+    if (queue.running < queue.limit && queue.waiters.empty()) {
+      ++queue.running;
       return AdmissionResult::admitted;
     }
-    left = start_by - ports_.clock.now();
-    if (static_cast<int>(t.waiters.size()) >= longest) return AdmissionResult::queue_full;
-    double wait = t.latency_ms * static_cast<double>(t.waiters.size() + 1) / std::max(t.limit, 1);
-    if (left <= Duration(0) || wait > static_cast<double>(left.count())) return AdmissionResult::too_late;
-    w->condition = ports_.tasks.condition();
-    t.waiters.push_back(w);
+    if (static_cast<int>(queue.waiters.size()) >= max_waiting) return AdmissionResult::queue_full;
+    remaining = start_by - ports_.clock.now();
+    if (remaining <= Duration(0) || queue.drain_ms() > static_cast<double>(remaining.count()))
+      return AdmissionResult::too_late;
+    waiter = std::make_shared<Waiter>();
+    waiter->condition = ports_.tasks.condition();
+    queue.waiters.push_back(waiter);
   }
+  return await_admission(service, waiter, start_by, remaining);
+}
+
+AdmissionResult AdmissionQueues::await_admission(const std::string& service,
+                                                 const std::shared_ptr<Waiter>& waiter, TimePoint start_by,
+                                                 Duration remaining) {
   for (;;) {
-    w->condition->wait(left);
-    std::lock_guard lock(mutex_);
-    if (w->admitted) return AdmissionResult::admitted;
-    left = start_by - ports_.clock.now();
-    if (left > Duration(0)) continue;
-    auto& q = queues_[s].waiters;
-    q.erase(std::remove(q.begin(), q.end(), w), q.end());
+    waiter->condition->wait(remaining);
+    const std::lock_guard lock(mutex_);
+    if (waiter->admitted) return AdmissionResult::admitted;
+    remaining = start_by - ports_.clock.now();
+    if (remaining > Duration(0)) continue;
+    auto& waiters = queues_[service].waiters;
+    waiters.erase(std::remove(waiters.begin(), waiters.end(), waiter), waiters.end());
     return AdmissionResult::too_late;
   }
 }
 
-void AdmissionQueues::release(const std::string& s, Duration took) {
-  std::lock_guard lock(mutex_);
-  auto& t = queues_[s];
-  --t.running;
-  t.latency_ms += (static_cast<double>(took.count()) - t.latency_ms) / 16;
-  while (t.running < t.limit && !t.waiters.empty()) {
-    auto w = t.waiters.front();
-    t.waiters.pop_front();
-    w->admitted = true;
-    ++t.running;
-    w->condition->notify();
+void AdmissionQueues::release(const std::string& service, Duration latency) {
+  const std::lock_guard lock(mutex_);
+  auto& queue = queues_[service];
+  --queue.running;
+  queue.latency_ms += (static_cast<double>(latency.count()) - queue.latency_ms) * kLatencyWeight;
+  while (queue.running < queue.limit && !queue.waiters.empty()) {
+    auto waiter = queue.waiters.front();
+    queue.waiters.pop_front();
+    waiter->admitted = true;
+    ++queue.running;
+    waiter->condition->notify();
   }
 }
 
-Duration AdmissionQueues::drain_time(const std::string& s) {
-  std::lock_guard lock(mutex_);
-  auto& t = queues_[s];
-  return Duration(
-      static_cast<int64_t>(t.latency_ms * static_cast<double>(t.waiters.size() + 1) / std::max(t.limit, 1)));
+Duration AdmissionQueues::drain_time(const std::string& service) {
+  const std::lock_guard lock(mutex_);
+  return Duration(static_cast<int64_t>(queues_[service].drain_ms()));
 }
 
-std::pair<int, int> AdmissionQueues::load(const std::string& s) {
-  std::lock_guard lock(mutex_);
-  auto& t = queues_[s];
-  return {t.running, static_cast<int>(t.waiters.size())};
+ServiceLoad AdmissionQueues::load(const std::string& service) {
+  const std::lock_guard lock(mutex_);
+  const auto& queue = queues_[service];
+  return {queue.running, static_cast<int>(queue.waiters.size())};
 }
 
 int AdmissionQueues::running_requests() {
-  std::lock_guard lock(mutex_);
-  int n = 0;
-  for (auto& [k, t] : queues_) n += t.running + static_cast<int>(t.waiters.size());
-  return n;
+  const std::lock_guard lock(mutex_);
+  int total = 0;
+  for (const auto& [service, queue] : queues_)
+    total += queue.running + static_cast<int>(queue.waiters.size());
+  return total;
 }
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/canary_admission.hpp
+++ b/src/proxy/canary_admission.hpp
@@ -1,5 +1,10 @@
-// Which requests a version on trial gets, and which of its workers get them. The share
-// is kept by exact count at each relay, so that it holds over the fleet.
+/// @file
+/// Which requests go to a service's canary, and to which of its backend instances. Each node counts
+/// its share by itself and exactly, so that the share holds over the fleet.
+///
+/// A share is earned request by request and spent whole, so a node that restarts begins with nothing but its
+/// part of what may be spent ahead.
+/// Threads: every function may be called from any thread; the one lock is a leaf.
 #pragma once
 #include <mutex>
 #include <optional>
@@ -11,33 +16,44 @@
 
 class CanaryAdmission {
  public:
-  // The workers among which a granted request is placed; none when it is not granted.
-  // Once what had been saved for warm workers is spent, each warm worker is asked in turn.
+  /// Decides on one request of the service, and counts it.
+  /// @param version  the canary's; empty: no canary
+  /// @param route    the request's, by label
+  /// @return the instances among which the request goes to one; empty: it does not go to the canary.
+  ///         Once the saved share of a rollout with a deadline is spent, this is one warm instance after
+  ///         the other.
   std::vector<membership::BackendInstance> admit(const RoutingSnapshot& snapshot, const std::string& service,
                                                  const std::string& version, const std::string& route);
 
-  // The bare share: the n-th trial request needs n times the full share before, but for
-  // `ahead`, which is given once. Below its share no more than `spend` is used, and the
-  // rest saved. Routes that had few trial requests come first; others take what they leave.
+  /// In hundredths of a request for each request of the service, but for `initial_credit`.
   struct ShareParameters {
-    int earn = 0, spend = 0, initial_credit = 0;
+    int earn = 0;            ///< the full share
+    int spend = 0;           ///< the part that may be used now; the rest is saved
+    int initial_credit = 0;  ///< whole requests that may be spent ahead, given once
   };
+
+  /// The share alone: canary request n needs n times the full share before it, but for the initial credit.
+  /// Routes that had few canary requests come first; others get what those leave.
+  /// @param number  of the rollout; with another number or version the count starts anew
   bool admit(const std::string& service, uint64_t number, const std::string& version,
-             const std::string& route, ShareParameters p);
+             const std::string& route, ShareParameters parameters);
 
  private:
   struct Share {
-    uint64_t number = 0;
+    uint64_t number = 0;  // of the rollout
     std::string version;
-    int64_t earned = 0, reserved = 0;  // hundredths of a request, not yet spent
+    int64_t earned = 0;     // hundredths of a request, not yet spent
+    int64_t spendable = 0;  // the part of it that may be used now, while some is saved
     bool initial_credit_given = false;
-    bool burst_over = false;  // what was saved for warm workers is spent
-    uint64_t turn = 0;        // of the next worker, once the burst is over
+    bool savings_spent = false;       // what was saved for warm instances is used up
+    uint64_t next_warm_instance = 0;  // counts up, once the savings are spent
     std::map<std::string, uint64_t> requests_by_route;
   };
-  std::optional<uint64_t> next_turn(const std::string& service, int rank);  // empty: still in the burst
+  static ShareParameters share_parameters(const RoutingSnapshot& snapshot, const pb::ServiceState& state);
+  std::optional<uint64_t> next_warm_instance(const std::string& service, int rank);
+
   std::mutex mutex_;
-  std::map<std::string, Share> shares_;
+  std::map<std::string, Share> shares_;  // by service; guarded by mutex_
 };
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/load_balancer.cpp
+++ b/src/proxy/load_balancer.cpp
@@ -1,6 +1,3 @@
-// A worker's load is the greater of what this relay has under way there and what
-// the worker last said of itself, which fades, since others' requests end unseen.
-// Its pace is learnt from answers that had nothing waiting before them.
 #include "proxy/load_balancer.hpp"
 
 #include <algorithm>
@@ -9,179 +6,239 @@
 
 namespace dunlinwing::proxy {
 namespace {
-constexpr int kFailsAside = 5;
-constexpr int kUnsentAside = 2;  // connections that could not be made tell more than bad answers
-constexpr Duration kAside{500};
-constexpr int kMostDoublings = 4;
-constexpr double kLearn = 0.15;  // weight of the latest answer
-constexpr double kFadeMs = 800;  // in which most of a told load has faded
-constexpr double kCold = 2.0;    // how much slower a worker is that has just started
-constexpr double kRoom = 0.6;    // of its slots: the own zone is left beyond
-constexpr double kFull = 0.35;   // how much slower when all its slots are taken
-constexpr double kSilent = 6;    // times the usual time without an answer: something is wrong there
-constexpr Duration kSilentLeast{400};
-constexpr double kUnknownMs = 50;
-constexpr size_t kLook = 3;  // workers looked at for one choice
-
-struct State {
-  int running = 0, fails = 0, unsent = 0, rounds = 0;
-  double told = 0, pace = 0;  // load as told; milliseconds an answer takes there, 0 while unknown
-  int slots = 0;
-  uint64_t lot = 0;  // this relay's and this worker's; 0: not drawn yet
-  TimePoint told_at{0}, progress{0}, aside{0};
-  bool trying = false;
+using membership::BackendInstance;
+using InstancePointers = std::vector<const BackendInstance*>;
+
+// Outlier detection: failures one after the other until an instance is ejected. A refused connection says
+// more than a bad response.
+constexpr int kFailuresToEject = 5;
+constexpr int kConnectFailuresToEject = 2;
+constexpr Duration kBaseEjection{500};
+constexpr int kMaxDoublings = 4;  // of kBaseEjection, one with each ejection in a row
+
+constexpr double kLatencyWeight = 0.15;       // of the latest response in the mean
+constexpr double kReportedLoadDecayMs = 800;  // in which a reported load falls to 1/e
+constexpr double kDefaultLatencyMs = 50;      // while nothing is known
+constexpr double kColdFactor = 2.0;           // how much slower an instance is that has just started
+constexpr double kZoneUtilization = 0.6;  // of its slots: beyond it instances of other zones are looked at
+constexpr double kFullSlowdown = 0.35;    // how much slower an instance is when all its slots are taken
+
+// An instance from which nothing has come for so many times its latency, and for so long at least, is
+// probably stuck: it counts as so many times slower.
+constexpr double kStalledLatencies = 6;
+constexpr Duration kMinStall{400};
+constexpr double kStalledFactor = 16;
+
+constexpr size_t kChoices = 3;  // instances compared for one choice
+
+struct InstanceState {
+  int running = 0;           // attempts of this node
+  int failures = 0;          // one after the other
+  int connect_failures = 0;  // one after the other
+  int ejections = 0;         // one after the other
+  bool probing = false;      // an attempt tries whether it is well again
+  double reported_load = 0;  // requests running and waiting there, at `reported_at`
+  int slots = 0;             // requests that it runs at once, as reported; 0: not reported
+  double latency_ms = 0;     // weighted mean; 0 while unknown
+  uint64_t subset_hash = 0;  // of this node's and its name; 0: not computed yet
+  TimePoint reported_at{0};
+  TimePoint progressed_at{0};  // when it last responded, or the first of the running attempts began
+  TimePoint ejected_until{0};
+
+  bool is_outlier() const {
+    return failures >= kFailuresToEject || connect_failures >= kConnectFailuresToEject;
+  }
 };
+
+void update_mean(double& mean, Duration latest) {
+  mean += (mean > 0 ? kLatencyWeight : 1) * (static_cast<double>(latest.count()) - mean);
+}
+
+bool contains(const std::vector<std::string>& names, const std::string& name) {
+  return std::find(names.begin(), names.end(), name) != names.end();
+}
 }  // namespace
 
 struct LoadBalancer::Impl {
   base::Clock& clock;
   base::Random& random;
-  mutable std::mutex mutex;
-  std::map<std::string, State> by;
-  std::map<std::string, double> pace;  // by service
-  std::string relay;
-
-  uint64_t lot(const membership::BackendInstance& instance) {
-    auto& s = by[instance.instance];
-    if (!s.lot) s.lot = std::hash<std::string>()(relay + "\n" + instance.instance) | 1;
-    return s.lot;
-  }
+  mutable std::mutex mutex;                     // guards all below
+  std::map<std::string, InstanceState> states;  // by instance
+  std::map<std::string, double> latencies_ms;   // by service; weighted mean
+  std::string node_name;
 
-  double usual(const std::string& service) const {
-    auto f = pace.find(service);
-    return f == pace.end() ? 0 : f->second;
+  uint64_t subset_hash(const BackendInstance& instance) {
+    auto& state = states[instance.instance];
+    if (!state.subset_hash)
+      state.subset_hash = std::hash<std::string>()(node_name + "\n" + instance.instance) | 1;
+    return state.subset_hash;
   }
-  double load(const State& s, TimePoint now) const {
-    double told = s.told * std::exp(-static_cast<double>((now - s.told_at).count()) / kFadeMs);
-    return std::max(told, static_cast<double>(s.running)) + 1;
+
+  double service_latency_ms(const std::string& service) const {
+    auto found = latencies_ms.find(service);
+    return found == latencies_ms.end() ? 0 : found->second;
   }
-  double fill(const membership::BackendInstance& instance, TimePoint now) {
-    auto& s = by[instance.instance];
-    return load(s, now) / std::max(s.slots ? s.slots : instance.capacity, 1);
+
+  // Requests that run at an instance, with one more.
+  static double load_with_one_more(const InstanceState& state, TimePoint now) {
+    double age_ms = static_cast<double>((now - state.reported_at).count());
+    double reported = state.reported_load * std::exp(-age_ms / kReportedLoadDecayMs);
+    return std::max(reported, static_cast<double>(state.running)) + 1;
   }
-  double one(const membership::BackendInstance& instance, TimePoint now) {
-    auto& s = by[instance.instance];
-    double t = s.pace > 0 ? s.pace : usual(instance.service) > 0 ? usual(instance.service) : kUnknownMs;
-    return instance.cold_until > now ? t * kCold : t;
+
+  // The part of its slots that would be taken, with one more request; above 1 requests wait.
+  double utilization(const BackendInstance& instance, TimePoint now) {
+    const auto& state = states[instance.instance];
+    return load_with_one_more(state, now) / std::max(state.slots ? state.slots : instance.capacity, 1);
   }
-  double wait(const membership::BackendInstance& instance, TimePoint now) {
-    return one(instance, now) * std::max(0.0, fill(instance, now) - 1);
+
+  // Of one request that has an idle instance for itself.
+  double latency_ms(const BackendInstance& instance, TimePoint now) {
+    double latency = states[instance.instance].latency_ms;
+    if (latency <= 0) latency = service_latency_ms(instance.service);
+    if (latency <= 0) latency = kDefaultLatencyMs;
+    return instance.cold_until > now ? latency * kColdFactor : latency;
   }
-  double expected(const membership::BackendInstance& instance, TimePoint now) {
-    auto& s = by[instance.instance];
-    double one = this->one(instance, now);
-    double f = fill(instance, now);
-    double t = one * (1 + kFull * std::min(f, 1.0) + std::max(0.0, f - 1));
-    if (s.running && now - s.progress > std::max(kSilentLeast, Duration(static_cast<int64_t>(one * kSilent))))
-      t *= 16;
-    return t;
+
+  double queueing_ms(const BackendInstance& instance, TimePoint now) {
+    return latency_ms(instance, now) * std::max(0.0, utilization(instance, now) - 1);
   }
-};
 
-LoadBalancer::LoadBalancer(base::Clock& clock, base::Random& r) : impl_(new Impl{clock, r, {}, {}, {}, {}}) {}
-LoadBalancer::~LoadBalancer() = default;
+  double expected_ms(const BackendInstance& instance, TimePoint now) {
+    const auto& state = states[instance.instance];
+    double latency = latency_ms(instance, now);
+    double used = utilization(instance, now);
+    double expected = latency * (1 + kFullSlowdown * std::min(used, 1.0) + std::max(0.0, used - 1));
+    auto stall = std::max(kMinStall, Duration(static_cast<int64_t>(latency * kStalledLatencies)));
+    if (state.running && now - state.progressed_at > stall) expected *= kStalledFactor;
+    return expected;
+  }
 
-std::optional<BackendSelection> LoadBalancer::choose(
-    const std::vector<membership::BackendInstance>& instances, const std::vector<std::string>& vs,
-    const std::string& zone, const std::vector<std::string>& tried, size_t few) {
-  std::lock_guard lock(impl_->mutex);
-  TimePoint now = impl_->clock.now();
-  std::vector<const membership::BackendInstance*> fit, near, aside;
-  for (auto& instance : instances) {
-    if (std::find(vs.begin(), vs.end(), instance.version) == vs.end()) continue;
-    if (std::find(tried.begin(), tried.end(), instance.instance) != tried.end()) continue;
-    auto& s = impl_->by[instance.instance];
-    if (s.aside > now || ((s.fails >= kFailsAside || s.unsent >= kUnsentAside) && s.trying)) {
-      aside.push_back(&instance);
-      continue;
+  // The instances that may be chosen: those that are not ejected, or, when all are, those.
+  InstancePointers candidates(const std::vector<BackendInstance>& instances,
+                              const std::vector<std::string>& versions, const std::vector<std::string>& tried,
+                              TimePoint now) {
+    InstancePointers healthy, ejected;
+    for (const auto& instance : instances) {
+      if (!contains(versions, instance.version)) continue;
+      if (contains(tried, instance.instance)) continue;
+      const auto& state = states[instance.instance];
+      bool out = state.ejected_until > now || (state.is_outlier() && state.probing);
+      (out ? ejected : healthy).push_back(&instance);
     }
-    fit.push_back(&instance);
+    return healthy.empty() ? ejected : healthy;
   }
-  if (fit.empty()) fit = aside;
-  if (fit.empty()) return {};
-  if (fit.size() > few) {
-    std::nth_element(fit.begin(), fit.begin() + static_cast<std::ptrdiff_t>(few), fit.end(),
-                     [&](auto* a, auto* b) { return impl_->lot(*a) < impl_->lot(*b); });
-    fit.resize(few);
+
+  // Leaves this node's subset: the instances of the lowest hashes.
+  void reduce_to_subset(InstancePointers& instances, size_t size) {
+    if (instances.size() <= size) return;
+    std::nth_element(instances.begin(), instances.begin() + static_cast<std::ptrdiff_t>(size),
+                     instances.end(),
+                     [&](auto* one, auto* other) { return subset_hash(*one) < subset_hash(*other); });
+    instances.resize(size);
   }
-  for (auto* w : fit)
-    if (w->zone == zone) near.push_back(w);
-  // The best of a few drawn by lot: the very best for all would be everybody's choice at once.
-  auto pick = [&](std::vector<const membership::BackendInstance*> v) {
-    const membership::BackendInstance* best = nullptr;
-    double least = 0;
-    for (size_t i = 0; i < kLook && i < v.size(); ++i) {
-      std::swap(v[i], v[i + impl_->random.below(v.size() - i)]);
-      double t = impl_->expected(*v[i], now);
-      if (!best || t < least) best = v[i], least = t;
+
+  // The fastest of a few drawn at random: the fastest of all would be every node's choice at once.
+  // Changes the order of the instances.
+  const BackendInstance* fastest_of_some(InstancePointers& instances, TimePoint now) {
+    const BackendInstance* best = nullptr;
+    double least_ms = 0;
+    for (size_t i = 0; i < kChoices && i < instances.size(); ++i) {
+      std::swap(instances[i], instances[i + random.below(instances.size() - i)]);
+      double expected = expected_ms(*instances[i], now);
+      if (best && expected >= least_ms) continue;
+      best = instances[i];
+      least_ms = expected;
     }
     return best;
-  };
-  const membership::BackendInstance* w = near.empty() ? nullptr : pick(near);
-  if (!w || impl_->fill(*w, now) > kRoom) {
-    auto* o = pick(fit);
-    if (!w || impl_->expected(*o, now) < impl_->expected(*w, now)) w = o;
   }
-  auto& s = impl_->by[w->instance];
-  if (s.fails >= kFailsAside || s.unsent >= kUnsentAside) s.trying = true;
-  return BackendSelection{*w, Duration(static_cast<int64_t>(impl_->expected(*w, now))),
-                          Duration(static_cast<int64_t>(impl_->wait(*w, now)))};
+
+  // Counts a failure; ejects the instance when that was one too many.
+  void count_failure(InstanceState& state, AttemptHealth health, TimePoint now) {
+    bool eject = health == AttemptHealth::unreachable ? ++state.connect_failures >= kConnectFailuresToEject
+                                                      : ++state.failures >= kFailuresToEject;
+    if (!eject) return;
+    state.ejected_until = now + kBaseEjection * (1 << std::min(state.ejections, kMaxDoublings));
+    ++state.ejections;
+  }
+};
+
+LoadBalancer::LoadBalancer(base::Clock& clock, base::Random& random)
+    : impl_(new Impl{clock, random, {}, {}, {}, {}}) {}
+LoadBalancer::~LoadBalancer() = default;
+
+std::optional<BackendSelection> LoadBalancer::choose(const std::vector<BackendInstance>& instances,
+                                                     const std::vector<std::string>& versions,
+                                                     const std::string& zone,
+                                                     const std::vector<std::string>& tried,
+                                                     size_t subset_size) {
+  const std::lock_guard lock(impl_->mutex);
+  const TimePoint now = impl_->clock.now();
+  auto all_zones = impl_->candidates(instances, versions, tried, now);
+  if (all_zones.empty()) return {};
+  impl_->reduce_to_subset(all_zones, subset_size);
+  InstancePointers own_zone;
+  for (const auto* instance : all_zones)
+    if (instance->zone == zone) own_zone.push_back(instance);
+  const auto* chosen = impl_->fastest_of_some(own_zone, now);
+  if (!chosen || impl_->utilization(*chosen, now) > kZoneUtilization) {
+    const auto* other = impl_->fastest_of_some(all_zones, now);
+    if (!chosen || impl_->expected_ms(*other, now) < impl_->expected_ms(*chosen, now)) chosen = other;
+  }
+  auto& state = impl_->states[chosen->instance];
+  if (state.is_outlier()) state.probing = true;
+  return BackendSelection{*chosen, Duration(static_cast<int64_t>(impl_->expected_ms(*chosen, now))),
+                          Duration(static_cast<int64_t>(impl_->queueing_ms(*chosen, now)))};
 }
 
-void LoadBalancer::set_node_name(const std::string& relay) { impl_->relay = relay; }
+void LoadBalancer::set_node_name(const std::string& node_name) { impl_->node_name = node_name; }
 
-void LoadBalancer::attempt_started(const membership::BackendInstance& instance) {
-  std::lock_guard lock(impl_->mutex);
-  auto& s = impl_->by[instance.instance];
-  if (!s.running++) s.progress = impl_->clock.now();
+void LoadBalancer::attempt_started(const BackendInstance& instance) {
+  const std::lock_guard lock(impl_->mutex);
+  auto& state = impl_->states[instance.instance];
+  if (!state.running++) state.progressed_at = impl_->clock.now();
 }
 
-void LoadBalancer::attempt_finished(const membership::BackendInstance& instance, const AttemptReport& e) {
-  std::lock_guard lock(impl_->mutex);
-  auto& s = impl_->by[instance.instance];
-  TimePoint now = impl_->clock.now();
-  s.running = std::max(0, s.running - 1);
-  s.trying = false;
-  if (e.good || e.load) s.progress = now;
-  if (e.load) {
-    // What it says may or may not count the answered request itself.
-    s.told = std::max(0, e.load->running + e.load->waiting - 1);
-    s.told_at = now;
-    if (e.load->slots > 0) s.slots = e.load->slots;
-  }
-  if (e.good && e.latency > Duration(0) && !(e.load && e.load->waiting > 0) && instance.cold_until <= now) {
-    auto learn = [&](double& x) { x += (x > 0 ? kLearn : 1) * (static_cast<double>(e.latency.count()) - x); };
-    learn(s.pace);
-    learn(impl_->pace[instance.service]);
-  }
-  if (e.good) {
-    s.fails = s.unsent = s.rounds = 0;
-    return;
+void LoadBalancer::attempt_finished(const BackendInstance& instance, const AttemptReport& report) {
+  const std::lock_guard lock(impl_->mutex);
+  const TimePoint now = impl_->clock.now();
+  const auto& load = report.load;
+  const bool healthy = report.health == AttemptHealth::healthy;
+  auto& state = impl_->states[instance.instance];
+  state.running = std::max(0, state.running - 1);
+  state.probing = false;
+  if (healthy || load) state.progressed_at = now;
+  if (load) {
+    // The report may or may not count the request that it came with.
+    state.reported_load = std::max(0, load->running + load->waiting - 1);
+    state.reported_at = now;
+    if (load->slots > 0) state.slots = load->slots;
   }
-  bool out = e.unsent ? ++s.unsent >= kUnsentAside : ++s.fails >= kFailsAside;
-  if (!out) return;
-  s.aside = now + kAside * (1 << std::min(s.rounds, kMostDoublings));
-  ++s.rounds;
+  if (!healthy) return impl_->count_failure(state, report.health, now);
+  state.failures = state.connect_failures = state.ejections = 0;
+  const bool had_waiting = load && load->waiting > 0;
+  if (report.latency <= Duration(0) || had_waiting || instance.cold_until > now) return;
+  update_mean(state.latency_ms, report.latency);
+  update_mean(impl_->latencies_ms[instance.service], report.latency);
 }
 
-void LoadBalancer::mark_wrong_instance(const membership::BackendInstance& instance) {
-  std::lock_guard lock(impl_->mutex);
-  auto& s = impl_->by[instance.instance];
-  s.fails = kFailsAside;
-  s.rounds = kMostDoublings;
-  s.aside = impl_->clock.now() + kAside * (1 << kMostDoublings);
+void LoadBalancer::mark_wrong_instance(const BackendInstance& instance) {
+  const std::lock_guard lock(impl_->mutex);
+  auto& state = impl_->states[instance.instance];
+  state.failures = kFailuresToEject;
+  state.ejections = kMaxDoublings;
+  state.ejected_until = impl_->clock.now() + kBaseEjection * (1 << kMaxDoublings);
 }
 
-void LoadBalancer::retain(const std::vector<std::string>& alive) {
-  std::lock_guard lock(impl_->mutex);
-  std::erase_if(impl_->by, [&](auto& x) {
-    return !x.second.running && std::find(alive.begin(), alive.end(), x.first) == alive.end();
-  });
+void LoadBalancer::retain(const std::vector<std::string>& instances) {
+  const std::lock_guard lock(impl_->mutex);
+  std::erase_if(impl_->states,
+                [&](auto& entry) { return !entry.second.running && !contains(instances, entry.first); });
 }
 
 Duration LoadBalancer::typical_latency(const std::string& service) const {
-  std::lock_guard lock(impl_->mutex);
-  return Duration(static_cast<int64_t>(impl_->usual(service)));
+  const std::lock_guard lock(impl_->mutex);
+  return Duration(static_cast<int64_t>(impl_->service_latency_ms(service)));
 }
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/protocol_adapter.hpp
+++ b/src/proxy/protocol_adapter.hpp
@@ -1,68 +1,110 @@
-// The words that are spoken to callers and to workers: how a request names itself
-// and its time, what a shot carries, what a worker's answer says, and how a caller
-// is told that nothing ran or that nobody knows. One implementation is chosen at
-// start; it only translates, and keeps nothing.
+/// @file
+/// How requests and responses are written for clients and backend instances: how a request names itself and
+/// its remaining time, what an attempt has to carry, what a response says, and how a client is told that a
+/// request was not executed or that nobody knows. One implementation is chosen at start.
+///
+/// Invariants: an adapter only translates. It holds no state and decides nothing.
+/// Threads: every function may be called from any thread at once.
 #pragma once
 #include "base/ports.hpp"
 #include "proxy/routing_snapshot.hpp"
 
 namespace dunlinwing::proxy {
 
-// What a worker's answer is. `elsewhere`: another than the one meant stands there;
-// it did not run the request. `broken`: not the meant worker's whole answer.
-enum class ResponseClass { good, failed, not_executed, wrong_instance, invalid };
+/// What a backend instance's response says of the request.
+enum class ResponseClass {
+  good,            ///< the instance's own whole response
+  failed,          ///< the same, with a status of failure
+  not_executed,    ///< the instance says that it did not execute the request
+  wrong_instance,  ///< another instance than the one meant says so
+  invalid,         ///< not the meant instance's whole response: it may have executed the request
+};
 
-// How far a request got that ends with an answer of our own.
-enum class ExecutionStatus { none, not_executed, unknown };
+/// What a client is told of its request by a response of this node's own.
+enum class ExecutionStatus {
+  none,          ///< the response is a backend instance's
+  not_executed,  ///< no instance executed it
+  unknown,       ///< an instance may have executed it
+};
 
+/// What a client's request says of itself.
 struct RequestIdentity {
-  std::string id;                     // by which worker and caller know the request
-  std::optional<Duration> remaining;  // that the caller will wait, when it says so
+  std::string id;                     ///< by which backend instance and client know the request
+  std::optional<Duration> remaining;  ///< that the client will wait, when it says so
 };
 
+/// The load that a backend instance reports, in requests.
 struct BackendLoad {
-  int running = 0, waiting = 0, slots = 0;  // slots: 0 when not told
+  int running = 0;
+  int waiting = 0;
+  int slots = 0;  ///< that run at once; 0: not reported
 };
 
+/// What an attempt tells the backend instance. Refers to the instance.
 struct AttemptContext {
-  const membership::BackendInstance& instance;
-  std::string entry_node;
-  uint64_t generation = 0;
-  Duration remaining{0};
+  const membership::BackendInstance& instance;  ///< for which the attempt is meant
+  std::string entry_node;                       ///< the node at which the request entered
+  uint64_t generation = 0;                      ///< of the assignment there
+  Duration remaining{0};                        ///< until the request's deadline
 };
 
 class ProtocolAdapter {
  public:
   virtual ~ProtocolAdapter() = default;
+
+  /// Reads what a client's request says of itself.
+  /// @param random  for an id, when the request names none
   virtual RequestIdentity read_identity(const base::Request& request, base::Random& random) const = 0;
-  virtual void prepare_request(base::Request& request, const AttemptContext& d) const = 0;
+
+  /// Makes a client's request one that may be sent to a backend instance.
+  /// @param request  with its id; its headers are changed
+  virtual void prepare_request(base::Request& request, const AttemptContext& attempt) const = 0;
+
+  /// Says what a response is.
+  /// @param instance  for which the attempt was meant
+  /// @param request   as it was sent
   virtual ResponseClass classify(const base::Response& response, const membership::BackendInstance& instance,
                                  const base::Request& request) const = 0;
-  virtual bool is_response_to(const base::Response& response,
-                              const std::string& id) const = 0;  // whether it answers this request
-  virtual bool names_no_request(
-      const base::Response& response) const = 0;  // whether it names no request at all
+
+  /// Whether the response belongs to the request of this id, rather than to an earlier one on the
+  /// same connection.
+  virtual bool is_response_to(const base::Response& response, const std::string& id) const = 0;
+
+  /// Whether the response names no request at all.
+  virtual bool names_no_request(const base::Response& response) const = 0;
+
+  /// @return nothing when the response reports no load
   virtual std::optional<BackendLoad> reported_load(const base::Response& response) const = 0;
-  virtual std::vector<std::string> cache_tags(
-      const base::Response& response) const = 0;  // under which a receipt may be purged
-  virtual void strip_internal_headers(
-      base::Response& response) const = 0;  // takes out what a worker said to us alone
-  // An answer of our own. `back`: when it makes sense to come back, if it does.
-  virtual base::Response local_response(int status, const std::string& why, ExecutionStatus o,
-                                        std::optional<Duration> back) const = 0;
-  // Last touches on whatever goes to the caller who asked under `id`. Generation 0: none decided it.
+
+  /// The tags by which the response may be purged from the cache.
+  virtual std::vector<std::string> cache_tags(const base::Response& response) const = 0;
+
+  /// Removes what a backend instance told this node alone.
+  virtual void strip_internal_headers(base::Response& response) const = 0;
+
+  /// Makes a response of this node's own.
+  /// @param status       of HTTP
+  /// @param reason       in words, for people
+  /// @param execution    what the client is told of its request
+  /// @param retry_after  when it makes sense to send the request again; nothing: it does not
+  virtual base::Response local_response(int status, const std::string& reason, ExecutionStatus execution,
+                                        std::optional<Duration> retry_after) const = 0;
+
+  /// Completes any response before it goes to the client.
+  /// @param id          of the client's request
+  /// @param generation  of the assignment that decided the response; 0: none did
   virtual void finish_response(base::Response& response, const std::string& id,
                                uint64_t generation) const = 0;
 };
 
-// The product's own words: headers that begin with Dunlinwing-.
+/// The product's own protocol: headers that begin with Dunlinwing-.
 std::unique_ptr<ProtocolAdapter> native_protocol_adapter();
 
-// A part of a representation (206) or a bare confirmation (304) in answer to a request that
-// asked for neither: it does not stand for the whole.
+/// Whether a response is a part of a representation (206) or a confirmation without a body (304) though the
+/// request asked for neither: it does not stand for the whole.
 bool is_unrequested_partial(const base::Request& request, const base::Response& response);
 
-// Headers that belong to one connection only, taken out.
+/// Removes the headers that belong to one connection only, by name or by being named in Connection.
 void strip_hop_by_hop(base::Headers& headers);
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/routing_snapshot.cpp
+++ b/src/proxy/routing_snapshot.cpp
@@ -1,4 +1,3 @@
-// Which versions may be asked, and what has been purged.
 #include "proxy/routing_snapshot.hpp"
 
 #include <algorithm>
@@ -6,96 +5,113 @@
 #include "base/ports.hpp"
 
 namespace dunlinwing::proxy {
+namespace {
+// The two counts within a number of purge_number().
+constexpr uint64_t kServiceCountMask = 0xffffffff;
+constexpr int kAllServicesShift = 32;
 
-void finalize_snapshot(RoutingSnapshot& snapshot) {
-  for (auto& s : snapshot.aborted_canaries)
-    if (auto f = snapshot.service_states.find(s); f != snapshot.service_states.end())
-      f->second.set_switching(false);
-  for (auto& [name, ws] : snapshot.backend_instances) {
-    auto& state = snapshot.service_states[name];
-    if (!state.current().empty()) continue;
-    std::set<std::string> all;
-    for (auto& instance : ws) all.insert(instance.version);
-    state.clear_previous_versions();
-    for (auto& v : all) state.add_previous_versions(v);
-  }
+bool contains(const std::vector<std::string>& names, const std::string& name) {
+  return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-EligibleVersions eligible_versions(const config::ServiceConfiguration& service,
-                                   const pb::ServiceState* state) {
-  EligibleVersions v;
-  auto allowed = [&](const std::string& x) {
-    return !x.empty() &&
-           (service.versions.empty() ||
-            std::find(service.versions.begin(), service.versions.end(), x) != service.versions.end()) &&
-           !(state && state->quarantined().count(x));
-  };
-  if (state && state->switching() && allowed(state->canary())) {
-    v.open.push_back(state->canary());
-    return v;
-  }
-  // Once a version is in place, a layout that leaves it out takes the service nowhere else.
-  bool placed = state && !state->current().empty();
-  std::string cur = placed && allowed(state->current()) ? state->current() : std::string();
-  if (!placed)
-    for (auto& x : service.versions)
-      if (allowed(x) && !(state && state->canary() == x)) {
-        cur = x;
-        break;
-      }
-  if (!cur.empty()) v.open.push_back(cur);
-  if (!state) return v;
-  bool tried = !state->canary().empty() && allowed(state->canary());
-  if (placed ? !state->deadline_ms() || state->canary().empty() : service.versions.empty())
-    for (auto& k : state->previous_versions())
-      if (allowed(k) && k != cur && k != state->canary()) v.open.push_back(k);
-  if (tried) v.canary = state->canary();
-  return v;
+// Whether the configuration and the recorded state let a version serve at all.
+bool is_allowed(const config::ServiceConfiguration& service, const pb::ServiceState* state,
+                const std::string& version) {
+  return !version.empty() && (service.versions.empty() || contains(service.versions, version)) &&
+         !(state && state->quarantined().count(version));
 }
 
-bool is_superseded(const RoutingSnapshot& snapshot, const std::string& relay, uint64_t generation) {
-  if (snapshot.configuration_number) return snapshot.configuration_number > generation;
-  auto f = snapshot.assigned_generations.find(relay);
-  return f != snapshot.assigned_generations.end() && f->second > generation;
+// The first version that the configuration names, for a service without a current version; empty: none.
+std::string configured_version(const config::ServiceConfiguration& service, const pb::ServiceState* state) {
+  for (const auto& version : service.versions)
+    if (is_allowed(service, state, version) && !(state && state->canary() == version)) return version;
+  return {};
 }
 
-namespace {
-const pb::PurgeSet* find(const RoutingSnapshot& snapshot, const std::string& key) {
-  auto f = snapshot.purges.find(key);
-  return f == snapshot.purges.end() ? nullptr : &f->second;
+const pb::PurgeSet* find_purges(const RoutingSnapshot& snapshot, const std::string& key) {
+  auto found = snapshot.purges.find(key);
+  return found == snapshot.purges.end() ? nullptr : &found->second;
 }
 
-bool hit(const pb::PurgeSet& purges, const PurgeTarget& n, uint64_t since) {
+bool matches(const pb::Purge& purge, const PurgeTarget& response, std::string_view path) {
+  if (purge.kind() == "service") return true;
+  if (!purge.host().empty() && !base::equals_ignore_case(purge.host(), response.host)) return false;
+  if (purge.kind() == "prefix") return path.substr(0, purge.path().size()) == purge.path();
+  if (purge.kind() == "path") return path == purge.path() || response.target == purge.path();
+  return purge.kind() == "tag" && response.tags && contains(*response.tags, purge.path());
+}
+
+bool is_named(const pb::PurgeSet& purges, const PurgeTarget& response, uint64_t since) {
   if (purges.number() <= since) return false;
-  auto path = n.target.substr(0, n.target.find('?'));
-  for (auto& purge : purges.purges()) {
+  const auto path = response.target.substr(0, response.target.find('?'));
+  for (const auto& purge : purges.purges()) {
     if (purge.number() <= since) continue;
-    if (purge.kind() == "service") return true;
-    if (!purge.host().empty() && !base::equals_ignore_case(purge.host(), n.host)) continue;
-    if (purge.kind() == "prefix" && path.substr(0, purge.path().size()) == purge.path()) return true;
-    if (purge.kind() == "path" && (path == purge.path() || n.target == purge.path())) return true;
-    if (purge.kind() == "tag" && n.tags &&
-        std::find(n.tags->begin(), n.tags->end(), purge.path()) != n.tags->end())
-      return true;
+    if (matches(purge, response, path)) return true;
   }
   return false;
 }
 }  // namespace
 
+void finalize_snapshot(RoutingSnapshot& snapshot) {
+  for (const auto& service : snapshot.aborted_canaries)
+    if (auto found = snapshot.service_states.find(service); found != snapshot.service_states.end())
+      found->second.set_switching(false);
+  for (const auto& [service, instances] : snapshot.backend_instances) {
+    auto& state = snapshot.service_states[service];
+    if (!state.current().empty()) continue;
+    std::set<std::string> versions;
+    for (const auto& instance : instances) versions.insert(instance.version);
+    state.clear_previous_versions();
+    for (const auto& version : versions) state.add_previous_versions(version);
+  }
+}
+
+EligibleVersions eligible_versions(const config::ServiceConfiguration& service,
+                                   const pb::ServiceState* state) {
+  EligibleVersions eligible;
+  auto allowed = [&](const std::string& version) { return is_allowed(service, state, version); };
+  if (state && state->switching() && allowed(state->canary())) {
+    eligible.open.push_back(state->canary());
+    return eligible;
+  }
+  // Once a version is current, a configuration that leaves it out brings no other into service.
+  bool has_current = state && !state->current().empty();
+  std::string preferred = has_current && allowed(state->current()) ? state->current() : std::string();
+  if (!has_current) preferred = configured_version(service, state);
+  if (!preferred.empty()) eligible.open.push_back(preferred);
+  if (!state) return eligible;
+  bool use_previous =
+      has_current ? !state->deadline_ms() || state->canary().empty() : service.versions.empty();
+  if (use_previous)
+    for (const auto& version : state->previous_versions())
+      if (allowed(version) && version != preferred && version != state->canary())
+        eligible.open.push_back(version);
+  if (allowed(state->canary())) eligible.canary = state->canary();
+  return eligible;
+}
+
+bool is_superseded(const RoutingSnapshot& snapshot, const std::string& node_name, uint64_t generation) {
+  if (snapshot.configuration_number) return snapshot.configuration_number > generation;
+  auto found = snapshot.assigned_generations.find(node_name);
+  return found != snapshot.assigned_generations.end() && found->second > generation;
+}
+
 uint64_t purge_number(const RoutingSnapshot& snapshot, const std::string& service) {
-  auto* s = find(snapshot, service);
-  auto* all = find(snapshot, kAllServices);
-  return (s ? s->number() : 0) | (all ? all->number() << 32 : 0);  // two counts that only rise
+  const auto* own = find_purges(snapshot, service);
+  const auto* all = find_purges(snapshot, kAllServices);
+  return (own ? own->number() : 0) | (all ? all->number() << kAllServicesShift : 0);
 }
 
-uint64_t min_purge_number(uint64_t a, uint64_t b) {
-  return std::min(a & 0xffffffff, b & 0xffffffff) | (std::min(a >> 32, b >> 32) << 32);
+uint64_t min_purge_number(uint64_t first, uint64_t second) {
+  return std::min(first & kServiceCountMask, second & kServiceCountMask) |
+         (std::min(first >> kAllServicesShift, second >> kAllServicesShift) << kAllServicesShift);
 }
 
-bool purged(const RoutingSnapshot& snapshot, const PurgeTarget& n, uint64_t since) {
-  auto* s = find(snapshot, std::string(n.service));
-  auto* all = find(snapshot, kAllServices);
-  return (s && hit(*s, n, since & 0xffffffff)) || (all && hit(*all, n, since >> 32));
+bool purged(const RoutingSnapshot& snapshot, const PurgeTarget& response, uint64_t since) {
+  const auto* own = find_purges(snapshot, std::string(response.service));
+  const auto* all = find_purges(snapshot, kAllServices);
+  return (own && is_named(*own, response, since & kServiceCountMask)) ||
+         (all && is_named(*all, response, since >> kAllServicesShift));
 }
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -274,7 +274,9 @@
     bool declined = l == ResponseClass::not_executed || l == ResponseClass::wrong_instance;
     if (!must_pay && !unsent) record_request(service.name);
     impl.load_balancer.attempt_finished(
-        instance, {l == ResponseClass::good || declined, unsent,
+        instance, {unsent                                 ? AttemptHealth::unreachable
+                   : l == ResponseClass::good || declined ? AttemptHealth::healthy
+                                                          : AttemptHealth::failed,
                    a && l != ResponseClass::invalid ? impl.adapter.reported_load(*a) : std::nullopt,
                    l == ResponseClass::good ? took : Duration(0)});
     if (l == ResponseClass::wrong_instance) impl.load_balancer.mark_wrong_instance(instance);
@@ -311,7 +313,7 @@
   std::lock_guard lock(impl_->mutex);
   return impl_->canary_failures;
 }
-std::pair<int, int> UpstreamClient::load(const std::string& s) { return impl_->admission_queues.load(s); }
+ServiceLoad UpstreamClient::load(const std::string& s) { return impl_->admission_queues.load(s); }
 int UpstreamClient::running_requests() { return impl_->admission_queues.running_requests(); }
 uint64_t UpstreamClient::retries() const { return impl_->retries; }
 Duration UpstreamClient::typical_latency(const std::string& s) const {
--- a/src/proxy/upstream_client.hpp
+++ b/src/proxy/upstream_client.hpp
@@ -66,7 +66,7 @@
   // Bad answers of each version on trial: by service, the trial's number and the count.
   std::map<std::string, std::pair<uint64_t, uint64_t>> canary_failures() const;
   std::map<std::string, uint64_t> rate_demand() const;  // of services with a stated rate
-  std::pair<int, int> load(const std::string& service);
+  ServiceLoad load(const std::string& service);
   int running_requests();
   Duration typical_latency(const std::string& service) const;  // what an answer takes here; 0: not known
   uint64_t retries() const;
