--- a/src/console/client.cpp
+++ b/src/console/client.cpp
@@ -1,46 +1,43 @@
-// A PUT is idempotent by name, so one that broke off is simply stated again to
-// the next seed.
 #include "console/client.hpp"
 
-#include <fmt/format.h>
-
 #include <iostream>
 
 namespace dunlinwing::console {
 namespace {
-Reply of(const base::Response& response, const std::string& from) {
-  Reply x{response.status, {}, response.body, base::header(response.headers, "ETag"), from};
-  auto p = base::Json::parse(response.body);
-  if (auto* j = std::get_if<base::Json>(&p)) x.body = *j;
-  return x;
+constexpr Duration kSeedLimit{8000};  ///< in which a seed has to answer before the next is tried
+
+Reply parse_response(const base::Response& response, const std::string& from) {
+  Reply reply{response.status, {}, response.body, from};
+  auto parsed = base::Json::parse(response.body);
+  if (auto* body = std::get_if<base::Json>(&parsed)) reply.body = *body;
+  return reply;
 }
 }  // namespace
 
-Reply Client::any(const base::Request& request, Duration limit) {
+Reply Client::try_seeds(const base::Request& request) {
   Reply last;
-  for (auto& s : r_.seeds) {
-    auto r = http_.send(s, request, limit);
-    if (auto* a = std::get_if<base::Response>(&r)) {
-      last = of(*a, s);
-      if (a->status != 503 || last.text.find("fate") != std::string::npos) return last;
+  for (const auto& seed : seeds_) {
+    auto result = http_.send(seed, request, kSeedLimit);
+    const auto* response = std::get_if<base::Response>(&result);
+    if (response) {
+      last = parse_response(*response, seed);
+      if (response->status != 503 || last.outcome_unknown()) return last;
     }
-    if (!r_.quiet)
-      std::cerr << "console: " << s
-                << (std::holds_alternative<base::Response>(r) ? " cannot settle this" : " does not answer")
-                << "; trying the next seed\n";
+    std::cerr << "console: " << seed << (response ? " cannot settle this" : " does not answer")
+              << "; trying the next seed\n";
   }
   return last;
 }
 
-Reply Client::get(const std::string& path, Duration limit) { return any({"", "GET", path, "", {}}, limit); }
+Reply Client::get(const std::string& path) { return try_seeds({"", "GET", path, "", {}}); }
 
-Reply Client::put(const std::string& path, const std::string& body, base::Headers headers) {
-  return any({"", "PUT", path, body, std::move(headers)}, Duration(8000));
+Reply Client::put(const std::string& path, const std::string& body) {
+  return try_seeds({"", "PUT", path, body, {}});
 }
 
-Reply Client::at(const std::string& seed, const std::string& path, Duration limit) {
-  auto r = http_.send(seed, {"", "GET", path, "", {}}, limit);
-  if (auto* a = std::get_if<base::Response>(&r)) return of(*a, seed);
+Reply Client::get_from(const std::string& address, const std::string& path, Duration limit) {
+  auto result = http_.send(address, {"", "GET", path, "", {}}, limit);
+  if (auto* response = std::get_if<base::Response>(&result)) return parse_response(*response, address);
   return {};
 }
 
--- a/src/console/client.hpp
+++ b/src/console/client.hpp
@@ -1,33 +1,41 @@
-// One call to the fleet: tries one seed after the other and says which failed.
+/// @file
+/// Calls from the console to the fleet: tries one seed after the other and says on standard error which
+/// failed.
 #pragma once
 #include "base/json.hpp"
 #include "base/ports.hpp"
 
 namespace dunlinwing::console {
 
-struct ClientOptions {
-  std::vector<std::string> seeds;
-  bool quiet = false;
-};
-
+/// A relay's response to the console.
 struct Reply {
-  int status = 0;  // 0: no seed could be reached
-  base::Json body;
-  std::string text, etag, from;
+  int status = 0;    ///< the HTTP status; 0: no seed could be reached
+  base::Json body;   ///< null when the text is not JSON
+  std::string text;  ///< the body as it came
+  std::string from;  ///< the address of the relay that gave it
+
+  /// Whether a change that was asked for may have been made or not.
+  bool outcome_unknown() const { return text.find("fate") != std::string::npos; }
 };
 
 class Client {
  public:
-  Client(base::Origin& http, ClientOptions r) : http_(http), r_(std::move(r)) {}
-  Reply get(const std::string& path, Duration limit = Duration(8000));
-  Reply put(const std::string& path, const std::string& body, base::Headers headers = {});
-  Reply at(const std::string& seed, const std::string& path, Duration limit);
-  const std::vector<std::string>& seeds() const { return r_.seeds; }
+  /// @param seeds  control addresses (IP:port), in the order in which they are tried
+  Client(base::Origin& http, std::vector<std::string> seeds) : http_(http), seeds_(std::move(seeds)) {}
+
+  Reply get(const std::string& path);
+  /// A PUT is idempotent by name, so one that broke off is simply stated again to the next seed.
+  Reply put(const std::string& path, const std::string& body);
+  /// A GET from one relay, whether a seed or not.
+  Reply get_from(const std::string& address, const std::string& path, Duration limit);
+
+  const std::vector<std::string>& seeds() const { return seeds_; }
 
  private:
-  Reply any(const base::Request& request, Duration limit);
+  Reply try_seeds(const base::Request& request);
+
   base::Origin& http_;
-  ClientOptions r_;
+  std::vector<std::string> seeds_;
 };
 
 }  // namespace dunlinwing::console
--- a/src/console/commands.hpp
+++ b/src/console/commands.hpp
@@ -1,32 +1,29 @@
-// The operators' commands, by name.
+/// @file
+/// The operators' commands, by name. Each states a resource at the fleet's control address or shows some.
 #pragma once
-#include "console/client.hpp"
+#include "console/session.hpp"
 
 namespace dunlinwing::console {
 
-// Exit statuses.
-inline constexpr int kOk = 0, kNegative = 1, kUsage = 2, kNotFound = 3, kRejected = 4, kNoAnswer = 5,
-                     kOutcomeUnknown = 6;
-
-struct Session {
-  Client& link;
-  base::Clock& clock;
-  std::vector<std::string> args;  // after the command
-  bool json = false;
-  std::string reason;
-  int wait_s = 0;
-};
-
 struct Command {
-  std::string form, what;
-  size_t least, most;  // arguments
-  std::function<int(Session&)> run;
+  std::string form;  ///< how it is written, for people
+  std::string what;  ///< what it does, for people
+  size_t min_arguments;
+  size_t max_arguments;
+  std::function<ExitStatus(Session&)> run;
 };
 
-const std::map<std::string, Command>& commands();
-int diagnose(Session& s);
-int replicas(Session& s);
-int report_rejection(const Reply& r);  // says why, and gives the exit status
-std::string row(const std::vector<std::pair<std::string, int>>& cells);
+using Commands = std::map<std::string, Command>;
+
+const Commands& commands();
+
+/// Commands on releases of any kind.
+Commands release_commands();
+/// Commands that show nodes, workers and other resources, and that move, purge and drain.
+Commands fleet_commands();
+/// holders: shows the replica set or changes it by one machine.
+ExitStatus replicas(Session& session);
+/// doctor: looks at everything an operator would look at, and says what is wrong.
+ExitStatus diagnose(Session& session);
 
 }  // namespace dunlinwing::console
--- a/src/console/diagnose.cpp
+++ b/src/console/diagnose.cpp
@@ -1,127 +1,184 @@
-// Looks at everything an operator would look at, and says what is wrong.
+/// @file
+/// Looks at everything an operator would look at, and says what is wrong. Seeds are looked at first, then
+/// nodes, releases, workers and leaders; each finding is one sentence.
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <cstdlib>
 #include <iostream>
 #include <set>
 
 #include "console/commands.hpp"
+#include "console/output.hpp"
 
 namespace dunlinwing::console {
 namespace {
-struct Findings {
-  std::vector<std::string> all;
-  void add(std::string s) { all.push_back(std::move(s)); }
-};
+using Findings = std::vector<std::string>;
+
+constexpr Duration kReadinessLimit{2000};  ///< in which a seed has to say whether it is ready
 
 uint64_t number(const base::Json& json) { return std::strtoull(json.string_or("0").c_str(), nullptr, 10); }
 
-void look_at_nodes(const base::Json& json, Findings& f) {
-  int holders = 0, lost = 0;
-  std::map<std::string, std::pair<int, int>> zones;  // nodes, ready
-  for (auto& x : json.at("nodes").items()) {
-    auto facts = x.at("facts");
-    auto name = x.at("name").string_or(), zone = facts.at("zone").string_or();
-    bool member = x.at("member").bool_or(), ready = member && facts.at("ready").bool_or();
-    auto& z = zones[zone];
-    ++z.first;
-    z.second += ready;
+/// @return whether any seed answers
+bool check_seeds(Session& session, Findings& findings) {
+  size_t silent = 0;
+  for (const auto& seed : session.client.seeds()) {
+    if (session.client.get_from(seed, "/readyz", kReadinessLimit).status != 0) continue;
+    ++silent;
+    findings.push_back(fmt::format("seed {} does not answer", seed));
+  }
+  return silent < session.client.seeds().size();
+}
+
+void check_node(const base::Json& node, Findings& findings) {
+  auto facts = node.at("facts");
+  auto name = node.at("name").string_or();
+  auto zone = facts.at("zone").string_or();
+  auto load_error = facts.at("load_defect").string_or();
+  if (!node.at("member").bool_or())
+    findings.push_back(fmt::format(
+        "node {} of zone {} has not been heard of for {} s: look whether its machine and process are up",
+        name, zone, node.at("age_ms").integer_or() / 1000));
+  else if (!load_error.empty())
+    findings.push_back(fmt::format("node {} cannot load what it is assigned: {}", name, load_error));
+  else if (!facts.at("ready").bool_or())
+    findings.push_back(
+        fmt::format("node {} of zone {} is a member but not ready: it is drained, or has no layout or no "
+                    "fresh statuses",
+                    name, zone));
+}
+
+void check_nodes(const base::Json& body, Findings& findings) {
+  struct Zone {
+    int nodes = 0;
+    int ready = 0;
+  };
+  std::map<std::string, Zone> zones;
+  int replicas = 0;
+  int lost_replicas = 0;
+  for (auto& node : body.at("nodes").items()) {
+    auto facts = node.at("facts");
+    bool member = node.at("member").bool_or();
+    auto& zone = zones[facts.at("zone").string_or()];
+    ++zone.nodes;
+    if (member && facts.at("ready").bool_or()) ++zone.ready;
     if (facts.at("holder").bool_or()) {
-      ++holders;
-      lost += !member;
+      ++replicas;
+      if (!member) ++lost_replicas;
     }
-    if (!member)
-      f.add(fmt::format(
-          "node {} of zone {} has not been heard of for {} s: look whether its machine and process are up",
-          name, zone, x.at("age_ms").integer_or() / 1000));
-    else if (!facts.at("load_defect").string_or().empty())
-      f.add(fmt::format("node {} cannot load what it is assigned: {}", name,
-                        facts.at("load_defect").string_or()));
-    else if (!ready)
-      f.add(
-          fmt::format("node {} of zone {} is a member but not ready: it is drained, or has no layout or no "
-                      "fresh statuses",
-                      name, zone));
+    check_node(node, findings);
   }
-  if (lost > 0)
-    f.add(fmt::format("{} of {} holders are lost; {} more may be lost before control stops", lost, holders,
-                      std::max(0, (holders - 1) / 2 - lost)));
-  for (auto& [z, n] : zones)
-    if (n.second == 0) f.add(fmt::format("zone {}: none of its {} nodes is ready", z, n.first));
+  if (lost_replicas > 0)
+    findings.push_back(fmt::format("{} of {} holders are lost; {} more may be lost before control stops",
+                                   lost_replicas, replicas, std::max(0, (replicas - 1) / 2 - lost_replicas)));
+  for (auto& [name, zone] : zones)
+    if (zone.ready == 0)
+      findings.push_back(fmt::format("zone {}: none of its {} nodes is ready", name, zone.nodes));
 }
 
-void look_at_releases(const base::Json& json, Findings& f) {
-  for (auto& x : json.at("releases").items()) {
-    auto c = x.at("course");
-    auto ph = c.at("phase").string_or();
-    auto name = x.at("kind").string_or() + " " + x.at("name").string_or();
-    if (ph == "STOPPED") f.add(fmt::format("release {} was stopped: {}", name, c.at("why").string_or()));
-    if (c.at("why").string_or().starts_with("too little evidence"))
-      f.add(fmt::format("release {} holds: {}; wait, or waive the check evidence", name,
-                        c.at("why").string_or()));
-    if (c.at("why").string_or().starts_with("there is no zone"))
-      f.add(fmt::format("release {} cannot go on: {}", name, c.at("why").string_or()));
+void check_releases(const base::Json& body, Findings& findings) {
+  for (auto& release : body.at("releases").items()) {
+    auto progress = release.at("course");
+    auto reason = progress.at("why").string_or();
+    auto name = release.at("kind").string_or() + " " + release.at("name").string_or();
+    if (progress.at("phase").string_or() == "STOPPED")
+      findings.push_back(fmt::format("release {} was stopped: {}", name, reason));
+    if (reason.starts_with("too little evidence"))
+      findings.push_back(
+          fmt::format("release {} holds: {}; wait, or waive the check evidence", name, reason));
+    if (reason.starts_with("there is no zone"))
+      findings.push_back(fmt::format("release {} cannot go on: {}", name, reason));
   }
 }
 
-void look_at_workers(const base::Json& w, const base::Json& assigned, Session& s, Findings& f) {
-  std::map<std::string, std::map<std::string, int>> by;  // service -> version -> beating
-  for (auto& x : w.at("workers").items())
-    if (!x.at("gone").bool_or())
-      ++by[x.at("beat").at("service").string_or()][x.at("beat").at("version").string_or()];
+using VersionCounts = std::map<std::string, int>;  ///< workers that beat, by version
+
+std::map<std::string, VersionCounts> count_workers(const base::Json& body) {
+  std::map<std::string, VersionCounts> by_service;
+  for (auto& worker : body.at("workers").items()) {
+    auto beat = worker.at("beat");
+    if (!worker.at("gone").bool_or())
+      ++by_service[beat.at("service").string_or()][beat.at("version").string_or()];
+  }
+  return by_service;
+}
+
+std::set<std::string> assigned_layouts(const base::Json& body) {
   std::set<std::string> layouts;
-  for (auto& [n, a] : assigned.at("nodes").members())
-    layouts.insert(a.at("releases").at("layout").string_or());
+  for (auto& [node, assignment] : body.at("nodes").members())
+    layouts.insert(assignment.at("releases").at("layout").string_or());
   layouts.erase("");
-  if (layouts.empty()) f.add("no layout is in force: record one with: console apply layout NAME FILE");
-  for (auto& l : layouts) {
-    auto r = s.link.get("/v1/releases/layout/" + l);
-    for (auto& [svc, d] : r.body.at("document").at("content").at("services").members()) {
-      int n = 0;
-      auto named = d.at("versions").strings();
-      for (auto& [v, k] : by[svc])
-        if (named.empty() || std::find(named.begin(), named.end(), v) != named.end()) n += k;
-      if (!n) f.add(fmt::format("service {} of layout {} has no worker of an allowed version", svc, l));
-      auto st = s.link.get("/v1/services/" + svc);
-      for (auto& [v, why] : st.body.at("quarantined").members())
-        f.add(fmt::format("service {}: version {} is in quarantine: {}", svc, v, why.string_or()));
+  return layouts;
+}
+
+int allowed_workers(const VersionCounts& counts, const std::vector<std::string>& allowed_versions) {
+  int workers = 0;
+  for (const auto& [version, count] : counts)
+    if (allowed_versions.empty() ||
+        std::find(allowed_versions.begin(), allowed_versions.end(), version) != allowed_versions.end())
+      workers += count;
+  return workers;
+}
+
+void check_services(Session& session, Findings& findings) {
+  auto workers = count_workers(session.client.get("/v1/workers").body);
+  auto layouts = assigned_layouts(session.client.get("/v1/assignments").body);
+  if (layouts.empty())
+    findings.emplace_back("no layout is in force: record one with: console apply layout NAME FILE");
+  for (const auto& layout : layouts) {
+    auto release = session.client.get("/v1/releases/layout/" + layout);
+    for (auto& [name, service] : release.body.at("document").at("content").at("services").members()) {
+      if (!allowed_workers(workers[name], service.at("versions").strings()))
+        findings.push_back(
+            fmt::format("service {} of layout {} has no worker of an allowed version", name, layout));
+      auto state = session.client.get("/v1/services/" + name);
+      for (auto& [version, reason] : state.body.at("quarantined").members())
+        findings.push_back(
+            fmt::format("service {}: version {} is in quarantine: {}", name, version, reason.string_or()));
     }
   }
 }
-}  // namespace
 
-int diagnose(Session& s) {
-  Findings f;
-  int silent = 0;
-  for (auto& x : s.link.seeds()) {
-    auto r = s.link.at(x, "/readyz", Duration(2000));
-    silent += r.status == 0;
-    if (r.status == 0) f.add("seed " + x + " does not answer");
+void check_leaders(const base::Json& body, Findings& findings) {
+  auto leader = body.at("rollout");
+  if (leader.at("holder").string_or().empty()) findings.emplace_back("nobody does the rollout duty");
+  if (number(leader.at("term")) && leader.at("understudy").string_or().empty())
+    findings.emplace_back("the rollout leadership has no understudy");
+}
+
+void print_findings(const Session& session, const Findings& findings) {
+  if (!session.json) {
+    for (const auto& finding : findings) std::cout << "- " << finding << "\n";
+    if (findings.empty()) std::cout << "nothing is wrong\n";
+    return;
   }
-  auto nodes = s.link.get("/v1/nodes");
-  if (nodes.status != 200) {
-    f.add(silent == static_cast<int>(s.link.seeds().size())
-              ? "no seed answers: nothing more can be said from here"
-              : "no majority of the holders answers: control is at a stand, relays turn callers away. Bring "
-                "holders back");
-  } else {
-    look_at_nodes(nodes.body, f);
-    look_at_releases(s.link.get("/v1/releases").body, f);
-    look_at_workers(s.link.get("/v1/workers").body, s.link.get("/v1/assignments").body, s, f);
-    auto d = s.link.get("/v1/duties").body.at("rollout");
-    if (d.at("holder").string_or().empty()) f.add("nobody does the rollout duty");
-    if (number(d.at("term")) && d.at("understudy").string_or().empty())
-      f.add("the rollout leadership has no understudy");
+  std::string list;
+  for (const auto& finding : findings) {
+    if (!list.empty()) list += ",";
+    list += base::quote(finding);
   }
-  if (s.json) {
-    std::string b;
-    for (auto& x : f.all) b += (b.empty() ? "" : ",") + base::quote(x);
-    std::cout << "{\"findings\":[" << b << "]}\n";
+  std::cout << R"({"findings":[)" << list << "]}\n";
+}
+}  // namespace
+
+ExitStatus diagnose(Session& session) {
+  Findings findings;
+  bool reachable = check_seeds(session, findings);
+  auto nodes = session.client.get("/v1/nodes");
+  if (nodes.status != 200) {
+    findings.emplace_back(
+        reachable
+            ? "no majority of the holders answers: control is at a stand, relays turn callers away. Bring "
+              "holders back"
+            : "no seed answers: nothing more can be said from here");
   } else {
-    for (auto& x : f.all) std::cout << "- " << x << "\n";
-    if (f.all.empty()) std::cout << "nothing is wrong\n";
+    check_nodes(nodes.body, findings);
+    check_releases(session.client.get("/v1/releases").body, findings);
+    check_services(session, findings);
+    check_leaders(session.client.get("/v1/duties").body, findings);
   }
-  return f.all.empty() ? kOk : kNegative;
+  print_findings(session, findings);
+  return findings.empty() ? ExitStatus::ok : ExitStatus::negative;
 }
 
 }  // namespace dunlinwing::console
--- a/src/console/main.cpp
+++ b/src/console/main.cpp
@@ -1,7 +1,9 @@
-// The console program: operators' command line over the whole fleet.
+/// @file
+/// The console program: the operators' command line over the whole fleet.
 #include <gflags/gflags.h>
 
 #include <csignal>
+#include <cstdlib>
 #include <iostream>
 
 #include "base/log.hpp"
@@ -17,43 +19,57 @@
 using namespace dunlinwing;
 
 namespace {
+constexpr size_t kMaxResponseBytes = size_t{64} << 20;
+
 std::string usage() {
-  std::string s = "the operators' command line\n  console --seeds IP:PORT[,IP:PORT...] COMMAND\n";
-  for (auto& [n, c] : console::commands()) s += fmt::format("  {:<48} {}\n", c.form, c.what);
-  return s + "  exit: 0 fine, 1 not so, 2 usage, 3 not found, 4 rejected, 5 no answer, 6 fate unknown";
+  std::string text = "the operators' command line\n  console --seeds IP:PORT[,IP:PORT...] COMMAND\n";
+  for (const auto& [name, command] : console::commands())
+    text += fmt::format("  {:<48} {}\n", command.form, command.what);
+  return text + "  exit: 0 fine, 1 not so, 2 usage, 3 not found, 4 rejected, 5 no answer, 6 fate unknown";
 }
 
-int bad(const std::string& why) {
-  std::cerr << "console: " << why << "; see console --help\n";
-  return console::kUsage;
+int report_usage(const std::string& reason) {
+  std::cerr << "console: " << reason << "; see console --help\n";
+  return static_cast<int>(console::ExitStatus::usage);
 }
-}  // namespace
 
-int main(int argc, char** argv) {
-  gflags::SetUsageMessage(usage());
-  gflags::SetVersionString(kSoftware);
-  gflags::ParseCommandLineFlags(&argc, &argv, true);
-  if (argc < 2) return bad("no command is given");
-  auto f = console::commands().find(argv[1]);
-  if (f == console::commands().end()) return bad(fmt::format("there is no command \"{}\"", argv[1]));
-  std::vector<std::string> args(argv + 2, argv + argc);
-  if (args.size() < f->second.least || args.size() > f->second.most) return bad("usage: " + f->second.form);
-  console::ClientOptions r;
-  auto seeds = FLAGS_seeds;
-  if (auto* e = std::getenv("DUNLINWING_SEEDS"); seeds.empty() && e) seeds = e;
-  r.seeds = base::split_list(seeds, ',');
-  for (auto& x : r.seeds)
-    if (!net::split_address(x)) return bad("\"" + x + "\" is not IP:port");
-  if (r.seeds.empty()) return bad("--seeds names no relay");
+std::vector<std::string> seeds() {
+  auto text = FLAGS_seeds;
+  if (const auto* variable = std::getenv("DUNLINWING_SEEDS"); text.empty() && variable) text = variable;
+  return base::split_list(text, ',');
+}
+
+[[noreturn]] void run(const console::Command& command, const std::vector<std::string>& arguments,
+                      const std::vector<std::string>& seeds) {
   std::signal(SIGPIPE, SIG_IGN);
   net::EventLoopPool pool(1);
-  net::HttpClient http(64u << 20);
+  net::HttpClient http(kMaxResponseBytes);
   net::SystemClock clock;
   pool.run([&] {
-    console::Client link(http, r);
-    console::Session s{link, clock, args, FLAGS_json, FLAGS_reason, FLAGS_wait};
-    int rc = f->second.run(s);
+    console::Client client(http, seeds);
+    console::Session session{client, clock, arguments, FLAGS_json, FLAGS_reason, FLAGS_wait};
+    auto status = command.run(session);
     std::cout << std::flush;
-    net::EventLoopPool::stop(rc);
+    net::EventLoopPool::stop(static_cast<int>(status));
   });
 }
+}  // namespace
+
+int main(int argc, char** argv) {
+  gflags::SetUsageMessage(usage());
+  gflags::SetVersionString(kSoftware);
+  gflags::ParseCommandLineFlags(&argc, &argv, true);
+  if (argc < 2) return report_usage("no command is given");
+  auto found = console::commands().find(argv[1]);
+  if (found == console::commands().end())
+    return report_usage(fmt::format("there is no command \"{}\"", argv[1]));
+  const auto& command = found->second;
+  const std::vector<std::string> arguments(argv + 2, argv + argc);
+  if (arguments.size() < command.min_arguments || arguments.size() > command.max_arguments)
+    return report_usage("usage: " + command.form);
+  const auto addresses = seeds();
+  for (const auto& address : addresses)
+    if (!net::split_address(address)) return report_usage("\"" + address + "\" is not IP:port");
+  if (addresses.empty()) return report_usage("--seeds names no relay");
+  run(command, arguments, addresses);
+}
--- /dev/null
+++ b/src/console/session.hpp
@@ -0,0 +1,28 @@
+/// @file
+/// What one run of the console knows, and what it ends with.
+#pragma once
+#include "console/client.hpp"
+
+namespace dunlinwing::console {
+
+/// The exit statuses of the program; operators' scripts rely on the numbers.
+enum class ExitStatus {
+  ok = 0,
+  negative = 1,  ///< the answer is no: stopped, not done in time, something is wrong
+  usage = 2,
+  not_found = 3,
+  rejected = 4,
+  no_answer = 5,
+  outcome_unknown = 6,  ///< a change may have been made or not
+};
+
+struct Session {
+  Client& client;
+  base::Clock& clock;
+  std::vector<std::string> arguments;  ///< after the command
+  bool json = false;                   ///< give the relay's own JSON in place of tables
+  std::string reason;                  ///< for what is recorded with a reason; may be empty
+  int wait_seconds = 0;                ///< how long to follow something; 0: each command's own limit
+};
+
+}  // namespace dunlinwing::console
