--- a/src/membership/deregistered.cpp
+++ b/src/membership/deregistered.cpp
@@ -1,40 +1,49 @@
-// An instance's name is new with each start, so the oldest words can go: their last
-// beats are long past.
 #include "membership/deregistered.hpp"
 
 #include <algorithm>
 
 namespace dunlinwing::membership {
 namespace {
-constexpr int kMostKept = 512;
-constexpr int kTries = 16;
+// Names that the register holds at most. The oldest can go: the name of an instance is new with each
+// start, and their last heartbeats are long past.
+constexpr int kMaxInstances = 512;
+constexpr int kMaxAttempts = 16;  // writes, when others write between a read and a write
+
+bool contains(const pb::Deregistered& deregistered, const std::string& instance) {
+  const auto& instances = deregistered.instances();
+  return std::find(instances.begin(), instances.end(), instance) != instances.end();
+}
+
+void append(pb::Deregistered& deregistered, const std::string& instance) {
+  auto& instances = *deregistered.mutable_instances();
+  *instances.Add() = instance;
+  if (instances.size() > kMaxInstances) instances.DeleteSubrange(0, instances.size() - kMaxInstances);
+}
 }  // namespace
 
 bool deregister(consensus::RegisterClient& registers, const std::string& instance) {
-  auto g = registers.read(kDeregisteredKey);
-  auto* h = std::get_if<consensus::VersionedValue>(&g);
-  if (!h) return false;
-  auto now = *h;
-  for (int i = 0; i < kTries; ++i) {
-    pb::Deregistered d;
-    d.ParseFromString(now.data);
-    auto& v = *d.mutable_instances();
-    if (std::find(v.begin(), v.end(), instance) != v.end()) return true;
-    *v.Add() = instance;
-    if (v.size() > kMostKept) v.DeleteSubrange(0, v.size() - kMostKept);
-    auto w = registers.write(kDeregisteredKey, now.version, d.SerializeAsString());
-    if (std::holds_alternative<consensus::VersionedValue>(w)) return true;
-    auto* s = std::get_if<consensus::VersionConflict>(&w);
-    if (!s) return false;
-    now = s->current;
+  auto read = registers.read(kDeregisteredKey);
+  auto* found = std::get_if<consensus::VersionedValue>(&read);
+  if (!found) return false;
+  auto current = *found;
+  for (int i = 0; i < kMaxAttempts; ++i) {
+    pb::Deregistered deregistered;
+    deregistered.ParseFromString(current.data);
+    if (contains(deregistered, instance)) return true;
+    append(deregistered, instance);
+    auto result = registers.write(kDeregisteredKey, current.version, deregistered.SerializeAsString());
+    if (std::holds_alternative<consensus::VersionedValue>(result)) return true;
+    auto* conflict = std::get_if<consensus::VersionConflict>(&result);
+    if (!conflict) return false;
+    current = conflict->current;
   }
   return false;
 }
 
 std::set<std::string> read_deregistered(const std::string& data) {
-  pb::Deregistered d;
-  d.ParseFromString(data);
-  return {d.instances().begin(), d.instances().end()};
+  pb::Deregistered deregistered;
+  deregistered.ParseFromString(data);
+  return {deregistered.instances().begin(), deregistered.instances().end()};
 }
 
 }  // namespace dunlinwing::membership
--- a/src/membership/deregistered.hpp
+++ b/src/membership/deregistered.hpp
@@ -1,5 +1,6 @@
-// Workers that have said they leave. Their word is a register, since the relay that
-// was told may be gone in the next moment, and a worker need not say it twice.
+/// @file
+/// Backend instances that have announced that they end. The announcement is a register, since the node that
+/// took it may be gone in the next moment, and an instance need not announce it twice.
 #pragma once
 #include <set>
 
@@ -7,10 +8,14 @@
 
 namespace dunlinwing::membership {
 
+/// The name of the register that holds them.
 inline constexpr const char* kDeregisteredKey = "departed";
 
-// True once the word is recorded.
-bool deregister(consensus::RegisterClient& registers, const std::string& instance);
+/// Records that an instance ends. Waits for a quorum of the replicas.
+/// @return whether it is recorded; false: it may or may not be, and may be tried again
+[[nodiscard]] bool deregister(consensus::RegisterClient& registers, const std::string& instance);
+
+/// The names of the instances in the register's value.
 std::set<std::string> read_deregistered(const std::string& data);
 
 }  // namespace dunlinwing::membership
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -1,6 +1,3 @@
-// All are asked at once, each by a fiber of its own. A relay with a disk, which
-// remembers the set over a power cut, also tells seeds that know an older one or
-// none, so that those who ask them later find it there.
 #include "membership/discovery.hpp"
 
 #include <algorithm>
@@ -11,50 +8,56 @@
 namespace dunlinwing::membership {
 namespace {
 constexpr base::Log logger("membership");
-constexpr int kSilent = 2;          // bounds without a read lease after which others are asked
-constexpr int kChecksPerBound = 4;  // whether to ask others, or (once a bound) to tell the seeds
-}  // namespace
-
-namespace {
-void read_replicas(const base::Json& list, google::protobuf::RepeatedPtrField<pb::ReplicaEntry>& out) {
-  for (auto& item : list.items()) {
-    auto* entry = out.Add();
+constexpr int kBoundsToSearch = 2;     // without a read lease for so many bounds, other nodes are asked
+constexpr int kChecksPerBound = 4;     // whether other nodes or the seeds are to be called
+constexpr int kSearchesPerBound = 16;  // while no replica is known
+constexpr int kCallsPerBound = 4;      // a call may take the fourth part of a bound
+
+void read_replicas(const base::Json& list, google::protobuf::RepeatedPtrField<pb::ReplicaEntry>& replicas) {
+  for (const auto& item : list.items()) {
+    auto* entry = replicas.Add();
     entry->set_name(item.at("name").string_or());
     entry->set_address(item.at("address").string_or());
   }
 }
+
+void sort_unique(std::vector<std::string>& texts) {
+  std::sort(texts.begin(), texts.end());
+  texts.erase(std::unique(texts.begin(), texts.end()), texts.end());
+}
 }  // namespace
 
 std::optional<NodeIdentity> parse_node_identity(std::string_view body) {
-  auto p = base::Json::parse(body);
-  auto* j = std::get_if<base::Json>(&p);
-  if (!j) return {};
-  NodeIdentity s{j->at("name").string_or(),
-                 j->at("zone").string_or(),
-                 j->at("peer_address").string_or(),
-                 j->at("disk").bool_or(),
-                 {}};
-  if (s.name.empty() || s.peer_address.empty()) return {};
-  s.replica_set.set_epoch(static_cast<uint64_t>(std::max<int64_t>(0, j->at("epoch").integer_or())));
-  read_replicas(j->at("holders"), *s.replica_set.mutable_replicas());
-  read_replicas(j->at("previous"), *s.replica_set.mutable_previous());
-  return s;
+  auto parsed = base::Json::parse(body);
+  auto* json = std::get_if<base::Json>(&parsed);
+  if (!json) return {};
+  NodeIdentity identity{json->at("name").string_or(),
+                        json->at("zone").string_or(),
+                        json->at("peer_address").string_or(),
+                        json->at("disk").bool_or(),
+                        {}};
+  if (identity.name.empty() || identity.peer_address.empty()) return {};
+  auto epoch = std::max<int64_t>(0, json->at("epoch").integer_or());
+  identity.replica_set.set_epoch(static_cast<uint64_t>(epoch));
+  read_replicas(json->at("holders"), *identity.replica_set.mutable_replicas());
+  read_replicas(json->at("previous"), *identity.replica_set.mutable_previous());
+  return identity;
 }
 
 std::optional<pb::ReplicaSet> first_set(const std::vector<NodeIdentity>& seeds) {
-  std::map<std::string, std::string> by;
-  for (auto& s : seeds) {
-    if (!s.disk) continue;
-    auto [f, fresh] = by.emplace(s.name, s.peer_address);
-    if (!fresh && f->second != s.peer_address) return {};
+  std::map<std::string, std::string> addresses;  // by name, so that the order is the same on every node
+  for (const auto& seed : seeds) {
+    if (!seed.disk) continue;
+    auto [known, inserted] = addresses.emplace(seed.name, seed.peer_address);
+    if (!inserted && known->second != seed.peer_address) return {};
   }
-  if (by.empty()) return {};
+  if (addresses.empty()) return {};
   pb::ReplicaSet set;
   set.set_epoch(1);
-  for (auto& [n, a] : by) {
-    auto* e = set.add_replicas();
-    e->set_name(n);
-    e->set_address(a);
+  for (const auto& [name, address] : addresses) {
+    auto* entry = set.add_replicas();
+    entry->set_name(name);
+    entry->set_address(address);
   }
   return set;
 }
@@ -63,138 +66,167 @@
   for (size_t i = known.size(); i > 1; --i) std::swap(known[i - 1], known[random.below(i)]);
   size_t with_disk = 0, without = 0;
   std::vector<std::string> addresses;
-  for (auto& member : known)
+  for (const auto& member : known)
     if ((member.info.disk() ? with_disk : without)++ < kContactsPerKind)
       addresses.push_back(member.info.http_address());
   return addresses;
 }
 
-struct Discovery::Impl {
+struct Discovery::Impl : std::enable_shared_from_this<Impl> {
+  using Identities = std::map<std::string, NodeIdentity>;  // by the address that was asked
+
   base::Ports& ports;
   DiscoveryConfig config;
   consensus::RegisterClient& registers;
   StateCache& state_cache;
-  consensus::Acceptor* mine;
-  std::vector<std::string> origin;           // the seeds of the first start, when this was it
-  std::map<std::string, NodeIdentity> told;  // by those seeds
-  TimePoint good{0}, looked{0}, sought{0};
-  std::string said;
-
-  Impl(base::Ports& ports, DiscoveryConfig cc, consensus::RegisterClient& b, StateCache& m,
-       consensus::Acceptor* a)
-      : ports(ports), config(std::move(cc)), registers(b), state_cache(m), mine(a) {}
-
-  // By address, from all that answer in time.
-  std::map<std::string, NodeIdentity> ask(const std::vector<std::string>& at, Duration limit) {
-    struct Table {
-      std::map<std::string, NodeIdentity> got;
-      size_t left;
-      std::shared_ptr<base::Condition> condition;
-    };
-    auto t = std::make_shared<Table>(Table{{}, at.size(), ports.tasks.condition()});
+  consensus::Acceptor* local_acceptor;     ///< null: this node has no replica
+  std::vector<std::string> initial_seeds;  ///< the seeds of the fleet's first start; none at any other
+  Identities initial_identities;           ///< of the initial seeds that have answered so far
+  TimePoint last_read_lease{0};            ///< when the read lease was last seen to stand
+  TimePoint last_seed_update{0};           ///< when the seeds were last brought up to date
+  TimePoint last_search{0};
+  std::string last_warning;  ///< so that the same one is not logged again and again
+
+  Impl(base::Ports& ports, DiscoveryConfig config, consensus::RegisterClient& registers,
+       StateCache& state_cache, consensus::Acceptor* local_acceptor)
+      : ports(ports),
+        config(std::move(config)),
+        registers(registers),
+        state_cache(state_cache),
+        local_acceptor(local_acceptor) {}
+
+  Duration call_limit() const { return config.bound / kCallsPerBound; }
+
+  /// The responses under way of one ask().
+  struct Responses {
+    Identities identities;
+    size_t outstanding;
+    std::shared_ptr<base::Condition> condition;
+  };
+
+  /// Asks all addresses at once, each by a task of its own; the identities of those that answer in time.
+  Identities ask(const std::vector<std::string>& addresses) {
+    auto limit = call_limit();
+    auto responses = std::make_shared<Responses>(Responses{{}, addresses.size(), ports.tasks.condition()});
     TimePoint end = ports.clock.now() + limit;
-    for (auto& a : at)
-      ports.tasks.spawn([t, a, limit, this, hold = weak.lock()] {
-        auto r = ports.origin.send(a, {"", "GET", "/v1/self", "", {}}, limit);
-        auto* x = std::get_if<base::Response>(&r);
-        if (x && x->status == 200)
-          if (auto s = parse_node_identity(x->body)) t->got[a] = *s;
-        --t->left;
-        t->condition->notify();
+    for (const auto& address : addresses)
+      ports.tasks.spawn([self = shared_from_this(), responses, address, limit] {
+        auto result = self->ports.origin.send(address, {"", "GET", "/v1/self", "", {}}, limit);
+        auto* response = std::get_if<base::Response>(&result);
+        if (response && response->status == 200)
+          if (auto identity = parse_node_identity(response->body)) responses->identities[address] = *identity;
+        --responses->outstanding;
+        responses->condition->notify();
       });
-    while (t->left && ports.clock.now() < end) t->condition->wait(end - ports.clock.now());
-    return t->got;
+    while (responses->outstanding && ports.clock.now() < end)
+      responses->condition->wait(end - ports.clock.now());
+    return responses->identities;
   }
 
-  void say(const std::string& what) {
-    if (what != std::exchange(said, what)) logger.warn("{}: {}", config.node_name, what);
+  void warn_once(const std::string& warning) {
+    if (warning != std::exchange(last_warning, warning)) logger.warn("{}: {}", config.node_name, warning);
   }
 
-  bool adopt(const pb::ReplicaSet& set, const std::string& who) {
+  /// @param source  where the set comes from, for the log
+  bool adopt(const pb::ReplicaSet& set, const std::string& source) {
     if (!registers.set().adopt(set)) return false;
-    logger.info("{}: {} the holders of epoch {}, {} of them.", config.node_name, who, set.epoch(),
+    logger.info("{}: {} the replicas of epoch {}, {} of them.", config.node_name, source, set.epoch(),
                 set.replicas_size());
-    if (mine) mine->adopt(set);
+    if (local_acceptor) local_acceptor->adopt(set);
     return true;
   }
 
-  void look() {
-    auto at = config.seeds;
-    for (auto& a : origin) at.push_back(a);
+  std::vector<std::string> search_addresses() {
+    auto addresses = config.seeds;
+    addresses.insert(addresses.end(), initial_seeds.begin(), initial_seeds.end());
     for (auto& address : draw_contacts(state_cache.statuses().all(ports.clock.now()), ports.random))
-      at.push_back(address);
-    std::sort(at.begin(), at.end());
-    at.erase(std::unique(at.begin(), at.end()), at.end());
-    std::erase(at, std::string());
-    auto got = ask(at, config.bound / 4);
-    const std::pair<const std::string, NodeIdentity>* best = nullptr;
-    for (auto& x : got)
-      if (!best || x.second.replica_set.epoch() > best->second.replica_set.epoch()) best = &x;
-    if (best && adopt(best->second.replica_set, best->first + " named")) return;
-    if (!registers.replicas().empty() || origin.empty()) return;
-    for (auto& a : origin)
-      if (got.count(a)) told[a] = got[a];
-    if (told.size() < origin.size())
-      return say("not all seeds have answered yet, so the first set of holders is not known.");
-    std::vector<NodeIdentity> all;
-    for (auto& [a, s] : told) all.push_back(s);
-    auto set = first_set(all);
-    if (!set) return say("no seed has a disk, or two go by one name: there is no first set of holders.");
+      addresses.push_back(std::move(address));
+    sort_unique(addresses);
+    std::erase(addresses, std::string());
+    return addresses;
+  }
+
+  /// Asks the seeds and a few other nodes for a later replica set than the one known.
+  void search() {
+    auto identities = ask(search_addresses());
+    auto latest = std::max_element(identities.begin(), identities.end(), [](auto& left, auto& right) {
+      return left.second.replica_set.epoch() < right.second.replica_set.epoch();
+    });
+    if (latest != identities.end() && adopt(latest->second.replica_set, latest->first + " named")) return;
+    if (registers.replicas().empty() && !initial_seeds.empty()) form_first_set(identities);
+  }
+
+  /// At the fleet's first start: once all initial seeds have answered, those with a disk are the replicas.
+  void form_first_set(const Identities& identities) {
+    for (const auto& address : initial_seeds)
+      if (auto identity = identities.find(address); identity != identities.end())
+        initial_identities[address] = identity->second;
+    if (initial_identities.size() < initial_seeds.size())
+      return warn_once("not all seeds have answered yet, so the first replica set is not known.");
+    std::vector<NodeIdentity> seeds;
+    for (const auto& [address, identity] : initial_identities) seeds.push_back(identity);
+    auto set = first_set(seeds);
+    if (!set)
+      return warn_once("no seed has a disk, or two have the same name: there is no first replica set.");
     adopt(*set, "first start: the seeds with a disk are");
   }
 
-  void tell() {
+  /// Passes the set on to seeds that know an older one or none, so that nodes which ask them later find it
+  /// there.
+  void update_seeds() {
     auto set = registers.set().message();
-    for (auto& [a, s] : ask(config.seeds, config.bound / 4)) {
-      if (s.name == config.node_name || s.replica_set.epoch() >= set.epoch()) continue;
-      pb::PeerRequest q;
-      *q.mutable_adopt()->mutable_replica_set() = set;
-      ports.peers.call(s.peer_address, q, config.bound / 4);
+    for (const auto& [address, identity] : ask(config.seeds)) {
+      if (identity.name == config.node_name || identity.replica_set.epoch() >= set.epoch()) continue;
+      pb::PeerRequest request;
+      *request.mutable_adopt()->mutable_replica_set() = set;
+      ports.peers.call(identity.peer_address, request, call_limit());
     }
   }
 
-  void run() {
-    auto first = mine ? mine->initial_boot() : std::nullopt;
-    if (first) origin.assign(first->seeds().begin(), first->seeds().end());
-    if (!mine && config.initial_boot) origin = config.seeds;
-    std::sort(origin.begin(), origin.end());
-    origin.erase(std::unique(origin.begin(), origin.end()), origin.end());
-    good = ports.clock.now();
-    for (;;) {
-      TimePoint now = ports.clock.now();
-      if (state_cache.has_read_lease()) good = now;
-      if (registers.replicas().empty()) {
-        look();
-        ports.clock.sleep(config.bound / 16);
-        continue;
-      }
-      if (now - good >= config.bound * kSilent) {
-        if (now - sought >= config.bound) {
-          sought = now;
-          look();
-        }
-      } else if (mine && registers.set().epoch() && now - looked >= config.bound) {
-        looked = now;
-        tell();
-      }
-      ports.clock.sleep(config.bound / kChecksPerBound);
+  void find_initial_seeds() {
+    auto first = local_acceptor ? local_acceptor->initial_boot() : std::nullopt;
+    if (first) initial_seeds.assign(first->seeds().begin(), first->seeds().end());
+    if (!local_acceptor && config.initial_boot) initial_seeds = config.seeds;
+    sort_unique(initial_seeds);
+  }
+
+  /// One check; how long to wait for the next one.
+  Duration check() {
+    TimePoint now = ports.clock.now();
+    if (state_cache.has_read_lease()) last_read_lease = now;
+    if (registers.replicas().empty()) {
+      search();
+      return config.bound / kSearchesPerBound;
     }
+    bool lost = now - last_read_lease >= config.bound * kBoundsToSearch;
+    // Only a node with a disk remembers the set over a power cut.
+    bool may_update = local_acceptor && registers.set().epoch();
+    if (lost && now - last_search >= config.bound) {
+      last_search = now;
+      search();
+    } else if (!lost && may_update && now - last_seed_update >= config.bound) {
+      last_seed_update = now;
+      update_seeds();
+    }
+    return config.bound / kChecksPerBound;
   }
 
-  std::weak_ptr<Impl> weak;
+  void run() {
+    find_initial_seeds();
+    last_read_lease = ports.clock.now();
+    for (;;) ports.clock.sleep(check());
+  }
 };
 
 Discovery::Discovery(base::Ports& ports, DiscoveryConfig config, consensus::RegisterClient& registers,
-                     StateCache& state_cache, consensus::Acceptor* mine)
-    : impl_(std::make_shared<Impl>(ports, std::move(config), registers, state_cache, mine)) {
-  impl_->weak = impl_;
-}
+                     StateCache& state_cache, consensus::Acceptor* local_acceptor)
+    : impl_(std::make_shared<Impl>(ports, std::move(config), registers, state_cache, local_acceptor)) {}
 Discovery::~Discovery() = default;
 
 void Discovery::start() {
-  impl_->ports.tasks.spawn([p = impl_] { p->run(); });
+  impl_->ports.tasks.spawn([impl = impl_] { impl->run(); });
 }
 
-void Discovery::seeds(std::vector<std::string> addresses) { impl_->config.seeds = std::move(addresses); }
+void Discovery::set_seeds(std::vector<std::string> addresses) { impl_->config.seeds = std::move(addresses); }
 
 }  // namespace dunlinwing::membership
--- a/src/membership/leadership.cpp
+++ b/src/membership/leadership.cpp
@@ -1,16 +1,23 @@
-// The read_lease's span is twice the bound; its holder renews at a quarter of it
-// and counts it from before the write, three quarters long. Others count the
-// whole span from when they saw the last renewal, so no clocks are compared.
 #include "membership/leadership.hpp"
 
 #include "base/log.hpp"
 
 namespace dunlinwing::membership {
 namespace {
-constexpr base::Log logger("duty");
-}
+constexpr base::Log logger("leadership");
+
+// Whether this node may be the leader.
+enum class Participation {
+  candidate,  // acquires the leadership when its lease has lapsed, and renews it
+  passive,    // acquires none, and gives up the one it has
+  ended,      // as passive, and for good
+};
 
-std::string leadership_key(const std::string& n) { return "duty/" + n; }
+constexpr int kChecksPerSpan = 8;
+constexpr int kJitterPerSpan = 16;  // between two checks, a random time of at most this part of the span
+}  // namespace
+
+std::string leadership_key(const std::string& name) { return "duty/" + name; }
 
 struct Leadership::Impl {
   base::Ports& ports;
@@ -18,92 +25,128 @@
   StateCache& state_cache;
   std::string name, node_name, zone;
   Duration span;
-  bool leaving = false, resting = false;
-  TimePoint end{0}, seen{0};
-  uint64_t term = 0, version = 0, seen_version = 0;
-  pb::LeaderLease mine;
-
-  pb::LeaderLease known() const {
-    pb::LeaderLease p;
-    auto f = state_cache.chosen().find(leadership_key(name));
-    if (f != state_cache.chosen().end()) p.ParseFromString(f->second.data);
-    return p;
+  Participation participation = Participation::candidate;
+  TimePoint lease_end{0};  ///< until when this node is the leader; never later than others may take over
+  uint64_t term = 0;       ///< of the lease that this node acquired last
+  uint64_t version = 0;    ///< of the register that holds `lease`
+  pb::LeaderLease lease;   ///< as this node wrote it last
+  uint64_t seen_version =
+      0;  ///< of the register, when this node last saw it change; what follows is since then
+  TimePoint seen_at{0};
+
+  bool has_lease() const { return ports.clock.now() < lease_end; }
+
+  /// The register as the last pull found it; version 0: nothing was ever written.
+  consensus::VersionedValue known_value() const {
+    auto found = state_cache.chosen().find(leadership_key(name));
+    return found == state_cache.chosen().end() ? consensus::VersionedValue{} : found->second;
   }
 
-  // A member that could take over, in another zone when there is one.
-  std::string understudy() const {
-    std::string other;
-    for (auto& m : state_cache.statuses().members(ports.clock.now())) {
-      if (!m.info.replica() || m.info.drained() || m.name == node_name) continue;
-      if (m.info.zone() != zone) return m.name;
-      if (other.empty()) other = m.name;
-    }
-    return other;
+  static pb::LeaderLease parse(const consensus::VersionedValue& value) {
+    pb::LeaderLease lease;
+    lease.ParseFromString(value.data);
+    return lease;
   }
 
-  bool put(pb::LeaderLease p, uint64_t expect) {
-    TimePoint from = ports.clock.now();
-    auto r = registers.write(leadership_key(name), expect, p.SerializeAsString());
-    if (auto* h = std::get_if<consensus::VersionedValue>(&r)) {
-      version = h->version;
-      mine = p;
-      term = p.term();
-      end = from + span * 3 / 4;
-      return true;
+  /// A member that could take over, in another zone when there is one.
+  std::string choose_standby() const {
+    std::string same_zone;
+    for (const auto& member : state_cache.statuses().members(ports.clock.now())) {
+      if (!member.info.replica() || member.info.drained() || member.name == node_name) continue;
+      if (member.info.zone() != zone) return member.name;
+      if (same_zone.empty()) same_zone = member.name;
     }
-    // Whatever the fate of a renewal, the old read_lease stands only until its own end.
-    return false;
+    return same_zone;
+  }
+
+  /// Writes the lease over the version `expected`. When the write fails, whatever became of it, the lease
+  /// of before stands until its own end only.
+  bool write(const pb::LeaderLease& next, uint64_t expected) {
+    TimePoint begin = ports.clock.now();
+    auto result = registers.write(leadership_key(name), expected, next.SerializeAsString());
+    auto* written = std::get_if<consensus::VersionedValue>(&result);
+    if (!written) return false;
+    version = written->version;
+    lease = next;
+    term = next.term();
+    lease_end = begin + span * 3 / 4;
+    return true;
   }
 
   void renew() {
-    pb::LeaderLease p = mine;
-    p.set_renewals(p.renewals() + 1);
-    p.set_standby(understudy());
-    if (put(p, version)) return;
-    auto g = registers.read(leadership_key(name));
-    if (auto* h = std::get_if<consensus::VersionedValue>(&g)) {
-      pb::LeaderLease now;
-      now.ParseFromString(h->data);
-      if (now.leader() == node_name && now.term() == term) {
-        version = h->version;
-        mine = now;
-        return;
-      }
-      end = TimePoint(0);
-      logger.warn("{}: the leadership {} passed to {}.", node_name, name,
-                  now.leader().empty() ? "nobody" : now.leader());
+    pb::LeaderLease next = lease;
+    next.set_renewals(next.renewals() + 1);
+    next.set_standby(choose_standby());
+    if (!write(next, version)) check_lease_after_failure();
+  }
+
+  /// After a renewal that failed: it may have been written all the same, or another node may be the leader.
+  void check_lease_after_failure() {
+    auto read = registers.read(leadership_key(name));
+    auto* found = std::get_if<consensus::VersionedValue>(&read);
+    if (!found) return;
+    auto current = parse(*found);
+    if (current.leader() == node_name && current.term() == term) {
+      version = found->version;
+      lease = current;
+      return;
     }
+    lease_end = TimePoint(0);
+    logger.warn("{}: the leadership {} passed to {}.", node_name, name,
+                current.leader().empty() ? "nobody" : current.leader());
   }
 
   void give_up() {
-    pb::LeaderLease p = mine;
-    p.set_leader("");
-    put(p, version);
-    end = TimePoint(0);
-    logger.info("{}: handed the leadership {} over to {}.", node_name, name, p.standby());
+    pb::LeaderLease next = lease;
+    next.set_leader("");
+    write(next, version);
+    lease_end = TimePoint(0);
+    logger.info("{}: handed the leadership {} over to {}.", node_name, name, next.standby());
   }
 
-  void stand() {
-    auto f = state_cache.chosen().find(leadership_key(name));
+  /// How long after the last change of the register this node may take the leadership over.
+  Duration takeover_wait(const pb::LeaderLease& current) const {
+    bool is_standby = current.standby() == node_name;
+    if (current.leader().empty()) return current.standby().empty() || is_standby ? Duration(0) : span;
+    return is_standby ? span : span * 3 / 2;
+  }
+
+  void try_acquire() {
+    auto value = known_value();
+    auto current = parse(value);
     TimePoint now = ports.clock.now();
-    uint64_t v = f == state_cache.chosen().end() ? 0 : f->second.version;
-    pb::LeaderLease p = known();
-    if (v != seen_version || seen == TimePoint(0)) {
-      seen_version = v;
-      seen = now;
-      if (!p.leader().empty()) return;
+    if (value.version != seen_version || seen_at == TimePoint(0)) {
+      seen_version = value.version;
+      seen_at = now;
+      if (!current.leader().empty()) return;
+    }
+    if (now - seen_at < takeover_wait(current)) return;
+    pb::LeaderLease next;
+    next.set_leader(node_name);
+    next.set_term(current.term() + 1);
+    next.set_span_ms(static_cast<uint64_t>(span.count()));
+    next.set_standby(choose_standby());
+    if (write(next, value.version))
+      logger.info("{}: acquired the leadership {} under term {}.", node_name, name, next.term());
+  }
+
+  /// Does what the state asks for: renews the lease, gives it up, or tries to acquire it.
+  void check() {
+    bool candidate = participation == Participation::candidate;
+    if (has_lease() && candidate)
+      renew();
+    else if (has_lease())
+      give_up();
+    else if (candidate && state_cache.has_read_lease())
+      try_acquire();
+  }
+
+  void run() {
+    while (participation != Participation::ended) {
+      check();
+      auto jitter = ports.random.below(static_cast<uint64_t>(span.count()) / kJitterPerSpan + 1);
+      ports.clock.sleep(span / kChecksPerSpan + Duration(jitter));
     }
-    Duration wait = span;
-    if (p.leader().empty()) wait = Duration(0);
-    if (p.leader().empty() && !p.standby().empty() && p.standby() != node_name) wait = span;
-    if (!p.leader().empty() && p.standby() != node_name) wait = span * 3 / 2;
-    if (now - seen < wait) return;
-    pb::LeaderLease n;
-    n.set_leader(node_name);
-    n.set_term(p.term() + 1);
-    n.set_span_ms(static_cast<uint64_t>(span.count()));
-    n.set_standby(understudy());
-    if (put(n, v)) logger.info("{}: took the leadership {} under term {}.", node_name, name, n.term());
   }
 };
 
@@ -114,32 +157,25 @@
 Leadership::~Leadership() = default;
 
 void Leadership::start() {
-  impl_->ports.tasks.spawn([p = impl_] {
-    while (!p->leaving) {
-      bool had = p->ports.clock.now() < p->end;
-      if (had && p->resting)
-        p->give_up();
-      else if (had)
-        p->renew();
-      else if (p->state_cache.has_read_lease() && !p->resting)
-        p->stand();
-      p->ports.clock.sleep(p->span / 8 +
-                           Duration(p->ports.random.below(static_cast<uint64_t>(p->span.count()) / 16 + 1)));
-    }
-  });
+  impl_->ports.tasks.spawn([impl = impl_] { impl->run(); });
 }
 
-bool Leadership::held() const { return !impl_->leaving && impl_->ports.clock.now() < impl_->end; }
+bool Leadership::held() const {
+  return impl_->participation != Participation::ended && impl_->ports.clock.now() < impl_->lease_end;
+}
 uint64_t Leadership::term() const { return impl_->term; }
-pb::LeaderLease Leadership::known_lease() const { return impl_->known(); }
+pb::LeaderLease Leadership::known_lease() const { return Impl::parse(impl_->known_value()); }
 Duration Leadership::span() const { return impl_->span; }
 
-void Leadership::set_passive(bool on) { impl_->resting = on; }
+void Leadership::set_passive(bool passive) {
+  if (impl_->participation == Participation::ended) return;
+  impl_->participation = passive ? Participation::passive : Participation::candidate;
+}
 
 void Leadership::transfer() {
-  bool had = held();
-  impl_->leaving = true;
-  if (had) impl_->give_up();
+  bool was_leader = held();
+  impl_->participation = Participation::ended;
+  if (was_leader) impl_->give_up();
 }
 
 }  // namespace dunlinwing::membership
--- a/src/membership/leadership_fence.hpp
+++ b/src/membership/leadership_fence.hpp
@@ -1,35 +1,43 @@
-// The fence around what is written under the rollout leadership. Each such value carries the
-// term of the lease under which it was decided. A leader that was frozen, cut off or
-// restarted between a decision and its write changes nothing: its lease has ended, or the
-// lease it has now is of another term than the decision, or the value names a higher term,
-// or its compare-and-set meets the version that its successor wrote when it took up.
+/// @file
+/// The fence around what is written under the rollout leadership. Each such value carries the term of the
+/// lease under which it was decided. A leader that was frozen, cut off or restarted between a decision and
+/// its write changes nothing: its lease has ended, or its present lease is of another term than the decision,
+/// or the value names a higher term, or its compare-and-set meets the version that its successor wrote when
+/// it took over. Used by the thread that runs control only.
 #pragma once
 #include "consensus/register_client.hpp"
 #include "membership/leadership.hpp"
 
 namespace dunlinwing::membership {
 
-// What is known right before a write.
+/// What is known of this node's lease right before a write.
 struct LeaseObservation {
   bool held = false;
   uint64_t term = 0;
 };
 
-// Whether what was decided under `decided` may replace a value that carries `in_force`. Pure.
-bool may_replace(const LeaseObservation& lease, uint64_t decided, uint64_t in_force);
+/// Whether what was decided under the term `decided` may replace a value that carries the term `in_force`.
+/// Pure.
+[[nodiscard]] bool may_replace(const LeaseObservation& lease, uint64_t decided, uint64_t in_force);
 
+/// Binds decisions to the lease under which they were made.
 class LeadershipFence {
  public:
-  explicit LeadershipFence(membership::Leadership& leadership) : leadership_(leadership) {}
-  // Begins a look at the state: what is decided from here on belongs to the lease held now.
-  // True when that lease is not the one of before, so that nothing seen earlier counts.
+  /// @param leadership  has to outlive the fence
+  explicit LeadershipFence(Leadership& leadership) : leadership_(leadership) {}
+
+  /// Begins to observe the state: what is decided from here on belongs to the present lease.
+  /// @return whether that lease is not the one of before, so that no earlier observation counts
   bool begin();
+
+  /// The term of the decisions since begin().
   uint64_t term() const { return term_; }
-  // Whether the decision still stands against a value of this term; asked right before each act.
-  bool allows(uint64_t in_force) const;
 
-  // Writes `next`, under this term, in place of the value of `version` whose term is `in_force`.
-  // Nothing when the fence forbids it or the write failed; the register is then to be read anew.
+  /// Whether the decision still stands against a value of the term `in_force`; asked right before each act.
+  [[nodiscard]] bool allows(uint64_t in_force) const;
+
+  /// Writes `next`, under this term, in place of the value of `version` whose term is `in_force`.
+  /// @return nothing when the fence forbids it or the write failed; the register is then to be read anew
   template <class State>
   std::optional<consensus::VersionedValue> write(consensus::RegisterClient& registers, const std::string& key,
                                                  uint64_t version, uint64_t in_force, State& next) const {
@@ -41,8 +49,8 @@
   }
 
  private:
-  membership::Leadership& leadership_;
-  uint64_t term_ = 0;
+  Leadership& leadership_;
+  uint64_t term_ = 0;  ///< of the lease at the last begin(); 0: none yet
 };
 
 }  // namespace dunlinwing::membership
--- a/src/membership/replica_responses.hpp
+++ b/src/membership/replica_responses.hpp
@@ -1,5 +1,6 @@
-// What each replica last told this node of its registers, and when: the ground on which a
-// node takes a register's value for chosen. Does no I/O; used by the thread that runs control.
+/// @file
+/// What each replica last reported to this node of its registers, and when: the evidence by which a node
+/// takes a register's value for chosen. Does no I/O; used by the thread that runs control only.
 #pragma once
 #include <map>
 #include <string>
@@ -9,48 +10,57 @@
 
 namespace dunlinwing::membership {
 
-// How long ago a replica last answered, and last answered as one that votes.
+/// How long ago a replica last responded, and last responded as one that votes.
 struct ReplicaContact {
   Duration since_response{0}, since_vote{0};
 };
 
 class ReplicaResponses {
  public:
-  // `word_limit`: how long an answer counts, from the moment it was asked for. An older one may
-  // come from a disk that was lost since.
-  explicit ReplicaResponses(Duration word_limit) : word_limit_(word_limit) {}
-
-  // Takes an answer to what was asked at `asked`; the names of the registers that it tells of.
-  std::vector<std::string> take(const std::string& replica, const pb::PullResponse& reply, TimePoint asked,
-                                TimePoint now);
-  // States in `pull` from where the replica is to go on telling.
+  /// @param lifetime  how long a response counts, from the moment its request was sent. An older one may
+  ///                  come from a disk that was lost since
+  explicit ReplicaResponses(Duration lifetime) : lifetime_(lifetime) {}
+
+  /// Takes the response to a request that was sent at `requested_at`.
+  /// @return the names of the registers that it reports
+  std::vector<std::string> take(const std::string& replica, const pb::PullResponse& response,
+                                TimePoint requested_at, TimePoint now);
+
+  /// Sets in `pull` from where on the replica is to report.
   void set_position(const std::string& replica, pb::PullRequest& pull) const;
-  // The names of all registers that anyone told of.
+
+  /// The names of all registers that any replica reported, sorted.
   std::vector<std::string> names() const;
-  // What a replica last told of a register; null: nothing.
+
+  /// What a replica last reported of a register; null: nothing.
   const pb::RegisterState* reported_by(const std::string& replica, const std::string& name) const;
-  // The latest state known for a register, when a quorum of `set` has accepted its ballot and
-  // said so in time; else null.
+
+  /// The latest state known of a register, when a quorum of `set` has accepted its ballot and reported so
+  /// within the lifetime of responses; else null. A state that a replica copied in a refill is no vote.
   const pb::RegisterState* latest_at_quorum(const consensus::ReplicaSetView& set, const std::string& name,
                                             TimePoint now) const;
-  // Whether the replica answered as one that votes less than `within` ago.
+
+  /// Whether the replica responded as one that votes less than `within` ago.
   bool voted_within(const std::string& replica, TimePoint now, Duration within) const;
-  // Counted from `since` for what never was, or was before.
+
+  /// Ages count from `since` where there was no response after it.
   ReplicaContact contact(const std::string& replica, TimePoint now, TimePoint since) const;
 
  private:
-  struct Answers {
-    uint64_t boot = 0, seen = 0;
-    TimePoint answered{0};
-    TimePoint asked{0};  // when the ask began that it last answered
-    TimePoint voted{0};  // when it last answered and was not mute
-    std::map<std::string, pb::RegisterState> registers;
+  struct Report {
+    uint64_t boot_id = 0;       ///< of the process that responded last
+    uint64_t position = 0;      ///< in its register changes, up to which it reported
+    TimePoint responded_at{0};  ///< 0: never
+    TimePoint requested_at{0};  ///< when the request was sent that it responded to last
+    TimePoint voted_at{0};      ///< when it last responded as one that votes; 0: never
+    std::map<std::string, pb::RegisterState> registers;  ///< by name, as reported by this process
   };
-  const Answers* find(const std::string& replica) const;
-  bool told_in_time(const std::string& replica, TimePoint now) const;
 
-  Duration word_limit_;
-  std::map<std::string, Answers> by_replica_;
+  const Report* find(const std::string& replica) const;
+  bool responded_in_time(const std::string& replica, TimePoint now) const;
+
+  Duration lifetime_;
+  std::map<std::string, Report> reports_;  ///< by replica
 };
 
 }  // namespace dunlinwing::membership
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -1,11 +1,3 @@
-// One pull asks one replica first and, with what that one told, the others at once, so that
-// each status comes once and not from everybody. It goes on when all have answered or an
-// eighth of the bound has passed. It is good when a quorum of voting replicas answered whole
-// and every register whose latest ballot is not at a quorum has been finished by a read.
-// Whatever was acknowledged before such a pull began is then in `chosen`.
-//
-// A reply is bounded in size, and the next pull goes on where it ended: a node that lacks
-// much, as after a start, comes to know it over a thin or busy link too.
 #include "membership/state_cache.hpp"
 
 #include <algorithm>
@@ -19,160 +11,177 @@
 namespace dunlinwing::membership {
 namespace {
 constexpr base::Log logger("membership");
+// With so many nodes, one without a replica asks no more replicas than it needs.
 constexpr size_t kLargeFleet = 32;
-// In one reply: so much at the least, and for each known node more than it says of itself, for
-// what changes between two pulls must always fit.
-constexpr uint64_t kLeastBytesPulled = 64 << 10, kBytesPulledPerNode = 2 << 10;
+// What a node takes in one response: so much at the least, and for each known node more than its status
+// takes, for what changes between two pulls must always fit.
+constexpr uint64_t kMinResponseBytes = 64 << 10, kResponseBytesPerNode = 2 << 10;
+constexpr int kOwnStatusesPerBound = 4;  // at the least, also when nothing urgent has changed
+
+/// What must be passed on at once, as a text to compare; the rest (counters, clocks, ages) may wait.
+std::string urgent_part(const pb::NodeStatus& status) {
+  pb::NodeStatus node;
+  *node.mutable_node() = status.node();
+  node.mutable_node()->clear_wall_ms();
+  node.mutable_node()->clear_running();
+  std::string text = node.SerializeAsString();
+  // In the order of their keys, which a protobuf map does not have.
+  std::map<std::string, std::string> running(status.node().running().begin(), status.node().running().end());
+  for (const auto& [kind, release] : running) text += kind + "=" + release + ";";
+  for (const auto& counts : status.canary_counts())
+    text += fmt::format("{}:{}:{}{};", counts.service(), counts.number(), counts.bad(), counts.aborted());
+  for (const auto& heartbeat : status.heartbeats())
+    text += fmt::format("{}/{}{};", heartbeat.instance(), heartbeat.leaving() ? 0 : heartbeat.sequence(),
+                        heartbeat.leaving());
+  return text;
+}
 }  // namespace
 
 struct StateCache::Impl {
+  /// One pull under way.
+  struct Pull {
+    TimePoint start;
+    uint64_t epoch;  ///< of the replica set that is asked
+    std::vector<consensus::Replica> replicas;
+    consensus::MemberFlags voting;  ///< the replicas that responded completely, as ones that vote
+    std::vector<pb::PullResponse> responses;
+    bool more = false;  ///< some replica has more to report
+    pb::PeerRequest request;
+  };
+
+  /// Somebody who waits for a good pull.
+  struct Waiter {
+    TimePoint since;
+    std::shared_ptr<base::Condition> condition;
+  };
+
   base::Ports& ports;
   StateCacheConfig config;
   consensus::RegisterClient& registers;
-  consensus::Acceptor* mine;
-  std::function<void(pb::NodeStatus&)> own;
-  std::function<void()> seen;
+  consensus::Acceptor* local_acceptor;  ///< null: this node has no replica
+  std::function<void(pb::NodeStatus&)> fill_own_status;
+  std::function<void()> on_good_pull;
+
   StatusTable statuses;
-  ReplicaResponses answers;
+  ReplicaResponses responses;
   ChosenValues chosen;
-  std::set<std::string> open;  // registers whose chosen value may have changed
-  uint64_t incarnation = 0, count = 0, deregistered = 0;
-  size_t first = 0;  // the replica asked first
-  std::atomic<int64_t> read_lease{0};
-  TimePoint began{0};  // when this node's fresh contact with a quorum last began
-  TimePoint said{0};
-  std::string said_key;
-  std::vector<std::pair<TimePoint, std::shared_ptr<base::Condition>>> waits;
-  PullSchedule schedule;
-  std::map<std::string, int> silent;      // asks in a row that a replica did not answer
-  bool told = false, asked = false;       // asked: somebody waits for the next pull
-  std::shared_ptr<base::Condition> rest;  // where the loop waits between pulls
+  std::set<std::string> unsettled;    ///< registers whose chosen value may have changed
+  uint64_t deregistered_version = 0;  ///< of the register of deregistered instances, as last read
+  std::map<std::string, int> misses;  ///< by replica: requests in a row without a response
+  size_t first_asked = 0;             ///< index of the replica that is asked before the others
 
-  // One pull under way.
-  struct Pull {
-    TimePoint start;
-    uint64_t epoch;
-    std::vector<consensus::Replica> replicas;
-    consensus::MemberFlags voting;  // those that answered whole and are not mute
-    std::vector<pb::PullResponse> heard;
-    bool more = false;  // some have not told everything yet
-    pb::PeerRequest ask;
-  };
+  uint64_t incarnation = 0;     ///< of this node's statuses; 0: not known yet
+  uint64_t status_count = 0;    ///< of the statuses stated under this incarnation
+  TimePoint own_status_at{0};   ///< when this node last stated its status
+  std::string own_urgent_part;  ///< of that status
+
+  std::atomic<int64_t> read_lease_end{0};  ///< in milliseconds of the clock; read by other threads
+  bool read_lease_logged = false;          ///< whether it stood after the last pull, as logged
+  TimePoint contact_since{0};              ///< when this node's contact with a quorum last began
+
+  PullSchedule schedule;
+  std::vector<Waiter> waiters;
+  bool pull_requested = false;                 ///< the next pull is to begin at once
+  std::shared_ptr<base::Condition> next_pull;  ///< where the task waits between pulls; null: it does not
 
-  Impl(base::Ports& ports, StateCacheConfig cc, consensus::RegisterClient& b, consensus::Acceptor* m,
-       std::function<void(pb::NodeStatus&)> o, std::function<void()> s)
+  Impl(base::Ports& ports, StateCacheConfig config, consensus::RegisterClient& registers,
+       consensus::Acceptor* local_acceptor, std::function<void(pb::NodeStatus&)> fill_own_status,
+       std::function<void()> on_good_pull)
       : ports(ports),
-        config(std::move(cc)),
-        registers(b),
-        mine(m),
-        own(std::move(o)),
-        seen(std::move(s)),
-        statuses(config.session_span()),
-        answers(config.response_lifetime()),
-        schedule(ports.random, config.pull_period()) {
-    first = static_cast<size_t>(ports.random.below(b.replicas().size()));
+        config(std::move(config)),
+        registers(registers),
+        local_acceptor(local_acceptor),
+        fill_own_status(std::move(fill_own_status)),
+        on_good_pull(std::move(on_good_pull)),
+        statuses(this->config.session_span()),
+        responses(this->config.response_lifetime()),
+        schedule(ports.random, this->config.pull_period()) {
+    first_asked = static_cast<size_t>(ports.random.below(registers.replicas().size()));
   }
 
-  bool settle_open() {
-    for (auto i = open.begin(); i != open.end();) {
-      auto* state = answers.latest_at_quorum(registers.set(), *i, ports.clock.now());
-      consensus::VersionedValue value;
-      if (state) {
-        value = {state->value().version(), state->value().data()};
-      } else {
-        auto name = *i;
-        auto read = registers.read(name);
-        auto* found = std::get_if<consensus::VersionedValue>(&read);
-        if (!found) return false;
-        value = *found;
-        i = open.find(name);
-      }
-      auto& known = chosen[*i];
-      if (value.version > known.version) known = value;
-      i = open.erase(i);
-    }
-    return true;
+  /// The chosen value of a register: as a quorum reported it, else by a read; nothing when that fails.
+  std::optional<consensus::VersionedValue> find_chosen(const std::string& name) {
+    if (auto* state = responses.latest_at_quorum(registers.set(), name, ports.clock.now()))
+      return consensus::VersionedValue{state->value().version(), state->value().data()};
+    auto read = registers.read(name);
+    auto* found = std::get_if<consensus::VersionedValue>(&read);
+    return found ? std::optional(*found) : std::nullopt;
   }
 
-  // What must be passed on at once; the rest (counters, clocks, ages) may wait.
-  static std::string gist(const pb::NodeStatus& status) {
-    pb::NodeStatus g;
-    *g.mutable_node() = status.node();
-    g.mutable_node()->clear_wall_ms();
-    g.mutable_node()->clear_running();
-    std::string s = g.SerializeAsString();
-    for (auto& [k, v] :
-         std::map<std::string, std::string>(status.node().running().begin(), status.node().running().end()))
-      s += k + "=" + v + ";";
-    for (auto& t : status.canary_counts())
-      s += fmt::format("{}:{}:{}{};", t.service(), t.number(), t.bad(), t.aborted());
-    for (auto& heartbeat : status.heartbeats())
-      s += fmt::format("{}/{}{};", heartbeat.instance(), heartbeat.leaving() ? 0 : heartbeat.sequence(),
-                       heartbeat.leaving());
-    return s;
+  /// Brings `chosen` up to date; false when a register could not be read.
+  bool settle() {
+    for (auto next = unsettled.begin(); next != unsettled.end();) {
+      auto name = *next;
+      auto value = find_chosen(name);
+      if (!value) return false;
+      auto& known = chosen[name];
+      if (value->version > known.version) known = *value;
+      next = unsettled.erase(unsettled.find(name));
+    }
+    return true;
   }
 
-  // The set of replicas has changed: what is chosen is settled anew under it.
-  PullResult reseat() {
-    if (mine) mine->adopt(registers.set().message());
-    for (auto& name : answers.names()) open.insert(name);
-    logger.info("{}: the holders are now those of epoch {}.", config.node_name, registers.set().epoch());
+  /// The replica set has changed: what is chosen is settled anew under it.
+  PullResult restart_under_new_set() {
+    if (local_acceptor) local_acceptor->adopt(registers.set().message());
+    for (const auto& name : responses.names()) unsettled.insert(name);
+    logger.info("{}: the replicas are now those of epoch {}.", config.node_name, registers.set().epoch());
     return PullResult::failed;
   }
 
-  // What this node says of itself, when it is due or has changed in what matters.
-  void state_own(pb::PullRequest& pull, TimePoint now) {
+  /// States this node's status in `pull`, when that is due or something urgent has changed.
+  void add_own_status(pb::PullRequest& pull, TimePoint now) {
     if (!incarnation) return;
     pb::NodeStatus status;
     status.set_source(config.node_name);
     status.mutable_version()->set_incarnation(incarnation);
-    own(status);
-    auto key = gist(status);
-    if (now - said < config.bound / 4 && key == said_key) return;
-    said = now;
-    said_key = key;
-    status.mutable_version()->set_count(++count);
+    fill_own_status(status);
+    auto urgent = urgent_part(status);
+    if (now - own_status_at < config.bound / kOwnStatusesPerBound && urgent == own_urgent_part) return;
+    own_status_at = now;
+    own_urgent_part = urgent;
+    status.mutable_version()->set_count(++status_count);
     statuses.merge(status, now);
     *pull.mutable_own_status() = status;
   }
 
-  void take(Pull& pull, size_t index, const pb::PullResponse& reply, TimePoint asked_at) {
-    auto& replica = pull.replicas[index].name;
+  void take(Pull& pull, size_t index, const pb::PullResponse& reply, TimePoint requested_at) {
+    const auto& replica = pull.replicas[index].name;
     auto now = ports.clock.now();
     // One that has not made the present set durable may still vote under the one before.
     pull.voting[index] = !reply.non_voting() && !reply.more() && reply.adopted_epoch() >= pull.epoch;
     pull.more |= reply.more();
-    for (auto& name : answers.take(replica, reply, asked_at, now)) open.insert(name);
-    for (auto& status : reply.statuses())
+    for (const auto& name : responses.take(replica, reply, requested_at, now)) unsettled.insert(name);
+    for (const auto& status : reply.statuses())
       if (status.source() == config.node_name)
-        go_on_above(status.version());
+        raise_incarnation_above(status.version());
       else
         statuses.merge(status, now);
     registers.set().adopt(reply.replica_set());
-    pull.heard.push_back(reply);
+    pull.responses.push_back(reply);
   }
 
-  // Asks those named and takes what they say; false when none answered.
-  bool ask(Pull& pull, const std::vector<size_t>& whom, Duration limit) {
-    std::vector<consensus::Replica> to;
-    for (auto i : whom) to.push_back(pull.replicas[i]);
-    *pull.ask.mutable_pull()->mutable_known_versions() = statuses.known_versions();
-    auto make = [&](size_t k) {
-      pb::PeerRequest one = pull.ask;
-      answers.set_position(to[k].name, *one.mutable_pull());
-      return one;
+  /// Asks the replicas at the given indices and takes their responses; false when none responded.
+  bool ask(Pull& pull, const std::vector<size_t>& indices, Duration limit) {
+    std::vector<consensus::Replica> targets;
+    for (auto index : indices) targets.push_back(pull.replicas[index]);
+    *pull.request.mutable_pull()->mutable_known_versions() = statuses.known_versions();
+    auto make_request = [&](size_t target) {
+      pb::PeerRequest request = pull.request;
+      responses.set_position(targets[target].name, *request.mutable_pull());
+      return request;
     };
     consensus::LocalReplica local;
-    if (mine) local = [this](const pb::PeerRequest& request) { return answer(request); };
-    auto asked_at = ports.clock.now();
+    if (local_acceptor) local = [this](const pb::PeerRequest& request) { return answer(request); };
+    auto requested_at = ports.clock.now();
     auto replies = consensus::call_replicas(
-        ports, to, make, limit, [](auto&) { return false; }, config.node_name, local);
+        ports, targets, make_request, limit, [](auto&) { return false; }, config.node_name, local);
     bool any = false;
-    for (size_t k = 0; k < replies.size(); ++k) {
-      bool answered = replies[k] && replies[k]->has_pull();
-      silent[to[k].name] = answered ? 0 : silent[to[k].name] + 1;
-      if (answered) take(pull, whom[k], replies[k]->pull(), asked_at);
-      any |= answered;
+    for (size_t i = 0; i < replies.size(); ++i) {
+      bool responded = replies[i] && replies[i]->has_pull();
+      misses[targets[i].name] = responded ? 0 : misses[targets[i].name] + 1;
+      if (responded) take(pull, indices[i], replies[i]->pull(), requested_at);
+      any |= responded;
     }
     return any;
   }
@@ -181,53 +190,56 @@
     return registers.set().epoch() == pull.epoch && registers.set().is_quorum(pull.voting);
   }
 
-  // Asks one replica alone, and with what it told the others.
+  /// Whether a pull asks only as many replicas as it needs, as long as those respond.
+  bool asks_few() const { return !local_acceptor && statuses.size() >= kLargeFleet; }
+
+  /// Asks one replica alone, and then the others with what it reported.
   void ask_replicas(Pull& pull) {
     auto count = pull.replicas.size();
-    first %= count;
-    // A replica that answers late would only be asked twice.
-    if (!schedule.failing() && !ask(pull, {first}, config.pull_period() / 4)) first = (first + 1) % count;
-    std::vector<size_t> rest, later;
-    for (size_t k = 0; k < count; ++k)
-      if (k || pull.heard.empty()) rest.push_back((first + k) % count);
-    // In a large fleet a relay asks no more replicas than it needs, as long as those answer.
+    first_asked %= count;
+    // While pulls fail, all are asked at once: a replica that responds late would only be asked twice.
+    if (!schedule.failing() && !ask(pull, {first_asked}, config.pull_period() / 4))
+      first_asked = (first_asked + 1) % count;
+    std::vector<size_t> others, spare;
+    for (size_t i = 0; i < count; ++i)
+      if (i || pull.responses.empty()) others.push_back((first_asked + i) % count);
     auto sufficient = registers.sufficient_count();
-    size_t need = sufficient - std::min(sufficient, pull.heard.size());
-    if (!mine && statuses.size() >= kLargeFleet && rest.size() > need) {
-      std::stable_partition(rest.begin(), rest.end(),
-                            [&](size_t i) { return silent[pull.replicas[i].name] == 0; });
-      later.assign(rest.begin() + static_cast<std::ptrdiff_t>(need), rest.end());
-      rest.resize(need);
+    size_t needed = sufficient - std::min(sufficient, pull.responses.size());
+    if (asks_few() && others.size() > needed) {
+      std::stable_partition(others.begin(), others.end(),
+                            [&](size_t index) { return misses[pull.replicas[index].name] == 0; });
+      spare.assign(others.begin() + static_cast<std::ptrdiff_t>(needed), others.end());
+      others.resize(needed);
     }
-    ask(pull, rest, config.pull_period());
-    if (!later.empty() && !has_quorum(pull) && !pull.more) ask(pull, later, config.pull_period());
+    ask(pull, others, config.pull_period());
+    if (!spare.empty() && !has_quorum(pull) && !pull.more) ask(pull, spare, config.pull_period());
   }
 
-  // Under which incarnation this node was known before; the next pull announces it.
+  /// Sets the incarnation above the one under which this node was known before; the next pull states it.
   void find_incarnation(const Pull& pull) {
     auto latest = statuses.known_version(config.node_name);
-    for (auto& reply : pull.heard)
-      for (auto& status : reply.statuses())
-        if (status.source() == config.node_name && (!latest || newer(status.version(), *latest)))
+    for (const auto& reply : pull.responses)
+      for (const auto& status : reply.statuses())
+        if (status.source() == config.node_name && (!latest || is_newer(status.version(), *latest)))
           latest = status.version();
     incarnation = latest ? latest->incarnation() + 1 : 1;
   }
 
-  // Others know a later status of this node than its own: one of its life before, which no replica
-  // remembered when it began anew. They would take nothing that it says before it is above that.
-  void go_on_above(const pb::StatusVersion& known) {
-    pb::StatusVersion own_mark;
-    own_mark.set_incarnation(incarnation);
-    own_mark.set_count(count);
-    if (!incarnation || !newer(known, own_mark)) return;
+  /// Others know a later status of this node than its own: one from before its restart, which no replica
+  /// remembered when it started. They would take no status of it that is not above that.
+  void raise_incarnation_above(const pb::StatusVersion& known) {
+    pb::StatusVersion own_version;
+    own_version.set_incarnation(incarnation);
+    own_version.set_count(status_count);
+    if (!incarnation || !is_newer(known, own_version)) return;
     incarnation = known.incarnation() + 1;
-    count = 0;
-    said_key.clear();
-    logger.info("{}: goes on under incarnation {}.", config.node_name, incarnation);
+    status_count = 0;
+    own_urgent_part.clear();
+    logger.info("{}: continues under incarnation {}.", config.node_name, incarnation);
   }
 
-  // Whether a newer set of replicas is among what is chosen.
-  bool chosen_set_is_newer(uint64_t epoch) {
+  /// Whether a newer replica set than that of `epoch` is among the chosen values; adopts it.
+  bool adopt_chosen_set(uint64_t epoch) {
     auto found = chosen.find(consensus::kReplicaSetKey);
     pb::ReplicaSet set;
     if (found == chosen.end() || !set.ParseFromString(found->second.data) || set.epoch() <= epoch)
@@ -238,156 +250,180 @@
 
   void follow_deregistered() {
     auto found = chosen.find(kDeregisteredKey);
-    if (found == chosen.end() || found->second.version == deregistered) return;
-    deregistered = found->second.version;
-    statuses.deregistered(read_deregistered(found->second.data));
+    if (found == chosen.end() || found->second.version == deregistered_version) return;
+    deregistered_version = found->second.version;
+    statuses.set_deregistered(read_deregistered(found->second.data));
   }
 
-  PullResult once() {
+  Pull begin_pull() {
     Pull pull;
     pull.start = ports.clock.now();
     pull.replicas = registers.replicas();
     pull.epoch = registers.set().epoch();
     pull.voting.resize(pull.replicas.size());
-    if (pull.replicas.empty()) return PullResult::failed;  // nobody has named the replicas yet
-    pull.ask.mutable_pull()->set_node(config.node_name);
-    pull.ask.mutable_pull()->set_max_bytes(
-        std::max(kLeastBytesPulled, statuses.size() * kBytesPulledPerNode));
-    state_own(*pull.ask.mutable_pull(), pull.start);
+    auto& request = *pull.request.mutable_pull();
+    request.set_node(config.node_name);
+    request.set_max_bytes(std::max(kMinResponseBytes, statuses.size() * kResponseBytesPerNode));
+    return pull;
+  }
+
+  PullResult pull_once() {
+    if (registers.replicas().empty()) return PullResult::failed;  // they have not been found yet
+    auto pull = begin_pull();
+    add_own_status(*pull.request.mutable_pull(), pull.start);
     ask_replicas(pull);
-    if (registers.set().epoch() != pull.epoch) return reseat();
+    if (registers.set().epoch() != pull.epoch) return restart_under_new_set();
     if (!has_quorum(pull)) return pull.more ? PullResult::partial : PullResult::failed;
     if (!incarnation) {
       find_incarnation(pull);
       return PullResult::partial;
     }
-    if (!settle_open()) return PullResult::failed;
-    if (chosen_set_is_newer(pull.epoch)) return reseat();
+    if (!settle()) return PullResult::failed;
+    if (adopt_chosen_set(pull.epoch)) return restart_under_new_set();
+    finish_good_pull(pull);
+    return PullResult::good;
+  }
+
+  void finish_good_pull(const Pull& pull) {
     follow_deregistered();
     statuses.forget(ports.clock.now());
-    // A pull that itself took longer than the read lease has proved nothing.
-    read_lease = (pull.start + config.read_lease_span()).count();
-    seen();
-    std::erase_if(waits, [&](auto& w) { return w.first <= pull.start ? (w.second->notify(), true) : false; });
-    return PullResult::good;
+    // Counted from the start: a pull that itself took longer than the read lease has proved nothing.
+    read_lease_end = (pull.start + config.read_lease_span()).count();
+    on_good_pull();
+    std::erase_if(waiters, [&](const Waiter& waiter) {
+      bool served = waiter.since <= pull.start;
+      if (served) waiter.condition->notify();
+      return served;
+    });
   }
 
-  // What the asker lacks, as far as it takes it in one reply; the rest is asked for next.
-  void add_statuses(const pb::PullRequest& asked_for, TimePoint now, pb::PullResponse& reply) {
-    auto bytes = reply.ByteSizeLong();
-    for (auto& status : statuses.since(asked_for.known_versions(), now)) {
+  /// What the requester lacks, as far as it takes it in one response; it asks for the rest next.
+  void add_statuses(const pb::PullRequest& request, TimePoint now, pb::PullResponse& response) const {
+    auto bytes = response.ByteSizeLong();
+    for (const auto& status : statuses.since(request.known_versions(), now)) {
       bytes += status.ByteSizeLong();
-      if (asked_for.max_bytes() && bytes > asked_for.max_bytes() && reply.statuses_size() > 0)
-        return reply.set_more(true);
-      *reply.add_statuses() = status;
+      if (request.max_bytes() && bytes > request.max_bytes() && response.statuses_size() > 0)
+        return response.set_more(true);
+      *response.add_statuses() = status;
     }
   }
 
-  // A node that begins anew learns under which incarnation it was known, and one that has begun
-  // too low learns that.
-  void tell_mark_of_asker(const pb::PullRequest& pull, pb::PullResponse& reply) {
-    auto known = statuses.known_version(pull.node());
-    if (!known || (pull.has_own_status() && !newer(*known, pull.own_status().version()))) return;
-    auto* status = reply.add_statuses();
-    status->set_source(pull.node());
+  /// A node that was restarted learns under which incarnation it was known, and one that has chosen too low
+  /// an incarnation learns that.
+  void add_version_of_requester(const pb::PullRequest& request, pb::PullResponse& response) const {
+    auto known = statuses.known_version(request.node());
+    if (!known || (request.has_own_status() && !is_newer(*known, request.own_status().version()))) return;
+    auto* status = response.add_statuses();
+    status->set_source(request.node());
     *status->mutable_version() = *known;
-    status->set_age_ms(static_cast<uint64_t>(config.session_span().count()) * 2);
+    status->set_age_ms(static_cast<uint64_t>(config.session_span().count()) * 2);  // no session stands by it
   }
 
   pb::PeerResponse answer(const pb::PeerRequest& request) {
-    pb::PeerResponse out;
-    auto& q = request.pull();
-    auto* r = out.mutable_pull();
+    pb::PeerResponse answer;
+    const auto& pull = request.pull();
+    auto& response = *answer.mutable_pull();
     TimePoint now = ports.clock.now();
-    if (q.has_own_status()) statuses.merge(q.own_status(), now);
-    statuses.note_known_versions(q.known_versions(), now);
-    if (mine)
-      mine->append_changes(q.boot_id(), q.position(), q.max_bytes(), *r);
+    if (pull.has_own_status()) statuses.merge(pull.own_status(), now);
+    statuses.note_known_versions(pull.known_versions(), now);
+    if (local_acceptor)
+      local_acceptor->append_changes(pull.boot_id(), pull.position(), pull.max_bytes(), response);
     else
-      r->set_non_voting(true);
-    add_statuses(q, now, *r);
-    tell_mark_of_asker(q, *r);
-    return out;
+      response.set_non_voting(true);
+    add_statuses(pull, now, response);
+    add_version_of_requester(pull, response);
+    return answer;
+  }
+
+  bool has_read_lease() const { return ports.clock.now().count() < read_lease_end.load(); }
+
+  void follow_read_lease() {
+    bool stands = has_read_lease();
+    if (std::exchange(read_lease_logged, stands) == stands) return;
+    if (stands) contact_since = ports.clock.now();
+    if (stands)
+      logger.info("{}: the read lease stands.", config.node_name);
+    else
+      logger.warn("{}: the read lease has lapsed.", config.node_name);
+  }
+
+  void wait_for_next_pull(PullSchedule::Wait wait) {
+    ports.clock.sleep(wait.least);
+    if (wait.usual <= wait.least || pull_requested) return;
+    next_pull = ports.tasks.condition();
+    next_pull->wait(wait.usual - wait.least);
+    next_pull.reset();
+  }
+
+  void run() {
+    for (;;) {
+      TimePoint start = ports.clock.now();
+      pull_requested = false;
+      auto result = pull_once();
+      follow_read_lease();
+      wait_for_next_pull(schedule.after(result, ports.clock.now() - start));
+    }
   }
 };
 
 StateCache::StateCache(base::Ports& ports, StateCacheConfig config, consensus::RegisterClient& registers,
-                       consensus::Acceptor* m, std::function<void(pb::NodeStatus&)> own,
-                       std::function<void()> seen)
-    : impl_(std::make_shared<Impl>(ports, std::move(config), registers, m, std::move(own), std::move(seen))) {
-}
+                       consensus::Acceptor* local_acceptor,
+                       std::function<void(pb::NodeStatus&)> fill_own_status,
+                       std::function<void()> on_good_pull)
+    : impl_(std::make_shared<Impl>(ports, std::move(config), registers, local_acceptor,
+                                   std::move(fill_own_status), std::move(on_good_pull))) {}
 StateCache::~StateCache() = default;
 
 void StateCache::start() {
-  impl_->ports.tasks.spawn([p = impl_] {
-    for (;;) {
-      TimePoint from = p->ports.clock.now();
-      p->asked = false;
-      auto result = p->once();
-      bool was = std::exchange(p->told, p->ports.clock.now().count() < p->read_lease.load());
-      if (!was && p->told) p->began = p->ports.clock.now();
-      if (was && !p->told) logger.warn("{}: the read lease has lapsed.", p->config.node_name);
-      if (!was && p->told) logger.info("{}: the read lease stands.", p->config.node_name);
-      auto wait = p->schedule.after(result, p->ports.clock.now() - from);
-      p->ports.clock.sleep(wait.least);
-      if (wait.usual > wait.least && !p->asked) {
-        p->rest = p->ports.tasks.condition();
-        p->rest->wait(wait.usual - wait.least);
-        p->rest.reset();
-      }
-    }
-  });
+  impl_->ports.tasks.spawn([impl = impl_] { impl->run(); });
 }
 
-bool StateCache::pull_once() { return impl_->once() == PullResult::good; }
-bool StateCache::has_read_lease() const {
-  return impl_->ports.clock.now().count() < impl_->read_lease.load();
-}
-TimePoint StateCache::read_lease_end() const { return TimePoint(impl_->read_lease.load()); }
+bool StateCache::pull_once() { return impl_->pull_once() == PullResult::good; }
+bool StateCache::has_read_lease() const { return impl_->has_read_lease(); }
+TimePoint StateCache::read_lease_end() const { return TimePoint(impl_->read_lease_end.load()); }
 const ChosenValues& StateCache::chosen() const { return impl_->chosen; }
 StatusTable& StateCache::statuses() { return impl_->statuses; }
 pb::PeerResponse StateCache::handle_pull(const pb::PeerRequest& request) { return impl_->answer(request); }
 uint64_t StateCache::incarnation() const { return impl_->incarnation; }
 
 bool StateCache::await_pull(Duration limit) {
-  auto s = impl_->ports.tasks.condition();
-  auto now = impl_->ports.clock.now();
-  impl_->waits.emplace_back(now, s);
+  auto condition = impl_->ports.tasks.condition();
+  impl_->waiters.push_back({impl_->ports.clock.now(), condition});
   pull_soon();
-  return s->wait(limit);
+  return condition->wait(limit);
 }
 
 std::optional<std::vector<std::string>> StateCache::register_names(Duration limit) {
   if (!await_pull(limit)) return {};
-  std::vector<std::string> out;
-  for (auto& [k, h] : impl_->chosen) out.push_back(k);
-  return out;
+  std::vector<std::string> names;
+  for (const auto& [name, value] : impl_->chosen) names.push_back(name);
+  return names;
 }
 
 bool StateCache::is_voting(const std::string& replica) const {
-  return impl_->answers.voted_within(replica, impl_->ports.clock.now(),
-                                     impl_->config.bound / 4 + impl_->config.pull_period() * 2);
+  return impl_->responses.voted_within(replica, impl_->ports.clock.now(),
+                                       impl_->config.bound / 4 + impl_->config.pull_period() * 2);
 }
 
 std::map<std::string, uint64_t> StateCache::registers_behind(const std::string& replica) const {
-  std::map<std::string, uint64_t> names;
-  for (auto& [name, value] : impl_->chosen) {
-    auto* best = impl_->answers.latest_at_quorum(impl_->registers.set(), name, impl_->ports.clock.now());
-    if (!best) continue;
-    auto* own = impl_->answers.reported_by(replica, name);
-    if (!own || consensus::is_lower(own->accepted(), best->accepted()))
-      names[name] = best->accepted().round();
+  std::map<std::string, uint64_t> rounds;
+  for (const auto& [name, value] : impl_->chosen) {
+    auto* latest = impl_->responses.latest_at_quorum(impl_->registers.set(), name, impl_->ports.clock.now());
+    if (!latest) continue;
+    auto* own = impl_->responses.reported_by(replica, name);
+    if (!own || consensus::is_lower(own->accepted(), latest->accepted()))
+      rounds[name] = latest->accepted().round();
   }
-  return names;
+  return rounds;
 }
 
 ReplicaContact StateCache::contact(const std::string& replica) const {
-  return impl_->answers.contact(replica, impl_->ports.clock.now(), impl_->began);
+  return impl_->responses.contact(replica, impl_->ports.clock.now(), impl_->contact_since);
 }
 
 void StateCache::pull_soon() {
-  impl_->asked = true;
-  if (impl_->rest) impl_->rest->notify();
+  impl_->pull_requested = true;
+  if (impl_->next_pull) impl_->next_pull->notify();
 }
 
 }  // namespace dunlinwing::membership
--- a/src/membership/status_table.cpp
+++ b/src/membership/status_table.cpp
@@ -1,116 +1,126 @@
-// Versions are pairs of incarnation and count, so that a source that was
-// restarted, and counts from one again, is never taken for its older self.
 #include "membership/status_table.hpp"
 
 #include <tuple>
 
 namespace dunlinwing::membership {
+namespace {
+constexpr int kSessionsRemembered = 20;  // for as long a node that is gone is still listed
 
-bool newer(const pb::StatusVersion& a, const pb::StatusVersion& b) {
-  return std::make_tuple(a.incarnation(), a.count()) > std::make_tuple(b.incarnation(), b.count());
+std::tuple<uint64_t, uint64_t> order(const pb::StatusVersion& version) {
+  return {version.incarnation(), version.count()};
 }
 
-bool StatusTable::merge(const pb::NodeStatus& status, TimePoint now) {
-  auto& e = by_[status.source()];
-  TimePoint heard = now - Duration(static_cast<int64_t>(status.age_ms()));
-  if (e.statuses.source().empty() || newer(status.version(), e.statuses.version())) {
-    e.statuses = status;
-    e.heard = heard;
-    return true;
+/// Takes a heartbeat that is later than the known one, or the same but younger. An announced end stays.
+void merge_heartbeat(const pb::Heartbeat& heartbeat, Duration age, BackendInstanceStatus& instance) {
+  auto& known = instance.heartbeat;
+  bool leaving = known.leaving() || heartbeat.leaving();
+  bool later = known.instance().empty() || heartbeat.sequence() > known.sequence();
+  bool younger = heartbeat.sequence() == known.sequence() && age < instance.age;
+  if (later || younger) {
+    known = heartbeat;
+    instance.age = age;
   }
-  return false;
+  if (leaving) known.set_leaving(true);
+}
+}  // namespace
+
+bool is_newer(const pb::StatusVersion& version, const pb::StatusVersion& other) {
+  return order(version) > order(other);
 }
 
-std::vector<pb::NodeStatus> StatusTable::since(
-    const google::protobuf::Map<std::string, pb::StatusVersion>& have, TimePoint now) const {
-  std::vector<pb::NodeStatus> out;
-  for (auto& [k, e] : by_) {
-    auto f = have.find(k);
-    if (f != have.end() && !newer(e.statuses.version(), f->second)) continue;
-    out.push_back(e.statuses);
-    out.back().set_age_ms(static_cast<uint64_t>((now - e.heard).count()));
+bool StatusTable::merge(const pb::NodeStatus& status, TimePoint now) {
+  auto& entry = entries_[status.source()];
+  bool known = !entry.status.source().empty();
+  if (known && !is_newer(status.version(), entry.status.version())) return false;
+  entry.status = status;
+  entry.stated_at = now - Duration(static_cast<int64_t>(status.age_ms()));
+  return true;
+}
+
+std::vector<pb::NodeStatus> StatusTable::since(const KnownVersions& known, TimePoint now) const {
+  std::vector<pb::NodeStatus> statuses;
+  for (const auto& [source, entry] : entries_) {
+    auto version = known.find(source);
+    if (version != known.end() && !is_newer(entry.status.version(), version->second)) continue;
+    statuses.push_back(entry.status);
+    statuses.back().set_age_ms(static_cast<uint64_t>((now - entry.stated_at).count()));
   }
-  return out;
+  return statuses;
 }
 
-google::protobuf::Map<std::string, pb::StatusVersion> StatusTable::known_versions() const {
-  google::protobuf::Map<std::string, pb::StatusVersion> m;
-  for (auto& [k, e] : by_) m[k] = e.statuses.version();
-  return m;
+KnownVersions StatusTable::known_versions() const {
+  KnownVersions versions;
+  for (const auto& [source, entry] : entries_) versions[source] = entry.status.version();
+  return versions;
 }
 
-std::optional<pb::StatusVersion> StatusTable::known_version(const std::string& s) const {
-  auto here = by_.find(s);
-  auto noted = noted_.find(s);
-  if (here == by_.end() && noted == noted_.end()) return {};
-  if (noted == noted_.end()) return here->second.statuses.version();
-  if (here == by_.end()) return noted->second.mark;
-  auto& mark = here->second.statuses.version();
-  return newer(noted->second.mark, mark) ? noted->second.mark : mark;
+std::optional<pb::StatusVersion> StatusTable::known_version(const std::string& source) const {
+  std::optional<pb::StatusVersion> latest;
+  if (auto entry = entries_.find(source); entry != entries_.end()) latest = entry->second.status.version();
+  auto requester = requester_versions_.find(source);
+  if (requester != requester_versions_.end() && (!latest || is_newer(requester->second.version, *latest)))
+    latest = requester->second.version;
+  return latest;
 }
 
-void StatusTable::note_known_versions(
-    const google::protobuf::Map<std::string, pb::StatusVersion>& known_to_asker, TimePoint now) {
-  for (auto& [source, mark] : known_to_asker) {
-    auto known = this->known_version(source);
-    if (!known || newer(mark, *known))
-      noted_[source] = {mark, now};
-    else if (auto noted = noted_.find(source); noted != noted_.end() && !newer(noted->second.mark, mark))
-      noted->second.heard = now;
+void StatusTable::note_known_versions(const KnownVersions& known_to_requester, TimePoint now) {
+  for (const auto& [source, version] : known_to_requester) {
+    auto known = known_version(source);
+    if (!known || is_newer(version, *known)) {
+      requester_versions_[source] = {version, now};
+      continue;
+    }
+    auto noted = requester_versions_.find(source);
+    if (noted != requester_versions_.end() && !is_newer(noted->second.version, version))
+      noted->second.noted_at = now;
   }
 }
 
 std::vector<Member> StatusTable::all(TimePoint now) const {
-  std::vector<Member> out;
-  for (auto& [k, e] : by_) out.push_back({k, e.statuses.node(), now - e.heard});
-  return out;
+  std::vector<Member> nodes;
+  for (const auto& [source, entry] : entries_)
+    nodes.push_back({source, entry.status.node(), now - entry.stated_at});
+  return nodes;
 }
 
 std::vector<Member> StatusTable::members(TimePoint now) const {
-  std::vector<Member> out;
-  for (auto& m : all(now))
-    if (m.age < session_ && !m.info.leaving()) out.push_back(m);
-  return out;
+  std::vector<Member> members;
+  for (auto& node : all(now))
+    if (node.age < session_ && !node.info.leaving()) members.push_back(std::move(node));
+  return members;
 }
 
 std::map<std::string, pb::NodeStatus> StatusTable::latest(TimePoint now) const {
-  std::map<std::string, pb::NodeStatus> out;
-  for (auto& [k, e] : by_)
-    if (now - e.heard < session_) out[k] = e.statuses;
-  return out;
+  std::map<std::string, pb::NodeStatus> statuses;
+  for (const auto& [source, entry] : entries_)
+    if (now - entry.stated_at < session_) statuses[source] = entry.status;
+  return statuses;
 }
 
 std::map<std::string, BackendInstanceStatus> StatusTable::backend_instances(TimePoint now) const {
-  std::map<std::string, BackendInstanceStatus> out;
-  for (auto& [k, e] : by_)
-    for (auto& heartbeat : e.statuses.heartbeats()) {
-      Duration age = now - e.heard + Duration(static_cast<int64_t>(heartbeat.age_ms()));
-      auto& instance = out[heartbeat.instance()];
-      bool later =
-          instance.heartbeat.instance().empty() || heartbeat.sequence() > instance.heartbeat.sequence();
-      if (later || (heartbeat.sequence() == instance.heartbeat.sequence() && age < instance.age)) {
-        bool left = instance.heartbeat.leaving();
-        instance.heartbeat = heartbeat;
-        instance.age = age;
-        if (left) instance.heartbeat.set_leaving(true);
-      } else if (heartbeat.leaving()) {
-        instance.heartbeat.set_leaving(true);
-      }
+  std::map<std::string, BackendInstanceStatus> instances;
+  for (const auto& [source, entry] : entries_)
+    for (const auto& heartbeat : entry.status.heartbeats()) {
+      Duration age = now - entry.stated_at + Duration(static_cast<int64_t>(heartbeat.age_ms()));
+      merge_heartbeat(heartbeat, age, instances[heartbeat.instance()]);
     }
-  for (auto& [k, w] : out)
-    if (departed_.count(k)) w.heartbeat.set_leaving(true);
-  for (auto& [k, w] : out)
-    w.gone = w.heartbeat.leaving() || w.age > Duration(w.heartbeat.period_ms() * kMissedHeartbeats);
-  return out;
+  for (auto& [name, instance] : instances) {
+    if (deregistered_.count(name)) instance.heartbeat.set_leaving(true);
+    instance.gone = instance.heartbeat.leaving() ||
+                    instance.age > Duration(instance.heartbeat.period_ms() * kMissedHeartbeats);
+  }
+  return instances;
 }
 
 void StatusTable::forget(TimePoint now) {
-  for (auto i = by_.begin(); i != by_.end();)
-    i = now - i->second.heard > session_ * 20 ? by_.erase(i) : std::next(i);
-  std::erase_if(noted_, [&](auto& noted) {
-    auto here = by_.find(noted.first);
-    bool known_here = here != by_.end() && !newer(noted.second.mark, here->second.statuses.version());
-    return known_here || now - noted.second.heard > session_ * 20;
+  std::erase_if(entries_, [&](const auto& entry) {
+    return now - entry.second.stated_at > session_ * kSessionsRemembered;
+  });
+  std::erase_if(requester_versions_, [&](const auto& noted) {
+    auto entry = entries_.find(noted.first);
+    bool known_here =
+        entry != entries_.end() && !is_newer(noted.second.version, entry->second.status.version());
+    return known_here || now - noted.second.noted_at > session_ * kSessionsRemembered;
   });
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -387,7 +387,7 @@
 
 bool Node::can_transfer_replica() const {
   return impl_->replica_repair && impl_->replica_set.has(impl_->config.name) &&
-         impl_->replica_repair->successor_at_hand();
+         impl_->replica_repair->has_successor();
 }
 
 const NodeConfig& Node::config() const { return impl_->config; }
@@ -395,7 +395,7 @@
 consensus::RegisterClient& Node::registers() { return impl_->registers; }
 membership::Leadership& Node::leadership() { return impl_->leadership; }
 consensus::Acceptor* Node::acceptor() { return impl_->acceptor.get(); }
-void Node::set_seeds(std::vector<std::string> addresses) { impl_->discovery.seeds(std::move(addresses)); }
+void Node::set_seeds(std::vector<std::string> addresses) { impl_->discovery.set_seeds(std::move(addresses)); }
 proxy::RequestHandler& Node::request_handler() { return impl_->request_handler; }
 uint64_t Node::generation() const { return impl_->generation; }
 std::optional<software::SoftwareTarget> Node::wanted_software() const { return impl_->wanted_software; }
--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -126,12 +126,13 @@
   expect(!other.merge(anew, now), "the node takes what its source said in its life before for later");
   replica.note_known_versions(other.known_versions(), now);
   auto known = replica.known_version("A");
-  expect(known && membership::newer(*known, anew.version()), "the replica is not told that it began too low");
+  expect(known && membership::is_newer(*known, anew.version()),
+         "the replica is not told that it began too low");
   anew.mutable_version()->set_incarnation(known->incarnation() + 1);
   expect(other.merge(anew, now) && replica.merge(anew, now), "what it says above that is not taken");
   replica.note_known_versions(other.known_versions(), now);
   replica.forget(now);
-  expect(!membership::newer(*replica.known_version("A"), anew.version()),
+  expect(!membership::is_newer(*replica.known_version("A"), anew.version()),
          "an old mark is kept beside a later status");
 }
 
