--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -1,6 +1,3 @@
-// The source leaves open what its checks measure. Ours compare the nodes on a
-// release with those not on it over the same time, so that a bad hour for all
-// does not stop a release, and a release that is only bad is stopped.
 #include "rollout/release_checks.hpp"
 
 #include <fmt/format.h>
@@ -9,30 +6,123 @@
 
 namespace dunlinwing::rollout {
 namespace {
-bool on(const pb::RolloutState& state, const std::string& node, const pb::ReleaseProgress& progress) {
-  auto n = state.nodes().find(node);
-  if (n == state.nodes().end()) return false;
-  auto f = n->second.releases().find(progress.kind());
-  return f != n->second.releases().end() && f->second == progress.release();
+constexpr double kSlack = 0.005;           // a failure rate this close to the others' proves nothing
+constexpr uint64_t kLeastFailures = 5;     // one failed request proves nothing
+constexpr uint64_t kLeastChecks = 10;      // health checks: the least from which their failures are judged
+constexpr uint64_t kLeastHeartbeats = 16;  // by chance less than a quarter of so many hardly ever comes
+constexpr uint64_t kThousandths = 1000;    // in which usual heartbeats are counted
+constexpr int kLeastLost = 2;              // one node may be lost for reasons of its own
+
+bool is_waived(const pb::OperatorAction& action, const char* check) {
+  return action.waived().count(check) > 0;
+}
+
+bool is_assigned(const pb::RolloutState& state, const std::string& node,
+                 const pb::ReleaseProgress& progress) {
+  return assigned_release(state, node, progress.kind()) == progress.release();
+}
+
+void add_release_counts(pb::Evidence& evidence, const NodeObservation& node) {
+  evidence.set_requests(evidence.requests() + node.requests);
+  evidence.set_failures(evidence.failures() + node.failures);
+  evidence.set_checks_passed(evidence.checks_passed() + node.checks_passed);
+  evidence.set_checks_failed(evidence.checks_failed() + node.checks_failed);
+  evidence.set_heartbeats(evidence.heartbeats() + node.heartbeats);
+  evidence.set_heartbeats_usual(evidence.heartbeats_usual() + node.heartbeats_usual);
+}
+
+void add_baseline_counts(pb::Evidence& evidence, const NodeObservation& node) {
+  evidence.set_baseline_requests(evidence.baseline_requests() + node.requests);
+  evidence.set_baseline_failures(evidence.baseline_failures() + node.failures);
+  evidence.set_baseline_checks_passed(evidence.baseline_checks_passed() + node.checks_passed);
+  evidence.set_baseline_checks_failed(evidence.baseline_checks_failed() + node.checks_failed);
+  evidence.set_baseline_heartbeats(evidence.baseline_heartbeats() + node.heartbeats);
+  evidence.set_baseline_heartbeats_usual(evidence.baseline_heartbeats_usual() + node.heartbeats_usual);
+}
+
+struct NodeCount {
+  int all = 0;
+  int lost = 0;  // of them, not present
+};
+
+// One node may be lost unnoticed, the phase-one node may not; nor a third of those on the release, when the
+// others fare better.
+std::optional<std::string> check_presence(const pb::ReleaseProgress& progress,
+                                          const FleetObservation& observation, const pb::RolloutState& state,
+                                          const RolloutRules& rules) {
+  NodeCount assigned, others;
+  for (const auto& node : observation.nodes) {
+    auto& count = is_assigned(state, node.name, progress) ? assigned : others;
+    ++count.all;
+    count.lost += !node.present;
+  }
+  if (progress.phase() == pb::ONE && assigned.lost > 0 &&
+      Duration(static_cast<int64_t>(progress.lost_ms())) >= rules.allowed_absence(progress.kind()))
+    return "check beats: the phase-one machine is lost";
+  if (assigned.lost >= kLeastLost && assigned.lost * 3 > assigned.all &&
+      assigned.lost * others.all > 2 * others.lost * assigned.all)
+    return fmt::format("check beats: {} of {} nodes on it are lost", assigned.lost, assigned.all);
+  return {};
 }
 
-constexpr double kSlack = 0.005;       // a defect rate this close to the rest is no failure
-constexpr uint64_t kLeastDefects = 5;  // one bad answer proves nothing
-constexpr uint64_t kLeastProbes = 10;
-constexpr uint64_t kLeastBeats = 16;  // by random alone less than a quarter of so many hardly ever comes
+std::optional<std::string> check_load(const pb::ReleaseProgress& progress,
+                                      const FleetObservation& observation, const pb::RolloutState& state) {
+  const auto prefix = release_path(progress.kind(), progress.release()) + ":";
+  std::optional<std::string> failure;  // of the last node that has one
+  for (const auto& node : observation.nodes)
+    if (node.present && is_assigned(state, node.name, progress) && node.load_error.starts_with(prefix))
+      failure = "check load: " + node.name + ": " + node.load_error;
+  return failure;
+}
+
+std::optional<std::string> check_failures(const pb::Evidence& evidence, const RolloutRules& rules) {
+  if (evidence.failures() < kLeastFailures) return {};
+  auto rate = [](uint64_t failures, uint64_t requests) {
+    return static_cast<double>(failures) / static_cast<double>(std::max<uint64_t>(requests, 1));
+  };
+  const double allowed = rate(evidence.baseline_failures(), evidence.baseline_requests()) *
+                             static_cast<double>(rules.system.failure_ratio_percent) / 100 +
+                         kSlack;
+  if (rate(evidence.failures(), evidence.requests()) <= allowed) return {};
+  return fmt::format("check defects: {} of {} requests on it, {} of {} elsewhere", evidence.failures(),
+                     evidence.requests(), evidence.baseline_failures(), evidence.baseline_requests());
+}
+
+// Fails when more than a quarter of the health checks failed, and more than twice the part elsewhere.
+std::optional<std::string> check_health(const pb::Evidence& evidence) {
+  const auto checks = evidence.checks_passed() + evidence.checks_failed();
+  const auto others = evidence.baseline_checks_passed() + evidence.baseline_checks_failed();
+  if (checks < kLeastChecks || evidence.checks_failed() * 4 <= checks ||
+      evidence.checks_failed() * others <= 2 * evidence.baseline_checks_failed() * checks)
+    return {};
+  return fmt::format("check probes: {} of {} failed, {} of {} elsewhere", evidence.checks_failed(), checks,
+                     evidence.baseline_checks_failed(), others);
+}
+
+// Fails when heartbeats of backend instances that used to come through the release's nodes stay away, and
+// elsewhere they do not.
+std::optional<std::string> check_heartbeats(const pb::Evidence& evidence) {
+  const auto usual = evidence.heartbeats_usual() / kThousandths;
+  const auto baseline_usual = evidence.baseline_heartbeats_usual() / kThousandths;
+  const bool missing = usual >= kLeastHeartbeats && evidence.heartbeats() * 4 < usual;
+  if (!missing || evidence.baseline_heartbeats() * 2 <= baseline_usual) return {};
+  return fmt::format(
+      "check worker-beats: {} came through nodes on it where {} were usual, {} of {} elsewhere",
+      evidence.heartbeats(), usual, evidence.baseline_heartbeats(), baseline_usual);
+}
 }  // namespace
 
-bool runs_release(const NodeObservation& n, const pb::ReleaseProgress& progress) {
-  auto f = n.running.find(progress.kind());
-  return f != n.running.end() && f->second == progress.release();
+bool runs_release(const NodeObservation& node, const pb::ReleaseProgress& progress) {
+  auto found = node.running.find(progress.kind());
+  return found != node.running.end() && found->second == progress.release();
 }
 
 bool all_run_release(const pb::ReleaseProgress& progress, const FleetObservation& observation,
                      const pb::RolloutState& state) {
   bool any = false;
-  for (auto& n : observation.nodes) {
-    if (!on(state, n.name, progress)) continue;
-    if (!n.present || !runs_release(n, progress)) return false;
+  for (const auto& node : observation.nodes) {
+    if (!is_assigned(state, node.name, progress)) continue;
+    if (!node.present || !runs_release(node, progress)) return false;
     any = true;
   }
   return any;
@@ -40,89 +130,44 @@
 
 void accumulate_evidence(pb::ReleaseProgress& progress, const FleetObservation& observation,
                          const pb::RolloutState& state) {
-  auto* e = progress.mutable_evidence();
-  bool away = std::any_of(observation.nodes.begin(), observation.nodes.end(),
-                          [&](auto& n) { return !n.present && on(state, n.name, progress); });
-  progress.set_lost_ms(away ? progress.lost_ms() + static_cast<uint64_t>(observation.elapsed.count()) : 0);
-  for (auto& n : observation.nodes) {
-    if (!n.present) continue;
-    if (on(state, n.name, progress)) {
-      if (!runs_release(n, progress)) continue;
-      e->set_requests(e->requests() + n.requests);
-      e->set_failures(e->failures() + n.failures);
-      e->set_checks_passed(e->checks_passed() + n.checks_passed);
-      e->set_checks_failed(e->checks_failed() + n.checks_failed);
-      e->set_heartbeats(e->heartbeats() + n.heartbeats);
-      e->set_heartbeats_usual(e->heartbeats_usual() + n.heartbeats_usual);
-    } else {
-      e->set_baseline_requests(e->baseline_requests() + n.requests);
-      e->set_baseline_failures(e->baseline_failures() + n.failures);
-      e->set_baseline_checks_passed(e->baseline_checks_passed() + n.checks_passed);
-      e->set_baseline_checks_failed(e->baseline_checks_failed() + n.checks_failed);
-      e->set_baseline_heartbeats(e->baseline_heartbeats() + n.heartbeats);
-      e->set_baseline_heartbeats_usual(e->baseline_heartbeats_usual() + n.heartbeats_usual);
-    }
+  auto& evidence = *progress.mutable_evidence();
+  bool any_lost = false;
+  for (const auto& node : observation.nodes) {
+    const bool assigned = is_assigned(state, node.name, progress);
+    any_lost |= assigned && !node.present;
+    if (!node.present) continue;
+    if (!assigned)
+      add_baseline_counts(evidence, node);
+    else if (runs_release(node, progress))
+      add_release_counts(evidence, node);
   }
+  progress.set_lost_ms(any_lost ? progress.lost_ms() + static_cast<uint64_t>(observation.elapsed.count())
+                                : 0);
 }
 
 std::optional<std::string> failed_check(const pb::ReleaseProgress& progress,
                                         const FleetObservation& observation, const pb::RolloutState& state,
                                         const RolloutRules& rules, const pb::OperatorAction& action) {
-  auto waived = [&](const char* k) { return action.waived().count(k) > 0; };
-  int on_all = 0, on_lost = 0, off_all = 0, off_lost = 0;
-  std::string refused;
-  for (auto& n : observation.nodes) {
-    bool o = on(state, n.name, progress);
-    (o ? on_all : off_all)++;
-    if (!n.present) (o ? on_lost : off_lost)++;
-    if (o && n.present && n.load_error.starts_with(progress.kind() + "/" + progress.release() + ":"))
-      refused = n.name + ": " + n.load_error;
-  }
-  if (!waived("beats")) {
-    if (progress.phase() == pb::ONE && on_lost > 0 &&
-        Duration(static_cast<int64_t>(progress.lost_ms())) >= rules.absence(progress.kind()))
-      return "check beats: the phase-one machine is lost";
-    // One machine may be lost unnoticed; a third of those on it, when the rest stands better, may not.
-    if (on_lost >= 2 && on_lost * 3 > on_all && on_lost * off_all > 2 * off_lost * on_all)
-      return fmt::format("check beats: {} of {} nodes on it are lost", on_lost, on_all);
-  }
-  if (!waived("load") && !refused.empty()) return "check load: " + refused;
-  auto& e = progress.evidence();
-  if (!waived("defects") && e.failures() >= kLeastDefects) {
-    double a = static_cast<double>(e.failures()) / static_cast<double>(std::max<uint64_t>(e.requests(), 1));
-    double b = static_cast<double>(e.baseline_failures()) /
-               static_cast<double>(std::max<uint64_t>(e.baseline_requests(), 1));
-    if (a > b * static_cast<double>(rules.system.failure_ratio_percent) / 100 + kSlack)
-      return fmt::format("check defects: {} of {} requests on it, {} of {} elsewhere", e.failures(),
-                         e.requests(), e.baseline_failures(), e.baseline_requests());
-  }
-  auto probes = e.checks_passed() + e.checks_failed();
-  // More than a quarter failed, and more than twice the part that failed elsewhere.
-  auto others = e.baseline_checks_passed() + e.baseline_checks_failed();
-  if (!waived("probes") && probes >= kLeastProbes && e.checks_failed() * 4 > probes &&
-      e.checks_failed() * others > 2 * e.baseline_checks_failed() * probes)
-    return fmt::format("check probes: {} of {} failed, {} of {} elsewhere", e.checks_failed(), probes,
-                       e.baseline_checks_failed(), others);
-  // Workers' beats that used to come through these nodes stay away, and elsewhere they do not.
-  auto usual = e.heartbeats_usual() / 1000, off_usual = e.baseline_heartbeats_usual() / 1000;
-  if (!waived("worker-beats") && usual >= kLeastBeats && e.heartbeats() * 4 < usual &&
-      e.baseline_heartbeats() * 2 > off_usual)
-    return fmt::format(
-        "check worker-beats: {} came through nodes on it where {} were usual, {} of {} elsewhere",
-        e.heartbeats(), usual, e.baseline_heartbeats(), off_usual);
-  return {};
+  std::optional<std::string> failure;
+  if (!is_waived(action, kPresenceCheck)) failure = check_presence(progress, observation, state, rules);
+  if (!failure && !is_waived(action, kLoadCheck)) failure = check_load(progress, observation, state);
+  if (!failure && !is_waived(action, kFailureCheck)) failure = check_failures(progress.evidence(), rules);
+  if (!failure && !is_waived(action, kHealthCheck)) failure = check_health(progress.evidence());
+  if (!failure && !is_waived(action, kHeartbeatCheck)) failure = check_heartbeats(progress.evidence());
+  return failure;
 }
 
 std::optional<std::string> missing_evidence(const pb::ReleaseProgress& progress, const RolloutRules& rules,
                                             const pb::OperatorAction& action) {
-  if (action.waived().count("evidence")) return {};
-  auto want = static_cast<uint64_t>(rules.system.evidence_requests);
-  auto& e = progress.evidence();
-  if (e.requests() < want)
-    return fmt::format("too little evidence: {} of {} requests seen in this phase", e.requests(), want);
-  if (auto probes = e.checks_passed() + e.checks_failed();
-      probes < kLeastProbes && !action.waived().count("probes"))
-    return fmt::format("too little evidence: {} of {} probes seen in this phase", probes, kLeastProbes);
+  if (is_waived(action, kEvidenceCheck)) return {};
+  const auto least = static_cast<uint64_t>(rules.system.evidence_requests);
+  const auto& evidence = progress.evidence();
+  if (evidence.requests() < least)
+    return fmt::format("too little evidence: {} of {} requests seen in this phase", evidence.requests(),
+                       least);
+  const auto checks = evidence.checks_passed() + evidence.checks_failed();
+  if (checks < kLeastChecks && !is_waived(action, kHealthCheck))
+    return fmt::format("too little evidence: {} of {} probes seen in this phase", checks, kLeastChecks);
   return {};
 }
 
--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -1,353 +1,239 @@
-// The phases in their fixed order, and what ends them. The checks themselves
-// are in checks.cpp. An assignment never falls back to a lower generation: a
-// release that is stopped leaves its nodes by a higher one with the old content.
+// Decides what happens to each release in a step. The checks are in release_checks.cpp, what changes the
+// state in release_transitions.cpp.
 #include "rollout/release_state_machine.hpp"
 
 #include <fmt/format.h>
-#include <google/protobuf/util/message_differencer.h>
 
 #include <algorithm>
-#include <set>
 
 #include "rollout/release_checks.hpp"
+#include "rollout/release_transitions.hpp"
 
 namespace dunlinwing::rollout {
+namespace {
+constexpr int kZoneHoldFraction = 4;  // in phase three, each zone holds this part of phase two's time
+constexpr int kRestartBounds = 20;    // in which a machine comes back with other software
+constexpr int64_t kMsPerSecond = 1000;
+
+// The releases of one kind that a step is about; null: there is none.
+struct Candidates {
+  pb::ReleaseProgress* active = nullptr;
+  pb::ReleaseProgress* next = nullptr;  // the one that waits and is to begin once none is active
+};
 
-Duration RolloutRules::hold(const config::Release& r, pb::Phase p) const {
-  double ms = static_cast<double>(p == pb::ONE ? r.holds.one.count() : r.holds.two.count());
-  if (p == pb::THREE) ms /= 4;  // each zone of the rest
-  return Duration(static_cast<int64_t>(ms / scale));
-}
-
-bool is_finished(pb::Phase p) { return p == pb::DONE || p == pb::STOPPED || p == pb::WITHDRAWN; }
+// One step of all releases on an observation of the fleet.
+class FleetStep {
+ public:
+  FleetStep(const pb::RolloutState& state, const FleetObservation& observation, const RolloutRules& rules)
+      : before_(state), observation_(observation), rules_(rules), transitions_(state, observation, rules) {}
+
+  StepResult run() {
+    transitions_.add_new_nodes();
+    for (const auto* kind : config::kKinds) run_kind(kind);
+    transitions_.forget_finished();
+    return transitions_.finish(before_);
+  }
+
+ private:
+  void run_kind(const std::string& kind);
+  Candidates find_candidates(const std::string& kind);
+  bool resolve_waiting(const std::string& kind, Candidates& candidates);
+  void start(pb::ReleaseProgress& progress);
+  void drive(pb::ReleaseProgress& progress);
+  bool is_deployed(pb::ReleaseProgress& progress);
+  std::optional<std::string> next_phase_blocker(const pb::ReleaseProgress& progress,
+                                                const config::Release& release,
+                                                const pb::OperatorAction& action) const;
+  const config::Release* find_release(const pb::ReleaseProgress& progress) const;
+  pb::OperatorAction operator_action(const pb::ReleaseProgress& progress) const;
+
+  const pb::RolloutState& before_;
+  const FleetObservation& observation_;
+  const RolloutRules& rules_;
+  ReleaseTransitions transitions_;
+};
 
-const pb::ReleaseProgress* active_release(const pb::RolloutState& state, const std::string& kind) {
-  for (auto& progress : state.releases())
-    if (progress.kind() == kind && progress.phase() != pb::WAITING && !is_finished(progress.phase()))
-      return &progress;
-  return nullptr;
+const config::Release* FleetStep::find_release(const pb::ReleaseProgress& progress) const {
+  auto found = observation_.releases.find(config::release_key(progress.kind(), progress.release()));
+  return found == observation_.releases.end() ? nullptr : &found->second;
 }
 
-namespace {
-constexpr int kPastCourses = 64;
+pb::OperatorAction FleetStep::operator_action(const pb::ReleaseProgress& progress) const {
+  auto found = observation_.operator_actions.find(config::release_key(progress.kind(), progress.release()));
+  return found == observation_.operator_actions.end() ? pb::OperatorAction() : found->second;
+}
 
-struct Work {
-  pb::RolloutState state;
-  std::vector<Effect> out;
-  const FleetObservation& observation;
-  const RolloutRules& rules;
-  std::map<std::string, const NodeObservation*> seen;
-  bool changed = false;
+void FleetStep::run_kind(const std::string& kind) {
+  auto candidates = find_candidates(kind);
+  if (resolve_waiting(kind, candidates)) return;
+  if (candidates.active)
+    drive(*candidates.active);
+  else if (candidates.next && candidates.next->phase() == pb::WAITING)
+    start(*candidates.next);
+}
 
-  Work(const pb::RolloutState& st, const FleetObservation& si, const RolloutRules& ru)
-      : state(st), observation(si), rules(ru) {
-    for (auto& n : observation.nodes) seen[n.name] = &n;
-  }
-  void tell(std::string t) { out.push_back(LogEffect{std::move(t)}); }
+Candidates FleetStep::find_candidates(const std::string& kind) {
+  Candidates candidates;
+  for (auto& progress : *transitions_.state().mutable_releases()) {
+    if (progress.kind() != kind) continue;
+    if (is_active(progress.phase()))
+      candidates.active = &progress;
+    else if (progress.phase() == pb::WAITING &&
+             (!candidates.next || progress.order() < candidates.next->order()))
+      candidates.next = &progress;
+  }
+  return candidates;
+}
 
-  // Nodes named change to the release under one new generation.
-  void assign(const std::string& kind, const std::map<std::string, std::string>& to) {
-    if (to.empty()) return;
-    state.set_generation(state.generation() + 1);
-    for (auto& [n, rel] : to) {
-      auto& assignment = (*state.mutable_nodes())[n];
-      if (rel.empty())
-        assignment.mutable_releases()->erase(kind);
-      else
-        (*assignment.mutable_releases())[kind] = rel;
-      assignment.set_generation(state.generation());
+// A release that waits may be withdrawn, sent by express, or take the place of the active one.
+// True when one was sent by express: nothing else happens to the kind in this step.
+bool FleetStep::resolve_waiting(const std::string& kind, Candidates& candidates) {
+  for (auto& progress : *transitions_.state().mutable_releases()) {
+    if (progress.kind() != kind || progress.phase() != pb::WAITING) continue;
+    auto action = operator_action(progress);
+    if (!action.withdrawn().empty()) {
+      transitions_.withdraw_waiting(progress, action.withdrawn());
+      continue;
+    }
+    const auto* release = find_release(progress);
+    if (!release) continue;
+    const auto& express = action.express().empty() ? release->express : action.express();
+    if (!express.empty()) {
+      if (candidates.active)
+        transitions_.roll_back(*candidates.active, pb::WITHDRAWN,
+                               "release " + progress.release() + " was sent by express");
+      transitions_.deploy_everywhere(progress, "express: " + express);
+      return true;
+    }
+    if (candidates.active && release->supersedes == candidates.active->release()) {
+      transitions_.roll_back(*candidates.active, pb::WITHDRAWN, "superseded by " + progress.release());
+      candidates = {nullptr, &progress};
     }
-    changed = true;
   }
+  return false;
+}
 
-  std::string assigned(const std::string& node, const std::string& kind) const {
-    auto n = state.nodes().find(node);
-    if (n == state.nodes().end()) return {};
-    auto f = n->second.releases().find(kind);
-    return f == n->second.releases().end() ? std::string() : f->second;
-  }
+// Begins a release that waits, when it may begin.
+void FleetStep::start(pb::ReleaseProgress& progress) {
+  if (!find_release(progress)) return;
+  const auto& state = transitions_.state();
+  const bool first_layout =
+      progress.kind() == "layout" && !state.in_force().count("layout") && !state.nodes().empty();
+  if (first_layout) return transitions_.deploy_everywhere(progress, "the fleet had no layout");
+  if (!observation_.in_quiet_hours) return progress.set_reason("waiting for the quiet hours");
+  transitions_.begin(progress);
+}
 
-  void join() {
-    for (auto& n : observation.nodes) {
-      if (!n.present) continue;
-      auto f = state.nodes().find(n.name);
-      if (f != state.nodes().end() && f->second.zone() == n.zone) continue;
-      std::map<std::string, std::map<std::string, int>> count;
-      for (auto& [k, a] : state.nodes())
-        if (a.zone() == n.zone)
-          for (auto& [kind, rel] : a.releases()) ++count[kind][rel];
-      state.set_generation(state.generation() + 1);
-      pb::NodeAssignment assignment;
-      assignment.set_zone(n.zone);
-      assignment.set_generation(state.generation());
-      for (auto& [kind, rel] : state.in_force()) (*assignment.mutable_releases())[kind] = rel;
-      for (auto& [kind, m] : count) {
-        auto best =
-            std::max_element(m.begin(), m.end(), [](auto& x, auto& y) { return x.second < y.second; });
-        auto progress = active_release(state, kind);
-        // A zone that is only in part on a release counts as what it was.
-        if (progress && best->first == progress->release() && progress->phase() == pb::ONE) continue;
-        (*assignment.mutable_releases())[kind] = best->first;
-      }
-      (*state.mutable_nodes())[n.name] = assignment;
-      changed = true;
-      tell(fmt::format("Node {} of zone {} joined.", n.name, n.zone));
-    }
-  }
+// Takes the active release one step on.
+void FleetStep::drive(pb::ReleaseProgress& progress) {
+  const auto* release = find_release(progress);
+  if (!release) return;
+  auto action = operator_action(progress);
+  if (!action.withdrawn().empty()) return transitions_.roll_back(progress, pb::WITHDRAWN, action.withdrawn());
+  if (!action.express().empty())
+    return transitions_.deploy_everywhere(progress, "express: " + action.express());
+  accumulate_evidence(progress, observation_, transitions_.state());
+  if (auto failure = failed_check(progress, observation_, transitions_.state(), rules_, action))
+    return transitions_.roll_back(progress, pb::STOPPED, *failure);
+  const auto elapsed_ms = static_cast<uint64_t>(observation_.elapsed.count());
+  progress.set_settle_ms(progress.settle_ms() + elapsed_ms);
+  if (!is_deployed(progress)) return progress.set_reason("its nodes are still loading it");
+  progress.set_held_ms(progress.held_ms() + elapsed_ms);
+  if (auto blocker = next_phase_blocker(progress, *release, action)) return progress.set_reason(*blocker);
+  transitions_.advance(progress);
+}
 
-  void everywhere(pb::ReleaseProgress& progress, const std::string& why) {
-    std::map<std::string, std::string> to;
-    for (auto& [n, a] : state.nodes()) to[n] = progress.release();
-    assign(progress.kind(), to);
-    progress.set_phase(pb::DONE);
-    progress.set_reason(why);
-    (*state.mutable_in_force())[progress.kind()] = progress.release();
-    tell(fmt::format("Release {} {} goes to all nodes at once: {}.", progress.kind(), progress.release(),
-                     why));
-  }
+// Whether all nodes of the phase run the release; gives it to more of them where it may.
+bool FleetStep::is_deployed(pb::ReleaseProgress& progress) {
+  if (progress.phase() == pb::ONE) return all_run_release(progress, observation_, transitions_.state());
+  return transitions_.spread_in_zone(progress);
+}
 
-  void leave(pb::ReleaseProgress& progress, pb::Phase to, const std::string& why) {
-    std::map<std::string, std::string> back;
-    auto force = state.in_force().find(progress.kind());
-    std::string def = force == state.in_force().end() ? std::string() : force->second;
-    for (auto& [n, a] : state.nodes()) {
-      if (assigned(n, progress.kind()) != progress.release()) continue;
-      auto b = progress.previous_releases().find(n);
-      back[n] = b == progress.previous_releases().end() ? def : b->second;
-    }
-    assign(progress.kind(), back);
-    progress.set_phase(to);
-    progress.set_reason(why);
-    changed = true;
-    tell(fmt::format("Release {} {} is {}: {}. {} nodes go back under generation {}.", progress.kind(),
-                     progress.release(), to == pb::STOPPED ? "stopped" : "withdrawn", why, back.size(),
-                     state.generation()));
-  }
+// Why a release that all nodes of its phase run does not leave the phase yet.
+std::optional<std::string> FleetStep::next_phase_blocker(const pb::ReleaseProgress& progress,
+                                                         const config::Release& release,
+                                                         const pb::OperatorAction& action) const {
+  const Duration left =
+      rules_.hold(release, progress.phase()) - Duration(static_cast<int64_t>(progress.held_ms()));
+  if (left > Duration(0))
+    return fmt::format("holding: {} s of the phase are left",
+                       (left.count() + kMsPerSecond - 1) / kMsPerSecond);
+  if (auto missing = missing_evidence(progress, rules_, action)) return missing;
+  // The end of a release starts nothing, so it may come at any hour.
+  const bool ends = progress.phase() == pb::THREE && !transitions_.has_remaining_zones(progress);
+  if (!observation_.in_quiet_hours && !ends) return "waiting for the quiet hours";
+  return {};
+}
 
-  void enter(pb::ReleaseProgress& progress, pb::Phase p, const std::string& zone) {
-    progress.set_phase(p);
-    progress.set_zone(zone);
-    progress.set_held_ms(0);
-    progress.set_lost_ms(0);
-    progress.set_settle_ms(0);
-    progress.clear_evidence();
-    changed = true;
-    tell(fmt::format("Release {} {} enters phase {}{}.", progress.kind(), progress.release(),
-                     pb::Phase_Name(p), zone.empty() ? "" : " in zone " + zone));
-  }
+StepResult acquire_leadership(const pb::RolloutState& state, uint64_t term) {
+  StepResult result{state, {}};
+  if (term <= state.term()) return result;
+  result.state.set_term(term);
+  result.effects.emplace_back(PersistEffect{true});
+  return result;
+}
 
-  void put(pb::ReleaseProgress& progress, const std::vector<std::string>& nodes) {
-    std::map<std::string, std::string> to;
-    for (auto& n : nodes) {
-      (*progress.mutable_previous_releases())[n] = assigned(n, progress.kind());
-      to[n] = progress.release();
-    }
-    assign(progress.kind(), to);
-  }
+// Whether the release has progress, or had it once.
+bool is_known(const pb::RolloutState& state, const config::Release& release) {
+  return std::any_of(state.releases().begin(), state.releases().end(),
+                     [&](auto& progress) {
+                       return progress.kind() == release.kind && progress.release() == release.name;
+                     }) ||
+         std::any_of(state.forgotten().begin(), state.forgotten().end(),
+                     [&](auto& path) { return path == release_path(release.kind, release.name); });
+}
 
-  void begin(pb::ReleaseProgress& progress) {
-    std::vector<const NodeObservation*> fit;
-    for (bool replica_repair : {false, true}) {
-      for (auto& n : observation.nodes)
-        if (n.present && !n.drained && n.keeps_state == replica_repair && state.nodes().count(n.name))
-          fit.push_back(&n);
-      if (!fit.empty()) break;
-    }
-    if (fit.empty()) return progress.set_reason("no node is present");
-    auto* m = fit[progress.order() % fit.size()];
-    progress.set_first_node(m->name);
-    enter(progress, pb::ONE, m->zone);
-    progress.clear_completed_zones();
-    put(progress, {m->name});
-  }
+StepResult record_release(const pb::RolloutState& state, const config::Release& release) {
+  StepResult result{state, {}};
+  if (is_known(state, release)) return result;
+  auto* progress = result.state.add_releases();
+  progress->set_kind(release.kind);
+  progress->set_release(release.name);
+  progress->set_order(state.next_order());
+  result.state.set_next_order(state.next_order() + 1);
+  result.effects.emplace_back(
+      LogEffect{fmt::format("Release {} {} is recorded and waits.", release.kind, release.name)});
+  result.effects.emplace_back(PersistEffect{true});
+  return result;
+}
+}  // namespace
 
-  // Puts the zone's nodes on the release: all that keep no state or leadership at
-  // once, those that do one at a time. True when none is left.
-  bool spread(pb::ReleaseProgress& progress) {
-    std::vector<std::string> plain, replica_repair;
-    bool settled = true;
-    for (auto& [n, a] : state.nodes()) {
-      if (a.zone() != progress.zone()) continue;
-      auto f = seen.find(n);
-      bool here = f != seen.end() && f->second->present;
-      if (assigned(n, progress.kind()) != progress.release())
-        (here && f->second->keeps_state ? replica_repair : plain).push_back(n);
-      else if (here && !runs_release(*f->second, progress))
-        settled = false;
-    }
-    // Software takes machines out while they restart: a third of a zone at a time.
-    if (progress.kind() == "software" && !plain.empty()) {
-      size_t zone = 0, out = 0;
-      for (auto& [n, a] : state.nodes()) {
-        if (a.zone() != progress.zone()) continue;
-        ++zone;
-        auto f = seen.find(n);
-        out += assigned(n, progress.kind()) == progress.release() &&
-               (f == seen.end() || !f->second->present || !runs_release(*f->second, progress));
-      }
-      size_t may = std::max<size_t>(1, zone / 3);
-      if (out >= may) return false;
-      plain.resize(std::min(plain.size(), may - out));
-    }
-    if (!plain.empty()) {
-      put(progress, plain);
-      progress.set_settle_ms(0);
-      return false;
-    }
-    if (replica_repair.empty()) return settled;
-    if (settled && Duration(static_cast<int64_t>(progress.settle_ms())) >= rules.settle_time()) {
-      put(progress, {replica_repair.front()});
-      progress.set_settle_ms(0);
-    }
-    return false;
-  }
+Duration RolloutRules::hold(const config::Release& release, pb::Phase phase) const {
+  auto hold_ms = static_cast<double>((phase == pb::ONE ? release.holds.one : release.holds.two).count());
+  if (phase == pb::THREE) hold_ms /= kZoneHoldFraction;
+  return Duration(static_cast<int64_t>(hold_ms / scale));
+}
 
-  std::vector<std::string> zones_left(const pb::ReleaseProgress& progress) const {
-    std::set<std::string> z;
-    for (auto& [n, a] : state.nodes())
-      if (assigned(n, progress.kind()) != progress.release()) z.insert(a.zone());
-    return {z.begin(), z.end()};
-  }
+Duration RolloutRules::allowed_absence(const std::string& kind) const {
+  return kind == "software" ? bound * kRestartBounds : Duration(0);
+}
 
-  void next(pb::ReleaseProgress& progress) {
-    auto left = zones_left(progress);
-    std::string home = state.nodes().at(progress.first_node()).zone();
-    if (progress.phase() == pb::ONE) {
-      std::erase(left, home);
-      if (left.empty()) return progress.set_reason("there is no zone without the phase-one machine");
-      return enter(progress, pb::TWO, left[progress.order() % left.size()]);
-    }
-    progress.add_completed_zones(progress.zone());
-    if (!left.empty()) {
-      // The phase-one machine's own zone comes last.
-      auto z = left.front() == home && left.size() > 1 ? left[1] : left.front();
-      return enter(progress, pb::THREE, z);
-    }
-    enter(progress, pb::DONE, "");
-    progress.set_reason("it runs everywhere");
-    (*state.mutable_in_force())[progress.kind()] = progress.release();
-  }
+bool is_finished(pb::Phase phase) {
+  return phase == pb::DONE || phase == pb::STOPPED || phase == pb::WITHDRAWN;
+}
 
-  void drive(pb::ReleaseProgress& progress, const config::Release& rel, const pb::OperatorAction& action) {
-    if (!action.withdrawn().empty()) return leave(progress, pb::WITHDRAWN, action.withdrawn());
-    if (!action.express().empty()) return everywhere(progress, "express: " + action.express());
-    accumulate_evidence(progress, observation, state);
-    if (auto bad = failed_check(progress, observation, state, rules, action))
-      return leave(progress, pb::STOPPED, *bad);
-    progress.set_settle_ms(progress.settle_ms() + static_cast<uint64_t>(observation.elapsed.count()));
-    bool whole =
-        progress.phase() == pb::ONE ? all_run_release(progress, observation, state) : spread(progress);
-    if (!whole) return progress.set_reason("its nodes are still loading it");
-    progress.set_held_ms(progress.held_ms() + static_cast<uint64_t>(observation.elapsed.count()));
-    Duration left = rules.hold(rel, progress.phase()) - Duration(static_cast<int64_t>(progress.held_ms()));
-    if (left > Duration(0))
-      return progress.set_reason(
-          fmt::format("holding: {} s of the phase are left", (left.count() + 999) / 1000));
-    if (auto few = missing_evidence(progress, rules, action)) return progress.set_reason(*few);
-    if (!observation.in_quiet_hours && !(progress.phase() == pb::THREE && zones_left(progress).empty()))
-      return progress.set_reason("waiting for the quiet hours");
-    next(progress);
-  }
+bool is_active(pb::Phase phase) { return phase != pb::WAITING && !is_finished(phase); }
 
-  void run(const std::string& kind) {
-    pb::ReleaseProgress *on = nullptr, *wait = nullptr;
-    for (auto& progress : *state.mutable_releases()) {
-      if (progress.kind() != kind || is_finished(progress.phase())) continue;
-      if (progress.phase() != pb::WAITING)
-        on = &progress;
-      else if (!wait || progress.order() < wait->order())
-        wait = &progress;
-    }
-    auto act_of = [&](const pb::ReleaseProgress& progress) {
-      auto f = observation.operator_actions.find(config::release_key(progress.kind(), progress.release()));
-      return f == observation.operator_actions.end() ? pb::OperatorAction() : f->second;
-    };
-    // A waiting release may be withdrawn, put through by express, or take the place of the one under way.
-    for (auto& progress : *state.mutable_releases()) {
-      if (progress.kind() != kind || progress.phase() != pb::WAITING) continue;
-      auto f = observation.releases.find(config::release_key(kind, progress.release()));
-      auto a = act_of(progress);
-      if (!a.withdrawn().empty()) {
-        progress.set_phase(pb::WITHDRAWN);
-        progress.set_reason(a.withdrawn());
-        changed = true;
-        continue;
-      }
-      if (f == observation.releases.end()) continue;
-      auto ex = !a.express().empty() ? a.express() : f->second.express;
-      if (!ex.empty()) {
-        if (on) leave(*on, pb::WITHDRAWN, "release " + progress.release() + " was sent by express");
-        return everywhere(progress, "express: " + ex);
-      }
-      if (on && f->second.supersedes == on->release()) {
-        leave(*on, pb::WITHDRAWN, "superseded by " + progress.release());
-        on = nullptr;
-        wait = &progress;
-      }
-    }
-    if (on) {
-      auto f = observation.releases.find(config::release_key(kind, on->release()));
-      if (f != observation.releases.end()) drive(*on, f->second, act_of(*on));
-    } else if (wait && wait->phase() == pb::WAITING) {
-      if (!observation.releases.count(config::release_key(kind, wait->release()))) return;
-      bool first = kind == "layout" && !state.in_force().count(kind) && !state.nodes().empty();
-      if (first) return everywhere(*wait, "the fleet had no layout");
-      if (!observation.in_quiet_hours) return wait->set_reason("waiting for the quiet hours");
-      begin(*wait);
-    }
-  }
+const pb::ReleaseProgress* active_release(const pb::RolloutState& state, const std::string& kind) {
+  for (const auto& progress : state.releases())
+    if (progress.kind() == kind && is_active(progress.phase())) return &progress;
+  return nullptr;
+}
 
-  // A course that is no longer kept leaves its name in the list in the same write, for its release
-  // is still recorded and would be taken for a new one. Once the mark in its act register says
-  // the same, the name goes, so that the list grows with what is under way and not with history.
-  void forget() {
-    auto* names = state.mutable_forgotten();
-    names->erase(std::remove_if(names->begin(), names->end(),
-                                [&](auto& n) { return observation.forgotten_everywhere.count(n) > 0; }),
-                 names->end());
-    std::map<std::string, int> n;
-    for (int i = state.releases_size() - 1; i >= 0; --i)
-      if (is_finished(state.releases(i).phase()) && ++n[state.releases(i).kind()] > kPastCourses) {
-        names->Add(state.releases(i).kind() + "/" + state.releases(i).release());
-        state.mutable_releases()->DeleteSubrange(i, 1);
-      }
-  }
-};
-}  // namespace
+std::string assigned_release(const pb::RolloutState& state, const std::string& node,
+                             const std::string& kind) {
+  auto assignment = state.nodes().find(node);
+  if (assignment == state.nodes().end()) return {};
+  auto release = assignment->second.releases().find(kind);
+  return release == assignment->second.releases().end() ? std::string() : release->second;
+}
+
+std::string release_path(const std::string& kind, const std::string& name) { return kind + "/" + name; }
 
 StepResult step(const pb::RolloutState& state, const Event& event, const RolloutRules& rules) {
-  if (auto* t = as<LeadershipAcquired>(event)) {
-    StepResult result{state, {}};
-    if (t->term <= state.term()) return result;
-    result.state.set_term(t->term);
-    result.effects.push_back(PersistEffect{true});
-    return result;
-  }
-  if (auto* rec = as<ReleaseRecorded>(event)) {
-    StepResult result{state, {}};
-    for (auto& progress : state.releases())
-      if (progress.kind() == rec->release.kind && progress.release() == rec->release.name) return result;
-    for (auto& f : state.forgotten())
-      if (f == rec->release.kind + "/" + rec->release.name) return result;
-    auto* progress = result.state.add_releases();
-    progress->set_kind(rec->release.kind);
-    progress->set_release(rec->release.name);
-    progress->set_order(state.next_order());
-    result.state.set_next_order(state.next_order() + 1);
-    result.effects.push_back(LogEffect{
-        fmt::format("Release {} {} is recorded and waits.", progress->kind(), progress->release())});
-    result.effects.push_back(PersistEffect{true});
-    return result;
-  }
-  Work w(state, std::get<FleetObservation>(event), rules);
-  w.join();
-  for (auto* k : config::kKinds) w.run(k);
-  w.forget();
-  if (w.changed)
-    w.out.push_back(PersistEffect{true});
-  else if (!google::protobuf::util::MessageDifferencer::Equals(w.state, state))
-    w.out.push_back(PersistEffect{false});
-  return {std::move(w.state), std::move(w.out)};
+  if (const auto* acquired = as<LeadershipAcquired>(event)) return acquire_leadership(state, acquired->term);
+  if (const auto* recorded = as<ReleaseRecorded>(event)) return record_release(state, recorded->release);
+  return FleetStep(state, std::get<FleetObservation>(event), rules).run();
 }
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/release_state_machine.hpp
+++ b/src/rollout/release_state_machine.hpp
@@ -1,6 +1,11 @@
-// The control reducer of rollout: a pure step from the recorded state and one
-// event to the next state and the effects wanted. No clock, no network, no
-// random: whoever holds the leadership feeds it what was seen and for how long.
+/// @file
+/// The state machine of releases: a step from the recorded state and one event to the next state and the
+/// effects wanted. Pure: no clock, no network, no random numbers. Whoever holds the rollout leadership feeds
+/// it what was observed and for how long.
+///
+/// Invariants: the phases of a release come in their order, ONE, TWO, THREE; of each kind at most one release
+/// is in them. A node's assignment changes only under a higher generation, also when a release is rolled
+/// back. Threads: any; nothing is shared.
 #pragma once
 #include <set>
 
@@ -11,53 +16,68 @@
 
 namespace dunlinwing::rollout {
 
+/// One node as the leader sees it. Counts are those since the previous observation.
 struct NodeObservation {
-  std::string name, zone;
-  bool present = false;      // its session stands
-  bool drained = false;      // takes no callers, so it gives no evidence
-  bool keeps_state = false;  // a holder, or one of a duty's pair
-  std::map<std::string, std::string> running;
-  std::string load_error;
-  uint64_t requests = 0, failures = 0;  // since the last sight
-  uint64_t checks_passed = 0, checks_failed = 0;
-  uint64_t heartbeats = 0,
-           heartbeats_usual =
-               0;  // of workers taken here since the last sight; thousandths usual before the release
+  std::string name;
+  std::string zone;
+  bool present = false;                        ///< its session has not expired, and it is not leaving
+  bool drained = false;                        ///< takes no requests of clients, so it gives no evidence
+  bool keeps_state = false;                    ///< a replica, or the leader or its standby
+  std::map<std::string, std::string> running;  ///< release by kind, as the node reports
+  std::string load_error;                      ///< kind/release: reason; empty: it has loaded what it should
+  uint64_t requests = 0;
+  uint64_t failures = 0;  ///< of `requests`
+  uint64_t checks_passed = 0;
+  uint64_t checks_failed = 0;
+  uint64_t heartbeats = 0;        ///< of backend instances, accepted by this node
+  uint64_t heartbeats_usual = 0;  ///< in thousandths: as many as came before the release; 0: not known
 };
 
+/// A release stands in its register; the state machine may know it already.
 struct ReleaseRecorded {
   config::Release release;
 };
+
+/// The fleet as the leader sees it.
 struct FleetObservation {
-  Duration elapsed{0};  // observed under the read_lease since the last sight
+  Duration elapsed{0};  ///< observed under the lease since the previous observation
   bool in_quiet_hours = true;
   std::vector<NodeObservation> nodes;
-  std::map<std::string, config::Release> releases;             // by register name
-  std::map<std::string, pb::OperatorAction> operator_actions;  // by release register name
-  // Entries of Rollout.forgotten whose mark in their act register every leader must know by now.
+  std::map<std::string, config::Release> releases;             ///< by register name
+  std::map<std::string, pb::OperatorAction> operator_actions;  ///< by the register name of the release
+  /// Entries of RolloutState.forgotten whose marker in their operator action every leader must know by now.
   std::set<std::string> forgotten_everywhere;
 };
+
+/// This node leads under a new term.
 struct LeadershipAcquired {
   uint64_t term = 0;
 };
 using Event = std::variant<LeadershipAcquired, ReleaseRecorded, FleetObservation>;
 
+/// A line for the log, to be written only once the state that came with it is recorded.
 struct LogEffect {
   std::string message;
 };
+
+/// The state is to be recorded.
 struct PersistEffect {
-  bool urgent = false;  // an assignment changed; else only time was recorded
+  bool urgent = false;  ///< before anything else is done; otherwise only counts and times have changed
 };
 using Effect = std::variant<LogEffect, PersistEffect>;
 
+/// What the state machine is bound by.
 struct RolloutRules {
-  double scale = 1;  // holds are divided by it; only the fleet runner sets it
-  Duration bound{2000};
+  double scale = 1;      ///< all holds are divided by it; only test fleets set another one
+  Duration bound{2000};  ///< in which every node knows a recorded value, or acts on nothing
   config::SystemOptions system;
-  Duration hold(const config::Release& r, pb::Phase p) const;
+
+  /// How long a release has to stay in a phase; in phase three, in each zone.
+  Duration hold(const config::Release& release, pb::Phase phase) const;
+  /// How long a zone has to run the release before its next stateful node gets it.
   Duration settle_time() const { return bound; }
-  // Software restarts its machine, which may be away for a while.
-  Duration absence(const std::string& kind) const { return kind == "software" ? bound * 20 : Duration(0); }
+  /// How long the phase-one node may be away; software restarts its machine.
+  Duration allowed_absence(const std::string& kind) const;
 };
 
 struct StepResult {
@@ -65,9 +85,22 @@
   std::vector<Effect> effects;
 };
 
+/// The next state. A state without any PersistEffect is unchanged.
 StepResult step(const pb::RolloutState& state, const Event& event, const RolloutRules& rules);
 
+/// The release of the kind that is in its phases; null: none is.
 const pb::ReleaseProgress* active_release(const pb::RolloutState& state, const std::string& kind);
-bool is_finished(pb::Phase p);
+
+/// Whether the phase is one of those that end a release.
+bool is_finished(pb::Phase phase);
+
+/// Whether the release is in one of its phases: neither waiting nor finished.
+bool is_active(pb::Phase phase);
+
+/// The release of the kind that is assigned to the node; empty: none is.
+std::string assigned_release(const pb::RolloutState& state, const std::string& node, const std::string& kind);
+
+/// The name of a release in RolloutState.forgotten: kind/name.
+std::string release_path(const std::string& kind, const std::string& name);
 
 }  // namespace dunlinwing::rollout
