--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -10,57 +10,59 @@
 
 namespace dunlinwing::simulation {
 
-struct Fleet::Grave {
-  Host h;
+struct Fleet::TerminatedHost {
+  Host host;
 };
 
 FleetShape lobby_shape() {
-  FleetShape s;
-  s.edge_nodes = 9;
-  s.first_backends = 4;
-  s.second_backends = 6;
-  s.max_delay = Duration(2);
-  return s;
+  FleetShape shape;
+  shape.edge_nodes = 9;
+  shape.first_backends = 4;
+  shape.second_backends = 6;
+  shape.max_delay = Duration(2);
+  return shape;
 }
 
 // Half a millisecond between zones is none or one on a clock of milliseconds.
 FleetShape practice_shape() {
-  auto s = lobby_shape();
-  s.second_backends = 7;
-  s.min_delay = Duration(0);
-  s.max_delay = Duration(1);
-  return s;
+  auto shape = lobby_shape();
+  shape.second_backends = 7;
+  shape.min_delay = Duration(0);
+  shape.max_delay = Duration(1);
+  return shape;
 }
 
-Fleet::Fleet(World& world, FleetShape s) : world_(world), shape_(s), out_(std::make_shared<ProcessRun>()) {
-  out_->host = "outside";
-  world.weather = normal_conditions();
-  for (int i = 0; i < s.replicas + s.edge_nodes; ++i) {
-    auto h = std::make_unique<Host>();
-    h->has_disk = i < s.replicas;
-    h->shield = h->has_disk && i >= s.replicas - 2;
-    h->name = fmt::format("{}{}", h->has_disk ? "h" : "e", h->has_disk ? i + 1 : i - s.replicas + 1);
-    h->zone = std::string(1, static_cast<char>('a' + i % 3));
-    h->address = "peer:" + h->name;
-    h->wall_offset_ms = s.wall0;
-    hosts_.push_back(std::move(h));
+Fleet::Fleet(World& world, FleetShape shape)
+    : world_(world), shape_(shape), outside_process_(std::make_shared<ProcessRun>()) {
+  outside_process_->host = "outside";
+  world.network = normal_conditions();
+  for (int i = 0; i < shape.replicas + shape.edge_nodes; ++i) {
+    auto host = std::make_unique<Host>();
+    host->has_disk = i < shape.replicas;
+    host->shield = host->has_disk && i >= shape.replicas - 2;
+    host->name =
+        fmt::format("{}{}", host->has_disk ? "h" : "e", host->has_disk ? i + 1 : i - shape.replicas + 1);
+    host->zone = std::string(1, static_cast<char>('a' + i % 3));
+    host->address = "peer:" + host->name;
+    host->wall_offset_ms = shape.wall0;
+    hosts_.push_back(std::move(host));
   }
-  for (int i = 0; i < s.spares; ++i) {
-    auto h = std::make_unique<Host>();
-    h->spare = true;
-    h->name = fmt::format("x{}", i + 1);
-    h->zone = std::string(1, static_cast<char>('a' + i % 3));
-    h->address = "peer:" + h->name;
-    h->wall_offset_ms = s.wall0;
-    hosts_.push_back(std::move(h));
+  for (int i = 0; i < shape.spares; ++i) {
+    auto host = std::make_unique<Host>();
+    host->spare = true;
+    host->name = fmt::format("x{}", i + 1);
+    host->zone = std::string(1, static_cast<char>('a' + i % 3));
+    host->address = "peer:" + host->name;
+    host->wall_offset_ms = shape.wall0;
+    hosts_.push_back(std::move(host));
   }
 }
 
 Fleet::~Fleet() = default;
 
 Host& Fleet::at(const std::string& n) {
-  for (auto& h : hosts_)
-    if (h->name == n) return *h;
+  for (auto& host : hosts_)
+    if (host->name == n) return *host;
   throw std::logic_error("no host " + n);
 }
 
@@ -85,7 +87,7 @@
   config.shield = host.shield;
   config.bound = shape_.bound;
   config.scale = shape_.scale;
-  config.initial_boot = shape_.seeded ? !host.started_before && !old_ : true;
+  config.initial_boot = shape_.seeded ? !host.started_before && !started_before_ : true;
   config.tolerate = shape_.tolerate;
   if (shape_.seeded) config.seeds = {"http:h1", "http:h2", "http:h3"};
   if (shape_.settings) shape_.settings(config);
@@ -105,8 +107,8 @@
 }
 
 void Fleet::start_all() {
-  for (auto& h : hosts_) start(h->name);
-  old_ = true;
+  for (auto& host : hosts_) start(host->name);
+  started_before_ = true;
 }
 
 void Fleet::kill(const std::string& n) {
@@ -115,18 +117,18 @@
   ++world_.faults_met["kill"];
   event(fmt::format(R"("t":"killed","machine":"{}")", n));
   world_.kill(host.process);
-  auto g = std::make_unique<Grave>();
-  g->h.process = host.process;
-  g->h.clock = std::move(host.clock);
-  g->h.random = std::move(host.random);
-  g->h.tasks = std::move(host.tasks);
-  g->h.net = std::move(host.net);
-  g->h.origin = std::move(host.origin);
-  g->h.ports = std::move(host.ports);
-  g->h.disk = std::move(host.disk);
-  g->h.node = std::move(host.node);
-  g->h.router = std::move(host.router);
-  graves_.push_back(std::move(g));
+  auto g = std::make_unique<TerminatedHost>();
+  g->host.process = host.process;
+  g->host.clock = std::move(host.clock);
+  g->host.random = std::move(host.random);
+  g->host.tasks = std::move(host.tasks);
+  g->host.net = std::move(host.net);
+  g->host.origin = std::move(host.origin);
+  g->host.ports = std::move(host.ports);
+  g->host.disk = std::move(host.disk);
+  g->host.node = std::move(host.node);
+  g->host.router = std::move(host.router);
+  terminated_.push_back(std::move(g));
 }
 
 void Fleet::wipe(const std::string& n) {
@@ -136,21 +138,23 @@
 }
 
 void Fleet::isolate(const std::string& n) {
-  for (auto& h : hosts_)
-    if (h->name != n) {
-      world_.partition(n, h->name);
-      world_.partition(h->name, n);
+  for (auto& host : hosts_)
+    if (host->name != n) {
+      world_.partition(n, host->name);
+      world_.partition(host->name, n);
     }
 }
 
 bool Fleet::breaks(const std::string& n, const std::string& what) {
-  return shape_.breaks == what && at(n).up() && at(n).node->configuration_name() == shape_.broken;
+  return shape_.broken_aspect == what && at(n).up() &&
+         at(n).node->configuration_name() == shape_.broken_release;
 }
 
 Host* Fleet::random_host(bool only_ready) {
   std::vector<Host*> v;
-  for (auto& h : hosts_)
-    if (h->up() && !world_.frozen(h->name) && (!only_ready || h->node->ready())) v.push_back(h.get());
+  for (auto& host : hosts_)
+    if (host->up() && !world_.frozen(host->name) && (!only_ready || host->node->ready()))
+      v.push_back(host.get());
   return v.empty() ? nullptr : v[world_.below(v.size())];
 }
 
@@ -159,44 +163,45 @@
   auto x = std::make_unique<SimulatedBackend>();
   x->service = service;
   x->version = version;
-  x->zone = std::string(1, static_cast<char>('a' + workers_.size() % 3));
-  x->instance = fmt::format("i{}", workers_.size() + 1);
-  x->address = fmt::format("10.0.0.{}:80", workers_.size() + 1);
+  x->zone = std::string(1, static_cast<char>('a' + backends_.size() % 3));
+  x->instance = fmt::format("i{}", backends_.size() + 1);
+  x->address = fmt::format("10.0.0.{}:80", backends_.size() + 1);
   x->max_age = max_age;
   auto* p = x.get();
-  workers_.push_back(std::move(x));
+  backends_.push_back(std::move(x));
   spawn_outside([this, p] {
     while (p->alive) {
       if (!p->foreign) send_heartbeat(*p);
-      if (p->leaving && p->left) return;
+      if (p->leaving && p->on_deregistered) return;
       sleep(Duration(p->period_ms));
     }
   });
   return *p;
 }
 
-void Fleet::send_heartbeat(SimulatedBackend& x) {
+void Fleet::send_heartbeat(SimulatedBackend& backend) {
   auto body = fmt::format(
       R"({{"service":"{}","version":"{}","instance":"{}","zone":"{}","address":"{}","capacity":16,"leaving":{},"number":{},"period_ms":{},"cold_ms":{}}})",
-      x.service, x.version, x.instance, x.zone, x.address, x.leaving, ++x.beats, x.period_ms,
-      std::max<int64_t>(0, (x.warm_at - world_.now()).count()));
-  bool leaving = x.leaving;
-  for (int i = 0; i < 3 && x.alive; ++i) {
-    auto t = operator_call("POST", "/v1/beats", body);
-    if (t.status != 200) continue;
+      backend.service, backend.version, backend.instance, backend.zone, backend.address, backend.leaving,
+      ++backend.heartbeats, backend.period_ms,
+      std::max<int64_t>(0, (backend.warm_at - world_.now()).count()));
+  bool leaving = backend.leaving;
+  for (int i = 0; i < 3 && backend.alive; ++i) {
+    auto response = operator_call("POST", "/v1/beats", body);
+    if (response.status != 200) continue;
     if (leaving)
-      world_.journal.push_back(
-          fmt::format(R"({{"t":"leaving","instance":"{}","at":{}}})", x.instance, world_.now().count()));
-    if (leaving && x.left) x.left(t.by);
+      world_.journal.push_back(fmt::format(R"({{"t":"leaving","instance":"{}","at":{}}})", backend.instance,
+                                           world_.now().count()));
+    if (leaving && backend.on_deregistered) backend.on_deregistered(response.by);
     return;
   }
 }
 
-void Fleet::spawn_outside(std::function<void()> f) { world_.spawn(out_, std::move(f)); }
+void Fleet::spawn_outside(std::function<void()> f) { world_.spawn(outside_process_, std::move(f)); }
 
 void Fleet::sleep(Duration s) {
   Wait x;
-  world_.wait(out_, s, x);
+  world_.wait(outside_process_, s, x);
 }
 
 bool Fleet::wait_until(Duration most, const std::function<bool()>& f) {
@@ -217,20 +222,22 @@
 }  // namespace
 
 // One HTTP exchange with a host: lost when its process dies or never answers.
-static std::shared_ptr<Visit> visit(World& world, const FleetShape& s, const ProcessRunPtr& out, Host& host,
-                                    base::Request request, bool control, Duration most) {
+static std::shared_ptr<Visit> visit(World& world, const FleetShape& shape, const ProcessRunPtr& out,
+                                    Host& host, base::Request request, bool control, Duration most) {
   auto v = std::make_shared<Visit>();
   auto qp = std::make_shared<base::Request>(std::move(request));
   auto* node = host.node.get();
   auto* ctl = host.router.get();
   auto go = std::make_shared<std::function<void()>>();
-  *go = [&world, &s, v, qp, node, ctl, control, life = host.process, go] {
+  *go = [&world, &shape, v, qp, node, ctl, control, life = host.process, go] {
     if (life->dead) return;
     if (world.frozen(life->host)) return world.after(Duration(50), *go);
-    world.spawn(life, [&world, &s, v, qp, node, ctl, control] {
+    world.spawn(life, [&world, &shape, v, qp, node, ctl, control] {
       v->read = true;
       FleetShape::Handler product = [ctl](base::Request& x) { return ctl->handle(x); };
-      v->response = !control ? node->handle(*qp) : s.translate ? s.translate(*qp, product) : product(*qp);
+      v->response = !control          ? node->handle(*qp)
+                    : shape.translate ? shape.translate(*qp, product)
+                                      : product(*qp);
       v->done = true;
       world.notify(v->wait);
     });
@@ -249,7 +256,7 @@
   auto& world = fleet_.world_;
   auto& host = fleet_.at(name);
   bool lost = world.is_partitioned(process_->host, name) || world.is_partitioned(name, process_->host) ||
-              world.random(world.weather.loss_permille);
+              world.random(world.network.loss_permille);
   Wait x;
   if (lost || !host.up())
     return world.wait(process_, lost ? limit : Duration(1), x),
@@ -265,15 +272,15 @@
   if (!host) return {0, {}, {}, true};
   if (target == "/v1/beats" && breaks(host->name, "beats"))
     return ++world_.faults_met["beat_unheard"], OperatorResponse{0, {}, {}, true};
-  auto v = visit(world_, shape_, out_, *host, {"", method, target, body, std::move(headers)}, true,
-                 Duration(5000));
+  auto v = visit(world_, shape_, outside_process_, *host, {"", method, target, body, std::move(headers)},
+                 true, Duration(5000));
   if (v->lost) return {0, {}, {}, true};
   return {v->response.status, v->response.body, base::header(v->response.headers, "ETag"), false, host->name};
 }
 
 Exchange Fleet::exchange(Host& to, base::Request request, bool control, Duration most) {
   if (!to.up()) return sleep(Duration(1)), Exchange{};
-  auto v = visit(world_, shape_, out_, to, std::move(request), control, most);
+  auto v = visit(world_, shape_, outside_process_, to, std::move(request), control, most);
   return {!v->lost, v->read, v->response};
 }
 
@@ -282,14 +289,14 @@
   if (!host) host = random_host(false);
   if (!host) return 0;
   base::Request request{"", method, target, body, {}};
-  auto id = fmt::format("c{}", ++named_);
+  auto id = fmt::format("c{}", ++next_request_id_);
   request.headers.emplace_back("Caller-Id", id);
   auto from = world_.now().count();
   world_.journal.push_back(
       fmt::format(R"({{"t":"ask","id":"{}","method":"{}","target":"{}","in":"{}","at":{},"relay":"{}"}})", id,
                   method, target, base::sha256_base64(body), from, host->name));
   ++calls;
-  auto v = visit(world_, shape_, out_, *host, std::move(request), false, Duration(10000));
+  auto v = visit(world_, shape_, outside_process_, *host, std::move(request), false, Duration(10000));
   if (v->lost) {
     world_.journal.push_back(fmt::format(R"({{"t":"lost","id":"{}","from":{},"at":{},"relay":"{}"}})", id,
                                          from, world_.now().count(), host->name));
@@ -323,8 +330,8 @@
 }
 
 void Fleet::end() {
-  world_.kill(out_);
-  for (auto& h : hosts_) kill(h->name);
+  world_.kill(outside_process_);
+  for (auto& host : hosts_) kill(host->name);
 }
 
 }  // namespace dunlinwing::simulation
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -15,7 +15,7 @@
   Duration bound{2000};
   int64_t wall0 = 1700000000000;
   // What a release of this name breaks on the nodes that run it: nothing, beats or reach.
-  std::string broken, breaks;
+  std::string broken_release, broken_aspect;
   int first_backends = 3, second_backends = 3;  // workers of the cached and of the other service
   Duration min_delay{1}, max_delay{3};          // a message's way
   // A deployment that speaks other words: they go into each relay's settings, stand
@@ -58,11 +58,11 @@
   bool foreign = false;  // a program of somebody else: runs what it gets, says 421, and never beats
   int bad_percent = 0, lose_percent = 0, wrong_percent = 0, refuse_percent = 0;
   std::function<void(const std::string& by)>
-      left;  // told who took its word that it leaves; it says nothing more then
+      on_deregistered;  // told who took its word that it leaves; it says nothing more then
   Duration min_latency{1}, max_latency{8};
   int64_t max_age = 0, period_ms = 1000;
-  int load = 0;  // as it says in its answers; the work that others give it
-  uint64_t beats = 0;
+  int reported_load = 0;  // as it says in its answers; the work that others give it
+  uint64_t heartbeats = 0;
   // A version that is bad in its own way: how many times slower this request is, 0 when it fails.
   std::function<int(const std::string& target)> slowdown;
   TimePoint warm_at{0};  // until then it is twice as slow, and says so
@@ -83,7 +83,7 @@
 
 class Fleet {
  public:
-  Fleet(World& world, FleetShape s);
+  Fleet(World& world, FleetShape shape);
   ~Fleet();
   void start(const std::string& host);
   void start_all();
@@ -95,7 +95,7 @@
   Host* random_host(bool only_ready);
 
   SimulatedBackend& add_backend(const std::string& service, const std::string& version, int64_t max_age);
-  std::vector<std::unique_ptr<SimulatedBackend>>& backends() { return workers_; }
+  std::vector<std::unique_ptr<SimulatedBackend>>& backends() { return backends_; }
 
   // Fibers of the outside world.
   int call(const std::string& method, const std::string& target, const std::string& body = {},
@@ -126,12 +126,12 @@
   FleetShape shape_;
   Directory directory_;
   std::vector<std::unique_ptr<Host>> hosts_;
-  std::vector<std::unique_ptr<SimulatedBackend>> workers_;
-  struct Grave;
-  std::vector<std::unique_ptr<Grave>> graves_;
-  ProcessRunPtr out_;
-  uint64_t named_ = 0;
-  bool old_ = false;  // all were started once
+  std::vector<std::unique_ptr<SimulatedBackend>> backends_;
+  struct TerminatedHost;
+  std::vector<std::unique_ptr<TerminatedHost>> terminated_;
+  ProcessRunPtr outside_process_;
+  uint64_t next_request_id_ = 0;
+  bool started_before_ = false;  // all were started once
 };
 
 }  // namespace dunlinwing::simulation
--- a/src/simulation/origin.cpp
+++ b/src/simulation/origin.cpp
@@ -5,12 +5,12 @@
 
 namespace dunlinwing::simulation {
 namespace {
-base::Headers head(const SimulatedBackend& x, const std::string& rid, base::Headers more) {
-  more.emplace_back("Dunlinwing-Service", x.service);
-  more.emplace_back("Dunlinwing-Version", x.version);
-  more.emplace_back("Dunlinwing-Instance", x.instance);
+base::Headers head(const SimulatedBackend& backend, const std::string& rid, base::Headers more) {
+  more.emplace_back("Dunlinwing-Service", backend.service);
+  more.emplace_back("Dunlinwing-Version", backend.version);
+  more.emplace_back("Dunlinwing-Instance", backend.instance);
   more.emplace_back("Dunlinwing-Request", rid);
-  more.emplace_back("Dunlinwing-Load", std::to_string(x.load));
+  more.emplace_back("Dunlinwing-Load", std::to_string(backend.reported_load));
   return more;
 }
 }  // namespace
@@ -20,7 +20,7 @@
   fleet_.world_.wait(process_, Duration(1), x);
   if (fleet_.breaks(process_->host, "reach")) return ++fleet_.world_.faults_met["unreachable"], false;
   if (fleet_.shape_.stands) return fleet_.shape_.stands(address);
-  for (auto& w : fleet_.workers_)
+  for (auto& w : fleet_.backends_)
     if (w->alive && w->address == address) return true;
   return false;
 }
@@ -37,73 +37,76 @@
     world.wait(process_, s, x);
   };
   auto find = [&]() -> SimulatedBackend* {
-    for (auto& x : fleet_.workers_)
-      if (x->alive && x->address == address) return x.get();
+    for (auto& backend : fleet_.backends_)
+      if (backend->alive && backend->address == address) return backend.get();
     return nullptr;
   };
   sleep(Duration(1));
-  auto* x = find();
-  if (!x) return base::AttemptError::unsent;
+  auto* backend = find();
+  if (!backend) return base::AttemptError::unsent;
   auto h = [&](const char* n) { return base::header(request.headers, n); };
-  if (x->foreign) {
+  if (backend->foreign) {
     ++world.faults_met["foreign"];
     world.journal.push_back(fmt::format(
         R"({{"t":"run","id":"{}","method":"{}","target":"{}","in":"{}","out":"","service":"{}","version":"{}","instance":"{}","at":{},"bad":true}})",
         h("Caller-Id"), request.method, request.target, base::sha256_base64(request.body),
-        h("Dunlinwing-Service"), h("Dunlinwing-Version"), x->instance, world.now().count()));
+        h("Dunlinwing-Service"), h("Dunlinwing-Version"), backend->instance, world.now().count()));
     return base::Response{421, {}, ""};
   }
-  if (h("Dunlinwing-Instance") != x->instance || h("Dunlinwing-Service") != x->service ||
-      h("Dunlinwing-Version") != x->version) {
+  if (h("Dunlinwing-Instance") != backend->instance || h("Dunlinwing-Service") != backend->service ||
+      h("Dunlinwing-Version") != backend->version) {
     ++world.faults_met["wrong_address"];
-    return base::Response{421, head(*x, h("Dunlinwing-Request"), {{"Dunlinwing-Outcome", "not-run"}}), ""};
+    return base::Response{421, head(*backend, h("Dunlinwing-Request"), {{"Dunlinwing-Outcome", "not-run"}}),
+                          ""};
   }
-  if (static_cast<int>(world.below(100)) < x->refuse_percent) {
+  if (static_cast<int>(world.below(100)) < backend->refuse_percent) {
     ++world.faults_met["worker_refused"];
-    return base::Response{503, head(*x, h("Dunlinwing-Request"), {{"Dunlinwing-Outcome", "not-run"}}), ""};
+    return base::Response{503, head(*backend, h("Dunlinwing-Request"), {{"Dunlinwing-Outcome", "not-run"}}),
+                          ""};
   }
-  Duration took = x->min_latency +
-                  Duration(world.below(static_cast<uint64_t>((x->max_latency - x->min_latency).count()) + 1));
+  Duration took =
+      backend->min_latency +
+      Duration(world.below(static_cast<uint64_t>((backend->max_latency - backend->min_latency).count()) + 1));
   auto at = world.now().count();
-  if (world.now() < x->warm_at) took *= 2;
-  int times = x->slowdown ? x->slowdown(request.target) : 1;
+  if (world.now() < backend->warm_at) took *= 2;
+  int times = backend->slowdown ? backend->slowdown(request.target) : 1;
   if (times > 1) took *= times;
-  bool bad = static_cast<int>(world.below(100)) < x->bad_percent || !times,
-       wrong = static_cast<int>(world.below(100)) < x->wrong_percent;
+  bool bad = static_cast<int>(world.below(100)) < backend->bad_percent || !times,
+       wrong = static_cast<int>(world.below(100)) < backend->wrong_percent;
   auto body =
       fmt::format(R"({{"target":"{}","echo":"{}","produced":{}}})", request.target, h("Caller-Id"), at);
   auto sum = base::sha256_base64(body);
   world.journal.push_back(fmt::format(
       R"({{"t":"run","id":"{}","method":"{}","target":"{}","in":"{}","out":"{}","service":"{}","version":"{}","instance":"{}","relay":"{}","gen":"{}","at":{},"bad":{}}})",
-      h("Caller-Id"), request.method, request.target, base::sha256_base64(request.body), sum, x->service,
-      x->version, x->instance, h("Dunlinwing-Relay"), h("Dunlinwing-Generation"), at,
-      bad || wrong || times > 1));
-  auto name = x->instance;
-  ++x->running;
+      h("Caller-Id"), request.method, request.target, base::sha256_base64(request.body), sum,
+      backend->service, backend->version, backend->instance, h("Dunlinwing-Relay"),
+      h("Dunlinwing-Generation"), at, bad || wrong || times > 1));
+  auto name = backend->instance;
+  ++backend->running;
   sleep(std::min(took, limit));
-  --x->running;
+  --backend->running;
   if (took > limit) {
     ++world.faults_met["slow_worker"];
     return base::AttemptError::unknown;
   }
-  x = find();
-  if (!x || x->instance != name) {
+  backend = find();
+  if (!backend || backend->instance != name) {
     ++world.faults_met["worker_died_in_request"];
     return base::AttemptError::unknown;
   }
-  if (static_cast<int>(world.below(100)) < x->lose_percent) {
+  if (static_cast<int>(world.below(100)) < backend->lose_percent) {
     ++world.faults_met["lost_answer"];
     sleep(limit - took);
     return base::AttemptError::unknown;
   }
-  base::Response response{bad ? 500 : 200,
-                          head(*x, h("Dunlinwing-Request"), {{"Content-Digest", "sha-256=:" + sum + ":"}}),
-                          body};
+  base::Response response{
+      bad ? 500 : 200, head(*backend, h("Dunlinwing-Request"), {{"Content-Digest", "sha-256=:" + sum + ":"}}),
+      body};
   if (wrong) response.body[response.body.size() / 2] ^= 1;
   if (bad) ++world.faults_met["bad_answer"];
   if (wrong) ++world.faults_met["wrong_bytes"];
-  if (x->max_age && request.method == "GET")
-    response.headers.emplace_back("Cache-Control", fmt::format("max-age={}", x->max_age));
+  if (backend->max_age && request.method == "GET")
+    response.headers.emplace_back("Cache-Control", fmt::format("max-age={}", backend->max_age));
   return response;
 }
 
--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -35,11 +35,11 @@
   auto t = std::make_shared<Talk>();
   auto back = [this, t, from = process_->host](const std::string& to, std::optional<pb::PeerResponse> r) {
     if (world_.is_partitioned(to, from)) return void(++world_.faults_met["cut"]);
-    if (world_.random(world_.weather.loss_permille)) return void(++world_.faults_met["loss"]);
+    if (world_.random(world_.network.loss_permille)) return void(++world_.faults_met["loss"]);
     Duration d =
-        world_.weather.min_delay +
+        world_.network.min_delay +
         Duration(world_.below(
-            static_cast<uint64_t>((world_.weather.max_delay - world_.weather.min_delay).count()) + 1));
+            static_cast<uint64_t>((world_.network.max_delay - world_.network.min_delay).count()) + 1));
     world_.after(d, [this, t, r = std::move(r)] {
       if (t->reply || t->refused) return;
       if (r)
@@ -55,11 +55,11 @@
     ++world_.messages;
     world_.bytes += request.ByteSizeLong();
     if (world_.is_partitioned(process_->host, host)) return void(++world_.faults_met["cut"]);
-    if (world_.random(world_.weather.loss_permille)) return void(++world_.faults_met["loss"]);
+    if (world_.random(world_.network.loss_permille)) return void(++world_.faults_met["loss"]);
     Duration d =
-        world_.weather.min_delay +
+        world_.network.min_delay +
         Duration(world_.below(
-            static_cast<uint64_t>((world_.weather.max_delay - world_.weather.min_delay).count()) + 1));
+            static_cast<uint64_t>((world_.network.max_delay - world_.network.min_delay).count()) + 1));
     // What a frozen host is sent waits in its sockets until the thaw.
     auto arrive = std::make_shared<std::function<void()>>();
     *arrive = [this, address, request, host, back, arrive] {
@@ -76,7 +76,7 @@
     world_.after(d, *arrive);
   };
   send();
-  if (world_.random(world_.weather.duplicate_permille)) {
+  if (world_.random(world_.network.duplicate_permille)) {
     ++world_.faults_met["twice"];
     send();
   }
@@ -150,19 +150,19 @@
 }
 
 std::optional<base::DiskError> Disk::save(const std::vector<pb::LogRecord>& records,
-                                          const std::function<pb::Snapshot()>& whole) {
-  auto error = timed([&] { return s_->save(records, whole); });
+                                          const std::function<pb::Snapshot()>& complete) {
+  auto error = timed([&] { return s_->save(records, complete); });
   if (!error && world_.synced)
     for (auto& r : records) world_.synced(process_->host, r);
   return error;
 }
 
-std::optional<base::DiskError> Disk::rewrite(const pb::Snapshot& whole) {
-  auto error = timed([&] { return s_->rewrite(whole); });
+std::optional<base::DiskError> Disk::rewrite(const pb::Snapshot& complete) {
+  auto error = timed([&] { return s_->rewrite(complete); });
   if (error) return error;
   ++world_.faults_met["disk_back"];
   if (!world_.synced) return {};
-  for (auto& slot : whole.registers()) {
+  for (auto& slot : complete.registers()) {
     pb::LogRecord r;
     *r.mutable_register_state() = slot;
     world_.synced(process_->host, r);
--- a/src/simulation/ports.hpp
+++ b/src/simulation/ports.hpp
@@ -91,8 +91,8 @@
   Disk(World& world, ProcessRunPtr process, DiskContents& contents);
   base::LoadedSnapshot load() override { return s_->load(); }
   std::optional<base::DiskError> save(const std::vector<pb::LogRecord>& records,
-                                      const std::function<pb::Snapshot()>& whole) override;
-  std::optional<base::DiskError> rewrite(const pb::Snapshot& whole) override;
+                                      const std::function<pb::Snapshot()>& complete) override;
+  std::optional<base::DiskError> rewrite(const pb::Snapshot& complete) override;
 
  private:
   // Lets the disk's time pass, then runs the write; a process that dies meanwhile leaves it
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -62,13 +62,13 @@
   w.life = process;
   if (!w.woken) {
     w.fiber = bf::context::active();
-    w.due = false;
-    auto turn = w.turn = ++turns_;
+    w.timed_out = false;
+    auto turn = w.wait_id = ++next_wait_id_;
     process->waits.insert(&w);
     at(now_ + std::max(s, Duration(0)), [this, process, &w, turn] {
-      if (process->waits.count(&w) && w.turn == turn) resume(&w);
+      if (process->waits.count(&w) && w.wait_id == turn) resume(&w);
     });
-    while (!w.due) bf::context::active()->suspend();
+    while (!w.timed_out) bf::context::active()->suspend();
     process->waits.erase(&w);
     w.fiber = nullptr;
   }
@@ -77,14 +77,14 @@
 }
 
 void World::resume(Wait* w) {
-  if (w->due || !w->fiber) return;
+  if (w->timed_out || !w->fiber) return;
   if (auto f = frozen_.find(w->life->host); f != frozen_.end() && f->second > now_ && !w->life->dead) {
-    at(f->second, [this, l = w->life, w, turn = w->turn] {
-      if (l->waits.count(w) && w->turn == turn) resume(w);
+    at(f->second, [this, l = w->life, w, turn = w->wait_id] {
+      if (l->waits.count(w) && w->wait_id == turn) resume(w);
     });
     return;
   }
-  w->due = true;
+  w->timed_out = true;
   bf::context::active()->schedule(static_cast<bf::context*>(w->fiber));
 }
 
@@ -108,7 +108,7 @@
 
 void World::partition(const std::string& from, const std::string& to) {
   cuts_.insert({from, to});
-  if (std::exchange(cut_told_, now_) != now_)
+  if (std::exchange(partition_reported_, now_) != now_)
     journal.push_back(fmt::format(R"({{"t":"cut","at":{}}})", now_.count()));
 }
 
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -54,7 +54,7 @@
   bool is_partitioned(const std::string& from, const std::string& to) const {
     return cuts_.count({from, to}) > 0;
   }
-  NetworkConditions weather;
+  NetworkConditions network;
   std::map<std::string, uint64_t> faults_met;  // faults that a run in truth met
   uint64_t messages = 0, bytes = 0;            // between hosts, both ways
   std::function<void(const std::string& host, const pb::LogRecord&)>
@@ -70,8 +70,8 @@
   std::multimap<std::pair<TimePoint, uint64_t>, Event> events_;
   std::mt19937_64 rng_;
   TimePoint now_{1000000};
-  uint64_t steps_ = 0, order_ = 0, turns_ = 0;
-  TimePoint cut_told_{0};
+  uint64_t steps_ = 0, order_ = 0, next_wait_id_ = 0;
+  TimePoint partition_reported_{0};
   std::map<std::string, TimePoint> frozen_;
   std::set<std::pair<std::string, std::string>> cuts_;
   std::function<void()> check_;
@@ -80,8 +80,8 @@
 struct Wait {
   ProcessRunPtr life;
   void* fiber = nullptr;
-  bool woken = false, due = false;
-  uint64_t turn = 0;  // tells a late timer from this one's
+  bool woken = false, timed_out = false;
+  uint64_t wait_id = 0;  // tells a late timer from this one's
 };
 
 }  // namespace dunlinwing::simulation
--- a/test/fleet/client.cpp
+++ b/test/fleet/client.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 struct Relay {
-  std::string callers, control;
+  std::string clients, control;
   std::atomic<bool> ready{false};
 };
 
@@ -67,8 +67,8 @@
     auto from = clock.now().count();
     journal.line(fmt::format(
         R"({{"t":"ask","id":"{}","method":"{}","target":{},"in":"{}","at":{},"relay":"{}"}})", id,
-        request.method, test::qt(request.target), base::sha256_base64(request.body), from, r.callers));
-    auto x = http.send(r.callers, request, 10000ms);
+        request.method, test::qt(request.target), base::sha256_base64(request.body), from, r.clients));
+    auto x = http.send(r.clients, request, 10000ms);
     auto to = clock.now().count();
     if (auto* a = std::get_if<base::Response>(&x)) {
       auto out = base::header(a->headers, "Dunlinwing-Outcome");
@@ -81,12 +81,12 @@
           R"({{"t":"got","id":"{}","status":{},"outcome":"{}","out":"{}","produced":{},"gen":"{}","retry_after":"{}","from":{},"at":{},"relay":"{}","why":{}}})",
           id, a->status, out, base::sha256_base64(a->body), produced,
           base::header(a->headers, "Dunlinwing-Generation"), base::header(a->headers, "Retry-After"), from,
-          to, r.callers, a->status < 400 ? "\"\"" : test::qt(a->body)));
+          to, r.clients, a->status < 400 ? "\"\"" : test::qt(a->body)));
       (a->status < 400 ? ok : out == "not-run" ? away : out == "unknown" ? unknown : other)++;
     } else {
       journal.line(fmt::format(R"({{"t":"lost","id":"{}","sent":{},"from":{},"at":{},"relay":"{}"}})", id,
                                std::get<base::AttemptError>(x) != base::AttemptError::unsent, from, to,
-                               r.callers));
+                               r.clients));
       ++lost;
     }
     --open;
@@ -144,7 +144,7 @@
       return 2;
     }
     auto r = std::make_unique<Relay>();
-    r->callers = s.substr(0, at);
+    r->clients = s.substr(0, at);
     r->control = s.substr(at + 1);
     a.relays.push_back(std::move(r));
   }
--- a/test/fleet/fleet.cpp
+++ b/test/fleet/fleet.cpp
@@ -21,7 +21,7 @@
 std::string at(int port) { return fmt::format("127.0.0.1:{}", port); }
 }  // namespace
 
-std::string layout_document(const std::string& d, const std::string& more) {
+std::string configuration_document(const std::string& d, const std::string& more) {
   auto vs = "[\"1\"" + (more.empty() ? "" : ",\"" + more + "\"") + "]";
   bool lobby = d == "lobby";
   return fmt::format(R"({{"content":{{"services":{{
@@ -37,62 +37,63 @@
 
 Fleet::Fleet(net::EventLoopPool& pool, FleetConfig c)
     : pool_(pool),
-      c_(std::move(c)),
+      config_(std::move(c)),
       links_(pool),
-      events_((fs::create_directories(c_.dir), c_.dir + "/events.journal")) {}
+      events_((fs::create_directories(config_.directory), config_.directory + "/events.journal")) {}
 
 Machine& Fleet::at(const std::string& n) {
-  for (auto& m : ms_)
-    if (m.name == n) return m;
+  for (auto& machine : machines_)
+    if (machine.name == n) return machine;
   throw std::runtime_error("no machine " + n);
 }
 
-void Fleet::lay_out() {
-  auto add = [&](std::string name, std::string kind, int zone, bool holder) {
+void Fleet::write_settings() {
+  auto add = [&](std::string name, std::string kind, int zone, bool replica) {
     Machine m;
     m.name = std::move(name);
     m.kind = std::move(kind);
     m.zone = std::string(1, static_cast<char>('a' + zone));
-    m.holder = holder;
-    m.index = static_cast<int>(ms_.size());
-    m.callers = test::at(c_.port + m.index);
-    m.control = test::at(c_.port + 100 + m.index);
-    m.peers = test::at(c_.port + 200 + m.index);
-    ms_.push_back(m);
+    m.has_disk = replica;
+    m.index = static_cast<int>(machines_.size());
+    m.client_address = test::at(config_.port + m.index);
+    m.control_address = test::at(config_.port + 100 + m.index);
+    m.peer_address = test::at(config_.port + 200 + m.index);
+    machines_.push_back(m);
   };
   for (int i = 0; i < 12; ++i) add(fmt::format("e{}", i + 1), "edge", i / 4, i % 4 == 0);
   add("s1", "store", 0, true);
   add("s2", "store", 1, true);
-  for (auto& m : ms_) {
-    std::string holders, seeds;
-    for (auto& h : ms_) {
-      if (!h.holder) continue;
-      auto via = test::at(c_.port + 400 + m.index * 16 + h.index);
-      if (m.name != h.name) links_.open(m.name, h.name, via, h.peers);
-      holders += fmt::format("{}\"{}\":\"{}\"", holders.empty() ? "" : ",", h.name,
-                             m.name == h.name ? h.peers : via);
+  for (auto& m : machines_) {
+    std::string replicas, seeds;
+    for (auto& h : machines_) {
+      if (!h.has_disk) continue;
+      auto via = test::at(config_.port + 400 + m.index * 16 + h.index);
+      if (m.name != h.name) links_.open(m.name, h.name, via, h.peer_address);
+      replicas += fmt::format("{}\"{}\":\"{}\"", replicas.empty() ? "" : ",", h.name,
+                              m.name == h.name ? h.peer_address : via);
       if (std::count(seeds.begin(), seeds.end(), ',') < 2)
-        seeds += fmt::format("{}\"{}\"", seeds.empty() ? "" : ",", h.control);
+        seeds += fmt::format("{}\"{}\"", seeds.empty() ? "" : ",", h.control_address);
     }
-    auto dir = c_.dir + "/" + m.name;
+    auto dir = config_.directory + "/" + m.name;
     fs::create_directories(dir + "/releases");
-    fs::copy_file(c_.bin + "/relay", dir + "/releases/relay-0.1.0", fs::copy_options::overwrite_existing);
+    fs::copy_file(config_.binaries + "/relay", dir + "/releases/relay-0.1.0",
+                  fs::copy_options::overwrite_existing);
     m.program = dir + "/releases/relay-0.1.0";
     std::ofstream f(dir + "/relay.json");
     f << fmt::format(R"({{"name":"{}","zone":"{}","listen":{{"callers":"{}","control":"{}","peers":"{}"}},
 "holders":{{{}}},"seeds":[{}],"shield":{},"bound_ms":{},"hold_scale":{}{}}})",
-                     m.name, m.zone, m.callers, m.control, m.peers, holders, seeds, m.kind == "store",
-                     c_.bound_ms, c_.scale,
+                     m.name, m.zone, m.client_address, m.control_address, m.peer_address, replicas, seeds,
+                     m.kind == "store", config_.bound_ms, config_.scale,
                      fmt::format(",\"releases\":\"{}/releases\"", dir) +
-                         (m.holder || m.name == "e2" ? fmt::format(",\"data\":\"{}/data\"", dir) : ""))
+                         (m.has_disk || m.name == "e2" ? fmt::format(",\"data\":\"{}/data\"", dir) : ""))
       << "\n";
     m.args = {"--config", dir + "/relay.json"};
-    event(fmt::format(R"("t":"machine","machine":"{}","callers":"{}")", m.name, m.callers));
+    event(fmt::format(R"("t":"machine","machine":"{}","callers":"{}")", m.name, m.client_address));
   }
 }
 
 pid_t Fleet::spawn(const std::string& program, const std::vector<std::string>& args, const std::string& log) {
-  auto path = program[0] == '/' ? program : c_.bin + "/" + program;
+  auto path = program[0] == '/' ? program : config_.binaries + "/" + program;
   std::vector<char*> av{const_cast<char*>(path.c_str())};
   for (auto& a : args) av.push_back(const_cast<char*>(a.c_str()));
   av.push_back(nullptr);
@@ -109,52 +110,54 @@
 }
 
 void Fleet::start(const std::string& n) {
-  auto& m = at(n);
-  if (m.pid > 0) return;
-  m.frozen = false;
-  m.pid = spawn(m.kind == "worker" ? "worker" : m.program, m.args, c_.dir + "/" + n + ".log");
+  auto& machine = at(n);
+  if (machine.pid > 0) return;
+  machine.frozen = false;
+  machine.pid = spawn(machine.kind == "worker" ? "worker" : machine.program, machine.args,
+                      config_.directory + "/" + n + ".log");
 }
 
-void Fleet::start_relays() {
-  for (auto& m : ms_)
-    if (m.kind != "worker") start(m.name);
+void Fleet::start_nodes() {
+  for (auto& machine : machines_)
+    if (machine.kind != "worker") start(machine.name);
 }
 
-std::string Fleet::relay_list(bool pairs) const {
+std::string Fleet::node_list(bool pairs) const {
   std::string s;
-  for (auto& m : ms_) {
-    if (m.kind == "worker" || (pairs && m.kind != "edge")) continue;
-    s += (s.empty() ? "" : ",") + (pairs ? m.callers + "@" + m.control : m.control);
+  for (auto& machine : machines_) {
+    if (machine.kind == "worker" || (pairs && machine.kind != "edge")) continue;
+    s += (s.empty() ? "" : ",") +
+         (pairs ? machine.client_address + "@" + machine.control_address : machine.control_address);
   }
   return s;
 }
 
-std::string Fleet::add_worker(const std::string& service, const std::string& version, const std::string& zone,
-                              const std::vector<std::string>& more) {
-  Machine m;
-  m.index = workers_++;
-  m.name = fmt::format("w{}", m.index + 1);
-  m.zone = zone;
-  m.kind = "worker";
-  m.args = {"--service", service,
-            "--runs",    version,
-            "--zone",    zone,
-            "--address", test::at(c_.port + 300 + m.index % 90),
-            "--relays",  relay_list(false),
-            "--journal", c_.dir + "/" + m.name + ".journal"};
-  for (auto& a : more) m.args.push_back(a);
-  ms_.push_back(m);
-  start(m.name);
-  return m.name;
+std::string Fleet::add_backend(const std::string& service, const std::string& version,
+                               const std::string& zone, const std::vector<std::string>& more) {
+  Machine machine;
+  machine.index = backends_++;
+  machine.name = fmt::format("w{}", machine.index + 1);
+  machine.zone = zone;
+  machine.kind = "worker";
+  machine.args = {"--service", service,
+                  "--runs",    version,
+                  "--zone",    zone,
+                  "--address", test::at(config_.port + 300 + machine.index % 90),
+                  "--relays",  node_list(false),
+                  "--journal", config_.directory + "/" + machine.name + ".journal"};
+  for (auto& a : more) machine.args.push_back(a);
+  machines_.push_back(machine);
+  start(machine.name);
+  return machine.name;
 }
 
-void Fleet::start_workers() {
-  bool lobby = c_.deployment == "lobby";
+void Fleet::start_backends() {
+  bool lobby = config_.deployment == "lobby";
   auto zone = [](int i) { return std::string(1, static_cast<char>('a' + i % 3)); };
   for (int i = 0; i < 4; ++i)
-    add_worker(lobby ? "content" : "documents", "1", zone(i), {"--max_age", "4", "--pad", "2000"});
+    add_backend(lobby ? "content" : "documents", "1", zone(i), {"--max_age", "4", "--pad", "2000"});
   for (int i = 0; i < (lobby ? 6 : 7); ++i)
-    add_worker(lobby ? "matchmaking" : "application", "1", zone(i), {});
+    add_backend(lobby ? "matchmaking" : "application", "1", zone(i), {});
 }
 
 bool Fleet::gone(const std::string& n) {
@@ -163,7 +166,7 @@
   if (m.pid > 0 && waitpid(m.pid, &st, WNOHANG) == m.pid) {
     m.pid = -1;
     if (m.kind == "worker") return true;
-    auto dir = c_.dir + "/" + n + "/releases/";
+    auto dir = config_.directory + "/" + n + "/releases/";
     auto named = [&](const char* f) {
       std::ifstream i(dir + f);
       std::string s;
@@ -185,7 +188,7 @@
   pool_.spawn([this] {
     while (supervised) {
       for (size_t i = 0; i < 14; ++i)
-        if (ms_[i].pid > 0 && gone(ms_[i].name)) start(ms_[i].name);
+        if (machines_[i].pid > 0 && gone(machines_[i].name)) start(machines_[i].name);
       clock.sleep(50ms);
     }
   });
@@ -230,23 +233,23 @@
 }
 
 void Fleet::wipe(const std::string& n) {
-  fs::remove_all(c_.dir + "/" + n + "/data");
+  fs::remove_all(config_.directory + "/" + n + "/data");
   event(fmt::format(R"("t":"wiped","machine":"{}")", n));
 }
 
 void Fleet::stop_all() {
   supervised = false;
   stopping_ = true;
-  for (auto& m : ms_)
-    if (m.pid > 0) {
-      ::kill(m.pid, SIGCONT);
-      ::kill(m.pid, SIGTERM);
+  for (auto& machine : machines_)
+    if (machine.pid > 0) {
+      ::kill(machine.pid, SIGCONT);
+      ::kill(machine.pid, SIGTERM);
     }
   auto end = clock.now() + 6s;
-  for (auto& m : ms_)
-    while (!gone(m.name) && clock.now() < end) clock.sleep(20ms);
-  for (auto& m : ms_)
-    if (m.pid > 0) kill(m.name);
+  for (auto& machine : machines_)
+    while (!gone(machine.name) && clock.now() < end) clock.sleep(20ms);
+  for (auto& machine : machines_)
+    if (machine.pid > 0) kill(machine.name);
   while (watching_) clock.sleep(20ms);
 }
 
@@ -255,7 +258,7 @@
   pool_.spawn([this] {
     std::map<std::string, int64_t> told;
     for (int64_t seen = 0; !stopping_;) {
-      auto response = any("GET", fmt::format("/v1/assignments?after={}&wait_ms=1000", seen));
+      auto response = http_any("GET", fmt::format("/v1/assignments?after={}&wait_ms=1000", seen));
       auto p = base::Json::parse(response.body);
       auto* j = std::get_if<base::Json>(&p);
       if (response.status != 200 || !j) {
@@ -275,30 +278,31 @@
   });
 }
 
-pid_t Fleet::start_caller(const std::string& name, int rate, int seconds, uint64_t seed) {
+pid_t Fleet::start_client(const std::string& name, int rate, int seconds, uint64_t seed) {
   return spawn("caller",
-               {"--relays", relay_list(true), "--deployment", c_.deployment, "--rate", std::to_string(rate),
-                "--seconds", std::to_string(seconds), "--seed", std::to_string(seed), "--prefix", name,
-                "--journal", c_.dir + "/" + name + ".journal"},
-               c_.dir + "/" + name + ".log");
+               {"--relays", node_list(true), "--deployment", config_.deployment, "--rate",
+                std::to_string(rate), "--seconds", std::to_string(seconds), "--seed", std::to_string(seed),
+                "--prefix", name, "--journal", config_.directory + "/" + name + ".journal"},
+               config_.directory + "/" + name + ".log");
 }
 
-bool Fleet::caller_done(pid_t p) { return waitpid(p, nullptr, WNOHANG) == p; }
+bool Fleet::client_done(pid_t p) { return waitpid(p, nullptr, WNOHANG) == p; }
 
 base::Response Fleet::http(const std::string& node, const std::string& method, const std::string& target,
                            const std::string& body, base::Headers headers) {
   base::Request request{"", method, target, body, std::move(headers)};
-  auto r = http_.send(at(node).control, request, 5s);
+  auto r = http_.send(at(node).control_address, request, 5s);
   if (auto* a = std::get_if<base::Response>(&r)) return *a;
   return {0, {}, {}};
 }
 
-base::Response Fleet::any(const std::string& method, const std::string& target, const std::string& body) {
+base::Response Fleet::http_any(const std::string& method, const std::string& target,
+                               const std::string& body) {
   base::Response last;
-  for (size_t i = 0; i < ms_.size(); ++i) {
-    auto& m = ms_[i];
-    if (m.kind == "worker" || m.pid <= 0 || m.frozen) continue;
-    last = http(m.name, method, target, body);
+  for (size_t i = 0; i < machines_.size(); ++i) {
+    auto& machine = machines_[i];
+    if (machine.kind == "worker" || machine.pid <= 0 || machine.frozen) continue;
+    last = http(machine.name, method, target, body);
     if (last.status && last.status != 503) return last;
   }
   return last;
@@ -315,17 +319,17 @@
 
 bool Fleet::all_ready(Duration most) {
   return until(most, [&] {
-    for (size_t i = 0; i < ms_.size(); ++i)
-      if (auto& m = ms_[i];
-          m.kind != "worker" && m.pid > 0 && !m.frozen && http(m.name, "GET", "/readyz").status != 200)
+    for (size_t i = 0; i < machines_.size(); ++i)
+      if (auto& machine = machines_[i]; machine.kind != "worker" && machine.pid > 0 && !machine.frozen &&
+                                        http(machine.name, "GET", "/readyz").status != 200)
         return false;
     return true;
   });
 }
 
-bool Fleet::layout_everywhere(const std::string& name, Duration most) {
+bool Fleet::await_configuration_everywhere(const std::string& name, Duration most) {
   return until(most, [&] {
-    auto response = any("GET", "/v1/releases/layout/" + name);
+    auto response = http_any("GET", "/v1/releases/layout/" + name);
     auto p = base::Json::parse(response.body);
     auto* j = std::get_if<base::Json>(&p);
     return j && j->at("course").at("phase").string_or() == "DONE";
--- a/test/fleet/fleet.hpp
+++ b/test/fleet/fleet.hpp
@@ -13,33 +13,33 @@
 namespace dunlinwing::test {
 
 struct FleetConfig {
-  std::string dir, bin, deployment = "lobby";
+  std::string directory, binaries, deployment = "lobby";
   int port = 21000;
   double scale = 1;
   int bound_ms = 2000;
-  bool worker_faults = false;
+  bool backend_faults = false;
 };
 
 struct Machine {
   std::string name, zone, kind;  // edge, store or worker
-  bool holder = false;
+  bool has_disk = false;
   int index = 0;
   pid_t pid = -1;
   bool frozen = false;
   std::string program;  // what the supervisor starts; empty: the built relay
   std::vector<std::string> args;
-  std::string callers, control, peers;
+  std::string client_address, control_address, peer_address;
 };
 
 class Fleet {
  public:
   Fleet(net::EventLoopPool& pool, FleetConfig c);
-  void lay_out();  // writes settings, opens links; starts nothing
+  void write_settings();  // writes settings, opens links; starts nothing
   void start(const std::string& name);
-  void start_relays();
-  void start_workers();
-  std::string add_worker(const std::string& service, const std::string& version, const std::string& zone,
-                         const std::vector<std::string>& more);
+  void start_nodes();
+  void start_backends();
+  std::string add_backend(const std::string& service, const std::string& version, const std::string& zone,
+                          const std::vector<std::string>& more);
   void warn(const std::string& name);  // SIGTERM, SIGKILL six seconds later
   void kill(const std::string& name);
   void freeze(const std::string& name);
@@ -52,36 +52,36 @@
   void supervise();
   bool supervised = false;
   void watch_assignments();  // journals each node's assignment once a majority tells of it
-  pid_t start_caller(const std::string& name, int rate, int seconds, uint64_t seed);
-  bool caller_done(pid_t p);
+  pid_t start_client(const std::string& name, int rate, int seconds, uint64_t seed);
+  bool client_done(pid_t p);
 
   base::Response http(const std::string& node, const std::string& method, const std::string& target,
                       const std::string& body = {}, base::Headers headers = {});
-  base::Response any(const std::string& method, const std::string& target, const std::string& body = {});
+  base::Response http_any(const std::string& method, const std::string& target, const std::string& body = {});
   bool until(Duration most, const std::function<bool()>& what);  // polls a condition
   bool all_ready(Duration most);
-  bool layout_everywhere(const std::string& name, Duration most);
+  bool await_configuration_everywhere(const std::string& name, Duration most);
   void event(const std::string& json_fields);
 
   Links& links() { return links_; }
-  std::deque<Machine>& machines() { return ms_; }
+  std::deque<Machine>& machines() { return machines_; }
   Machine& at(const std::string& name);
-  std::string relay_list(bool pairs) const;
-  const FleetConfig& config() const { return c_; }
+  std::string node_list(bool pairs) const;
+  const FleetConfig& config() const { return config_; }
   net::SystemClock clock;
 
  private:
   pid_t spawn(const std::string& program, const std::vector<std::string>& args, const std::string& log);
   net::EventLoopPool& pool_;
-  FleetConfig c_;
+  FleetConfig config_;
   Links links_;
-  std::deque<Machine> ms_;  // fibers hold on to one while others are added
+  std::deque<Machine> machines_;  // fibers hold on to one while others are added
   net::HttpClient http_{32u << 20};
   Journal events_;
-  int workers_ = 0;
+  int backends_ = 0;
   bool stopping_ = false, watching_ = false;
 };
 
-std::string layout_document(const std::string& deployment, const std::string& extra_versions = {});
+std::string configuration_document(const std::string& deployment, const std::string& extra_versions = {});
 
 }  // namespace dunlinwing::test
--- a/test/fleet/fleet_test.cpp
+++ b/test/fleet/fleet_test.cpp
@@ -61,8 +61,8 @@
   return n;
 }
 
-void framing(net::EventLoopPool& pool, test::Fleet& f) {
-  auto at = f.at("e2").callers;
+void framing(net::EventLoopPool& pool, test::Fleet& fleet) {
+  auto at = fleet.at("e2").client_address;
   auto starts = [&](const std::string& what, const std::string& bytes, const std::string& want) {
     auto r = raw(pool, at, bytes);
     test::expect(r.starts_with("HTTP/1.1 " + want), what + " gave " + r.substr(0, 60));
@@ -103,80 +103,84 @@
   test::expect(two.find("/lobbies/1") < two.find("/lobbies/2"), "pipelined answers out of order");
 }
 
-void faces(test::Fleet& f) {
-  auto response = f.http("e3", "PUT", "/v1/releases/layout/bad",
-                         R"({"content":{"services":{},"routes":[{"prefix":"x"}]}})");
+void faces(test::Fleet& fleet) {
+  auto response = fleet.http("e3", "PUT", "/v1/releases/layout/bad",
+                             R"({"content":{"services":{},"routes":[{"prefix":"x"}]}})");
   test::same(response.status, 422, "an invalid layout");
   for (auto* at : {"/content/services", "/content/routes/0/prefix", "/content/routes/0/service"})
     test::expect(response.body.find(std::string("{\"at\":\"") + at + "\"") != response.body.npos,
                  std::string("not named: ") + at + " in " + response.body);
-  test::same(f.http("e3", "GET", "/v1/releases/layout/bad").status, 404, "what was not recorded");
-  auto again = f.http("e7", "PUT", "/v1/releases/layout/first", test::layout_document("lobby"));
+  test::same(fleet.http("e3", "GET", "/v1/releases/layout/bad").status, 404, "what was not recorded");
+  auto again = fleet.http("e7", "PUT", "/v1/releases/layout/first", test::configuration_document("lobby"));
   test::same(again.status, 200, "the same release again");
-  test::same(f.http("e7", "PUT", "/v1/releases/layout/first", test::layout_document("lobby", "7")).status,
-             409, "another under its name");
   test::same(
-      f.http("s1", "PUT", "/v1/purges/one", R"({"service":"content","kind":"path","path":"/liveries/1"})")
+      fleet.http("e7", "PUT", "/v1/releases/layout/first", test::configuration_document("lobby", "7")).status,
+      409, "another under its name");
+  test::same(
+      fleet.http("s1", "PUT", "/v1/purges/one", R"({"service":"content","kind":"path","path":"/liveries/1"})")
           .status,
       200, "a purge");
-  auto once =
-      f.http("s2", "PUT", "/v1/purges/one", R"({"service":"content","kind":"path","path":"/liveries/1"})");
+  auto once = fleet.http("s2", "PUT", "/v1/purges/one",
+                         R"({"service":"content","kind":"path","path":"/liveries/1"})");
   test::expect(once.body.find("\"was_known\":true") != once.body.npos,
                "a purge of the same name was taken twice");
-  test::same(f.http("e1", "GET", "/v1/nonsense").status, 404, "an unknown resource");
-  test::same(f.http("e1", "DELETE", "/v1/nodes").status, 405, "a method that resources do not take");
+  test::same(fleet.http("e1", "GET", "/v1/nonsense").status, 404, "an unknown resource");
+  test::same(fleet.http("e1", "DELETE", "/v1/nodes").status, 405, "a method that resources do not take");
 }
 
 void whole(net::EventLoopPool& pool) {
   test::FleetConfig c{std::filesystem::absolute(FLAGS_dir).string(), FLAGS_bin, "lobby", FLAGS_port, 1500};
-  test::Fleet f(pool, c);
-  f.lay_out();
+  test::Fleet fleet(pool, c);
+  fleet.write_settings();
   std::string why;
   try {
-    f.start_relays();
-    f.start_workers();
-    test::expect(f.until(30s, [&] { return f.any("GET", "/v1/nodes").status == 200; }),
+    fleet.start_nodes();
+    fleet.start_backends();
+    test::expect(fleet.until(30s, [&] { return fleet.http_any("GET", "/v1/nodes").status == 200; }),
                  "control did not answer");
-    test::same(f.any("PUT", "/v1/releases/layout/first", test::layout_document("lobby")).status, 202,
-               "the first layout");
-    test::expect(f.all_ready(30s), "not all relays became ready");
+    test::same(
+        fleet.http_any("PUT", "/v1/releases/layout/first", test::configuration_document("lobby")).status, 202,
+        "the first layout");
+    test::expect(fleet.all_ready(30s), "not all relays became ready");
     test::expect(
-        f.until(15s, [&] { return count(f.any("GET", "/v1/workers").body, "\"gone\":false") == 10; }),
+        fleet.until(15s,
+                    [&] { return count(fleet.http_any("GET", "/v1/workers").body, "\"gone\":false") == 10; }),
         "not all workers are known");
-    framing(pool, f);
-    faces(f);
-    f.watch_assignments();
-    auto p = f.start_caller("c1", 200, 20, 7);
-    test::same(f.any("PUT", "/v1/releases/layout/second", test::layout_document("lobby", "2")).status, 202,
-               "the second layout");
-    f.kill("e5");  // a holder, without warning
-    f.wipe("e5");
-    f.start("e5");
-    f.warn("e2");
-    f.start("e2");
+    framing(pool, fleet);
+    faces(fleet);
+    fleet.watch_assignments();
+    auto p = fleet.start_client("c1", 200, 20, 7);
+    test::same(fleet.http_any("PUT", "/v1/releases/layout/second", test::configuration_document("lobby", "2"))
+                   .status,
+               202, "the second layout");
+    fleet.kill("e5");  // a holder, without warning
+    fleet.wipe("e5");
+    fleet.start("e5");
+    fleet.warn("e2");
+    fleet.start("e2");
     // Callers go on calling until it is done: without them there is no evidence.
     int round = 1;
-    bool done = f.until(150s, [&] {
-      if (f.caller_done(p))
-        p = f.start_caller(fmt::format("c{}", ++round), 200, 20, static_cast<uint64_t>(round));
-      return f.layout_everywhere("second", 1s);
+    bool done = fleet.until(150s, [&] {
+      if (fleet.client_done(p))
+        p = fleet.start_client(fmt::format("c{}", ++round), 200, 20, static_cast<uint64_t>(round));
+      return fleet.await_configuration_everywhere("second", 1s);
     });
     test::expect(done, "the second layout does not run everywhere");
-    test::expect(f.until(60s, [&] { return f.caller_done(p); }), "the callers did not end");
-    test::expect(f.all_ready(30s), "not all relays are ready at the end");
-    for (auto& m : f.machines())
-      if (m.kind != "worker")
-        test::expect(
-            f.http(m.name, "GET", "/v1/releases/layout/second")
-                    .body.find("\"document\":" + test::layout_document("lobby", "2")) != std::string::npos,
-            m.name + " does not read the acknowledged layout back byte for byte");
+    test::expect(fleet.until(60s, [&] { return fleet.client_done(p); }), "the callers did not end");
+    test::expect(fleet.all_ready(30s), "not all relays are ready at the end");
+    for (auto& machine : fleet.machines())
+      if (machine.kind != "worker")
+        test::expect(fleet.http(machine.name, "GET", "/v1/releases/layout/second")
+                             .body.find("\"document\":" + test::configuration_document("lobby", "2")) !=
+                         std::string::npos,
+                     machine.name + " does not read the acknowledged layout back byte for byte");
   } catch (const std::exception& e) {
     why = e.what();
   }
-  f.stop_all();
+  fleet.stop_all();
   test::expect(why.empty(), why);
   test::Journals js;
-  for (auto& e : std::filesystem::directory_iterator(c.dir))
+  for (auto& e : std::filesystem::directory_iterator(c.directory))
     if (e.path().extension() == ".journal") js.read(e.path().string());
   auto r = test::check(js);
   for (auto& b : r.breaches)
--- a/test/fleet/main.cpp
+++ b/test/fleet/main.cpp
@@ -43,7 +43,7 @@
   test::FleetConfig c{dir, std::filesystem::absolute(FLAGS_bin).string(), FLAGS_deployment, FLAGS_port,
                       FLAGS_scale};
   test::Fleet fleet(pool, c);
-  fleet.lay_out();
+  fleet.write_settings();
   int rate = FLAGS_rate ? FLAGS_rate : FLAGS_deployment == "lobby" ? 370 : 900;
   bool asked = false;
   boost::asio::signal_set sigs(pool.io(0), SIGTERM, SIGINT);
--- a/test/fleet/scenarios.cpp
+++ b/test/fleet/scenarios.cpp
@@ -13,62 +13,64 @@
 namespace dunlinwing::test {
 using namespace std::chrono_literals;
 
-bool say(bool ok, const std::string& what) {
+bool report(bool ok, const std::string& what) {
   std::cout << (ok ? "seen: " : "NOT SEEN: ") << what << "\n" << std::flush;
   return ok;
 }
 
-bool put_layout(Run& r, const std::string& name, const std::string& doc) {
-  auto a = r.f.any("PUT", "/v1/releases/layout/" + name, doc);
+bool put_configuration(Run& run, const std::string& name, const std::string& doc) {
+  auto a = run.fleet.http_any("PUT", "/v1/releases/layout/" + name, doc);
   if (a.status != 202) {
     std::cout << "PUT " << name << " gave " << a.status << " " << a.body << "\n";
     return false;
   }
-  r.f.event(fmt::format(R"("t":"recorded","release":"{}")", name));
+  run.fleet.event(fmt::format(R"("t":"recorded","release":"{}")", name));
   return true;
 }
 
-bool begin(Run& r) {
-  r.f.start_relays();
-  r.f.watch_assignments();
-  r.f.start_workers();
-  bool put = r.f.until(20s, [&] { return r.f.any("GET", "/v1/nodes").status == 200; });
-  return say(put, "control answers") &&
-         say(put_layout(r, "first", layout_document(r.f.config().deployment)), "first layout recorded") &&
-         say(r.f.all_ready(20s), "all relays are ready under the first layout");
+bool start_traffic(Run& run) {
+  run.fleet.start_nodes();
+  run.fleet.watch_assignments();
+  run.fleet.start_backends();
+  bool put = run.fleet.until(20s, [&] { return run.fleet.http_any("GET", "/v1/nodes").status == 200; });
+  return report(put, "control answers") &&
+         report(put_configuration(run, "first", configuration_document(run.fleet.config().deployment)),
+                "first layout recorded") &&
+         report(run.fleet.all_ready(20s), "all relays are ready under the first layout");
 }
 
-bool calls(Run& r, const std::function<bool()>& meanwhile) {
-  auto p = r.f.start_caller("c1", r.rate, r.seconds, r.seed);
+bool with_traffic(Run& run, const std::function<bool()>& meanwhile) {
+  auto p = run.fleet.start_client("c1", run.rate, run.seconds, run.seed);
   bool ok = meanwhile();
-  while (!r.f.caller_done(p)) r.f.clock.sleep(50ms);
+  while (!run.fleet.client_done(p)) run.fleet.clock.sleep(50ms);
   return ok;
 }
 
 namespace {
-bool up(Run& r) {
-  if (!begin(r)) return false;
-  while (!r.stopped()) r.f.clock.sleep(100ms);
+bool up(Run& run) {
+  if (!start_traffic(run)) return false;
+  while (!run.stopped()) run.fleet.clock.sleep(100ms);
   return true;
 }
 
 // A second layout goes through all its phases under load.
-bool rollout(Run& r) {
-  if (!begin(r)) return false;
-  return calls(r, [&] {
-    return say(put_layout(r, "second", layout_document(r.f.config().deployment, "2")),
+bool rollout(Run& run) {
+  if (!start_traffic(run)) return false;
+  return with_traffic(run, [&] {
+    return report(
+               put_configuration(run, "second", configuration_document(run.fleet.config().deployment, "2")),
                "second layout recorded") &&
-           say(r.f.layout_everywhere("second", Duration(r.seconds * 1000 + 30000)),
-               "second layout runs everywhere");
+           report(run.fleet.await_configuration_everywhere("second", Duration(run.seconds * 1000 + 30000)),
+                  "second layout runs everywhere");
   });
 }
 
 }  // namespace
 
-void allow(Run& r, const std::string& v) {
-  bool lobby = r.f.config().deployment == "lobby";
+void allow_version(Run& run, const std::string& v) {
+  bool lobby = run.fleet.config().deployment == "lobby";
   auto a = [&](const char* s, const char* p) {
-    r.f.event(fmt::format(R"("t":"allowed","service":"{}","version":"{}","prefix":"{}")", s, v, p));
+    run.fleet.event(fmt::format(R"("t":"allowed","service":"{}","version":"{}","prefix":"{}")", s, v, p));
   };
   for (auto* p : {"/liveries/", "/track/"})
     if (lobby) a("content", p);
@@ -80,174 +82,178 @@
     if (!lobby) a("application", p);
 }
 
-bool purge(Run& r, const std::string& name, const std::string& kind, const std::string& path) {
-  auto svc = r.f.config().deployment == "lobby" ? "content" : "documents";
-  auto asked = r.f.clock.now().count();
-  auto a = r.f.any("PUT", "/v1/purges/" + name,
-                   fmt::format(R"({{"service":"{}","kind":"{}","path":"{}"}})", svc, kind, path));
+bool purge(Run& run, const std::string& name, const std::string& kind, const std::string& path) {
+  auto svc = run.fleet.config().deployment == "lobby" ? "content" : "documents";
+  auto asked = run.fleet.clock.now().count();
+  auto a = run.fleet.http_any("PUT", "/v1/purges/" + name,
+                              fmt::format(R"({{"service":"{}","kind":"{}","path":"{}"}})", svc, kind, path));
   if (a.status == 200)
-    r.f.event(
+    run.fleet.event(
         fmt::format(R"("t":"purged","path":"{}","prefix":{},"asked":{})", path, kind == "prefix", asked));
   return a.status == 200;
 }
 
 namespace {
 // Every relay in turn is stopped with a warning and started again.
-bool rolling(Run& r) {
-  if (!begin(r)) return false;
-  allow(r, "1");
-  return calls(r, [&] {
+bool rolling(Run& run) {
+  if (!start_traffic(run)) return false;
+  allow_version(run, "1");
+  return with_traffic(run, [&] {
     bool ok = true;
     for (int i = 0; i < 14; ++i) {
-      auto n = r.f.machines()[static_cast<size_t>(i)].name;
-      r.f.warn(n);
-      r.f.start(n);
-      ok &= r.f.until(10s, [&] { return r.f.http(n, "GET", "/readyz").status == 200; });
+      auto n = run.fleet.machines()[static_cast<size_t>(i)].name;
+      run.fleet.warn(n);
+      run.fleet.start(n);
+      ok &= run.fleet.until(10s, [&] { return run.fleet.http(n, "GET", "/readyz").status == 200; });
     }
-    return say(ok, "every relay was restarted and became ready");
+    return report(ok, "every relay was restarted and became ready");
   });
 }
 
 }  // namespace
 
-bool ready_again(Run& r, const char* what) {
-  r.f.event(R"("t":"returned")");
-  return say(r.f.all_ready(15s), what);
+bool ready_again(Run& run, const char* what) {
+  run.fleet.event(R"("t":"returned")");
+  return report(run.fleet.all_ready(15s), what);
 }
 
 namespace {
 // Kills, freezes, lost disks, cut links, worker changes, purges and layouts, one
 // after the other and overlapping, drawn from the seed; then the acknowledged
 // layouts are read back from every relay.
-bool day(Run& r) {
-  if (!begin(r)) return false;
-  allow(r, "1");
-  r.f.event(R"("t":"lifetime","ms":4000)");
-  std::mt19937_64 rng(r.seed);
-  std::map<std::string, std::string> acked{{"first", layout_document(r.f.config().deployment)}};
+bool day(Run& run) {
+  if (!start_traffic(run)) return false;
+  allow_version(run, "1");
+  run.fleet.event(R"("t":"lifetime","ms":4000)");
+  std::mt19937_64 rng(run.seed);
+  std::map<std::string, std::string> acked{{"first", configuration_document(run.fleet.config().deployment)}};
   std::map<std::string, int> met;
-  bool lobby = r.f.config().deployment == "lobby";
-  auto relay = [&] { return r.f.machines()[rng() % 14].name; };
-  auto end = r.f.clock.now() + Duration((r.seconds - 25) * 1000);
-  bool ok = calls(r, [&] {
-    for (int i = 0; r.f.clock.now() < end; ++i) {
+  bool lobby = run.fleet.config().deployment == "lobby";
+  auto relay = [&] { return run.fleet.machines()[rng() % 14].name; };
+  auto end = run.fleet.clock.now() + Duration((run.seconds - 25) * 1000);
+  bool ok = with_traffic(run, [&] {
+    for (int i = 0; run.fleet.clock.now() < end; ++i) {
       auto n = relay();
-      auto& m = r.f.at(n);
+      auto& machine = run.fleet.at(n);
       int down = 0;
-      for (auto& x : r.f.machines()) down += x.holder && (x.pid <= 0 || x.frozen);
-      bool may = !(m.holder && down >= 2);
+      for (auto& x : run.fleet.machines()) down += x.has_disk && (x.pid <= 0 || x.frozen);
+      bool may = !(machine.has_disk && down >= 2);
       auto d = rng() % 9;
-      if (d == 0 && may) ++met["kill"], r.f.kill(n);
-      if (d == 1 && may) ++met["freeze"], r.f.freeze(n);
-      if (d == 2 && m.holder && down == 0) ++met["lost_disk"], r.f.kill(n), r.f.wipe(n);
-      if (d == 3) ++met["cut"], r.f.links().cut_off(n);
+      if (d == 0 && may) ++met["kill"], run.fleet.kill(n);
+      if (d == 1 && may) ++met["freeze"], run.fleet.freeze(n);
+      if (d == 2 && machine.has_disk && down == 0) ++met["lost_disk"], run.fleet.kill(n), run.fleet.wipe(n);
+      if (d == 3) ++met["cut"], run.fleet.links().cut_off(n);
       if (d == 4)
-        met["purge"] += purge(r, fmt::format("p{}", i), rng() % 2 ? "prefix" : "path",
+        met["purge"] += purge(run, fmt::format("p{}", i), rng() % 2 ? "prefix" : "path",
                               fmt::format("{}{}", lobby ? "/liveries/" : "/notices/", rng() % 5));
       if (d == 5) {
-        auto doc = layout_document(r.f.config().deployment, fmt::format("x{}", i));
-        if (put_layout(r, fmt::format("day{}", i), doc))
+        auto doc = configuration_document(run.fleet.config().deployment, fmt::format("x{}", i));
+        if (put_configuration(run, fmt::format("day{}", i), doc))
           acked[fmt::format("day{}", i)] = doc, ++met["layout"];
       }
-      if (d == 6) ++met["warn"], r.f.warn(n), r.f.start(n);
+      if (d == 6) ++met["warn"], run.fleet.warn(n), run.fleet.start(n);
       if (d == 7) {  // a worker crashes and another of its service is started
-        auto& w = r.f.machines()[14 + rng() % (r.f.machines().size() - 14)];
+        auto& w = run.fleet.machines()[14 + rng() % (run.fleet.machines().size() - 14)];
         auto args = w.args;
         auto name = w.name;
-        r.f.kill(name);
+        run.fleet.kill(name);
         ++met["worker_kill"];
-        r.f.start(name);
+        run.fleet.start(name);
       }
       if (d == 8) {  // a worker is replaced: the new one first, then the old is warned
         ++met["worker_replaced"];
-        r.f.add_worker(lobby ? "matchmaking" : "application", "1", "b", {});
-        auto old = r.f.machines()[18 + rng() % 4].name;
-        if (r.f.at(old).pid > 0) ::kill(r.f.at(old).pid, SIGTERM);
+        run.fleet.add_backend(lobby ? "matchmaking" : "application", "1", "b", {});
+        auto old = run.fleet.machines()[18 + rng() % 4].name;
+        if (run.fleet.at(old).pid > 0) ::kill(run.fleet.at(old).pid, SIGTERM);
       }
-      r.f.clock.sleep(Duration(300 + rng() % 1500));
-      for (auto& x : r.f.machines()) r.f.gone(x.name);
-      if (rng() % 3 == 0) r.f.links().mend_all();
-      for (auto& x : r.f.machines()) {
-        if (x.frozen && rng() % 2) r.f.thaw(x.name);
-        if (x.kind != "worker" && x.pid <= 0 && rng() % 2) r.f.start(x.name);
+      run.fleet.clock.sleep(Duration(300 + rng() % 1500));
+      for (auto& x : run.fleet.machines()) run.fleet.gone(x.name);
+      if (rng() % 3 == 0) run.fleet.links().mend_all();
+      for (auto& x : run.fleet.machines()) {
+        if (x.frozen && rng() % 2) run.fleet.thaw(x.name);
+        if (x.kind != "worker" && x.pid <= 0 && rng() % 2) run.fleet.start(x.name);
       }
     }
-    r.f.links().mend_all();
-    for (auto& x : r.f.machines()) {
-      if (x.frozen) r.f.thaw(x.name);
-      if (x.kind != "worker" && x.pid <= 0) r.f.start(x.name);
+    run.fleet.links().mend_all();
+    for (auto& x : run.fleet.machines()) {
+      if (x.frozen) run.fleet.thaw(x.name);
+      if (x.kind != "worker" && x.pid <= 0) run.fleet.start(x.name);
     }
-    return ready_again(r, "all relays are ready within 15 s of the machines' return");
+    return ready_again(run, "all relays are ready within 15 s of the machines' return");
   });
-  for (auto& m : r.f.machines())
+  for (auto& machine : run.fleet.machines())
     for (auto& [n, doc] : acked)
-      if (m.kind != "worker" &&
-          r.f.http(m.name, "GET", "/v1/releases/layout/" + n).body.find("\"document\":" + doc) ==
+      if (machine.kind != "worker" &&
+          run.fleet.http(machine.name, "GET", "/v1/releases/layout/" + n).body.find("\"document\":" + doc) ==
               std::string::npos) {
-        r.f.event(fmt::format(R"("t":"layout_lost","release":"{}")", n));
-        ok = say(false, "a relay does not read an acknowledged layout back");
+        run.fleet.event(fmt::format(R"("t":"layout_lost","release":"{}")", n));
+        ok = report(false, "a relay does not read an acknowledged layout back");
       }
   for (auto& [k, v] : met) std::cout << "met " << k << " " << v << "\n";
   return ok;
 }
 
 // A move to a version that answers badly, and one to a version that is well.
-bool versions(Run& r) {
-  if (!begin(r)) return false;
-  auto svc = r.f.config().deployment == "lobby" ? "matchmaking" : "application";
-  if (!put_layout(r, "two", [&] {
-        auto d = layout_document(r.f.config().deployment, "2");
+bool versions(Run& run) {
+  if (!start_traffic(run)) return false;
+  auto svc = run.fleet.config().deployment == "lobby" ? "matchmaking" : "application";
+  if (!put_configuration(run, "two", [&] {
+        auto d = configuration_document(run.fleet.config().deployment, "2");
         d.insert(1, R"("express":"the test needs both versions",)");
         return d;
       }()))
     return false;
-  allow(r, "1");
-  allow(r, "2");
-  for (auto* z : {"a", "b"}) r.f.add_worker(svc, "2", z, {"--fault", "error", "--fault_percent", "50"});
-  return calls(r, [&] {
-    r.f.clock.sleep(3s);
-    r.f.event(fmt::format(R"("t":"bad_version","service":"{}","version":"2")", svc));
-    bool put = r.f.until(10s, [&] {
-      return r.f.any("PUT", fmt::format("/v1/services/{}", svc), R"({"version":"2"})").status == 200;
+  allow_version(run, "1");
+  allow_version(run, "2");
+  for (auto* z : {"a", "b"})
+    run.fleet.add_backend(svc, "2", z, {"--fault", "error", "--fault_percent", "50"});
+  return with_traffic(run, [&] {
+    run.fleet.clock.sleep(3s);
+    run.fleet.event(fmt::format(R"("t":"bad_version","service":"{}","version":"2")", svc));
+    bool put = run.fleet.until(10s, [&] {
+      return run.fleet.http_any("PUT", fmt::format("/v1/services/{}", svc), R"({"version":"2"})").status ==
+             200;
     });
-    return say(put, "the move was stated") &&
-           say(r.f.until(Duration(r.seconds * 1000),
-                         [&] {
-                           return r.f.any("GET", fmt::format("/v1/services/{}", svc)).body.find("\"2\":\"") !=
-                                  std::string::npos;
-                         }),
-               "the bad version is in quarantine");
+    return report(put, "the move was stated") &&
+           report(run.fleet.until(Duration(run.seconds * 1000),
+                                  [&] {
+                                    return run.fleet.http_any("GET", fmt::format("/v1/services/{}", svc))
+                                               .body.find("\"2\":\"") != std::string::npos;
+                                  }),
+                  "the bad version is in quarantine");
   });
 }
 
 std::string hex_digest(const std::string& path) { return storage::sha256_hex_of(path).value_or(""); }
 
-bool record_software(Run& r, const std::string& name, const std::string& version, const std::string& file) {
+bool record_software(Run& run, const std::string& name, const std::string& version, const std::string& file) {
   std::ifstream f(file, std::ios::binary);
   std::string data((std::istreambuf_iterator<char>(f)), {});
   auto sha = hex_digest(file);
-  auto a = r.f.any(
+  auto a = run.fleet.http_any(
       "PUT", "/v1/releases/software/" + name,
       fmt::format(R"({{"content":{{"version":"{}","sha256":"{}","bytes":{}}}}})", version, sha, data.size()));
-  if (a.status != 202) return say(false, a.body);
-  r.f.clock.sleep(1s);
+  if (a.status != 202) return report(false, a.body);
+  run.fleet.clock.sleep(1s);
   for (size_t at = 0; at < data.size(); at += 1 << 20) {
-    auto p = r.f.any("PUT", fmt::format("/v1/artifacts/{}?offset={}", sha, at), data.substr(at, 1 << 20));
-    if (p.status != 200) return say(false, p.body);
+    auto p = run.fleet.http_any("PUT", fmt::format("/v1/artifacts/{}?offset={}", sha, at),
+                                data.substr(at, 1 << 20));
+    if (p.status != 200) return report(false, p.body);
   }
-  return say(r.f.any("GET", "/v1/artifacts/" + sha).body.find("\"whole\":true") != std::string::npos,
-             "a majority holds the artifact whole");
+  return report(
+      run.fleet.http_any("GET", "/v1/artifacts/" + sha).body.find("\"whole\":true") != std::string::npos,
+      "a majority holds the artifact whole");
 }
 
-bool software_is(Run& r, const std::string& name, const std::string& ph, Duration most) {
-  return r.f.until(most, [&] {
-    return r.f.any("GET", "/v1/releases/software/" + name).body.find("\"phase\":\"" + ph + "\"") !=
+bool software_is(Run& run, const std::string& name, const std::string& ph, Duration most) {
+  return run.fleet.until(most, [&] {
+    return run.fleet.http_any("GET", "/v1/releases/software/" + name).body.find("\"phase\":\"" + ph + "\"") !=
            std::string::npos;
   });
 }
 
-int running(Run& r, const std::string& version) {
-  auto b = r.f.any("GET", "/v1/nodes").body;
+int running(Run& run, const std::string& version) {
+  auto b = run.fleet.http_any("GET", "/v1/nodes").body;
   int n = 0;
   for (auto i = b.find("\"software\":\"" + version); i != b.npos;
        i = b.find("\"software\":\"" + version, i + 1))
@@ -257,62 +263,67 @@
 
 // A program that does not come up is stopped on its first machine, which goes
 // back to the last good one; a good one then runs everywhere.
-bool software(Run& r) {
-  if (!begin(r)) return false;
-  r.f.supervise();
-  allow(r, "1");
-  return calls(r, [&] {
-    return record_software(r, "broken", "0.1.9", r.f.config().bin + "/checker") &&
-           say(software_is(r, "broken", "STOPPED", 90s), "the broken program was stopped") &&
-           say(r.f.all_ready(30s) && running(r, "0.1.0") == 14, "all machines run the last good program") &&
-           record_software(r, "better", "0.2.0", r.f.config().bin + "/relay_next") &&
-           say(software_is(r, "better", "DONE", Duration(r.seconds * 1000)),
-               "the better program ran its course") &&
-           say(r.f.until(30s, [&] { return running(r, "0.2.0") == 14; }), "all machines run it");
+bool software(Run& run) {
+  if (!start_traffic(run)) return false;
+  run.fleet.supervise();
+  allow_version(run, "1");
+  return with_traffic(run, [&] {
+    return record_software(run, "broken", "0.1.9", run.fleet.config().binaries + "/checker") &&
+           report(software_is(run, "broken", "STOPPED", 90s), "the broken program was stopped") &&
+           report(run.fleet.all_ready(30s) && running(run, "0.1.0") == 14,
+                  "all machines run the last good program") &&
+           record_software(run, "better", "0.2.0", run.fleet.config().binaries + "/relay_next") &&
+           report(software_is(run, "better", "DONE", Duration(run.seconds * 1000)),
+                  "the better program ran its course") &&
+           report(run.fleet.until(30s, [&] { return running(run, "0.2.0") == 14; }), "all machines run it");
   });
 }
 
 // A machine that holds state is replaced by e2; then e12 starts with settings that
 // name no living holder, and finds them through its seeds.
-bool reseed(Run& r) {
-  if (!begin(r)) return false;
-  allow(r, "1");
-  return calls(r, [&] {
-    r.f.kill("s2");
-    bool in = r.f.until(20s, [&] {
-      return r.f.any("PUT", "/v1/holders/e2",
-                     fmt::format(R"({{"holder":true,"address":"{}"}})", r.f.at("e2").peers))
+bool reseed(Run& run) {
+  if (!start_traffic(run)) return false;
+  allow_version(run, "1");
+  return with_traffic(run, [&] {
+    run.fleet.kill("s2");
+    bool in = run.fleet.until(20s, [&] {
+      return run.fleet
+                 .http_any(
+                     "PUT", "/v1/holders/e2",
+                     fmt::format(R"({{"holder":true,"address":"{}"}})", run.fleet.at("e2").peer_address))
                  .status == 200;
     });
-    bool votes = r.f.until(20s, [&] {
-      return r.f.http("e2", "GET", "/status").body.find("\"votes\":true") != std::string::npos;
+    bool votes = run.fleet.until(20s, [&] {
+      return run.fleet.http("e2", "GET", "/status").body.find("\"votes\":true") != std::string::npos;
     });
-    bool out =
-        r.f.until(20s, [&] { return r.f.any("PUT", "/v1/holders/s2", R"({"holder":false})").status == 200; });
-    r.f.warn("e12");
-    auto path = r.f.config().dir + "/e12/relay.json";
+    bool out = run.fleet.until(20s, [&] {
+      return run.fleet.http_any("PUT", "/v1/holders/s2", R"({"holder":false})").status == 200;
+    });
+    run.fleet.warn("e12");
+    auto path = run.fleet.config().directory + "/e12/relay.json";
     std::ifstream i(path);
     std::string t((std::istreambuf_iterator<char>(i)), {});
     auto from = t.find("\"holders\":{"), to = t.find('}', from);
     t.replace(from, to - from + 1, R"("holders":{"s2":"127.0.0.1:1"})");
     std::ofstream(path) << t;
-    r.f.start("e12");
-    return say(in && votes, "e2 was made a holder and votes") && say(out, "s2 was taken out of the set") &&
-           say(r.f.until(30s, [&] { return r.f.http("e12", "GET", "/readyz").status == 200; }),
-               "e12 found the holders through its seeds");
+    run.fleet.start("e12");
+    return report(in && votes, "e2 was made a holder and votes") &&
+           report(out, "s2 was taken out of the set") &&
+           report(run.fleet.until(30s, [&] { return run.fleet.http("e12", "GET", "/readyz").status == 200; }),
+                  "e12 found the holders through its seeds");
   });
 }
 
 // All relays die together and come back.
-bool power(Run& r) {
-  if (!begin(r)) return false;
-  allow(r, "1");
-  return calls(r, [&] {
-    r.f.clock.sleep(8s);
-    for (int i = 0; i < 14; ++i) r.f.kill(r.f.machines()[static_cast<size_t>(i)].name);
-    r.f.clock.sleep(2s);
-    r.f.start_relays();
-    return ready_again(r, "all relays are ready within 15 s of the machines' return");
+bool power(Run& run) {
+  if (!start_traffic(run)) return false;
+  allow_version(run, "1");
+  return with_traffic(run, [&] {
+    run.fleet.clock.sleep(8s);
+    for (int i = 0; i < 14; ++i) run.fleet.kill(run.fleet.machines()[static_cast<size_t>(i)].name);
+    run.fleet.clock.sleep(2s);
+    run.fleet.start_nodes();
+    return ready_again(run, "all relays are ready within 15 s of the machines' return");
   });
 }
 }  // namespace
--- a/test/fleet/scenarios.hpp
+++ b/test/fleet/scenarios.hpp
@@ -5,7 +5,7 @@
 namespace dunlinwing::test {
 
 struct Run {
-  Fleet& f;
+  Fleet& fleet;
   int rate, seconds;
   uint64_t seed;
   std::function<bool()> stopped;
@@ -15,12 +15,12 @@
 const Scenarios& scenarios();
 Scenarios load_scenarios();  // crowds, slow origins, storms, addresses that pass on, operators that race
 
-bool say(bool ok, const std::string& what);
-bool begin(Run& r);
-bool calls(Run& r, const std::function<bool()>& meanwhile);
-bool put_layout(Run& r, const std::string& name, const std::string& doc);
-void allow(Run& r, const std::string& version);
-bool purge(Run& r, const std::string& name, const std::string& kind, const std::string& path);
-bool ready_again(Run& r, const char* what);
+bool report(bool ok, const std::string& what);
+bool start_traffic(Run& run);
+bool with_traffic(Run& run, const std::function<bool()>& meanwhile);
+bool put_configuration(Run& run, const std::string& name, const std::string& doc);
+void allow_version(Run& run, const std::string& version);
+bool purge(Run& run, const std::string& name, const std::string& kind, const std::string& path);
+bool ready_again(Run& run, const char* what);
 
 }  // namespace dunlinwing::test
--- a/test/measure/catchup.cpp
+++ b/test/measure/catchup.cpp
@@ -127,22 +127,22 @@
 }  // namespace
 
 Figures catchup(uint64_t seed, const CatchupLoad& load) {
-  simulation::World w(seed);
-  simulation::Fleet f(w, {});
-  Catchup story(w, f, load);
+  simulation::World world(seed);
+  simulation::Fleet fleet(world, {});
+  Catchup script(world, fleet, load);
   bool over = false;
-  w.run(w.now() + kSlice, nullptr, [&] {
-    f.start_all();
-    f.spawn_outside([&] {
-      story.run();
+  world.run(world.now() + kSlice, nullptr, [&] {
+    fleet.start_all();
+    fleet.spawn_outside([&] {
+      script.run();
       over = true;
     });
   });
-  while (!over) w.run(w.now() + kSlice, nullptr, nullptr);
-  f.end();
-  w.run(w.now() + Duration(20000), nullptr, nullptr);
-  story.figures["ended"] = story.ended;
-  return story.figures;
+  while (!over) world.run(world.now() + kSlice, nullptr, nullptr);
+  fleet.end();
+  world.run(world.now() + Duration(20000), nullptr, nullptr);
+  script.figures["ended"] = script.ended;
+  return script.figures;
 }
 
 }  // namespace dunlinwing::measure
--- a/test/measure/delays.cpp
+++ b/test/measure/delays.cpp
@@ -22,17 +22,17 @@
 };
 
 void play(uint64_t seed, simulation::FleetShape shape, Duration length,
-          const std::function<void(Scene&)>& story) {
-  simulation::World w(seed);
-  simulation::Fleet f(w, shape);
-  Scene s{w, f, {}};
-  w.run(w.now() + length, nullptr, [&] {
-    f.start_all();
-    f.spawn_outside([&] { story(s); });
+          const std::function<void(Scene&)>& script) {
+  simulation::World world(seed);
+  simulation::Fleet fleet(world, shape);
+  Scene scene{world, fleet, {}};
+  world.run(world.now() + length, nullptr, [&] {
+    fleet.start_all();
+    fleet.spawn_outside([&] { script(scene); });
   });
-  if (!s.why.empty()) std::cout << "seed " << seed << ": " << s.why << "\n";
-  f.end();
-  w.run(w.now() + Duration(20000), nullptr, nullptr);
+  if (!scene.failure.empty()) std::cout << "seed " << seed << ": " << scene.failure << "\n";
+  fleet.end();
+  world.run(world.now() + Duration(20000), nullptr, nullptr);
 }
 
 }  // namespace
@@ -43,14 +43,14 @@
     for (int k = 1; k <= seeds; ++k) {
       simulation::FleetShape shape;
       shape.edge_nodes = edges;
-      play(static_cast<uint64_t>(k), shape, Duration(30000), [&](Scene& s) {
-        if (!begin(s, 100)) return;
-        s.fleet.sleep(Duration(2000));
-        auto m = s.world.messages, b = s.world.bytes;
-        s.fleet.sleep(Duration(10000));
+      play(static_cast<uint64_t>(k), shape, Duration(30000), [&](Scene& scene) {
+        if (!start_traffic(scene, 100)) return;
+        scene.fleet.sleep(Duration(2000));
+        auto m = scene.world.messages, b = scene.world.bytes;
+        scene.fleet.sleep(Duration(10000));
         double per = 10.0 * (edges + 5);
-        msgs.v.push_back(static_cast<double>(s.world.messages - m) / per);
-        bytes.v.push_back(static_cast<double>(s.world.bytes - b) / per);
+        msgs.v.push_back(static_cast<double>(scene.world.messages - m) / per);
+        bytes.v.push_back(static_cast<double>(scene.world.bytes - b) / per);
       });
     }
     std::cout << fmt::format("{} relays: messages per relay and second {}; bytes {}\n", edges + 5,
@@ -60,100 +60,100 @@
 
 namespace {
 // Milliseconds until the condition holds on every host that is up.
-double till_all(Scene& s, const std::function<bool(simulation::Host&)>& ok) {
-  auto from = s.world.now();
-  s.fleet.wait_until(Duration(20000), [&] {
-    for (auto& h : s.fleet.hosts())
-      if (h->up() && !ok(*h)) return false;
+double till_all(Scene& scene, const std::function<bool(simulation::Host&)>& ok) {
+  auto from = scene.world.now();
+  scene.fleet.wait_until(Duration(20000), [&] {
+    for (auto& host : scene.fleet.hosts())
+      if (host->up() && !ok(*host)) return false;
     return true;
   });
-  return static_cast<double>((s.world.now() - from).count());
+  return static_cast<double>((scene.world.now() - from).count());
 }
 
 // How long callers of the others went without a good answer.
-double gap(Scene& s, const std::function<void()>& harm, Duration look) {
+double gap(Scene& scene, const std::function<void()>& harm, Duration look) {
   harm();
-  auto end = s.world.now() + look;
-  TimePoint last = s.world.now();
+  auto end = scene.world.now() + look;
+  TimePoint last = scene.world.now();
   double worst = 0;
-  auto good = s.fleet.good;
-  while (s.world.now() < end) {
-    s.fleet.sleep(Duration(20));
-    if (s.fleet.good != good) {
-      worst = std::max(worst, static_cast<double>((s.world.now() - last).count()));
-      last = s.world.now();
-      good = s.fleet.good;
+  auto good = scene.fleet.good;
+  while (scene.world.now() < end) {
+    scene.fleet.sleep(Duration(20));
+    if (scene.fleet.good != good) {
+      worst = std::max(worst, static_cast<double>((scene.world.now() - last).count()));
+      last = scene.world.now();
+      good = scene.fleet.good;
     }
   }
-  return std::max(worst, static_cast<double>((s.world.now() - last).count()));
+  return std::max(worst, static_cast<double>((scene.world.now() - last).count()));
 }
 
 }  // namespace
 
 void delays(int seeds) {
-  Figure purge_seen, assigned, holder, zone, all, quarantine, bad;
+  Figure purge_seen, assigned, replica, zone, all, quarantine, bad;
   for (int k = 1; k <= seeds * 4; ++k) {
     auto seed = static_cast<uint64_t>(k);
-    play(seed, {}, Duration(70000), [&](Scene& s) {
-      if (!begin(s, 100)) return;
+    play(seed, {}, Duration(70000), [&](Scene& scene) {
+      if (!start_traffic(scene, 100)) return;
       for (int i = 0; i < 3; ++i) {
-        s.fleet.sleep(Duration(1000 + s.world.below(1000)));
-        purge(s, fmt::format("p{}", i), "service", "");
+        scene.fleet.sleep(Duration(1000 + scene.world.below(1000)));
+        purge(scene, fmt::format("p{}", i), "service", "");
         auto want = static_cast<uint64_t>(i + 1);
-        purge_seen.v.push_back(till_all(s, [&](simulation::Host& host) {
+        purge_seen.v.push_back(till_all(scene, [&](simulation::Host& host) {
           return proxy::purge_number(*host.node->request_handler().snapshot(), "content") >= want;
         }));
       }
-      auto doc = sim_layout("\"1\"", 3, 0, R"(,"express":"measured")");
-      put(s, "second", doc);
+      auto doc = simulated_configuration("\"1\"", 3, 0, R"(,"express":"measured")");
+      record_configuration(scene, "second", doc);
       pb::RolloutState r;
-      s.fleet.wait_until(Duration(5000), [&] {
-        rollout_seen(s, r);
+      scene.fleet.wait_until(Duration(5000), [&] {
+        read_rollout_state(scene, r);
         return r.in_force().count("layout") && r.in_force().at("layout") == "second";
       });
-      assigned.v.push_back(
-          till_all(s, [](simulation::Host& host) { return host.node->configuration_name() == "second"; }));
-      holder.v.push_back(gap(
-          s, [&] { s.fleet.kill("h1"); }, Duration(6000)));
-      s.fleet.start("h1");
-      s.fleet.sleep(Duration(3000));
+      assigned.v.push_back(till_all(
+          scene, [](simulation::Host& host) { return host.node->configuration_name() == "second"; }));
+      replica.v.push_back(gap(
+          scene, [&] { scene.fleet.kill("h1"); }, Duration(6000)));
+      scene.fleet.start("h1");
+      scene.fleet.sleep(Duration(3000));
       zone.v.push_back(gap(
-          s,
+          scene,
           [&] {
-            for (auto& h : s.fleet.hosts())
-              if (h->zone == "a") s.fleet.kill(h->name);
+            for (auto& h : scene.fleet.hosts())
+              if (h->zone == "a") scene.fleet.kill(h->name);
           },
           Duration(6000)));
-      s.fleet.start_all();
-      s.fleet.sleep(Duration(5000));
+      scene.fleet.start_all();
+      scene.fleet.sleep(Duration(5000));
       all.v.push_back(gap(
-          s,
+          scene,
           [&] {
-            for (auto& h : s.fleet.hosts()) s.fleet.kill(h->name);
-            s.fleet.start_all();
+            for (auto& h : scene.fleet.hosts()) scene.fleet.kill(h->name);
+            scene.fleet.start_all();
           },
           Duration(10000)));
     });
-    play(seed, {}, Duration(60000), [&](Scene& s) {
-      if (!begin(s, 150, sim_layout("\"1\",\"2\"", 4))) return;
-      auto& x = s.fleet.add_backend("app", "2", 0);
-      x.bad_percent = 70;
-      s.fleet.sleep(Duration(2500));
-      s.fleet.wait_until(Duration(10000), [&] {
-        return s.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 200;
+    play(seed, {}, Duration(60000), [&](Scene& scene) {
+      if (!start_traffic(scene, 150, simulated_configuration("\"1\",\"2\"", 4))) return;
+      auto& backend = scene.fleet.add_backend("app", "2", 0);
+      backend.bad_percent = 70;
+      scene.fleet.sleep(Duration(2500));
+      scene.fleet.wait_until(Duration(10000), [&] {
+        return scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 200;
       });
-      s.fleet.wait_until(Duration(40000), [&] { return s.world.faults_met["bad_answer"] >= 50; });
-      quarantine.v.push_back(till_all(s, [](simulation::Host& host) {
+      scene.fleet.wait_until(Duration(40000), [&] { return scene.world.faults_met["bad_answer"] >= 50; });
+      quarantine.v.push_back(till_all(scene, [](simulation::Host& host) {
         auto snapshot = host.node->request_handler().snapshot();
         auto f = snapshot->service_states.find("app");
         return f != snapshot->service_states.end() && f->second.quarantined().count("2");
       }));
-      bad.v.push_back(static_cast<double>(s.world.faults_met["bad_answer"]));
+      bad.v.push_back(static_cast<double>(scene.world.faults_met["bad_answer"]));
     });
   }
   std::cout << "purge acknowledged, till the last relay heeds it, ms: " << purge_seen.text() << "\n"
             << "assignment first seen, till the last relay runs it, ms: " << assigned.text() << "\n"
-            << "longest time without a good answer, one holder killed, ms: " << holder.text() << "\n"
+            << "longest time without a good answer, one holder killed, ms: " << replica.text() << "\n"
             << "the same, a zone killed, ms: " << zone.text() << "\n"
             << "the same, all killed and started at once, ms: " << all.text() << "\n"
             << "50 bad answers, till the last relay heeds the quarantine, ms: " << quarantine.text() << "\n"
--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -28,7 +28,7 @@
         auto& now = m->f.nodes[i]->toll.bytes;
         double d = static_cast<double>(now - std::exchange(m->was[i], now));
         m->total += d;
-        if (!m->f.nodes[i]->holder) m->each.add(d);
+        if (!m->f.nodes[i]->replica) m->each.add(d);
       }
     }
   });
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -119,7 +119,7 @@
         tasks(f.world, process),
         net(f, n, process),
         ports{clock, random, tasks, net, origin},
-        disk(n.holder ? std::make_unique<simulation::Disk>(f.world, process, n.platter) : nullptr),
+        disk(n.replica ? std::make_unique<simulation::Disk>(f.world, process, n.disk_contents) : nullptr),
         node(std::make_unique<node::Node>(ports, config, disk.get())),
         control(std::make_unique<control_api::Router>(ports, *node)) {}
 };
@@ -135,8 +135,8 @@
   out->host = "outside";
   for (int i = 0; i < s.nodes; ++i) {
     auto n = std::make_unique<Node>();
-    n->holder = i < s.holders;
-    n->name = fmt::format("{}{}", n->holder ? "h" : "e", i + 1);
+    n->replica = i < s.replicas;
+    n->name = fmt::format("{}{}", n->replica ? "h" : "e", i + 1);
     auto z = i % s.zones;
     n->region = z % s.regions;
     n->zone = fmt::format("r{}z{}", n->region, z);
@@ -160,7 +160,7 @@
   config.bound = s.bound;
   config.scale = 600;
   for (auto& x : nodes)
-    if (x->holder) config.replicas.push_back({x->name, x->address});
+    if (x->replica) config.replicas.push_back({x->name, x->address});
   n.proc = std::make_shared<Proc>(*this, n, process, config);
   world.spawn(process, [p = n.proc.get()] { p->node->start(); });
 }
@@ -224,14 +224,14 @@
   return true;
 }
 
-bool Hollow::serving(const std::string& layout) {
+bool Hollow::serving(const std::string& configuration) {
   for (auto& n : nodes)
-    if (n->up() && n->relay().configuration_name() != layout) return false;
+    if (n->up() && n->relay().configuration_name() != configuration) return false;
   return true;
 }
 
-void Hollow::beats(int workers, Duration period) {
-  for (int i = 0; i < workers; ++i) {
+void Hollow::beats(int backends, Duration period) {
+  for (int i = 0; i < backends; ++i) {
     auto* n = nodes[static_cast<size_t>(i) % nodes.size()].get();
     outside([this, i, n, period] {
       sleep(Duration(world.below(static_cast<uint64_t>(period.count()))));
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -8,7 +8,7 @@
 namespace dunlinwing::measure {
 
 struct Shape {
-  int nodes = 14, holders = 5, zones = 3, regions = 3;
+  int nodes = 14, replicas = 5, zones = 3, regions = 3;
   Duration near{1}, far{3};  // a message's way
   Duration bound{2000};
 };
@@ -27,8 +27,8 @@
 struct Node {
   std::string name, zone, address;
   int region = 0;
-  bool holder = false;
-  simulation::DiskContents platter;
+  bool replica = false;
+  simulation::DiskContents disk_contents;
   int64_t wall = 0;
   Toll toll;
   uint64_t answer_ns = 0;  // processor time spent on others' pulls
@@ -54,9 +54,9 @@
           std::function<void()> f);  // runs it in the node's process; false when it did not end
   Node& some();                      // one that is up
   bool all_up();
-  bool fresh();                              // every node that is up has a read_lease
-  bool serving(const std::string& layout);   // and runs this layout
-  void beats(int workers, Duration period);  // each worker stays with its relay
+  bool fresh();                                    // every node that is up has a read_lease
+  bool serving(const std::string& configuration);  // and runs this layout
+  void beats(int backends, Duration period);       // each worker stays with its relay
   bool cut(const Node& a, const Node& b) const {
     return apart >= 0 && (a.region == apart) != (b.region == apart);
   }
--- a/test/measure/main.cpp
+++ b/test/measure/main.cpp
@@ -64,7 +64,7 @@
   auto seed = static_cast<uint64_t>(FLAGS_seed);
   dm::Shape s;
   s.nodes = FLAGS_nodes;
-  s.holders = FLAGS_holders;
+  s.replicas = FLAGS_holders;
   s.zones = FLAGS_zones;
   s.regions = FLAGS_regions;
   s.far = dunlinwing::Duration(FLAGS_far_ms);
--- a/test/measure/pick.cpp
+++ b/test/measure/pick.cpp
@@ -11,7 +11,7 @@
 namespace dunlinwing::measure {
 namespace {
 auto key(const Row& r) {
-  return std::make_tuple(r.run, r.nodes, r.workers, r.period_ms, r.registers, r.changes, r.purges, r.seed);
+  return std::make_tuple(r.run, r.nodes, r.backends, r.period_ms, r.registers, r.changes, r.purges, r.seed);
 }
 }  // namespace
 
--- a/test/measure/project.cpp
+++ b/test/measure/project.cpp
@@ -47,8 +47,8 @@
   double fitted_to;  // what lies beyond is for the check
 };
 const Term kTerms[] = {
-    {"workers", "worker (a beat each 2 s)", [](auto& r) { return r.workers; }, 64},
-    {"beats", "beat/s (64 workers)", [](auto& r) { return r.workers * 1000.0 / r.period_ms; }, 1e9},
+    {"workers", "worker (a beat each 2 s)", [](auto& r) { return r.backends; }, 64},
+    {"beats", "beat/s (64 workers)", [](auto& r) { return r.backends * 1000.0 / r.period_ms; }, 1e9},
     {"registers", "register at rest", [](auto& r) { return r.registers; }, 1e9},
     {"changes", "change/s", [](auto& r) { return r.changes; }, 8},
     {"purges", "purge/s", [](auto& r) { return r.purges; }, 40}};
@@ -95,11 +95,11 @@
   return (median(full) - median(none)) / kPurges;
 }
 
-Cost cost(const Rows& rows, const Term& t, const std::string& f, bool holder) {
+Cost cost(const Rows& rows, const Term& t, const std::string& f, bool replica) {
   double all = slope_of(rows, t, f);
   if (f.ends_with("messages")) return {0, all};
   if (!f.ends_with("bytes") || f.starts_with("memory")) return {all, 0};
-  double pulled = slope_of(rows, t, "pull_slots_bytes") * (holder ? kAt / kHolders : 1);
+  double pulled = slope_of(rows, t, "pull_slots_bytes") * (replica ? kAt / kHolders : 1);
   return {pulled, all - pulled};
 }
 
@@ -107,20 +107,20 @@
   Added a;
   std::string f = l.figure;
   if (f == "watch_ms" || f.starts_with("console")) return a;
-  bool holder = f.starts_with("holder") || f.starts_with("duty");
+  bool replica = f.starts_with("holder") || f.starts_with("duty");
   auto part = [&](const char* what, double slope, double n, double times, const char* text) {
     if (std::abs(slope * n * times) * l.scale < 1e-3) return;
     a.value += slope * n * times;
     a.text += fmt::format(" + {} {} × {}{}", what, num(slope * l.scale), num(n), text);
   };
-  const char* grown = holder ? " × 17000/64" : "";
-  const char* shared = holder ? "" : " × 64/17000";
-  double up = holder ? kNodes / kAt : 1, down = holder ? 1 : kAt / kNodes;
+  const char* grown = replica ? " × 17000/64" : "";
+  const char* shared = replica ? "" : " × 64/17000";
+  double up = replica ? kNodes / kAt : 1, down = replica ? 1 : kAt / kNodes;
   if (!f.ends_with("messages")) part("workers", by_term(rows, kTerms[0], f).slope, kWorkers, up, grown);
   if (f == "memory_bytes" || f.ends_with("cpu_ms_s"))
     part("registers", by_term(rows, kTerms[2], f).slope, kRegisters, up, grown);
   for (auto [t, n] : {std::pair{&kTerms[3], kChanges}, std::pair{&kTerms[4], kPurges}}) {
-    auto c = cost(rows, *t, f, holder);
+    auto c = cost(rows, *t, f, replica);
     part(t->run, c.pulled, n, up, grown);
     part(fmt::format("{} written", t->run).c_str(), c.written, n, down, shared);
   }
--- a/test/measure/rows.cpp
+++ b/test/measure/rows.cpp
@@ -35,11 +35,11 @@
 }
 
 bool add_rows(const std::string& file, const Row& r, const Figures& figures) {
-  bool blank = std::ifstream(file).peek() == std::ifstream::traits_type::eof();
+  bool empty = std::ifstream(file).peek() == std::ifstream::traits_type::eof();
   std::ofstream f(file, std::ios::app);
-  std::string s = blank ? std::string(kHead) + "\n" : "";
+  std::string s = empty ? std::string(kHead) + "\n" : "";
   for (auto& [k, v] : figures)
-    s += fmt::format("{},{},{},{},{},{:g},{:g},{},{},{:.6g}\n", r.run, r.nodes, r.workers, r.period_ms,
+    s += fmt::format("{},{},{},{},{},{:g},{:g},{},{},{:.6g}\n", r.run, r.nodes, r.backends, r.period_ms,
                      r.registers, r.changes, r.purges, r.seed, k, v);
   f << s;
   return static_cast<bool>(f.flush());
--- a/test/measure/rows.hpp
+++ b/test/measure/rows.hpp
@@ -10,7 +10,7 @@
 
 struct Row {
   std::string run;  // what the run was for
-  int nodes = 0, workers = 0, period_ms = 0, registers = 0;
+  int nodes = 0, backends = 0, period_ms = 0, registers = 0;
   double changes = 0, purges = 0;  // a second
   int seed = 0;
   std::string figure;
--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -50,7 +50,7 @@
 };
 
 struct Real {
-  simulation::DiskContents platter;
+  simulation::DiskContents disk_contents;
   CountedNet net;
   NoOrigin origin;
   std::unique_ptr<base::Ports> ports;
@@ -81,15 +81,15 @@
   std::string up(const Shape& s) {
     std::vector<consensus::Replica> hs;
     auto addr = [](int i) { return fmt::format("127.0.0.1:{}", kPort + i); };
-    for (int i = 0; i < s.holders; ++i) hs.push_back({fmt::format("h{}", i + 1), addr(i)});
+    for (int i = 0; i < s.replicas; ++i) hs.push_back({fmt::format("h{}", i + 1), addr(i)});
     for (int i = 0; i < s.nodes; ++i) {
       auto r = std::make_unique<Real>();
       r->ports = std::make_unique<base::Ports>(base::Ports{clock, random, pool, r->net, r->origin});
-      if (i < s.holders)
+      if (i < s.replicas)
         r->disk = std::make_unique<storage::SnapshotStore>(
-            std::make_unique<simulation::MemoryFiles>(r->platter), 16384);
+            std::make_unique<simulation::MemoryFiles>(r->disk_contents), 16384);
       node::NodeConfig config;
-      config.name = fmt::format("{}{}", i < s.holders ? "h" : "e", i + 1);
+      config.name = fmt::format("{}{}", i < s.replicas ? "h" : "e", i + 1);
       config.zone = fmt::format("z{}", i % s.zones);
       config.peer_address = config.http_address = addr(i);
       config.replicas = hs;
@@ -98,7 +98,7 @@
       r->node = std::make_unique<node::Node>(*r->ports, config, r->disk.get());
       r->control = std::make_unique<control_api::Router>(*r->ports, *r->node);
       auto* node = r->node.get();
-      if (i < s.holders)
+      if (i < s.replicas)
         if (auto e = net::serve_peers(pool, config.peer_address, [node](const pb::PeerRequest& request) {
               return node->handle_peer_request(request);
             }))
@@ -132,7 +132,7 @@
     clock.sleep(Duration(3000));
     auto toll = [&] {
       Toll t;
-      for (size_t i = static_cast<size_t>(s.holders); i < all.size(); ++i) {
+      for (size_t i = static_cast<size_t>(s.replicas); i < all.size(); ++i) {
         t.bytes += all[i]->net.toll.bytes;
         t.messages += all[i]->net.toll.messages;
       }
@@ -146,8 +146,8 @@
       stale += !each([](Real& r) { return r.node->state_cache().has_read_lease(); });
     double sec = static_cast<double>((clock.now() - from).count()) / 1000, n = s.nodes;
     auto t1 = toll();
-    o["relay_bytes"] = static_cast<double>(t1.bytes - t0.bytes) / sec / (n - s.holders);
-    o["relay_messages"] = static_cast<double>(t1.messages - t0.messages) / sec / (n - s.holders);
+    o["relay_bytes"] = static_cast<double>(t1.bytes - t0.bytes) / sec / (n - s.replicas);
+    o["relay_messages"] = static_cast<double>(t1.messages - t0.messages) / sec / (n - s.replicas);
     o["user_ms_s"] = (used_ms(false) - u0) / sec / n;
     o["system_ms_s"] = (used_ms(true) - s0) / sec / n;
     o["node_cpu_ms_s"] = o["user_ms_s"] + o["system_ms_s"];
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -75,11 +75,11 @@
     double b = static_cast<double>(n.toll.bytes - was[i].toll.bytes) / sec;
     double m = static_cast<double>(n.toll.messages - was[i].toll.messages) / sec;
     ans += static_cast<double>(n.answer_ns - was[i].answer_ns) / 1e6 / sec;
-    (n.holder ? hb : rb) += b;
-    (n.holder ? hm : rm) += m;
-    ++(n.holder ? hn : rn);
-    if (n.holder) most = std::max(most, b);
-    if (!n.holder) bytes.add(b);
+    (n.replica ? hb : rb) += b;
+    (n.replica ? hm : rm) += m;
+    ++(n.replica ? hn : rn);
+    if (n.replica) most = std::max(most, b);
+    if (!n.replica) bytes.add(b);
     if (n.up() && n.relay().leadership().held()) leadership = b;
   }
   double all = static_cast<double>(cpu) / 1e6 / sec;
@@ -105,11 +105,11 @@
 }
 }  // namespace
 
-std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(Hollow&)>& story) {
-  simulation::World w(seed);
-  Hollow f(w, s);
+std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(Hollow&)>& script) {
+  simulation::World world(seed);
+  Hollow f(world, s);
   std::string why = "the run's time was over";
-  w.run(w.now() + length + kUp, nullptr, [&] {
+  world.run(world.now() + length + kUp, nullptr, [&] {
     f.start_all();
     f.outside([&] {
       auto not_up = [&](const char* x) {
@@ -121,13 +121,13 @@
       if (!put_layout(f, "first", 0)) return not_up("the first layout was not taken");
       if (!f.until(kUp / 2, [&] { return f.serving("first"); }))
         return not_up("not every node runs the first layout");
-      story(f);
+      script(f);
       why.clear();
       f.end();  // so that what is left of the run's time costs nothing
     });
   });
   f.end();
-  w.run(w.now() + Duration(20000), nullptr, nullptr);
+  world.run(world.now() + Duration(20000), nullptr, nullptr);
   return why;
 }
 
@@ -140,8 +140,8 @@
     up = f.world.now();
     o["start_cpu_ms"] = static_cast<double>(cpu_ns() - began) / 1e6;
     if (l.registers) registers(f, l.registers);
-    if (l.workers) f.beats(l.workers, Duration(l.period_ms));
-    f.sleep(Duration(2500) + Duration(l.workers ? 2 * l.period_ms : 0));
+    if (l.backends) f.beats(l.backends, Duration(l.period_ms));
+    f.sleep(Duration(2500) + Duration(l.backends ? 2 * l.period_ms : 0));
     Stream st(f);
     auto end = f.world.now() + Duration(l.window_s * 1000);
     auto was = marks(f);
@@ -150,12 +150,12 @@
     auto cpu = cpu_ns();
     st.changes(l.changes, end);
     st.purges(l.purges, end);
-    Spread layouts;
-    for (int i = 1; i <= l.layouts; ++i) {
+    Spread configurations;
+    for (int i = 1; i <= l.configurations; ++i) {
       auto from = f.world.now();
       auto name = fmt::format("next{}", i);
       if (put_layout(f, name, i) && f.until(Duration(60000), [&] { return f.serving(name); }))
-        layouts.add(static_cast<double>((f.world.now() - from).count()));
+        configurations.add(static_cast<double>((f.world.now() - from).count()));
     }
     uint64_t looks = 0, stale = 0;
     for (; f.world.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.fresh();
@@ -165,10 +165,10 @@
     o["beats_missed"] = static_cast<double>(f.beats_missed - missed);
     o["looks_without_all_permits"] = static_cast<double>(stale);
     o["memory_bytes"] = static_cast<double>(resident() - empty) / static_cast<double>(f.nodes.size());
-    if (l.layouts) {
-      o["layout_everywhere"] = static_cast<double>(layouts.count());
-      o["layout_p50_ms"] = layouts.at(0.5);
-      o["layout_most_ms"] = layouts.most();
+    if (l.configurations) {
+      o["layout_everywhere"] = static_cast<double>(configurations.count());
+      o["layout_p50_ms"] = configurations.at(0.5);
+      o["layout_most_ms"] = configurations.most();
     }
     if (l.changes > 0 || l.purges > 0) {
       o["all_everywhere"] = st.rest(Duration(30000));
--- a/test/measure/steady.hpp
+++ b/test/measure/steady.hpp
@@ -7,14 +7,14 @@
 namespace dunlinwing::measure {
 
 struct Load {
-  int workers = 0, period_ms = 2000, registers = 0;
+  int backends = 0, period_ms = 2000, registers = 0;
   double changes = 0, purges = 0;  // a second
-  int layouts = 0;                 // put in force one after another
+  int configurations = 0;          // put in force one after another
   int window_s = 5;
 };
 
 // Runs `story` in a fleet that is up and serves a layout; tells why not otherwise.
-std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(Hollow&)>& story);
+std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(Hollow&)>& script);
 Figures steady(uint64_t seed, Shape s, const Load& l);
 
 // Streams of changes and purges, and how long each takes until all nodes know it.
--- a/test/measure/tables.cpp
+++ b/test/measure/tables.cpp
@@ -90,8 +90,8 @@
     std::function<double(const Row&)> x;
   };
   std::vector<Term> ts = {
-      {"workers", "workers, a beat each 2 s", [](auto& x) { return x.workers; }},
-      {"beats", "beats/s of 64 workers", [](auto& x) { return x.workers * 1000.0 / x.period_ms; }},
+      {"workers", "workers, a beat each 2 s", [](auto& x) { return x.backends; }},
+      {"beats", "beats/s of 64 workers", [](auto& x) { return x.backends * 1000.0 / x.period_ms; }},
       {"registers", "registers at rest", [](auto& x) { return x.registers; }},
       {"changes", "changes/s", [](auto& x) { return x.changes; }},
       {"purges", "purges/s", [](auto& x) { return x.purges; }}};
--- a/test/model/membership.cpp
+++ b/test/model/membership.cpp
@@ -29,9 +29,9 @@
   });
   if (!replica.voting() || another || state.losses >= bounds_.losses) return;
   State after = state;
-  Replica& blank = after.replicas[static_cast<size_t>(r)];
-  blank = {};  // it knows no later set than that of its settings
-  blank.stage = !guards_.refill ? Stage::voting : guards_.refill_wait ? Stage::waiting : Stage::gathering;
+  Replica& empty = after.replicas[static_cast<size_t>(r)];
+  empty = {};  // it knows no later set than that of its settings
+  empty.stage = !guards_.refill ? Stage::voting : guards_.refill_wait ? Stage::waiting : Stage::gathering;
   ++after.losses;
   emit(Kind::lose_disk, r, 0, 0, after);
 }
--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -25,7 +25,7 @@
   if (promises_not_run(answer.status)) same(backend.whole(id), 0, "runs of what was promised not to run");
 }
 
-struct Try {
+struct ClientAttempt {
   Plan plan;
   bool safe = false;
   bool kept = false;  // the connection has carried a request before
@@ -37,7 +37,7 @@
 };
 
 // The victim meets the trouble, then another client asks on the same relay.
-base::Response play(const Try& one) {
+base::Response play_day(const ClientAttempt& one) {
   ByteBackend backend(one.plan);
   Relay relay(backend.address());
   if (one.kept) same(relay.ask("warm-up", false, kPlentyMs).status, 200, "the first on the connection");
@@ -54,7 +54,7 @@
 }
 
 // Plays all cases, a number of them at once, and tells the first that failed.
-void play_all(const std::vector<Try>& all, const std::function<void(const Try&)>& one) {
+void play_all(const std::vector<ClientAttempt>& all, const std::function<void(const ClientAttempt&)>& one) {
   size_t next = 0;
   int running = kFibers, failures = 0;
   std::string first;
@@ -82,8 +82,8 @@
   return backend.request_bytes();
 }
 
-std::vector<Try> cuts(bool receiving, Trouble trouble) {
-  std::vector<Try> all;
+std::vector<ClientAttempt> cuts(bool receiving, Trouble trouble) {
+  std::vector<ClientAttempt> all;
   for (bool chunked : {false, true}) {
     if (receiving && chunked) continue;
     auto bytes = receiving ? request_bytes() : good_answer("victim", chunked).size();
@@ -102,8 +102,8 @@
   constexpr size_t kDigits = 4;  // by which the time left may be written shorter
   auto shortest = request_bytes() - kDigits;
   for (auto trouble : {Trouble::close, Trouble::reset, Trouble::silence}) {
-    play_all(cuts(receiving, trouble), [&](const Try& one) {
-      auto answer = play(one);
+    play_all(cuts(receiving, trouble), [&](const ClientAttempt& one) {
+      auto answer = play_day(one);
       bool lost = one.plan.at < (receiving ? shortest : good_answer("victim", one.plan.chunked).size());
       if (!lost) return;
       if (one.safe && trouble != Trouble::silence)
@@ -115,8 +115,8 @@
 }
 
 // Answers nobody asked for, in every place they may stand.
-std::vector<Try> extra_answers() {
-  std::vector<Try> all;
+std::vector<ClientAttempt> extra_answers() {
+  std::vector<ClientAttempt> all;
   const std::string bare_decline = "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n";
   const std::string bare_error = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
   auto named = [](int status, const char* id) {
@@ -154,7 +154,7 @@
 }
 
 void extras() {
-  play_all(extra_answers(), [](const Try& one) { play(one); });
+  play_all(extra_answers(), [](const ClientAttempt& one) { play_day(one); });
 }
 
 // A connection that carried an answer of another request ends with this one.
--- a/test/platform/clients.cpp
+++ b/test/platform/clients.cpp
@@ -8,9 +8,9 @@
 
 namespace dunlinwing::test {
 
-void Clients::knock() {
-  for (auto& h : fleet_.hosts())
-    fleet_.spawn_outside([this, p = h.get()] {
+void Clients::poll_readiness() {
+  for (auto& host : fleet_.hosts())
+    fleet_.spawn_outside([this, p = host.get()] {
       for (;;) {
         base::Request request;
         request.method = "GET";
@@ -23,12 +23,12 @@
     });
 }
 
-bool Clients::all_in() const {
+bool Clients::all_finished() const {
   if (missed_.size() < fleet_.hosts().size()) return false;
   return std::all_of(missed_.begin(), missed_.end(), [](auto& m) { return m.second == 0; });
 }
 
-simulation::Host* Clients::door(const std::string& zone, const std::set<std::string>& tried) {
+simulation::Host* Clients::choose_node(const std::string& zone, const std::set<std::string>& tried) {
   auto pick = [&](auto ok) -> simulation::Host* {
     std::vector<simulation::Host*> v;
     for (auto& h : fleet_.hosts())
@@ -46,87 +46,89 @@
   return pick([](auto&) { return true; });
 }
 
-Try& Clients::send(simulation::Host& host, Try t, Duration most) {
+ClientAttempt& Clients::send(simulation::Host& host, ClientAttempt attempt, Duration most) {
   auto& world = fleet_.world();
-  t.id = fmt::format("{:016x}", ++named_ * 0x9e3779b97f4a7c15u);
-  t.relay = host.name;
-  t.life = host.process.get();
-  t.sent = world.now();
+  attempt.id = fmt::format("{:016x}", ++next_id_ * 0x9e3779b97f4a7c15u);
+  attempt.relay = host.name;
+  attempt.process = host.process.get();
+  attempt.sent = world.now();
   base::Request request;
-  request.method = t.method;
-  request.target = t.target;
-  request.body = t.body;
-  request.headers = {{"Host", t.host},
-                     {"Attempt-Id", t.id},
-                     {"Time-Remaining", std::to_string((t.deadline - t.sent).count())}};
-  if (!t.receipt.headers.empty())
-    request.headers.insert(request.headers.end(), t.receipt.headers.begin(), t.receipt.headers.end());
-  t.receipt = {};
-  auto id = t.id;
-  d_.tries[id] = t;
+  request.method = attempt.method;
+  request.target = attempt.target;
+  request.body = attempt.body;
+  request.headers = {{"Host", attempt.host},
+                     {"Attempt-Id", attempt.id},
+                     {"Time-Remaining", std::to_string((attempt.deadline - attempt.sent).count())}};
+  if (!attempt.response.headers.empty())
+    request.headers.insert(request.headers.end(), attempt.response.headers.begin(),
+                           attempt.response.headers.end());
+  attempt.response = {};
+  auto id = attempt.id;
+  journal_.attempts[id] = attempt;
   auto x = fleet_.exchange(host, request, false, most);
-  auto& done = d_.tries[id];
-  done.whole = x.complete;
-  done.read = x.read;
-  done.receipt = std::move(x.response);
+  auto& done = journal_.attempts[id];
+  done.complete = x.complete;
+  done.read_by_node = x.read;
+  done.response = std::move(x.response);
   done.ended = world.now();
   return done;
 }
 
-void Clients::one() {
+void Clients::run_one() {
   auto& world = fleet_.world();
   auto zone = std::string(
       1,
       static_cast<char>('a' + (world.below(10) < 6 ? 0 : world.below(2) + 1)));  // one zone has most of them
-  auto& l = page_.lines[world.below(page_.lines.size())];
-  Try t;
-  t.kind = l.kind;
-  t.host = l.host;
-  t.method = l.kind == "non_idempotent" ? "POST" : "GET";
-  t.target = fmt::format("{}{:x}", l.prefix, world.below(l.kind == "cacheable" ? 40 : 100000));
-  if (t.method == "POST") t.body = fmt::format("{{\"n\":{}}}", world.draw());
-  if (l.kind == "cacheable") {
+  auto& route = configuration_.routes[world.below(configuration_.routes.size())];
+  ClientAttempt attempt;
+  attempt.kind = route.kind;
+  attempt.host = route.host;
+  attempt.method = route.kind == "non_idempotent" ? "POST" : "GET";
+  attempt.target = fmt::format("{}{:x}", route.prefix, world.below(route.kind == "cacheable" ? 40 : 100000));
+  if (attempt.method == "POST") attempt.body = fmt::format("{{\"n\":{}}}", world.draw());
+  if (route.kind == "cacheable") {
     auto dice = world.below(12);
-    if (dice == 0) t.receipt.headers = {{"Range", fmt::format("bytes={}-", world.below(90))}};
-    if (dice == 1) t.receipt.headers = {{"Range", "bytes=3-17"}};
+    if (dice == 0) attempt.response.headers = {{"Range", fmt::format("bytes={}-", world.below(90))}};
+    if (dice == 1) attempt.response.headers = {{"Range", "bytes=3-17"}};
     if (dice == 2)
-      t.receipt.headers = {{"If-None-Match", fmt::format("\"v{}\"", d_.replaced[t.target].size())}};
+      attempt.response.headers = {
+          {"If-None-Match", fmt::format("\"v{}\"", journal_.replaced[attempt.target].size())}};
   }
-  t.deadline = world.now() + Duration(static_cast<int64_t>(l.timeout_s * 1000));
-  bool repeatable = l.kind != "non_idempotent";
+  attempt.deadline = world.now() + Duration(static_cast<int64_t>(route.timeout_s * 1000));
+  bool repeatable = route.kind != "non_idempotent";
   std::set<std::string> tried;
   ++wanted;
-  for (int i = 0; i < 4 && world.now() + Duration(20) < t.deadline; ++i) {
-    auto* host = door(zone, tried);
+  for (int i = 0; i < 4 && world.now() + Duration(20) < attempt.deadline; ++i) {
+    auto* host = choose_node(zone, tried);
     tried.insert(host->name);
-    t.first = i == 0;
-    auto left = t.deadline - world.now();
+    attempt.first = i == 0;
+    auto left = attempt.deadline - world.now();
     auto most = left;
     if (repeatable && !host->up()) most = std::min<Duration>(left / 3, Duration(1000));
-    auto& r = send(*host, t, most);
-    int st = r.whole ? r.receipt.status : 0;
+    auto& r = send(*host, attempt, most);
+    int st = r.complete ? r.response.status : 0;
     if (st / 100 == 2 || st == 304 || st == 416) {
       ++served;
       return;
     }
     if (st == 400 || st == 401 || st == 404 || st == 413 || st == 431) return;
-    bool promise = st == 429 || st == 503 || st == 408 || st == 421, unread = !r.whole && !r.read;
+    bool promise = st == 429 || st == 503 || st == 408 || st == 421, unread = !r.complete && !r.read_by_node;
     if (!repeatable && !promise && !unread) return;
-    auto told = base::header(r.receipt.headers, "Retry-After");
+    auto told = base::header(r.response.headers, "Retry-After");
     double back = 0;
     std::from_chars(told.data(), told.data() + told.size(), back);
-    auto wait = std::min(Duration(static_cast<int64_t>(back * 1000)), (t.deadline - world.now()) / 3);
+    auto wait = std::min(Duration(static_cast<int64_t>(back * 1000)), (attempt.deadline - world.now()) / 3);
     if (!impatient && wait > Duration(0)) fleet_.sleep(wait);
     if (impatient) fleet_.sleep(Duration(2));
   }
 }
 
-void Clients::come(const Page& p, int per_second, TimePoint until) {
-  page_ = p;
+void Clients::generate_traffic(const OperatorConfiguration& configuration, int per_second, TimePoint until) {
+  configuration_ = configuration;
   fleet_.spawn_outside([this, per_second, until] {
     auto& world = fleet_.world();
     while (world.now() < until) {
-      fleet_.spawn_outside([this] { one(); });
+      fleet_.spawn_outside([this] { run_one(); });
       fleet_.sleep(Duration(world.below(static_cast<uint64_t>(2000 / per_second)) + 1));
     }
   });
@@ -136,14 +138,14 @@
   for (auto& h : fleet_.hosts()) {
     if (!h->up() || missed_[h->name] >= 2) continue;
     fleet_.spawn_outside([this, p = h.get(), host, target] {
-      Try t;
-      t.kind = "idempotent";
-      t.method = "GET";
-      t.host = host;
-      t.target = target;
-      t.probe = true;
-      t.deadline = fleet_.world().now() + Duration(1000);
-      send(*p, t, Duration(1000));
+      ClientAttempt attempt;
+      attempt.kind = "idempotent";
+      attempt.method = "GET";
+      attempt.host = host;
+      attempt.target = target;
+      attempt.probe = true;
+      attempt.deadline = fleet_.world().now() + Duration(1000);
+      send(*p, attempt, Duration(1000));
     });
   }
 }
--- a/test/platform/event_journal.hpp
+++ b/test/platform/event_journal.hpp
@@ -10,55 +10,55 @@
 namespace dunlinwing::test {
 
 struct Arrival {  // of a request at a worker
-  std::string id, method, host, target, body, service, version, instance, relay;
-  const void* life = nullptr;  // of the relay's process
+  std::string id, method, host, target, body, service, version, instance, node;
+  const void* process = nullptr;  // of the relay's process
   TimePoint at{0};
-  bool ran = false, bad = false, other = false;  // other: it was meant for another instance
+  bool executed = false, failed = false, wrong_instance = false;  // other: it was meant for another instance
 };
 
-struct Try {  // of a client
+struct ClientAttempt {  // of a client
   std::string id, method, host, target, body, relay, kind;
-  const void* life = nullptr;
+  const void* process = nullptr;
   TimePoint sent{0}, ended{0}, deadline{0};
-  bool whole = false, read = false, first = false, probe = false;
-  base::Response receipt;
+  bool complete = false, read_by_node = false, first = false, probe = false;
+  base::Response response;
 };
 
-struct Made {  // by a worker, under a stamp
+struct StampedResponse {  // by a worker, under a stamp
   std::string id, target, body;
   uint64_t version = 0;  // of the object, if it is one
   bool object = false, failed = false;
   TimePoint at{0};
 };
 
-struct Stated {  // a configuration
-  Page page;
+struct StatedConfiguration {  // a configuration
+  OperatorConfiguration configuration;
   std::string text, what, by;
   bool valid = true;
   TimePoint sent{0};
-  std::optional<TimePoint> taken;
-  int refused = 0;
+  std::optional<TimePoint> acknowledged;
+  int rejections = 0;
 };
 
-struct Purging {
+struct PurgeOrder {
   std::string host, path, tag;
   TimePoint sent{0};
-  std::optional<TimePoint> taken;
+  std::optional<TimePoint> acknowledged;
 };
 
-struct Left {
+struct Deregistration {
   std::string instance, by;
   TimePoint at{0};
 };
 
-struct Moving {
+struct VersionRolloutOrder {
   std::string service, version, state;
   bool bad = false;
-  TimePoint ordered{0}, term{0};
-  std::optional<TimePoint> taken, ended;
+  TimePoint ordered{0}, deadline{0};
+  std::optional<TimePoint> acknowledged, ended;
 };
 
-struct Late {  // an order without acknowledgement
+struct UnacknowledgedOrder {  // an order without acknowledgement
   std::string what;
   TimePoint sent{0}, ended{0};
 };
@@ -69,30 +69,30 @@
   TimePoint asked{0};
 };
 
-struct Diary {
+struct EventJournal {
   std::vector<Arrival> arrivals;
-  std::map<std::string, Try> tries;                        // by id
-  std::map<std::string, Made> made;                        // by stamp
-  std::map<std::string, std::vector<TimePoint>> replaced;  // target -> when version 1, 2 … came
-  std::map<std::string, std::string> tags;                 // target -> its tag
-  std::vector<Stated> stated;
-  std::vector<Purging> purges;
-  std::vector<Left> left;
-  std::vector<Moving> moves;
-  std::vector<Late> late;
-  std::vector<std::string> refused_again;  // orders that had been acknowledged, sent again
+  std::map<std::string, ClientAttempt> attempts;             // by id
+  std::map<std::string, StampedResponse> stamped_responses;  // by stamp
+  std::map<std::string, std::vector<TimePoint>> replaced;    // target -> when version 1, 2 … came
+  std::map<std::string, std::string> tags;                   // target -> its tag
+  std::vector<StatedConfiguration> configurations;
+  std::vector<PurgeOrder> purges;
+  std::vector<Deregistration> deregistrations;
+  std::vector<VersionRolloutOrder> version_rollouts;
+  std::vector<UnacknowledgedOrder> unacknowledged;
+  std::vector<std::string> rejected_again;  // orders that had been acknowledged, sent again
   std::map<std::string, std::vector<TimePoint>>
-      harmed;                     // machine -> moments at which something befell it or its paths
-  std::vector<TimePoint> shaken;  // moments at which the core was unsettled
+      machine_faults;                  // machine -> moments at which something befell it or its paths
+  std::vector<TimePoint> core_faults;  // moments at which the core was unsettled
   std::vector<TimePoint> origin_trouble;
-  std::vector<std::pair<TimePoint, std::string>> terms;  // SIGTERMs
-  bool unplanned = false;                                // some trouble that nobody had ordered
+  std::vector<std::pair<TimePoint, std::string>> terminations;  // SIGTERMs
+  bool unplanned = false;                                       // some trouble that nobody had ordered
   std::vector<ReadBack> read_back;
   std::optional<TimePoint> closed, back;  // the closing fault, and when all machines were up again
 };
 
 // Whether the machine was in touch throughout the three seconds before `t`.
 constexpr Duration kContact{3000};
-bool in_touch(const Diary& d, const std::string& machine, TimePoint t);
+bool in_touch(const EventJournal& journal, const std::string& machine, TimePoint t);
 
 }  // namespace dunlinwing::test
--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -5,14 +5,14 @@
 #include "platform/day.hpp"
 
 namespace dunlinwing::test {
-std::map<std::string, Kind> machine_kinds();
+std::map<std::string, FaultKind> machine_kinds();
 
 namespace {
 
 void config_change(Day& y) {
   for (int i = 0; i < 7; ++i) {
-    y.want(y.change(y.w.draw() % 1000000), "a configuration was not taken");
-    y.f.sleep(Duration(300 + y.below(2000)));
+    y.require(y.change(y.world.draw() % 1000000), "a configuration was not taken");
+    y.fleet.sleep(Duration(300 + y.below(2000)));
   }
 }
 
@@ -20,42 +20,43 @@
 // clear answer; and an older change comes again.
 void config_race(Day& y) {
   for (int i = 0; i < 3; ++i) {
-    auto n = y.page.revision + 2;
-    auto a = next_page(y.page, n, 3 + 5 * y.below(80)), b = next_page(y.page, n, 4 + 5 * y.below(9));
-    auto old = y.page;
+    auto n = y.configuration.revision + 2;
+    auto a = next_configuration(y.configuration, n, 3 + 5 * y.below(80)),
+         b = next_configuration(y.configuration, n, 4 + 5 * y.below(9));
+    auto old = y.configuration;
     int left = 3, confirmed = 0;
     for (auto* p : {&a, &b})
-      y.f.spawn_outside([&y, p = *p, &left, &confirmed] {
+      y.fleet.spawn_outside([&y, p = *p, &left, &confirmed] {
         auto what = fmt::format("configuration {} in a race", p.revision);
-        confirmed += y.op.put_text(what, p, p.text(), true, Duration(2500)) == 200;
+        confirmed += y.operator_stub.put_text(what, p, p.text(), true, Duration(2500)) == 200;
         --left;
       });
-    y.f.spawn_outside([&y, old, &left] {
-      y.want(y.op.put(old), "an older configuration was not acknowledged");
+    y.fleet.spawn_outside([&y, old, &left] {
+      y.require(y.operator_stub.put(old), "an older configuration was not acknowledged");
       --left;
     });
-    y.f.wait_until(Duration(25000), [&] { return left == 0; });
-    y.want(confirmed == 1, fmt::format("{} of two operators under one number were confirmed", confirmed));
-    y.op.read_back(Duration(100));
-    y.page = y.d.read_back.back().text == b.text() ? b : a;
-    y.f.sleep(Duration(500));
+    y.fleet.wait_until(Duration(25000), [&] { return left == 0; });
+    y.require(confirmed == 1, fmt::format("{} of two operators under one number were confirmed", confirmed));
+    y.operator_stub.read_back(Duration(100));
+    y.configuration = y.journal.read_back.back().text == b.text() ? b : a;
+    y.fleet.sleep(Duration(500));
   }
 }
 
 void bad_config(Day& y) {
-  auto all = invalid_texts(y.page, y.page.revision + 50);
+  auto all = invalid_texts(y.configuration, y.configuration.revision + 50);
   for (auto& [what, text] : all) {
-    Page p;
-    p.revision = y.page.revision + 50;
-    int st = y.op.put_text(what, p, text, false);
-    y.want(st / 100 == 4, fmt::format("{} got {}", what, st));
+    OperatorConfiguration configuration;
+    configuration.revision = y.configuration.revision + 50;
+    int st = y.operator_stub.put_text(what, configuration, text, false);
+    y.require(st / 100 == 4, fmt::format("{} got {}", what, st));
     y.clients.probe("bad.example", "/bad/x");
-    y.f.sleep(Duration(150));
+    y.fleet.sleep(Duration(150));
   }
-  y.op.read_back(Duration(100));
-  y.f.sleep(Duration(2500));
+  y.operator_stub.read_back(Duration(100));
+  y.fleet.sleep(Duration(2500));
   y.clients.probe("bad.example", "/bad/x");
-  y.want(y.change(0), "a valid configuration was not taken after invalid ones");
+  y.require(y.change(0), "a valid configuration was not taken after invalid ones");
 }
 
 std::string object(Day& y) { return fmt::format("/obj/{:x}", y.below(40)); }
@@ -63,196 +64,199 @@
 void purge(Day& y) {
   for (int i = 0; i < 12; ++i) {
     auto o = object(y);
-    y.yard.change(o);
+    y.platform_stub.change(o);
     bool tag = y.below(3) == 0;
     if (tag)  // all that go by it
-      for (auto& [k, t] : y.d.tags)
-        if (t == y.d.tags[o] && k != o) y.yard.change(k);
-    y.want(y.op.purge("a.example", tag ? "" : o, tag ? y.d.tags[o] : ""), "a purge was not taken");
-    y.f.sleep(Duration(600 + y.below(500)));
+      for (auto& [k, t] : y.journal.tags)
+        if (t == y.journal.tags[o] && k != o) y.platform_stub.change(k);
+    y.require(y.operator_stub.purge("a.example", tag ? "" : o, tag ? y.journal.tags[o] : ""),
+              "a purge was not taken");
+    y.fleet.sleep(Duration(600 + y.below(500)));
   }
 }
 
 void purge_storm(Day& y) {
-  auto end = y.w.now() + Duration(6000);
-  while (y.w.now() < end) {
-    y.f.spawn_outside([&y] {
+  auto end = y.world.now() + Duration(6000);
+  while (y.world.now() < end) {
+    y.fleet.spawn_outside([&y] {
       auto o = object(y);
-      y.yard.change(o);
-      y.want(y.op.purge("a.example", o, ""), "a purge was not taken");
+      y.platform_stub.change(o);
+      y.require(y.operator_stub.purge("a.example", o, ""), "a purge was not taken");
     });
-    y.f.sleep(Duration(60));
+    y.fleet.sleep(Duration(60));
   }
-  y.f.sleep(Duration(3000));
+  y.fleet.sleep(Duration(3000));
 }
 
 void release(Day& y) {
   for (auto* service : {"wuno", "huvo"})
-    for (auto* s : y.yard.of(service)) {
+    for (auto* instance : y.platform_stub.of(service)) {
       if (y.below(2)) continue;
-      y.yard.add(service, "v1", Duration(2000));
-      y.f.sleep(Duration(1000));
-      y.f.spawn_outside([&y, s] { y.yard.drain(*s); });
+      y.platform_stub.add(service, "v1", Duration(2000));
+      y.fleet.sleep(Duration(1000));
+      y.fleet.spawn_outside([&y, instance] { y.platform_stub.drain(*instance); });
     }
-  y.f.sleep(Duration(3500));
+  y.fleet.sleep(Duration(3500));
 }
 
 // Their addresses go to workers of the other service.
 void replace_with_reuse(Day& y) {
   bool drained = y.below(2);
-  auto v = y.yard.of("wuno");
+  auto v = y.platform_stub.of("wuno");
   for (int i = 0; i < 2; ++i) {
-    auto* s = v[i];
-    y.f.spawn_outside([&y, s, drained] {
-      drained ? y.yard.drain(*s) : y.yard.crash(*s);
-      y.f.sleep(Duration(2000 + y.below(500)));
-      y.yard.add("huvo", "v1", Duration(1000), s->address);
+    auto* instance = v[i];
+    y.fleet.spawn_outside([&y, instance, drained] {
+      drained ? y.platform_stub.drain(*instance) : y.platform_stub.crash(*instance);
+      y.fleet.sleep(Duration(2000 + y.below(500)));
+      y.platform_stub.add("huvo", "v1", Duration(1000), instance->address);
     });
   }
-  y.f.sleep(Duration(9000));
+  y.fleet.sleep(Duration(9000));
 }
 
 void scale_in(Day& y) {
-  auto v = y.yard.of("wuno");
-  for (size_t i = 0; i < 3; ++i) y.f.spawn_outside([&y, s = v[i]] { y.yard.drain(*s); });
-  y.f.sleep(Duration(4000));
+  auto v = y.platform_stub.of("wuno");
+  for (size_t i = 0; i < 3; ++i) y.fleet.spawn_outside([&y, s = v[i]] { y.platform_stub.drain(*s); });
+  y.fleet.sleep(Duration(4000));
 }
 
 void srv_crash(Day& y) {
-  auto v = y.yard.of("wuno"), u = y.yard.of("huvo");
+  auto v = y.platform_stub.of("wuno"), u = y.platform_stub.of("huvo");
   bool dark = y.below(2);
-  for (auto* s : {v[0], u[0]}) y.yard.crash(*s, dark);
-  y.f.sleep(Duration(5000));
-  for (auto* s : {v[0], u[0]}) {
+  for (auto* instance : {v[0], u[0]}) y.platform_stub.crash(*instance, dark);
+  y.fleet.sleep(Duration(5000));
+  for (auto* instance : {v[0], u[0]}) {
     if (dark)
-      s->dark = false;
+      instance->unreachable = false;
     else
-      y.yard.add(s->service, "v1", Duration(2000));
+      y.platform_stub.add(instance->service, "v1", Duration(2000));
   }
-  y.f.sleep(Duration(3000));
-  y.floor = 0.85;
+  y.fleet.sleep(Duration(3000));
+  y.min_served_share = 0.85;
 }
 
 void srv_slow(Day& y) {
   for (auto* n : {"wuno", "huvo"}) {
-    auto v = y.yard.of(n);
+    auto v = y.platform_stub.of(n);
     for (size_t i = 0; i < v.size(); ++i)
-      if (i == 0 || y.below(3) == 0) v[i]->slower = 4;
+      if (i == 0 || y.below(3) == 0) v[i]->slowdown = 4;
   }
-  y.f.sleep(Duration(5000));
+  y.fleet.sleep(Duration(5000));
   for (auto* n : {"wuno", "huvo"})
-    for (auto* s : y.yard.of(n)) s->slower = 1;
-  y.f.sleep(Duration(2000));
+    for (auto* instance : y.platform_stub.of(n)) instance->slowdown = 1;
+  y.fleet.sleep(Duration(2000));
 }
 
 // Every worker of one service is slow, and clients do not wait as told.
 void crowd(Day& y) {
   y.clients.impatient = true;
-  for (auto* s : y.yard.of("wuno")) s->slower = 24;
-  y.f.sleep(Duration(8000));
-  for (auto* s : y.yard.of("wuno")) s->slower = 1;
-  y.f.sleep(Duration(3000));
-  y.floor = 0.3;
+  for (auto* instance : y.platform_stub.of("wuno")) instance->slowdown = 24;
+  y.fleet.sleep(Duration(8000));
+  for (auto* instance : y.platform_stub.of("wuno")) instance->slowdown = 1;
+  y.fleet.sleep(Duration(3000));
+  y.min_served_share = 0.3;
 }
 
-void misbehave(Day& y, int Server::*how, int permille) {
-  y.d.origin_trouble.push_back(y.w.now());
+void misbehave(Day& y, int StubInstance::*how, int permille) {
+  y.journal.origin_trouble.push_back(y.world.now());
   for (auto* n : {"wuno", "huvo"}) {
-    auto v = y.yard.of(n);
+    auto v = y.platform_stub.of(n);
     for (size_t i = 0; i < v.size(); i += 2) v[i]->*how = permille;
   }
-  y.f.sleep(Duration(9000));
+  y.fleet.sleep(Duration(9000));
 }
 
 // The origin of the objects takes only so much, and they are kept but shortly.
 void ceiling(Day& y) {
-  auto p = y.page;
-  p.revision += 1;
-  p.lines[0].keep_s = 0.5;
-  y.want(y.op.put(p), "a configuration was not taken");
-  y.page = p;
-  y.f.sleep(Duration(5000));
+  auto configuration = y.configuration;
+  configuration.revision += 1;
+  configuration.routes[0].cache_ttl_s = 0.5;
+  y.require(y.operator_stub.put(configuration), "a configuration was not taken");
+  y.configuration = configuration;
+  y.fleet.sleep(Duration(5000));
   y.kill_for(y.any(false).name, Duration(500));
-  y.f.sleep(Duration(5000));
-  y.floor = 0.3;
+  y.fleet.sleep(Duration(5000));
+  y.min_served_share = 0.3;
 }
 
 void rollout(Day& y, bool bad) {
   std::string service = y.below(2) ? "wuno" : "huvo";
-  auto old = y.yard.of(service);
-  std::vector<Server*> fresh;
-  for (size_t i = 0; i < old.size(); ++i) fresh.push_back(&y.yard.add(service, "v2", Duration(2000)));
+  auto old = y.platform_stub.of(service);
+  std::vector<StubInstance*> fresh;
+  for (size_t i = 0; i < old.size(); ++i)
+    fresh.push_back(&y.platform_stub.add(service, "v2", Duration(2000)));
   auto how = y.below(4);
-  auto from = y.w.now() + Duration(5000);
-  for (auto* s : fresh) {
-    auto& world = y.w;
+  auto from = y.world.now() + Duration(5000);
+  for (auto* instance : fresh) {
+    auto& world = y.world;
     auto hit = [&world] { return world.below(2) == 0; };
     if (!bad) continue;
-    if (how == 0) s->bad = [hit](auto&) { return hit() ? 0 : 1; };
-    if (how == 1) s->bad = [hit](auto&) { return hit() ? 8 : 1; };
-    if (how == 2) s->bad = [hit, &world, from](auto&) { return world.now() > from && hit() ? 0 : 1; };
+    if (how == 0) instance->bad = [hit](auto&) { return hit() ? 0 : 1; };
+    if (how == 1) instance->bad = [hit](auto&) { return hit() ? 8 : 1; };
+    if (how == 2) instance->bad = [hit, &world, from](auto&) { return world.now() > from && hit() ? 0 : 1; };
     if (how == 3)
-      s->bad = [hit](auto& t) {
+      instance->bad = [hit](auto& t) {
         return t.starts_with("/post/") || t.starts_with("/obj/") ? hit() ? 0 : 1 : 1;
       };
   }
-  y.f.sleep(Duration(1700));
+  y.fleet.sleep(Duration(1700));
   Duration within(12000);
-  y.want(y.op.move(service, "v2", within, bad), "a rollout was not taken");
-  auto& m = y.d.moves.back();
-  while (y.w.now() < m.term) {
-    auto st = y.op.state(service);
+  y.require(y.operator_stub.roll_out_version(service, "v2", within, bad), "a rollout was not taken");
+  auto& m = y.journal.version_rollouts.back();
+  while (y.world.now() < m.deadline) {
+    auto st = y.operator_stub.rollout_state(service);
     if (st == "completed" || st == "rolled_back") {
       m.state = st;
-      m.ended = y.w.now();
+      m.ended = y.world.now();
       break;
     }
-    y.f.sleep(Duration(250));
+    y.fleet.sleep(Duration(250));
   }
-  y.want(m.state == (bad ? "rolled_back" : "completed"),
-         fmt::format("{} v2 of {} ended {}, how {}", bad ? "bad" : "good", service, m.state, how));
+  y.require(m.state == (bad ? "rolled_back" : "completed"),
+            fmt::format("{} v2 of {} ended {}, how {}", bad ? "bad" : "good", service, m.state, how));
   if (m.state == "completed")
-    for (auto* s : old) s->alive = false;
+    for (auto* instance : old) instance->alive = false;
   if (m.state == "rolled_back") {
-    y.f.sleep(Duration(2000));
-    for (auto* s : fresh) y.f.spawn_outside([&y, s] { y.yard.drain(*s); });
+    y.fleet.sleep(Duration(2000));
+    for (auto* instance : fresh) y.fleet.spawn_outside([&y, instance] { y.platform_stub.drain(*instance); });
   }
-  y.f.sleep(Duration(4000));
+  y.fleet.sleep(Duration(4000));
 }
 // Half of the acknowledgements to the operator are lost, and it sends the same again. The
 // rollout comes alone, since a change of routes takes away what a good version is judged by.
 void ack_lost(Day& y) {
-  y.op.lost_permille = 500;
+  y.operator_stub.lost_permille = 500;
   int left = 2;
   for (auto* n : {"config_change", "purge"})
-    y.f.spawn_outside([&y, n, &left] {
-      kinds().at(n).run(y);
+    y.fleet.spawn_outside([&y, n, &left] {
+      fault_kinds().at(n).run(y);
       --left;
     });
-  y.want(y.f.wait_until(Duration(40000), [&] { return left == 0; }), "the operator's work did not end");
+  y.require(y.fleet.wait_until(Duration(40000), [&] { return left == 0; }),
+            "the operator's work did not end");
   rollout(y, false);
-  y.op.lost_permille = 0;
+  y.operator_stub.lost_permille = 0;
 }
 
 // An operator's work, something that befalls machines and workers that misbehave, at once.
-void mix(Day& y) {
+void send_random_request(Day& y) {
   static const char* const orders[] = {"config_change", "purge", "release", "rollout_bad", "scale_in"};
   static const char* const machines[] = {"node_kill", "herd_kill", "roll_term", "srv_crash"};
-  static const char* const workers[] = {"answer_lost", "garble_cut", "garble_extra", "srv_slow"};
+  static const char* const backends[] = {"answer_lost", "garble_cut", "garble_extra", "srv_slow"};
   int left = 3;
-  for (auto* n : {orders[y.below(5)], machines[y.below(4)], workers[y.below(4)]})
-    y.f.spawn_outside([&y, n, &left] {
-      kinds().at(n).run(y);
+  for (auto* n : {orders[y.below(5)], machines[y.below(4)], backends[y.below(4)]})
+    y.fleet.spawn_outside([&y, n, &left] {
+      fault_kinds().at(n).run(y);
       --left;
     });
-  y.want(y.f.wait_until(Duration(50000), [&] { return left == 0; }), "the mixed troubles did not end");
-  y.floor = 0.5;
+  y.require(y.fleet.wait_until(Duration(50000), [&] { return left == 0; }), "the mixed troubles did not end");
+  y.min_served_share = 0.5;
 }
 }  // namespace
 
-const std::map<std::string, Kind>& kinds() {
+const std::map<std::string, FaultKind>& fault_kinds() {
   static const auto all = [] {
-    std::map<std::string, Kind> m{
+    std::map<std::string, FaultKind> m{
         {"config_change", {config_change}},
         {"config_race", {config_race}},
         {"bad_config", {bad_config}},
@@ -265,12 +269,16 @@
         {"srv_slow", {srv_slow, 120}},
         {"crowd", {crowd, 200, 0, {"not_run_503", "reset_when_full"}}},
         {"ceiling", {ceiling, 90, 20}},
-        {"answer_lost", {[](Day& y) { misbehave(y, &Server::lose, 30); }, 60, 0, {"answer_lost"}}},
-        {"garble_cut", {[](Day& y) { misbehave(y, &Server::cut, 20); }, 60, 0, {"answer_cut"}}},
-        {"garble_spoilt", {[](Day& y) { misbehave(y, &Server::spoil, 20); }, 60, 0, {"answer_spoilt"}}},
-        {"garble_extra", {[](Day& y) { misbehave(y, &Server::extra, 30); }, 60, 0, {"answer_extra"}}},
+        {"answer_lost",
+         {[](Day& y) { misbehave(y, &StubInstance::lose_permille, 30); }, 60, 0, {"answer_lost"}}},
+        {"garble_cut",
+         {[](Day& y) { misbehave(y, &StubInstance::cut_permille, 20); }, 60, 0, {"answer_cut"}}},
+        {"garble_spoilt",
+         {[](Day& y) { misbehave(y, &StubInstance::spoil_permille, 20); }, 60, 0, {"answer_spoilt"}}},
+        {"garble_extra",
+         {[](Day& y) { misbehave(y, &StubInstance::extra_permille, 30); }, 60, 0, {"answer_extra"}}},
         {"ack_lost", {ack_lost, 240, 0, {"ack_lost"}}},
-        {"mix", {mix}},
+        {"mix", {send_random_request}},
         {"rollout_good", {[](Day& y) { rollout(y, false); }, 240}},
         {"rollout_bad", {[](Day& y) { rollout(y, true); }, 240}}};
     m.merge(machine_kinds());
--- a/test/platform/main.cpp
+++ b/test/platform/main.cpp
@@ -20,16 +20,16 @@
   base::Level l;
   if (base::parse_level(FLAGS_log_level, l)) base::set_level(l);
   std::vector<test::Case> cs;
-  bool whole = test::kinds().count(FLAGS_case_name) > 0;
-  for (auto& [name, kind] : test::kinds())
-    if (!whole || name == FLAGS_case_name)
-      cs.push_back({name, [name = name, meets = kind.meets] {
+  bool complete = test::fault_kinds().count(FLAGS_case_name) > 0;
+  for (auto& [name, kind] : test::fault_kinds())
+    if (!complete || name == FLAGS_case_name)
+      cs.push_back({name, [name = name, meets = kind.required_faults] {
                       std::map<std::string, uint64_t> sum;
                       uint64_t from = FLAGS_seed ? FLAGS_seed : 1,
                                to = FLAGS_seed ? FLAGS_seed : static_cast<uint64_t>(FLAGS_seeds);
                       std::string bad;
                       for (auto s = from; s <= to; ++s) try {
-                          test::play(name, s, s % 2 == 0, FLAGS_load, sum);
+                          test::play_day(name, s, s % 2 == 0, FLAGS_load, sum);
                         } catch (const std::exception& e) {
                           bad += std::string(bad.empty() ? "" : "\n") + e.what();
                         }
--- a/test/platform/operator.cpp
+++ b/test/platform/operator.cpp
@@ -31,58 +31,60 @@
       st = 0;
     }
     if (taken && st / 100 == 4 && st != 408 && st != 429)
-      d_.refused_again.push_back(fmt::format("{} {}: {} {}", method, target, st, x.response.body));
+      journal_.rejected_again.push_back(fmt::format("{} {}: {} {}", method, target, st, x.response.body));
     if (st / 100 == 2) return last_by = host.name, std::pair(st, x.response.body);
     if (st == 400 || st == 409 || st == 412 || st == 413 || st == 422) return {st, x.response.body};
     if (st / 100 == 4 && st != 408 && st != 429 && ++fours == 3) return {st, x.response.body};
     if (world.now() - from > kAck && !told && !taken && !what.empty())
-      told = true, d_.late.push_back({what, from, world.now()});
+      told = true, journal_.unacknowledged.push_back({what, from, world.now()});
     if (world.now() > end) return {0, {}};
     fleet_.sleep(pause);
     pause = std::min<Duration>(pause * 3 / 2, Duration(1000));
   }
 }
 
-int Operator::put_text(const std::string& what, const Page& p, const std::string& text, bool valid,
-                       Duration most) {
-  d_.stated.push_back({p, text, what, {}, valid, fleet_.world().now(), {}, 0});
-  auto place = d_.stated.size() - 1;
+int Operator::put_text(const std::string& what, const OperatorConfiguration& configuration,
+                       const std::string& text, bool valid, Duration most) {
+  journal_.configurations.push_back({configuration, text, what, {}, valid, fleet_.world().now(), {}, 0});
+  auto place = journal_.configurations.size() - 1;
   auto [st, body] = call("PUT", "/configuration", text, most, valid ? what : "");
-  auto& s = d_.stated[place];
+  auto& s = journal_.configurations[place];
   s.by = last_by;
   if (st / 100 == 2)
-    s.taken = fleet_.world().now();
+    s.acknowledged = fleet_.world().now();
   else
-    s.refused = st;
+    s.rejections = st;
   return st;
 }
 
-bool Operator::put(const Page& p) {
-  return put_text(fmt::format("configuration {}", p.revision), p, p.text(), true) == 200;
+bool Operator::put(const OperatorConfiguration& configuration) {
+  return put_text(fmt::format("configuration {}", configuration.revision), configuration,
+                  configuration.text(), true) == 200;
 }
 
 bool Operator::purge(const std::string& host, const std::string& path, const std::string& tag) {
-  d_.purges.push_back({host, path, tag, fleet_.world().now(), {}});
-  auto place = d_.purges.size() - 1;
+  journal_.purges.push_back({host, path, tag, fleet_.world().now(), {}});
+  auto place = journal_.purges.size() - 1;
   auto body = tag.empty() ? fmt::format(R"({{"hostname":"{}","path":"{}"}})", host, path)
                           : fmt::format(R"({{"tag":"{}"}})", tag);
   auto [st, text] = call("POST", "/purge", body, kAck, "purge of " + (tag.empty() ? path : tag));
-  if (st / 100 == 2) d_.purges[place].taken = fleet_.world().now();
+  if (st / 100 == 2) journal_.purges[place].acknowledged = fleet_.world().now();
   return st / 100 == 2;
 }
 
-bool Operator::move(const std::string& service, const std::string& version, Duration within, bool bad) {
+bool Operator::roll_out_version(const std::string& service, const std::string& version, Duration within,
+                                bool bad) {
   auto now = fleet_.world().now();
-  d_.moves.push_back({service, version, {}, bad, now, now + within, {}, {}});
-  auto place = d_.moves.size() - 1;
+  journal_.version_rollouts.push_back({service, version, {}, bad, now, now + within, {}, {}});
+  auto place = journal_.version_rollouts.size() - 1;
   auto body = fmt::format(R"({{"backend":"{}","target-revision":"{}","rollout-within-s":{}}})", service,
                           version, within.count() / 1000);
   auto [st, text] = call("POST", "/rollouts", body, kAck, "rollout of " + service);
-  if (st / 100 == 2) d_.moves[place].taken = fleet_.world().now();
+  if (st / 100 == 2) journal_.version_rollouts[place].acknowledged = fleet_.world().now();
   return st / 100 == 2;
 }
 
-std::string Operator::state(const std::string& service, std::string* version) {
+std::string Operator::rollout_state(const std::string& service, std::string* version) {
   auto [st, body] = call("GET", "/rollouts/" + service, "", Duration(2000), "");
   auto g = base::Json::parse(body);
   auto* j = std::get_if<base::Json>(&g);
@@ -99,7 +101,8 @@
     if (st != 200) continue;
     auto g = base::Json::parse(body);
     auto* j = std::get_if<base::Json>(&g);
-    d_.read_back.push_back({j ? static_cast<uint64_t>(j->at("revision").integer_or()) : 0, body, asked});
+    journal_.read_back.push_back(
+        {j ? static_cast<uint64_t>(j->at("revision").integer_or()) : 0, body, asked});
     fleet_.sleep(Duration(300));
   } while (fleet_.world().now() < end);
 }
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -22,29 +22,29 @@
 
 bool is_object(const std::string& t) { return t.starts_with("/obj/"); }
 
-Server* Yard::at(const std::string& address) {
-  for (auto& s : all_)
+StubInstance* PlatformStub::at(const std::string& address) {
+  for (auto& s : instances_)
     if (s->alive && s->address == address) return s.get();
   return nullptr;
 }
 
-bool Yard::stands(const std::string& address) {
-  auto* s = at(address);
-  return s && !s->dark;
+bool PlatformStub::stands(const std::string& address) {
+  auto* instance = at(address);
+  return instance && !instance->unreachable;
 }
 
-std::vector<Server*> Yard::of(const std::string& service, const std::string& version) {
-  std::vector<Server*> out;
-  for (auto& s : all_)
+std::vector<StubInstance*> PlatformStub::of(const std::string& service, const std::string& version) {
+  std::vector<StubInstance*> out;
+  for (auto& s : instances_)
     if (s->alive && !s->draining && s->service == service && (version.empty() || s->version == version))
       out.push_back(s.get());
   return out;
 }
 
-Server& Yard::add(const std::string& service, const std::string& version, Duration cold,
-                  const std::string& address) {
-  auto n = ++named_;
-  auto s = std::make_unique<Server>();
+StubInstance& PlatformStub::add(const std::string& service, const std::string& version, Duration cold,
+                                const std::string& address) {
+  auto n = ++next_id_;
+  auto s = std::make_unique<StubInstance>();
   s->id = fmt::format("i-{}", n);
   s->service = service;
   s->version = version;
@@ -55,40 +55,41 @@
   s->tells_load = service == "huvo";
   s->resets_when_full = n % 5 == 1;
   auto* p = s.get();
-  all_.push_back(std::move(s));
-  fleet_.spawn_outside([this, p] { beats(*p); });
+  instances_.push_back(std::move(s));
+  fleet_.spawn_outside([this, p] { send_heartbeats(*p); });
   return *p;
 }
 
-void Yard::beats(Server& s) {
+void PlatformStub::send_heartbeats(StubInstance& instance) {
   fleet_.sleep(Duration(fleet_.world().below(1400)));
-  while (s.alive && !s.draining) {
-    if (!s.dark) beat(s, "PUT");
+  while (instance.alive && !instance.draining) {
+    if (!instance.unreachable) send_heartbeat(instance, "PUT");
     fleet_.sleep(kBeat);
   }
 }
 
-bool Yard::beat(Server& s, const char* method) {
+bool PlatformStub::send_heartbeat(StubInstance& instance, const char* method) {
   auto& world = fleet_.world();
   base::Request request;
   request.method = method;
-  request.target = "/instances/" + s.id;
-  bool draining = s.draining;
-  auto cold = std::max<int64_t>(0, (s.warm_at - world.now()).count());
+  request.target = "/instances/" + instance.id;
+  bool draining = instance.draining;
+  auto cold = std::max<int64_t>(0, (instance.warm_at - world.now()).count());
   if (request.method == "PUT")
     request.body = fmt::format(
         R"({{"backend":"{}","address":"{}","zone":"{}","revision":"{}","slots":{},"state":"{}","cold-remaining-s":{},"call-seq":{}}})",
-        s.service, s.address, s.zone, s.version, s.slots, draining ? "draining" : "ready",
-        static_cast<double>(cold) / 1000, ++s.calls);
+        instance.service, instance.address, instance.zone, instance.version, instance.slots,
+        draining ? "draining" : "ready", static_cast<double>(cold) / 1000, ++instance.calls);
   Duration pause{50};
   // An end is said for some seconds, a beat to a few nodes.
   TimePoint from = world.now();
-  for (int i = 0; s.alive && (i < 5 || (draining && world.now() < from + kAck)); ++i) {
+  for (int i = 0; instance.alive && (i < 5 || (draining && world.now() < from + kAck)); ++i) {
     auto& hosts = fleet_.hosts();
     auto& host = *hosts[world.below(hosts.size())];
     auto x = fleet_.exchange(host, request, true, Duration(1000));
     if (x.complete && x.response.status / 100 == 2) {
-      if (draining || request.method == "DELETE") d_.left.push_back({s.id, host.name, world.now()});
+      if (draining || request.method == "DELETE")
+        journal_.deregistrations.push_back({instance.id, host.name, world.now()});
       return true;
     }
     fleet_.sleep(pause);
@@ -97,45 +98,48 @@
   return false;
 }
 
-void Yard::drain(Server& s) {
-  s.draining = true;
+void PlatformStub::drain(StubInstance& instance) {
+  instance.draining = true;
   auto from = fleet_.world().now();
-  if (!beat(s, "PUT") && s.alive) d_.late.push_back({"draining of " + s.id, from, fleet_.world().now()});
+  if (!send_heartbeat(instance, "PUT") && instance.alive)
+    journal_.unacknowledged.push_back({"draining of " + instance.id, from, fleet_.world().now()});
   fleet_.sleep(kDrain + Duration(400));
-  beat(s, "DELETE");
-  s.alive = false;
+  send_heartbeat(instance, "DELETE");
+  instance.alive = false;
 }
 
-void Yard::crash(Server& s, bool dark) {
-  d_.origin_trouble.push_back(fleet_.world().now());
-  dark ? s.dark = true : s.alive = false;
+void PlatformStub::crash(StubInstance& instance, bool dark) {
+  journal_.origin_trouble.push_back(fleet_.world().now());
+  dark ? instance.unreachable = true : instance.alive = false;
 }
 
-void Yard::change(const std::string& t) { d_.replaced[t].push_back(fleet_.world().now()); }
+void PlatformStub::change(const std::string& t) { journal_.replaced[t].push_back(fleet_.world().now()); }
 
-base::Response Yard::answer(Server& s, const base::Request& request, bool fails) {
+base::Response PlatformStub::answer(StubInstance& instance, const base::Request& request, bool fails) {
   auto h = [&](const char* n) { return base::header(request.headers, n); };
   auto id = h("Attempt-Id");
-  Made m{id,    request.target,      {}, 0, is_object(request.target) && request.method == "GET",
-         fails, fleet_.world().now()};
+  StampedResponse m{id,    request.target,      {}, 0, is_object(request.target) && request.method == "GET",
+                    fails, fleet_.world().now()};
   base::Response response{fails ? 500 : 200, {}, {}};
   if (!id.empty()) response.headers.emplace_back("Attempt-Id", id);
-  if (s.tells_load)
-    response.headers.emplace_back("Server-Load", fmt::format("{},{},{}", s.running, s.waiting, s.slots));
-  if (s.draining) response.headers.emplace_back("Connection", "close");
-  if (m.object) m.version = d_.replaced[request.target].size();
-  m.body = m.object
-               ? fmt::format("{} {} {} {}", s.service, request.target, m.version, std::string(64, 'o'))
-               : fmt::format("{} {} {} {} {}", s.service, request.method, request.target, id, request.body);
+  if (instance.tells_load)
+    response.headers.emplace_back(
+        "Server-Load", fmt::format("{},{},{}", instance.running, instance.waiting, instance.slots));
+  if (instance.draining) response.headers.emplace_back("Connection", "close");
+  if (m.object) m.version = journal_.replaced[request.target].size();
+  m.body =
+      m.object
+          ? fmt::format("{} {} {} {}", instance.service, request.target, m.version, std::string(64, 'o'))
+          : fmt::format("{} {} {} {} {}", instance.service, request.method, request.target, id, request.body);
   auto sig = stamp(m.body + (fails ? "failed" : ""));
-  d_.made.emplace(sig, m);
+  journal_.stamped_responses.emplace(sig, m);
   response.headers.emplace_back("Edge-Signature", sig);
   response.body = m.body;
   if (!m.object || fails) return response;
   auto tag = fmt::format("\"v{}\"", m.version);
   response.headers.emplace_back("ETag", tag);
-  if (d_.tags.count(request.target))
-    response.headers.emplace_back("Object-Tags", d_.tags[request.target] + " tall");
+  if (journal_.tags.count(request.target))
+    response.headers.emplace_back("Object-Tags", journal_.tags[request.target] + " tall");
   if (h("If-None-Match") == tag) return response.status = 304, response.body.clear(), response;
   auto range = h("Range");
   size_t first = 0, last = response.body.size() - 1;
@@ -153,8 +157,9 @@
   return response;
 }
 
-Yard::Shot Yard::send(const simulation::ProcessRunPtr& process, const std::string& address,
-                      const base::Request& request, const base::AttemptRules& rules) {
+PlatformStub::AttemptResult PlatformStub::send(const simulation::ProcessRunPtr& process,
+                                               const std::string& address, const base::Request& request,
+                                               const base::AttemptRules& rules) {
   auto& world = fleet_.world();
   auto end = world.now() + rules.timeout;
   auto sleep = [&](Duration t) {
@@ -162,9 +167,9 @@
     world.wait(process, t, x);
   };
   sleep(Duration(1));
-  auto* s = at(address);
-  if (!s) return base::AttemptError::unsent;
-  if (s->dark) {
+  auto* instance = at(address);
+  if (!instance) return base::AttemptError::unsent;
+  if (instance->unreachable) {
     bool kept = world.below(3) == 0;  // on a connection that stood already it is sent into the dark
     sleep(kept ? rules.timeout
                : std::min(rules.timeout,
@@ -172,22 +177,24 @@
     return kept ? base::AttemptError::unknown : base::AttemptError::unsent;
   }
   auto h = [&](const char* n) { return base::header(request.headers, n); };
-  auto name = s->id, meant = h("Target-Instance");
+  auto name = instance->id, meant = h("Target-Instance");
   bool other = !meant.empty() && meant != name;
-  d_.arrivals.push_back({h("Attempt-Id"), request.method, h("Host"), request.target, request.body, s->service,
-                         s->version, name, process->host, process.get(), world.now(), false, false, other});
-  auto place = d_.arrivals.size() - 1;
+  journal_.arrivals.push_back({h("Attempt-Id"), request.method, h("Host"), request.target, request.body,
+                               instance->service, instance->version, name, process->host, process.get(),
+                               world.now(), false, false, other});
+  auto place = journal_.arrivals.size() - 1;
   auto not_run = [&](int status) {
     ++world.faults_met[fmt::format("not_run_{}", status)];
     base::Response response{status, {{"Not-Executed", "1"}}, {}};
-    if (s->tells_load)
-      response.headers.emplace_back("Server-Load", fmt::format("{},{},{}", s->running, s->waiting, s->slots));
+    if (instance->tells_load)
+      response.headers.emplace_back(
+          "Server-Load", fmt::format("{},{},{}", instance->running, instance->waiting, instance->slots));
     return response;
   };
   if (other) return ++world.faults_met["elsewhere"], base::Response{421, {{"Instance-Id", name}}, {}};
   if (h("Attempt-Id").empty()) return not_run(400);
-  if (auto f = rates.find(s->service); f != rates.end()) {
-    auto& c = came_[s->service];
+  if (auto f = rates.find(instance->service); f != rates.end()) {
+    auto& c = arrivals_[instance->service];
     c.push_back(world.now());
     while (c.front() < world.now() - Duration(1000)) c.erase(c.begin());
     if (static_cast<double>(c.size()) > f->second * 1.5) return not_run(429);
@@ -196,48 +203,52 @@
   auto told = h("Time-Remaining");
   std::from_chars(told.data(), told.data() + told.size(), left);
   auto deadline = world.now() + Duration(left);
-  if (s->running >= s->slots) {
-    if (s->waiting >= s->queue) {
-      if (s->resets_when_full) return ++world.faults_met["reset_when_full"], base::AttemptError::unknown;
+  if (instance->running >= instance->slots) {
+    if (instance->waiting >= instance->queue) {
+      if (instance->resets_when_full)
+        return ++world.faults_met["reset_when_full"], base::AttemptError::unknown;
       return not_run(503);
     }
-    Busy b(s->waiting);
-    while (s->running >= s->slots && s->alive) {
+    Busy b(instance->waiting);
+    while (instance->running >= instance->slots && instance->alive) {
       sleep(Duration(2));
       if (world.now() >= end) return base::AttemptError::unknown;
       if (world.now() >= deadline) return not_run(503);
     }
-    if (!s->alive || s->dark) return base::AttemptError::unknown;
+    if (!instance->alive || instance->unreachable) return base::AttemptError::unknown;
   }
-  int times = s->bad ? s->bad(request.target) : 1;
-  Duration took = s->work * s->slower * std::max(times, 1) + Duration(world.below(4));
-  if (world.now() < s->warm_at) took *= 3;
-  d_.arrivals[place].ran = true;
-  d_.arrivals[place].at = world.now();
-  d_.arrivals[place].bad = times != 1;
-  Busy b(s->running);
+  int times = instance->bad ? instance->bad(request.target) : 1;
+  Duration took = instance->work * instance->slowdown * std::max(times, 1) + Duration(world.below(4));
+  if (world.now() < instance->warm_at) took *= 3;
+  journal_.arrivals[place].executed = true;
+  journal_.arrivals[place].at = world.now();
+  journal_.arrivals[place].failed = times != 1;
+  Busy b(instance->running);
   bool over = world.now() + took > deadline;
-  auto response = answer(*s, request, !times);
+  auto response = answer(*instance, request, !times);
   sleep(std::min(over ? deadline - world.now() : took, end - world.now()));
   if (world.now() >= end) return base::AttemptError::unknown;
-  if (!s->alive || s->dark) return ++world.faults_met["died_in_request"], base::AttemptError::unknown;
+  if (!instance->alive || instance->unreachable)
+    return ++world.faults_met["died_in_request"], base::AttemptError::unknown;
   if (over) return base::Response{504, {{"Attempt-Id", h("Attempt-Id")}}, {}};
-  if (world.random(s->lose)) {
+  if (world.random(instance->lose_permille)) {
     ++world.faults_met["answer_lost"];
     sleep(end - world.now());
     return base::AttemptError::unknown;
   }
-  if (world.random(s->cut)) return ++world.faults_met["answer_cut"], base::AttemptError::unknown;
-  if (world.random(s->spoil)) return ++world.faults_met["answer_spoilt"], base::AttemptError::unknown;
-  if (s->late) {
+  if (world.random(instance->cut_permille))
+    return ++world.faults_met["answer_cut"], base::AttemptError::unknown;
+  if (world.random(instance->spoil_permille))
+    return ++world.faults_met["answer_spoilt"], base::AttemptError::unknown;
+  if (instance->late) {
     // The one before comes where this one is due; the caller of the port may be able to tell.
-    auto before = *std::exchange(s->late, {});
+    auto before = *std::exchange(instance->late, {});
     ++world.faults_met["answer_extra"];
     if (rules.is_own_response && !rules.is_own_response(before) && world.below(2))
       return base::AttemptError::unknown;
     return before;
   }
-  if (world.random(s->extra)) s->late = response;
+  if (world.random(instance->extra_permille)) instance->late = response;
   return response;
 }
 
--- a/test/platform/platform_stub.hpp
+++ b/test/platform/platform_stub.hpp
@@ -6,44 +6,44 @@
 
 namespace dunlinwing::test {
 
-struct Server {
+struct StubInstance {
   std::string id, service, version, zone, address;
   int slots = 8, queue = 8, running = 0, waiting = 0;
-  bool alive = true, dark = false, draining = false, tells_load = true, resets_when_full = false;
+  bool alive = true, unreachable = false, draining = false, tells_load = true, resets_when_full = false;
   Duration work{8};
-  int slower = 1;
+  int slowdown = 1;
   TimePoint warm_at{0};
   uint64_t calls = 0;
-  int lose = 0, cut = 0, spoil = 0, extra = 0;        // in a thousand
+  int lose_permille = 0, cut_permille = 0, spoil_permille = 0, extra_permille = 0;  // in a thousand
   std::function<int(const std::string& target)> bad;  // times slower, 0: it fails; for bad versions
   std::optional<base::Response> late;                 // an answer too many, not yet sent
 };
 
-class Yard {
+class PlatformStub {
  public:
-  Yard(simulation::Fleet& fleet, Diary& d) : fleet_(fleet), d_(d) {}
-  using Shot = std::variant<base::Response, base::AttemptError>;
-  Shot send(const simulation::ProcessRunPtr& process, const std::string& address,
-            const base::Request& request, const base::AttemptRules& r);
+  PlatformStub(simulation::Fleet& fleet, EventJournal& journal) : fleet_(fleet), journal_(journal) {}
+  using AttemptResult = std::variant<base::Response, base::AttemptError>;
+  AttemptResult send(const simulation::ProcessRunPtr& process, const std::string& address,
+                     const base::Request& request, const base::AttemptRules& r);
   bool stands(const std::string& address);
-  Server& add(const std::string& service, const std::string& version = "v1", Duration cold = Duration(0),
-              const std::string& address = {});
-  void drain(Server& s);  // says so, serves on, says that it has ended, and ends
-  void crash(Server& s, bool dark = false);
-  std::vector<Server*> of(const std::string& service, const std::string& version = {});
+  StubInstance& add(const std::string& service, const std::string& version = "v1",
+                    Duration cold = Duration(0), const std::string& address = {});
+  void drain(StubInstance& instance);  // says so, serves on, says that it has ended, and ends
+  void crash(StubInstance& instance, bool dark = false);
+  std::vector<StubInstance*> of(const std::string& service, const std::string& version = {});
   void change(const std::string& target);  // an object is replaced
   std::map<std::string, double> rates;     // requests a second that a service takes
 
  private:
-  void beats(Server& s);
-  bool beat(Server& s, const char* method);
-  Server* at(const std::string& address);
-  base::Response answer(Server& s, const base::Request& request, bool fails);
+  void send_heartbeats(StubInstance& instance);
+  bool send_heartbeat(StubInstance& instance, const char* method);
+  StubInstance* at(const std::string& address);
+  base::Response answer(StubInstance& instance, const base::Request& request, bool fails);
   simulation::Fleet& fleet_;
-  Diary& d_;
-  std::vector<std::unique_ptr<Server>> all_;
-  std::map<std::string, std::vector<TimePoint>> came_;
-  uint64_t named_ = 0;
+  EventJournal& journal_;
+  std::vector<std::unique_ptr<StubInstance>> instances_;
+  std::map<std::string, std::vector<TimePoint>> arrivals_;
+  uint64_t next_id_ = 0;
 };
 
 bool is_object(const std::string& target);
--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -13,30 +13,30 @@
     kWindow{10000}, kCeiling{5000};
 
 struct Bench {
-  const Diary& d;
-  std::vector<Broken> out;
+  const EventJournal& journal;
+  std::vector<Violation> out;
   std::map<std::string, std::vector<const Arrival*>> runs;  // by id
 
-  explicit Bench(const Diary& x) : d(x) {
-    for (auto& a : d.arrivals)
-      if (a.ran) runs[a.id].push_back(&a);
+  explicit Bench(const EventJournal& x) : journal(x) {
+    for (auto& a : journal.arrivals)
+      if (a.executed) runs[a.id].push_back(&a);
   }
   void say(const char* rule, std::string what) { out.push_back({rule, std::move(what)}); }
-  const Try* asked(const std::string& id) const {
-    auto f = d.tries.find(id);
-    return f == d.tries.end() ? nullptr : &f->second;
+  const ClientAttempt* asked(const std::string& id) const {
+    auto f = journal.attempts.find(id);
+    return f == journal.attempts.end() ? nullptr : &f->second;
   }
   bool ran(const std::string& id) const { return runs.count(id) > 0; }
 
   void mixed() {
-    for (auto& [id, t] : d.tries) {
-      if (!t.whole) continue;
-      auto& response = t.receipt;
+    for (auto& [id, t] : journal.attempts) {
+      if (!t.complete) continue;
+      auto& response = t.response;
       auto told = base::header(response.headers, "Attempt-Id");
       if (!told.empty() && told != id) say("MIXED", fmt::format("{} got the answer to {}", id, told));
       if (response.status / 100 != 2) continue;
-      auto f = d.made.find(base::header(response.headers, "Edge-Signature"));
-      if (f == d.made.end()) {
+      auto f = journal.stamped_responses.find(base::header(response.headers, "Edge-Signature"));
+      if (f == journal.stamped_responses.end()) {
         say("MIXED", fmt::format("a success without a worker's stamp at {} {}", t.relay, t.target));
         continue;
       }
@@ -58,73 +58,78 @@
   }
 
   void unasked() {
-    for (auto& a : d.arrivals) {
-      if (!a.ran) continue;
+    for (auto& a : journal.arrivals) {
+      if (!a.executed) continue;
       bool read = a.method == "GET" && a.target.starts_with("/obj/");
-      auto* t = asked(a.id);
-      if (!t) {
+      auto* attempt = asked(a.id);
+      if (!attempt) {
         if (!read) say("UNASKED", fmt::format("{} ran {} {} under {}", a.instance, a.method, a.target, a.id));
         continue;
       }
-      if (t->method != a.method || t->target != a.target || t->body != a.body)
-        say("UNASKED",
-            fmt::format("{} ran {} {} for {} {}", a.instance, a.method, a.target, t->method, t->target));
+      if (attempt->method != a.method || attempt->target != a.target || attempt->body != a.body)
+        say("UNASKED", fmt::format("{} ran {} {} for {} {}", a.instance, a.method, a.target, attempt->method,
+                                   attempt->target));
     }
   }
 
   void promises() {
-    for (auto& [id, t] : d.tries) {
+    for (auto& [id, t] : journal.attempts) {
       if (t.kind != "non_idempotent") continue;
       auto n = runs.count(id) ? runs[id].size() : 0;
       if (n > 1) say("TWICE", fmt::format("{} ran {} times", id, n));
-      int st = t.whole ? t.receipt.status : 0;
+      int st = t.complete ? t.response.status : 0;
       if (n && (st == 429 || st == 503 || st == 408 || st == 421))
         say("REFUSED", fmt::format("{} got {} and ran", id, st));
     }
   }
 
   // Configurations that may hold for a request sent at `sent` and handled at `at`.
-  std::vector<const Stated*> may_hold(TimePoint sent, TimePoint at) const {
+  std::vector<const StatedConfiguration*> may_hold(TimePoint sent, TimePoint at) const {
     uint64_t least = 0;
-    for (auto& s : d.stated)
-      if (s.valid && s.taken && *s.taken + kApply < sent) least = std::max(least, s.page.revision);
-    std::vector<const Stated*> v;
-    for (auto& s : d.stated)
-      if (s.valid && s.sent <= at && s.page.revision >= least) v.push_back(&s);
+    for (auto& s : journal.configurations)
+      if (s.valid && s.acknowledged && *s.acknowledged + kApply < sent)
+        least = std::max(least, s.configuration.revision);
+    std::vector<const StatedConfiguration*> v;
+    for (auto& s : journal.configurations)
+      if (s.valid && s.sent <= at && s.configuration.revision >= least) v.push_back(&s);
     return v;
   }
 
   void routes() {
-    for (auto& a : d.arrivals) {
-      auto* t = asked(a.id);
-      if (!a.ran || !t) continue;
-      bool ever = std::any_of(d.stated.begin(), d.stated.end(), [&](auto& s) {
-        return s.valid && s.sent <= a.at && s.page.leads(t->host, t->target, a.service);
+    for (auto& a : journal.arrivals) {
+      auto* attempt = asked(a.id);
+      if (!a.executed || !attempt) continue;
+      bool ever = std::any_of(journal.configurations.begin(), journal.configurations.end(), [&](auto& s) {
+        return s.valid && s.sent <= a.at && s.configuration.routes_to(attempt->host, attempt->target, a.service);
       });
       if (!ever)
-        say("ROUTE", fmt::format("{} {} ran at {} of {}", t->host, t->target, a.instance, a.service));
-      if (!ever || !in_touch(d, t->relay, a.at)) continue;
-      auto v = may_hold(t->sent, a.at);
+        say("ROUTE",
+            fmt::format("{} {} ran at {} of {}", attempt->host, attempt->target, a.instance, a.service));
+      if (!ever || !in_touch(journal, attempt->relay, a.at)) continue;
+      auto v = may_hold(attempt->sent, a.at);
       if (std::none_of(v.begin(), v.end(),
-                       [&](auto* s) { return s->page.leads(t->host, t->target, a.service); }))
-        say("CONFIG", fmt::format("late at {}: {} {} ran at {} after {}", t->relay, t->host, t->target,
-                                  a.service, v.empty() ? 0 : v.front()->page.revision));
+                       [&](auto* s) { return s->configuration.routes_to(attempt->host, attempt->target, a.service); }))
+        say("CONFIG",
+            fmt::format("late at {}: {} {} ran at {} after {}", attempt->relay, attempt->host,
+                        attempt->target, a.service, v.empty() ? 0 : v.front()->configuration.revision));
     }
     size_t denied = 0;
     std::string which;
-    for (auto& [id, t] : d.tries) {
-      int st = t.whole ? t.receipt.status : 0;
-      if (st / 100 != 4 || st == 408 || st == 421 || st == 429 || st == 416 || !in_touch(d, t.relay, t.ended))
+    for (auto& [id, t] : journal.attempts) {
+      int st = t.complete ? t.response.status : 0;
+      if (st / 100 != 4 || st == 408 || st == 421 || st == 429 || st == 416 ||
+          !in_touch(journal, t.relay, t.ended))
         continue;
       auto v = may_hold(t.sent, t.ended);
       bool there = !v.empty() &&
-                   std::all_of(v.begin(), v.end(), [&](auto* s) { return s->page.match(t.host, t.target); });
+                   std::all_of(v.begin(), v.end(), [&](auto* s) { return s->configuration.match(t.host, t.target); });
       if (!there) continue;
       ++denied;
       which = fmt::format("{} to {} {} at {}", st, t.host, t.target, t.relay);
       if (st == 404) say("CONFIG", "late: " + which);
     }
-    if (denied > 5 + d.tries.size() / 500) say("DENIED", fmt::format("{} times, such as {}", denied, which));
+    if (denied > 5 + journal.attempts.size() / 500)
+      say("DENIED", fmt::format("{} times, such as {}", denied, which));
   }
 
   // Within one life a machine never handles a request as only an older one than it has shown allows.
@@ -134,21 +139,22 @@
       TimePoint at{0};
     };
     std::map<const void*, std::vector<Shown>> shown;
-    for (auto& a : d.arrivals) {
-      auto* t = asked(a.id);
-      if (!a.ran || !t) continue;
+    for (auto& a : journal.arrivals) {
+      auto* attempt = asked(a.id);
+      if (!a.executed || !attempt) continue;
       uint64_t least = UINT64_MAX, most = 0;
-      for (auto& s : d.stated)
-        if (s.valid && s.sent <= a.at && s.page.leads(t->host, t->target, a.service)) {
-          least = std::min(least, s.page.revision);
-          most = std::max(most, s.page.revision);
+      for (auto& s : journal.configurations)
+        if (s.valid && s.sent <= a.at &&
+            s.configuration.routes_to(attempt->host, attempt->target, a.service)) {
+          least = std::min(least, s.configuration.revision);
+          most = std::max(most, s.configuration.revision);
         }
       if (!most) continue;
-      auto& v = shown[t->life];
+      auto& v = shown[attempt->process];
       for (auto& x : v)
-        if (t->sent > x.at + kRevert && most < x.least)
-          say("CONFIG",
-              fmt::format("back at {}: {} of {} after {} was seen", t->relay, t->target, most, x.least));
+        if (attempt->sent > x.at + kRevert && most < x.least)
+          say("CONFIG", fmt::format("back at {}: {} of {} after {} was seen", attempt->relay, attempt->target,
+                                    most, x.least));
       if (v.empty() || least > v.back().least) v.push_back({least, a.at});
     }
   }
@@ -156,41 +162,44 @@
   void configurations() {
     auto newest = [&](TimePoint at) {
       uint64_t n = 0;
-      for (auto& s : d.stated)
-        if (s.valid && s.taken && *s.taken <= at) n = std::max(n, s.page.revision);
+      for (auto& s : journal.configurations)
+        if (s.valid && s.acknowledged && *s.acknowledged <= at) n = std::max(n, s.configuration.revision);
       return n;
     };
-    for (auto& s : d.stated) {
-      if (!s.valid && s.taken) say("CONFIG", "acknowledged though invalid: " + s.what);
-      if (!s.valid && s.refused / 100 != 4)
-        say("CONFIG", fmt::format("invalid, and {} to it: {}", s.refused, s.what));
-      if (s.valid && s.refused / 100 == 4)
-        say("CONFIG", fmt::format("valid, and {} to it: {}", s.refused, s.what));
+    for (auto& s : journal.configurations) {
+      if (!s.valid && s.acknowledged) say("CONFIG", "acknowledged though invalid: " + s.what);
+      if (!s.valid && s.rejections / 100 != 4)
+        say("CONFIG", fmt::format("invalid, and {} to it: {}", s.rejections, s.what));
+      if (s.valid && s.rejections / 100 == 4)
+        say("CONFIG", fmt::format("valid, and {} to it: {}", s.rejections, s.what));
     }
-    for (auto& s : d.stated)
-      for (auto& t : d.stated) {
-        bool confirmed = s.valid && t.valid && s.taken && t.taken && s.text != t.text;
-        if (confirmed && s.page.revision == t.page.revision && *s.taken <= *t.taken &&
-            newest(*t.taken) == t.page.revision)
-          say("CONFIG", fmt::format("two contents are confirmed under {}", t.page.revision));
+    for (auto& s : journal.configurations)
+      for (auto& t : journal.configurations) {
+        bool confirmed = s.valid && t.valid && s.acknowledged && t.acknowledged && s.text != t.text;
+        if (confirmed && s.configuration.revision == t.configuration.revision &&
+            *s.acknowledged <= *t.acknowledged && newest(*t.acknowledged) == t.configuration.revision)
+          say("CONFIG", fmt::format("two contents are confirmed under {}", t.configuration.revision));
       }
-    for (auto& r : d.refused_again) say("CONFIG", "acknowledged, sent again and refused: " + r);
-    if (newest(TimePoint::max()) && d.read_back.empty()) say("CONFIG", "it does not come when read back");
-    for (auto& [n, text, asked] : d.read_back) {
+    for (auto& r : journal.rejected_again) say("CONFIG", "acknowledged, sent again and refused: " + r);
+    if (newest(TimePoint::max()) && journal.read_back.empty())
+      say("CONFIG", "it does not come when read back");
+    for (auto& [n, text, asked] : journal.read_back) {
       if (n < newest(asked))
         say("CONFIG", fmt::format("{} is read back, and {} was acknowledged", n, newest(asked)));
-      if (std::none_of(d.stated.begin(), d.stated.end(), [&](auto& s) { return s.valid && s.text == text; }))
+      if (std::none_of(journal.configurations.begin(), journal.configurations.end(),
+                       [&](auto& s) { return s.valid && s.text == text; }))
         say("CONFIG", fmt::format("what is read back under {} was never sent", n));
     }
   }
 
   void drains() {
-    for (auto& l : d.left) {
-      if (!in_touch(d, l.by, l.at)) continue;
-      for (auto& a : d.arrivals)
-        if (a.instance == l.instance && !a.other && a.at > l.at + kDrain && in_touch(d, a.relay, a.at))
+    for (auto& l : journal.deregistrations) {
+      if (!in_touch(journal, l.by, l.at)) continue;
+      for (auto& a : journal.arrivals)
+        if (a.instance == l.instance && !a.wrong_instance && a.at > l.at + kDrain &&
+            in_touch(journal, a.node, a.at))
           say("DRAIN", fmt::format("{} got a request from {} {} ms after {} took its word", a.instance,
-                                   a.relay, (a.at - l.at).count(), l.by));
+                                   a.node, (a.at - l.at).count(), l.by));
     }
   }
 
@@ -198,13 +207,15 @@
     std::map<std::string, std::vector<TimePoint>> again;
     std::map<std::string, std::vector<std::pair<TimePoint, double>>> asked_for;
     std::set<std::string> seen;
-    for (auto& a : d.arrivals)
+    for (auto& a : journal.arrivals)
       if (asked(a.id) && !seen.insert(a.service + a.id).second) again[a.service].push_back(a.at);
-    for (auto& [id, t] : d.tries)
-      for (auto& s : d.stated)
-        if (auto* l = s.valid && s.taken && *s.taken <= t.sent ? s.page.match(t.host, t.target) : nullptr) {
-          for (auto& [to, weight] : l->to)
-            asked_for[to].emplace_back(t.sent, 1.0 / static_cast<double>(l->to.size()));
+    for (auto& [id, t] : journal.attempts)
+      for (auto& s : journal.configurations)
+        if (auto* route = s.valid && s.acknowledged && *s.acknowledged <= t.sent
+                              ? s.configuration.match(t.host, t.target)
+                              : nullptr) {
+          for (auto& [to, weight] : route->weighted_services)
+            asked_for[to].emplace_back(t.sent, 1.0 / static_cast<double>(route->weighted_services.size()));
           break;
         }
     for (auto& [service, v] : again)
@@ -227,46 +238,48 @@
   }
 
   void exposure() {
-    for (auto& m : d.moves) {
+    for (auto& m : journal.version_rollouts) {
       if (!m.bad) continue;
       double all = 0, mine = 0;
       int bad = 0;
       std::optional<TimePoint> fiftieth;
-      for (auto& a : d.arrivals) {
-        if (a.service != m.service || a.at < m.ordered || a.at > m.term) continue;
+      for (auto& a : journal.arrivals) {
+        if (a.service != m.service || a.at < m.ordered || a.at > m.deadline) continue;
         ++all;
         bool here = a.version == m.version;
-        mine += here && in_touch(d, a.relay, a.at);
-        if (here && a.ran && a.bad && ++bad == 50) fiftieth = a.at;
-        auto* t = asked(a.id);
-        if (here && fiftieth && t && t->sent > *fiftieth + kRollback &&
-            (d.shaken.empty() || d.shaken.back() < *fiftieth) && in_touch(d, a.relay, a.at))
+        mine += here && in_touch(journal, a.node, a.at);
+        if (here && a.executed && a.failed && ++bad == 50) fiftieth = a.at;
+        auto* attempt = asked(a.id);
+        if (here && fiftieth && attempt && attempt->sent > *fiftieth + kRollback &&
+            (journal.core_faults.empty() || journal.core_faults.back() < *fiftieth) &&
+            in_touch(journal, a.node, a.at))
           say("EXPOSURE", fmt::format("{} still gets requests {} ms after its 50th bad answer", m.version,
-                                      (t->sent - *fiftieth).count()));
+                                      (attempt->sent - *fiftieth).count()));
       }
       if (mine > 0.1 * all + 50) say("EXPOSURE", fmt::format("{} got {} of {}", m.version, mine, all));
     }
   }
 
   void stale() {
-    for (auto& [id, t] : d.tries) {
-      if (!t.whole || t.receipt.status / 100 != 2 || !in_touch(d, t.relay, t.sent)) continue;
-      auto f = d.made.find(base::header(t.receipt.headers, "Edge-Signature"));
-      auto g = d.replaced.find(t.target);
-      if (f == d.made.end() || g == d.replaced.end() || !f->second.object ||
+    for (auto& [id, t] : journal.attempts) {
+      if (!t.complete || t.response.status / 100 != 2 || !in_touch(journal, t.relay, t.sent)) continue;
+      auto f = journal.stamped_responses.find(base::header(t.response.headers, "Edge-Signature"));
+      auto g = journal.replaced.find(t.target);
+      if (f == journal.stamped_responses.end() || g == journal.replaced.end() || !f->second.object ||
           f->second.version >= g->second.size())
         continue;
       TimePoint gone = g->second[f->second.version];
-      auto tag = d.tags.count(t.target) ? d.tags.at(t.target) : "";
-      for (auto& p : d.purges) {
+      auto tag = journal.tags.count(t.target) ? journal.tags.at(t.target) : "";
+      for (auto& p : journal.purges) {
         bool named = p.tag.empty() ? p.host == t.host && p.path == t.target : p.tag == tag || p.tag == "tall";
-        if (named && p.taken && p.sent >= gone && t.sent > *p.taken + kPurge)
+        if (named && p.acknowledged && p.sent >= gone && t.sent > *p.acknowledged + kPurge)
           say("STALE", fmt::format("{} at {} {} ms after its purge was acknowledged", t.target, t.relay,
-                                   (t.sent - *p.taken).count()));
+                                   (t.sent - *p.acknowledged).count()));
       }
       double keep = 0;
-      for (auto& s : d.stated)
-        if (auto* l = s.valid ? s.page.match(t.host, t.target) : nullptr) keep = std::max(keep, l->keep_s);
+      for (auto& s : journal.configurations)
+        if (auto* route = s.valid ? s.configuration.match(t.host, t.target) : nullptr)
+          keep = std::max(keep, route->cache_ttl_s);
       if (t.sent > gone + Duration(static_cast<int64_t>(keep * 1000)) + kStaleSlack)
         say("STALE",
             fmt::format("{} at {} {} ms after it was replaced", t.target, t.relay, (t.sent - gone).count()));
@@ -275,14 +288,14 @@
 
   void ceiling() {
     std::map<std::string, double> rates;
-    for (auto& s : d.stated)
-      for (auto& b : s.page.backends)
+    for (auto& s : journal.configurations)
+      for (auto& b : s.configuration.backends)
         if (s.valid) rates[b.name] = std::max(rates[b.name], b.rate);
     for (auto& [service, rate] : rates) {
       if (rate <= 0) continue;
       std::vector<TimePoint> v;
-      for (auto& a : d.arrivals)
-        if (a.service == service && in_touch(d, a.relay, a.at)) v.push_back(a.at);
+      for (auto& a : journal.arrivals)
+        if (a.service == service && in_touch(journal, a.node, a.at)) v.push_back(a.at);
       for (size_t i = 0, j = 0; i < v.size(); ++i) {
         while (v[j] + kCeiling <= v[i]) ++j;
         if (static_cast<double>(i - j + 1) > rate * 5 * 1.1 + 5) {
@@ -294,9 +307,9 @@
   }
 
   void lost() {
-    for (auto& [id, t] : d.tries) {
-      if (t.whole || !t.read || t.ended >= t.deadline || t.probe || d.unplanned) continue;
-      bool planned = std::any_of(d.terms.begin(), d.terms.end(), [&](auto& x) {
+    for (auto& [id, t] : journal.attempts) {
+      if (t.complete || !t.read_by_node || t.ended >= t.deadline || t.probe || journal.unplanned) continue;
+      bool planned = std::any_of(journal.terminations.begin(), journal.terminations.end(), [&](auto& x) {
         return x.second == t.relay && t.ended >= x.first && t.ended < x.first + Duration(7000);
       });
       if (planned) say("LOST", fmt::format("{} was broken off at {} by its planned end", id, t.relay));
@@ -304,10 +317,10 @@
   }
 
   void orders() {
-    for (auto& l : d.late) {
-      bool calm = std::none_of(d.shaken.begin(), d.shaken.end(),
+    for (auto& l : journal.unacknowledged) {
+      bool calm = std::none_of(journal.core_faults.begin(), journal.core_faults.end(),
                                [&](TimePoint t) { return t > l.sent - kContact && t < l.ended; });
-      for (auto& [n, v] : d.harmed)
+      for (auto& [n, v] : journal.machine_faults)
         for (auto t : v) calm &= t <= l.sent - kContact || t >= l.ended;
       if (calm) say("ACKS", l.what + " had no acknowledgement in four calm seconds");
     }
@@ -315,17 +328,17 @@
 };
 }  // namespace
 
-bool in_touch(const Diary& d, const std::string& machine, TimePoint t) {
+bool in_touch(const EventJournal& journal, const std::string& machine, TimePoint t) {
   auto within = [&](const std::vector<TimePoint>& v) {
     auto i = std::lower_bound(v.begin(), v.end(), t - kContact);
     return i != v.end() && *i <= t;
   };
-  auto f = d.harmed.find(machine);
-  return !within(d.shaken) && (f == d.harmed.end() || !within(f->second));
+  auto f = journal.machine_faults.find(machine);
+  return !within(journal.core_faults) && (f == journal.machine_faults.end() || !within(f->second));
 }
 
-std::vector<Broken> judge(const Diary& d) {
-  Bench b(d);
+std::vector<Violation> judge(const EventJournal& journal) {
+  Bench b(journal);
   b.mixed();
   b.unasked();
   b.promises();
--- a/test/platform/rules.hpp
+++ b/test/platform/rules.hpp
@@ -4,9 +4,9 @@
 
 namespace dunlinwing::test {
 
-struct Broken {
+struct Violation {
   std::string rule, what;
 };
-std::vector<Broken> judge(const Diary& d);
+std::vector<Violation> judge(const EventJournal& journal);
 
 }  // namespace dunlinwing::test
