--- a/test/scenarios/control_api_scenarios.cpp
+++ b/test/scenarios/control_api_scenarios.cpp
@@ -33,29 +33,29 @@
 }
 
 // One try at one host: status 0 when it was silent for as long as a client waits.
-base::Response ask(Scene& s, simulation::Host& host, const Order& order) {
+base::Response ask(Scene& scene, simulation::Host& host, const Order& order) {
   base::Request request{"", order.method, order.target, order.body, order.headers};
-  auto exchange = s.fleet.exchange(host, request, true, kPatience);
+  auto exchange = scene.fleet.exchange(host, request, true, kPatience);
   if (!exchange.complete) return {0, {}, {}};
   return exchange.response;
 }
 
 // As an operator goes on: to another host after silence or a 5xx, until the answer is clear.
-base::Response order_until_clear(Scene& s, const Order& order, Duration longest) {
+base::Response order_until_clear(Scene& scene, const Order& order, Duration longest) {
   base::Response response;
-  s.fleet.wait_until(longest, [&] {
-    auto& hosts = s.fleet.hosts();
-    auto& host = *hosts[s.world.below(hosts.size())];
-    if (host.up()) response = ask(s, host, order);
+  scene.fleet.wait_until(longest, [&] {
+    auto& hosts = scene.fleet.hosts();
+    auto& host = *hosts[scene.world.below(hosts.size())];
+    if (host.up()) response = ask(scene, host, order);
     return response.status / 100 == 2 || response.status / 100 == 4;
   });
   return response;
 }
 
-bool acknowledged(Scene& s, const Order& order) {
-  auto response = order_until_clear(s, order, Duration(6000));
-  s.want(response.status / 100 == 2,
-         fmt::format("{} {} got {} {}", order.method, order.target, response.status, response.body));
+bool acknowledged(Scene& scene, const Order& order) {
+  auto response = order_until_clear(scene, order, Duration(6000));
+  scene.require(response.status / 100 == 2,
+                fmt::format("{} {} got {} {}", order.method, order.target, response.status, response.body));
   return response.status / 100 == 2;
 }
 
@@ -63,8 +63,8 @@
   return {"PUT", fmt::format("/v1/layouts/{}", number), document};
 }
 
-bool begin_numbered(Scene& s, uint64_t number) {
-  return begin(s) && acknowledged(s, put_numbered(number, numbered()));
+bool begin_numbered(Scene& scene, uint64_t number) {
+  return start_traffic(scene) && acknowledged(scene, put_numbered(number, numbered()));
 }
 
 Order leaving(const std::string& instance) {
@@ -75,11 +75,11 @@
 
 enum class Cut { both_ways, from_it, to_it };
 
-void cut(Scene& s, const std::string& name, Cut how) {
-  for (auto& host : s.fleet.hosts()) {
+void cut(Scene& scene, const std::string& name, Cut how) {
+  for (auto& host : scene.fleet.hosts()) {
     if (host->name == name) continue;
-    if (how != Cut::to_it) s.world.partition(name, host->name);
-    if (how != Cut::from_it) s.world.partition(host->name, name);
+    if (how != Cut::to_it) scene.world.partition(name, host->name);
+    if (how != Cut::from_it) scene.world.partition(host->name, name);
   }
 }
 
@@ -102,7 +102,7 @@
       {"PUT", "/v1/services/app", R"({"version":"1"})", {{"If-Match", "\"99\""}}},
       {"POST", "/v1/purges", R"({"kind":"tag","tag":"t"})"},
       {"PUT", "/v1/purges/known", R"({"service":"app","kind":"path","path":"/a/1"})"},
-      {"PUT", "/v1/releases/layout/first", sim_layout("\"1\"", 9)},
+      {"PUT", "/v1/releases/layout/first", simulated_configuration("\"1\"", 9)},
       {"PUT", "/v1/releases/layout/none/withdrawal", R"({"reason":"x"})"},
       {"PUT", "/v1/drains/node/nobody", R"({"drained":false})"},
       {"DELETE", "/v1/workers/nobody", ""},
@@ -114,174 +114,180 @@
 // A relay is cut off for twenty seconds and asked all the while: it shows no state, neither
 // confirms nor rejects, and says so before the client goes away; what is invalid in itself it
 // may reject.
-void control_cut(Scene& s, Cut how) {
-  s.length = Duration(60000);
-  s.must_meet = {"cut"};
-  s.story = [&s, how] {
-    if (!begin_numbered(s, 1010)) return;
-    if (!purge(s, "known", "path", "/c/1")) s.want(false, "a purge was not taken");
-    s.fleet.sleep(Duration(1000));  // every relay has heard of it
-    auto* host = &s.fleet.at(s.world.below(2) ? "h2" : "e1");
-    cut(s, host->name, how);
+void control_cut(Scene& scene, Cut how) {
+  scene.duration = Duration(60000);
+  scene.required_faults = {"cut"};
+  scene.script = [&scene, how] {
+    if (!begin_numbered(scene, 1010)) return;
+    if (!purge(scene, "known", "path", "/c/1")) scene.require(false, "a purge was not taken");
+    scene.fleet.sleep(Duration(1000));  // every relay has heard of it
+    auto* host = &scene.fleet.at(scene.world.below(2) ? "h2" : "e1");
+    cut(scene, host->name, how);
     auto asked = std::make_shared<int>(0), left = std::make_shared<int>(0);
-    auto ask_cut_off = [&s, host, asked, left](const Order& order) {
+    auto ask_cut_off = [&scene, host, asked, left](const Order& order) {
       ++*left;
-      s.fleet.spawn_outside([&s, host, asked, left, order] {
-        auto from = s.world.now();
-        auto response = ask(s, *host, order);
+      scene.fleet.spawn_outside([&scene, host, asked, left, order] {
+        auto from = scene.world.now();
+        auto response = ask(scene, *host, order);
         ++*asked;
         --*left;
         auto said = fmt::format("{} {} at a relay cut off got {} after {} ms: {}", order.method, order.target,
-                                response.status, (s.world.now() - from).count(), response.body);
-        s.want(response.status == 503 && !base::header(response.headers, "Retry-After").empty(), said);
+                                response.status, (scene.world.now() - from).count(), response.body);
+        scene.require(response.status == 503 && !base::header(response.headers, "Retry-After").empty(), said);
       });
     };
     // The others go on meanwhile, and what they acknowledge is news to the one cut off.
-    s.fleet.spawn_outside([&s, host] {
-      for (auto& other : s.fleet.hosts())
-        if (other->name != host->name && ask(s, *other, put_numbered(1020, numbered(4, true))).status == 200)
+    scene.fleet.spawn_outside([&scene, host] {
+      for (auto& other : scene.fleet.hosts())
+        if (other->name != host->name &&
+            ask(scene, *other, put_numbered(1020, numbered(4, true))).status == 200)
           return;
-      s.want(false, "nobody else took a configuration");
+      scene.require(false, "nobody else took a configuration");
     });
-    for (auto end = s.world.now() + Duration(20000); s.world.now() < end;) {
+    for (auto end = scene.world.now() + Duration(20000); scene.world.now() < end;) {
       for (auto& order : orders_about_state()) ask_cut_off(order);
       for (auto* invalid : {"{", R"({"content":{"services":{},"routes":[{"prefix":"x"}]}})"}) {
-        auto status = ask(s, *host, put_numbered(1030, invalid)).status;
-        s.want(status == 422 || status == 503, fmt::format("an invalid configuration got {}", status));
+        auto status = ask(scene, *host, put_numbered(1030, invalid)).status;
+        scene.require(status == 422 || status == 503, fmt::format("an invalid configuration got {}", status));
       }
-      s.fleet.sleep(Duration(50 + s.world.below(900)));
+      scene.fleet.sleep(Duration(50 + scene.world.below(900)));
     }
-    s.want(s.fleet.wait_until(Duration(2000), [&] { return *left == 0; }), "a call was never answered");
-    s.world.heal_all();
-    s.want(s.fleet.wait_until(Duration(3000),
-                              [&] {
-                                auto response = ask(s, *host, {"GET", "/v1/layouts/current", ""});
-                                return response.status == 200 &&
-                                       parsed(response.body).at("number").integer_or() == 1020;
-                              }),
-           "the newest configuration does not come from a relay that is joined again");
-    s.figures["asked"] = static_cast<uint64_t>(*asked);
+    scene.require(scene.fleet.wait_until(Duration(2000), [&] { return *left == 0; }),
+                  "a call was never answered");
+    scene.world.heal_all();
+    scene.require(
+        scene.fleet.wait_until(Duration(3000),
+                               [&] {
+                                 auto response = ask(scene, *host, {"GET", "/v1/layouts/current", ""});
+                                 return response.status == 200 &&
+                                        parsed(response.body).at("number").integer_or() == 1020;
+                               }),
+        "the newest configuration does not come from a relay that is joined again");
+    scene.figures["asked"] = static_cast<uint64_t>(*asked);
   };
 }
 
 // Two operators state another content under one number at once, at two relays: exactly one
 // is confirmed, and that is the content held; the other is told so for good.
-void same_number(Scene& s) {
-  s.length = Duration(60000);
-  s.story = [&s] {
-    if (!begin_numbered(s, 1010)) return;
+void same_number(Scene& scene) {
+  scene.duration = Duration(60000);
+  scene.script = [&scene] {
+    if (!begin_numbered(scene, 1010)) return;
     for (uint64_t number = 1011; number < 1023; ++number) {
       std::vector<Order> orders{put_numbered(number, numbered(2)), put_numbered(number, numbered(3))};
       std::vector<int> statuses(2, 0);
       int left = 2;
       for (size_t k = 0; k < 2; ++k)
-        s.fleet.spawn_outside([&, k] {
-          statuses[k] = order_until_clear(s, orders[k], Duration(8000)).status;
+        scene.fleet.spawn_outside([&, k] {
+          statuses[k] = order_until_clear(scene, orders[k], Duration(8000)).status;
           --left;
         });
-      s.want(s.fleet.wait_until(Duration(9000), [&] { return left == 0; }),
-             "an operator got no clear answer");
+      scene.require(scene.fleet.wait_until(Duration(9000), [&] { return left == 0; }),
+                    "an operator got no clear answer");
       bool one = (statuses[0] == 200) != (statuses[1] == 200);
-      s.want(one && statuses[0] + statuses[1] == 200 + 409,
-             fmt::format("under one number {} and {} were answered", statuses[0], statuses[1]));
+      scene.require(one && statuses[0] + statuses[1] == 200 + 409,
+                    fmt::format("under one number {} and {} were answered", statuses[0], statuses[1]));
       size_t won = statuses[0] == 200 ? 0 : 1;
-      auto held = order_until_clear(s, {"GET", "/v1/layouts/current", ""}, Duration(4000));
-      s.want(parsed(held.body).at("stated").string_or() == parsed(orders[won].body).at("stated").string_or(),
-             "what is held is not what was confirmed: " + held.body);
-      auto again = order_until_clear(s, orders[won], Duration(4000));
-      s.want(again.status == 200 && !parsed(again.body).at("changed").bool_or(),
-             "the same again under its number got " + again.body);
-      auto older = order_until_clear(s, put_numbered(number - 1, numbered(8)), Duration(4000));
-      s.want(older.status == 200 && !parsed(older.body).at("changed").bool_or(),
-             "an older number got " + older.body);
+      auto held = order_until_clear(scene, {"GET", "/v1/layouts/current", ""}, Duration(4000));
+      scene.require(
+          parsed(held.body).at("stated").string_or() == parsed(orders[won].body).at("stated").string_or(),
+          "what is held is not what was confirmed: " + held.body);
+      auto again = order_until_clear(scene, orders[won], Duration(4000));
+      scene.require(again.status == 200 && !parsed(again.body).at("changed").bool_or(),
+                    "the same again under its number got " + again.body);
+      auto older = order_until_clear(scene, put_numbered(number - 1, numbered(8)), Duration(4000));
+      scene.require(older.status == 200 && !parsed(older.body).at("changed").bool_or(),
+                    "an older number got " + older.body);
     }
   };
 }
 
 // One whose answer is lost is sent again, here to a relay drawn anew, by as many at once.
-void again_at_once(Scene& s, const Order& order, int copies) {
+void again_at_once(Scene& scene, const Order& order, int copies) {
   int left = copies;
   for (int k = 0; k < copies; ++k)
-    s.fleet.spawn_outside([&] {
-      acknowledged(s, order);
+    scene.fleet.spawn_outside([&] {
+      acknowledged(scene, order);
       --left;
     });
-  s.want(s.fleet.wait_until(Duration(8000), [&] { return left == 0; }),
-         "an order sent again got no clear answer");
+  scene.require(scene.fleet.wait_until(Duration(8000), [&] { return left == 0; }),
+                "an order sent again got no clear answer");
 }
 
 // Each kind of order is sent again after it was taken, after a newer one and eight times at
 // once: it is acknowledged again, and done once.
-void orders_again(Scene& s) {
-  s.length = Duration(90000);
-  s.story = [&s] {
-    if (!begin_numbered(s, 1010)) return;
+void orders_again(Scene& scene) {
+  scene.duration = Duration(90000);
+  scene.script = [&scene] {
+    if (!begin_numbered(scene, 1010)) return;
     std::vector<std::pair<Order, Order>> pairs{
         {put_numbered(1011, numbered(2)), put_numbered(1013, numbered(3))},
         {{"POST", "/v1/purges", R"({"kind":"path","path":"/c/1"})"},
          {"POST", "/v1/purges", R"({"kind":"path","path":"/c/2"})"}},
         {{"PUT", "/v1/purges/one", R"({"service":"content","kind":"path","path":"/c/1"})"},
          {"PUT", "/v1/purges/two", R"({"service":"content","kind":"path","path":"/c/1"})"}},
-        {{"PUT", "/v1/releases/layout/next", sim_layout("\"1\"", 5), {{"If-None-Match", "*"}}},
-         {"PUT", "/v1/releases/layout/later", sim_layout("\"1\"", 6)}},
+        {{"PUT", "/v1/releases/layout/next", simulated_configuration("\"1\"", 5), {{"If-None-Match", "*"}}},
+         {"PUT", "/v1/releases/layout/later", simulated_configuration("\"1\"", 6)}},
         {{"PUT", "/v1/releases/layout/first/withdrawal", R"({"reason":"x"})", {{"If-None-Match", "*"}}},
          {"PUT", "/v1/drains/node/nobody", R"({"drained":true,"reason":"x"})"}},
         {{"DELETE", "/v1/workers/gone1", ""}, {"DELETE", "/v1/workers/gone2", ""}},
         {leaving("leaver1"), leaving("leaver2")},
     };
     for (auto& [older, newer] : pairs) {
-      if (!acknowledged(s, older)) return;
-      again_at_once(s, older, 8);
-      if (!acknowledged(s, newer)) return;
-      acknowledged(s, older);
+      if (!acknowledged(scene, older)) return;
+      again_at_once(scene, older, 8);
+      if (!acknowledged(scene, newer)) return;
+      acknowledged(scene, older);
     }
-    auto held = order_until_clear(s, {"GET", "/v1/layouts/current", ""}, Duration(4000));
-    s.want(parsed(held.body).at("number").integer_or() == 1013,
-           "an older configuration came back: " + held.body);
-    auto known = order_until_clear(s, pairs[2].first, Duration(4000));
-    s.want(parsed(known.body).at("was_known").bool_or(), "a named purge was done twice: " + known.body);
+    auto held = order_until_clear(scene, {"GET", "/v1/layouts/current", ""}, Duration(4000));
+    scene.require(parsed(held.body).at("number").integer_or() == 1013,
+                  "an older configuration came back: " + held.body);
+    auto known = order_until_clear(scene, pairs[2].first, Duration(4000));
+    scene.require(parsed(known.body).at("was_known").bool_or(),
+                  "a named purge was done twice: " + known.body);
   };
 }
 
 // A move is asked for again while it runs, after a newer one took its place, and after that one
 // has ended; the newer one is not disturbed.
-void moves_again(Scene& s) {
-  s.length = Duration(90000);
-  s.story = [&s] {
-    if (!begin_numbered(s, 1010)) return;
+void moves_again(Scene& scene) {
+  scene.duration = Duration(90000);
+  scene.script = [&scene] {
+    if (!begin_numbered(scene, 1010)) return;
     auto move_to = [](const char* version) {
       return Order{"PUT", "/v1/moves/app", fmt::format(R"({{"version":"{}","within_ms":12000}})", version)};
     };
-    auto latest = [&s] {
-      return parsed(order_until_clear(s, {"GET", "/v1/moves/app", ""}, Duration(4000)).body);
+    auto latest = [&scene] {
+      return parsed(order_until_clear(scene, {"GET", "/v1/moves/app", ""}, Duration(4000)).body);
     };
-    again_at_once(s, move_to("2"), 8);
-    auto trial = [&s] {
-      auto state = order_until_clear(s, {"GET", "/v1/services/app", ""}, Duration(4000));
+    again_at_once(scene, move_to("2"), 8);
+    auto trial = [&scene] {
+      auto state = order_until_clear(scene, {"GET", "/v1/services/app", ""}, Duration(4000));
       return parsed(state.body).at("trial_number").string_or();
     };
-    s.want(trial() == "1", "one move asked for eight times at once opened several trials");
-    if (!acknowledged(s, move_to("1"))) return;
-    again_at_once(s, move_to("2"), 4);
-    s.want(trial() == "1", "a move that a newer one had replaced was begun again");
-    s.want(latest().at("version").string_or() == "1", "a move sent again took the place of a newer one");
-    if (!acknowledged(s, move_to("1"))) return;
+    scene.require(trial() == "1", "one move asked for eight times at once opened several trials");
+    if (!acknowledged(scene, move_to("1"))) return;
+    again_at_once(scene, move_to("2"), 4);
+    scene.require(trial() == "1", "a move that a newer one had replaced was begun again");
+    scene.require(latest().at("version").string_or() == "1",
+                  "a move sent again took the place of a newer one");
+    if (!acknowledged(scene, move_to("1"))) return;
     // After a while the same words are a new order.
-    s.fleet.sleep(Duration(31000));
-    if (!acknowledged(s, move_to("2"))) return;
-    s.want(trial() == "2" && latest().at("version").string_or() == "2",
-           "a new move in old words was not begun");
+    scene.fleet.sleep(Duration(31000));
+    if (!acknowledged(scene, move_to("2"))) return;
+    scene.require(trial() == "2" && latest().at("version").string_or() == "2",
+                  "a new move in old words was not begun");
   };
 }
 
 NamedCases cases_of_cuts() {
-  return {{"control_cut", SimCase([](Scene& s) { control_cut(s, Cut::both_ways); })},
-          {"control_cut_from", SimCase([](Scene& s) { control_cut(s, Cut::from_it); })},
-          {"control_cut_to", SimCase([](Scene& s) { control_cut(s, Cut::to_it); })}};
+  return {{"control_cut", SimCase([](Scene& scene) { control_cut(scene, Cut::both_ways); })},
+          {"control_cut_from", SimCase([](Scene& scene) { control_cut(scene, Cut::from_it); })},
+          {"control_cut_to", SimCase([](Scene& scene) { control_cut(scene, Cut::to_it); })}};
 }
 }  // namespace
 
-NamedCases control_api_stories() {
+NamedCases control_api_scenarios() {
   NamedCases all{{"same_number", same_number}, {"orders_again", orders_again}, {"moves_again", moves_again}};
   all.merge(cases_of_cuts());
   return all;
--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -68,64 +68,66 @@
   bool freezes = false;
   uint64_t sprung = 0;
 
-  void synced(Scene& s, const pb::RegisterState& slot) {
+  void synced(Scene& scene, const pb::RegisterState& slot) {
     if (leader.empty() || !term_in(slot.name(), "")) return;
     if (slot.promised().node() != leader || votes_left-- > 0) return;
     if (freezes)
-      s.world.freeze(leader, s.world.now() + kPastTheLease);
+      scene.world.freeze(leader, scene.world.now() + kPastTheLease);
     else
-      s.fleet.isolate(leader);
+      scene.fleet.isolate(leader);
     leader.clear();
     ++sprung;
   }
 };
 
-void old_leader(Scene& s) {
-  s.length = Duration(140000);
-  s.must_meet = {"freeze", "cut"};
-  s.story = [&s] {
+void old_leader(Scene& scene) {
+  scene.duration = Duration(140000);
+  scene.required_faults = {"freeze", "cut"};
+  scene.script = [&scene] {
     auto history = std::make_shared<History>();
     auto trap = std::make_shared<Trap>();
-    s.world.synced = [&s, history, trap, before = s.world.synced](const std::string& host,
-                                                                  const pb::LogRecord& r) {
+    scene.world.synced = [&scene, history, trap, before = scene.world.synced](const std::string& host,
+                                                                              const pb::LogRecord& r) {
       before(host, r);
       if (!r.has_register_state()) return;
       history->synced(host, r.register_state());
-      trap->synced(s, r.register_state());
+      trap->synced(scene, r.register_state());
     };
-    if (!begin(s, 60, sim_layout("\"1\",\"2\"", 4, 40))) return;
-    for (int i = 0; i < 3; ++i) s.fleet.add_backend("app", "2", 0), s.fleet.add_backend("content", "2", 3);
-    allow(s, "2");
-    s.fleet.sleep(Duration(3000));
+    if (!start_traffic(scene, 60, simulated_configuration("\"1\",\"2\"", 4, 40))) return;
+    for (int i = 0; i < 3; ++i)
+      scene.fleet.add_backend("app", "2", 0), scene.fleet.add_backend("content", "2", 3);
+    allow_version(scene, "2");
+    scene.fleet.sleep(Duration(3000));
     for (uint64_t round = 0; round < 8; ++round) {
-      put(s, fmt::format("r{}", round), sim_layout("\"1\",\"2\"", 3 + static_cast<int>(round), 40));
+      record_configuration(scene, fmt::format("r{}", round),
+                           simulated_configuration("\"1\",\"2\"", 3 + static_cast<int>(round), 40));
       for (auto* service : {"app", "content"})
-        s.fleet.operator_call("PUT", std::string("/v1/services/") + service,
-                              fmt::format(R"({{"version":"{}"}})", round % 2 ? "1" : "2"));
-      auto* h = duty_holder(s);
+        scene.fleet.operator_call("PUT", std::string("/v1/services/") + service,
+                                  fmt::format(R"({{"version":"{}"}})", round % 2 ? "1" : "2"));
+      auto* h = leader_host(scene);
       if (!h) {
-        s.fleet.sleep(Duration(3000));
+        scene.fleet.sleep(Duration(3000));
         continue;
       }
-      trap->votes_left = s.world.below(kPoints);
-      trap->freezes = s.world.random(500);
+      trap->votes_left = scene.world.below(kPoints);
+      trap->freezes = scene.world.random(500);
       trap->leader = h->name;
-      s.fleet.wait_until(Duration(3000), [&] { return trap->leader.empty(); });
+      scene.fleet.wait_until(Duration(3000), [&] { return trap->leader.empty(); });
       trap->leader.clear();
-      s.fleet.sleep(kPastTheLease);
-      s.world.heal_all();
-      s.fleet.sleep(Duration(2500));
+      scene.fleet.sleep(kPastTheLease);
+      scene.world.heal_all();
+      scene.fleet.sleep(Duration(2500));
     }
-    s.want(history->broken.empty(), history->broken);
-    s.want(trap->sprung >= 4, fmt::format("only {} leaders were stopped in a write", trap->sprung));
-    s.want(history->highest >= trap->sprung, "the leadership did not change hands");
-    s.figures["leaders_stopped"] = trap->sprung;
-    s.figures["highest_term"] = history->highest;
+    scene.require(history->broken.empty(), history->broken);
+    scene.require(trap->sprung >= 4, fmt::format("only {} leaders were stopped in a write", trap->sprung));
+    scene.require(history->highest >= trap->sprung, "the leadership did not change hands");
+    scene.figures["leaders_stopped"] = trap->sprung;
+    scene.figures["highest_term"] = history->highest;
   };
 }
 
 }  // namespace
 
-NamedCases fence_stories() { return {{"old_leader", old_leader}}; }
+NamedCases leadership_fence_scenarios() { return {{"old_leader", old_leader}}; }
 
 }  // namespace dunlinwing::test
--- a/test/scenarios/main.cpp
+++ b/test/scenarios/main.cpp
@@ -26,9 +26,9 @@
                                            : simulation::FleetShape();
   if (FLAGS_edges) shape.edge_nodes = FLAGS_edges;
   std::vector<test::Case> cs;
-  bool whole = test::sim_cases().count(FLAGS_case_name) > 0;
+  bool complete = test::sim_cases().count(FLAGS_case_name) > 0;
   for (auto& [name, f] : test::sim_cases())
-    if (!whole || name == FLAGS_case_name)
+    if (!complete || name == FLAGS_case_name)
       cs.push_back({name, [name = name, f = f, shape] {
                       test::SimFigures sum;
                       uint64_t from = FLAGS_seed ? FLAGS_seed : 1;
@@ -40,12 +40,12 @@
                           throw test::Failed(fmt::format("seed {}: {}", s, e.what()));
                         }
                       }
-                      for (auto& m : sum.must)
+                      for (auto& m : sum.required_faults)
                         if (!FLAGS_seed)
-                          test::expect(sum.n["met_" + m] > 0, "the fault " + m + " was never met");
+                          test::expect(sum.counts["met_" + m] > 0, "the fault " + m + " was never met");
                       if (!FLAGS_figures) return;
                       std::cout << name << ": seeds " << to - from + 1;
-                      for (auto& [k, v] : sum.n) std::cout << " " << k << " " << v;
+                      for (auto& [k, v] : sum.counts) std::cout << " " << k << " " << v;
                       std::cout << "\n";
                     }});
   int rc = test::run_all(cs, FLAGS_case_name);
--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -7,47 +7,47 @@
 namespace {
 
 struct Mix {
-  Scene& s;
-  std::map<std::string, std::string> layouts;
+  Scene& scene;
+  std::map<std::string, std::string> configurations;
   int turn = 0;
 
-  simulation::Host& host() { return *s.fleet.hosts()[s.world.below(s.fleet.hosts().size())]; }
+  simulation::Host& host() { return *scene.fleet.hosts()[scene.world.below(scene.fleet.hosts().size())]; }
   simulation::SimulatedBackend* worker() {
-    auto& ws = s.fleet.backends();
-    auto* backend = ws[s.world.below(ws.size())].get();
+    auto& ws = scene.fleet.backends();
+    auto* backend = ws[scene.world.below(ws.size())].get();
     return backend->alive && !backend->leaving && !backend->foreign ? backend : nullptr;
   }
-  void met(const char* what) { ++s.world.faults_met[what]; }
+  void met(const char* what) { ++scene.world.faults_met[what]; }
 
   void kill() {
-    if (auto& h = host(); may_fall(s, h)) s.fleet.kill(h.name);
+    if (auto& h = host(); may_lose(scene, h)) scene.fleet.kill(h.name);
   }
   void kill_many() {
     met("kill_many");
-    for (auto& h : s.fleet.hosts())
-      if (s.world.random(400)) s.fleet.kill(h->name);
-    s.fleet.sleep(Duration(300));
-    s.fleet.start_all();
+    for (auto& host : scene.fleet.hosts())
+      if (scene.world.random(400)) scene.fleet.kill(host->name);
+    scene.fleet.sleep(Duration(300));
+    scene.fleet.start_all();
   }
   void lose_disk() {
     int out = 0;
-    for (auto& x : s.fleet.hosts()) out += x->has_disk && (!x->up() || x->node->acceptor()->non_voting());
+    for (auto& x : scene.fleet.hosts()) out += x->has_disk && (!x->up() || x->node->acceptor()->non_voting());
     if (auto& h = host(); h.has_disk && !out) {
-      s.fleet.kill(h.name);
-      s.fleet.wipe(h.name);
+      scene.fleet.kill(h.name);
+      scene.fleet.wipe(h.name);
     }
   }
-  void freeze() { s.world.freeze(host().name, s.world.now() + Duration(s.world.below(5000))); }
+  void freeze() { scene.world.freeze(host().name, scene.world.now() + Duration(scene.world.below(5000))); }
   void cut() {
     auto& h = host();
-    for (auto& x : s.fleet.hosts())
-      if (x->name != h.name) s.world.partition(h.name, x->name);
+    for (auto& x : scene.fleet.hosts())
+      if (x->name != h.name) scene.world.partition(h.name, x->name);
   }
   void split() {
     std::vector<std::string> left, right;
-    for (auto& h : s.fleet.hosts()) (s.world.random(400) ? left : right).push_back(h->name);
+    for (auto& host : scene.fleet.hosts()) (scene.world.random(400) ? left : right).push_back(host->name);
     for (auto& a : left)
-      for (auto& b : right) s.world.partition(a, b), s.world.partition(b, a);
+      for (auto& b : right) scene.world.partition(a, b), scene.world.partition(b, a);
   }
   void restart() {
     auto* h = &host();
@@ -55,17 +55,17 @@
     met("restart");
     auto gone = std::make_shared<bool>(false);
     auto name = h->name;
-    s.world.spawn(h->process, [n = h->node.get(), gone] {
+    scene.world.spawn(h->process, [n = h->node.get(), gone] {
       n->begin_shutdown();
       *gone = true;
     });
-    s.fleet.wait_until(Duration(4000), [&] { return *gone || !h->up(); });
-    s.fleet.kill(name);
-    s.fleet.start(name);
+    scene.fleet.wait_until(Duration(4000), [&] { return *gone || !h->up(); });
+    scene.fleet.kill(name);
+    scene.fleet.start(name);
   }
   void jump() {
     met("clock_jump");
-    host().wall_offset_ms += static_cast<int64_t>(s.world.below(4 * 86400000ull)) - 2 * 86400000ll;
+    host().wall_offset_ms += static_cast<int64_t>(scene.world.below(4 * 86400000ull)) - 2 * 86400000ll;
   }
   void slow_disk() {
     auto& contents = host().disk_contents;
@@ -73,8 +73,8 @@
     contents.max_latency = Duration(1500);
   }
   void weather() {
-    s.world.weather = {static_cast<int>(s.world.below(30)), static_cast<int>(s.world.below(30)), Duration(1),
-                       Duration(1 + s.world.below(30))};
+    scene.world.network = {static_cast<int>(scene.world.below(30)), static_cast<int>(scene.world.below(30)),
+                           Duration(1), Duration(1 + scene.world.below(30))};
   }
   void worker_dies() {
     auto* backend = worker();
@@ -83,16 +83,16 @@
     auto service = backend->service, version = backend->version;
     auto age = backend->max_age;
     backend->alive = false;
-    s.fleet.add_backend(service, version, age);
+    scene.fleet.add_backend(service, version, age);
   }
   void worker_leaves() {
     auto* backend = worker();
     if (!backend) return;
     met("worker_left");
-    s.fleet.add_backend(backend->service, backend->version, backend->max_age);
+    scene.fleet.add_backend(backend->service, backend->version, backend->max_age);
     backend->leaving = true;
-    s.fleet.spawn_outside([this, backend] {
-      s.fleet.sleep(Duration(5000));
+    scene.fleet.spawn_outside([this, backend] {
+      scene.fleet.sleep(Duration(5000));
       backend->alive = false;
     });
   }
@@ -100,10 +100,10 @@
     auto* backend = worker();
     if (!backend) return;
     met("worker_ill");
-    backend->lose_percent = static_cast<int>(s.world.below(20));
-    backend->wrong_percent = static_cast<int>(s.world.below(10));
-    backend->bad_percent = static_cast<int>(s.world.below(10));
-    backend->max_latency = Duration(8 + s.world.below(1500));
+    backend->lose_percent = static_cast<int>(scene.world.below(20));
+    backend->wrong_percent = static_cast<int>(scene.world.below(10));
+    backend->bad_percent = static_cast<int>(scene.world.below(10));
+    backend->max_latency = Duration(8 + scene.world.below(1500));
   }
   void address_passes() {
     auto* backend = worker();
@@ -112,45 +112,47 @@
     auto service = backend->service, version = backend->version, address = backend->address;
     auto age = backend->max_age;
     backend->alive = false;
-    auto& x = s.fleet.add_backend(service == "app" ? "content" : "app", "1", service == "app" ? 3 : 0);
+    auto& x = scene.fleet.add_backend(service == "app" ? "content" : "app", "1", service == "app" ? 3 : 0);
     x.address = address;
-    x.foreign = s.world.random(300);
-    s.fleet.add_backend(service, version, age);
+    x.foreign = scene.world.random(300);
+    scene.fleet.add_backend(service, version, age);
   }
   void crowd() {
     met("crowd");
-    s.fleet.generate_requests(150, s.world.now() + Duration(2500),
-                              [this] { s.fleet.call("GET", fmt::format("/a/{}", s.world.below(100000))); });
+    scene.fleet.generate_requests(150, scene.world.now() + Duration(2500), [this] {
+      scene.fleet.call("GET", fmt::format("/a/{}", scene.world.below(100000)));
+    });
   }
   void layout() {
     auto name = fmt::format("m{}", turn);
-    auto doc = sim_layout("\"1\",\"2\"", 1 + static_cast<int>(s.world.below(3)), 0,
-                          s.world.random(300) ? R"(,"express":"mixed")" : "");
-    if (s.fleet.operator_call("PUT", "/v1/releases/layout/" + name, doc).status == 202)
-      layouts[name] = doc, met("layout");
+    auto doc = simulated_configuration("\"1\",\"2\"", 1 + static_cast<int>(scene.world.below(3)), 0,
+                                       scene.world.random(300) ? R"(,"express":"mixed")" : "");
+    if (scene.fleet.operator_call("PUT", "/v1/releases/layout/" + name, doc).status == 202)
+      configurations[name] = doc, met("layout");
   }
   void invalid() {
-    auto t = s.fleet.operator_call("PUT", fmt::format("/v1/releases/layout/i{}", turn),
-                                   R"({"content":{"services":{},"routes":7}})");
-    s.want(t.lost || t.status == 422 || t.status == 503, "an invalid layout gave " + t.body);
+    auto response = scene.fleet.operator_call("PUT", fmt::format("/v1/releases/layout/i{}", turn),
+                                              R"({"content":{"services":{},"routes":7}})");
+    scene.require(response.lost || response.status == 422 || response.status == 503,
+                  "an invalid layout gave " + response.body);
     met("invalid_layout");
   }
   void clear() {
-    purge(s, fmt::format("u{}", turn), s.world.random(500) ? "prefix" : "path",
-          s.world.random(500) ? "/c/" : "/c/3"),
+    purge(scene, fmt::format("u{}", turn), scene.world.random(500) ? "prefix" : "path",
+          scene.world.random(500) ? "/c/" : "/c/3"),
         met("purge");
   }
   void storm() {
     met("purge_storm");
     for (int k = 0; k < 30; ++k)
-      s.fleet.spawn_outside([this, k, t = turn] {
-        purge(s, fmt::format("w{}-{}", t, k), "path", fmt::format("/c/{}", k % 20));
+      scene.fleet.spawn_outside([this, k, t = turn] {
+        purge(scene, fmt::format("w{}-{}", t, k), "path", fmt::format("/c/{}", k % 20));
       });
   }
   void move() {
-    if (s.fleet
+    if (scene.fleet
             .operator_call("PUT", "/v1/services/app",
-                           s.world.random(500) ? R"({"version":"2"})" : R"({"version":"1"})")
+                           scene.world.random(500) ? R"({"version":"2"})" : R"({"version":"1"})")
             .status == 200)
       met("move");
   }
@@ -164,46 +166,47 @@
                               &Mix::crowd,       &Mix::layout,        &Mix::layout,     &Mix::invalid,
                               &Mix::clear,       &Mix::clear,         &Mix::storm,      &Mix::move};
     for (turn = 0; turn < 25; ++turn) {
-      for (auto n = 1 + s.world.below(3); n; --n) (this->*list[s.world.below(std::size(list))])();
-      s.fleet.sleep(Duration(s.world.below(2500)));
-      if (s.world.random(350)) s.world.heal_all();
-      for (auto& x : s.fleet.hosts())
-        if (!x->up() && s.world.random(450)) s.fleet.start(x->name);
+      for (auto n = 1 + scene.world.below(3); n; --n) (this->*list[scene.world.below(std::size(list))])();
+      scene.fleet.sleep(Duration(scene.world.below(2500)));
+      if (scene.world.random(350)) scene.world.heal_all();
+      for (auto& host : scene.fleet.hosts())
+        if (!host->up() && scene.world.random(450)) scene.fleet.start(host->name);
     }
   }
 
   void mend() {
-    s.world.heal_all();
-    s.world.weather = s.fleet.normal_conditions();
-    for (auto& h : s.fleet.hosts())
-      h->disk_contents.min_latency = Duration(1), h->disk_contents.max_latency = Duration(4);
-    for (auto& w : s.fleet.backends())
+    scene.world.heal_all();
+    scene.world.network = scene.fleet.normal_conditions();
+    for (auto& host : scene.fleet.hosts())
+      host->disk_contents.min_latency = Duration(1), host->disk_contents.max_latency = Duration(4);
+    for (auto& w : scene.fleet.backends())
       w->lose_percent = w->wrong_percent = w->bad_percent = 0, w->max_latency = Duration(8);
-    s.fleet.sleep(Duration(5100));  // the last freeze is over
-    s.fleet.start_all();
-    s.fleet.event(R"("t":"returned")");
-    s.want(serves(s, Duration(15000)), "the fleet did not serve again 15 s after the machines returned");
-    s.fleet.sleep(Duration(2000));
-    for (auto& h : s.fleet.hosts()) knows(s, *h, layouts);
-    s.fleet.sleep(Duration(20000));
+    scene.fleet.sleep(Duration(5100));  // the last freeze is over
+    scene.fleet.start_all();
+    scene.fleet.event(R"("t":"returned")");
+    scene.require(await_all_ready(scene, Duration(15000)),
+                  "the fleet did not serve again 15 s after the machines returned");
+    scene.fleet.sleep(Duration(2000));
+    for (auto& host : scene.fleet.hosts()) expect_releases(scene, *host, configurations);
+    scene.fleet.sleep(Duration(20000));
   }
 };
 
-void mixed(Scene& s) {
-  s.length = Duration(170000);
-  s.must_meet = {"kill", "freeze", "cut"};
-  s.story = [&s] {
-    if (!begin(s, 50, sim_layout("\"1\",\"2\"", 3))) return;
-    allow(s, "2");
-    for (int i = 0; i < 2; ++i) s.fleet.add_backend("app", "2", 0);
-    auto m = std::make_shared<Mix>(Mix{s, {}, 0});
+void mixed(Scene& scene) {
+  scene.duration = Duration(170000);
+  scene.required_faults = {"kill", "freeze", "cut"};
+  scene.script = [&scene] {
+    if (!start_traffic(scene, 50, simulated_configuration("\"1\",\"2\"", 3))) return;
+    allow_version(scene, "2");
+    for (int i = 0; i < 2; ++i) scene.fleet.add_backend("app", "2", 0);
+    auto m = std::make_shared<Mix>(Mix{scene, {}, 0});
     m->all();
     m->mend();
-    s.figures = {{"layouts_read_back", m->layouts.size()}};
+    scene.figures = {{"layouts_read_back", m->configurations.size()}};
   };
 }
 }  // namespace
 
-NamedCases mixed_stories() { return {{"mixed", mixed}}; }
+NamedCases mixed_scenarios() { return {{"mixed", mixed}}; }
 
 }  // namespace dunlinwing::test
--- a/test/scenarios/rollout_scenarios.cpp
+++ b/test/scenarios/rollout_scenarios.cpp
@@ -7,100 +7,105 @@
 
 // The duty's primary is killed in each phase. Hold time once recorded stays,
 // and the release still runs its course, each node being moved once.
-void duty_dies(Scene& s) {
-  s.length = Duration(200000);
-  s.must_meet = {"kill"};
-  s.story = [&s] {
-    if (!begin(s, 80)) return;
-    put(s, "second", sim_layout("\"1\"", 3));
+void duty_dies(Scene& scene) {
+  scene.duration = Duration(200000);
+  scene.required_faults = {"kill"};
+  scene.script = [&scene] {
+    if (!start_traffic(scene, 80)) return;
+    record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
     for (std::string ph : {"ONE", "TWO", "THREE"}) {
-      if (!reach(s, "second", ph, Duration(60000))) return s.want(false, "phase " + ph + " was not reached");
-      s.fleet.sleep(Duration(s.world.below(1500)));
-      auto* host = duty_holder(s);
+      if (!await_phase(scene, "second", ph, Duration(60000)))
+        return scene.require(false, "phase " + ph + " was not reached");
+      scene.fleet.sleep(Duration(scene.world.below(1500)));
+      auto* host = leader_host(scene);
       if (!host) continue;
       pb::RolloutState before;
-      rollout_seen(s, before);
+      read_rollout_state(scene, before);
       auto name = host->name;
-      s.fleet.kill(name);
-      bool taken = s.fleet.wait_until(Duration(15000), [&] { return duty_holder(s) != nullptr; });
-      s.want(taken, "nobody took the leadership up");
+      scene.fleet.kill(name);
+      bool taken = scene.fleet.wait_until(Duration(15000), [&] { return leader_host(scene) != nullptr; });
+      scene.require(taken, "nobody took the leadership up");
       pb::RolloutState after;
-      rollout_seen(s, after);
+      read_rollout_state(scene, after);
       for (auto& progress : before.releases())
         for (auto& d : after.releases())
           if (progress.release() == d.release() && progress.phase() == d.phase() &&
               progress.zone() == d.zone())
-            s.want(d.held_ms() >= progress.held_ms(), "hold time was lost");
-      s.fleet.start(name);
+            scene.require(d.held_ms() >= progress.held_ms(), "hold time was lost");
+      scene.fleet.start(name);
     }
-    s.want(reach(s, "second", "DONE", Duration(100000)),
-           "the release did not finish: " + release_state(s, "second").text());
+    scene.require(await_phase(scene, "second", "DONE", Duration(100000)),
+                  "the release did not finish: " + release_state(scene, "second").text());
   };
 }
 
 // A release that takes requests to a new service, whose workers turn bad once it has
 // reached a phase.
-void bad_release_in(Scene& s, const std::string& ph) {
-  s.length = Duration(120000);
-  s.must_meet = {"bad_answer"};
-  s.story = [&s, ph] {
-    if (!begin(s, 80)) return;
+void bad_release_in(Scene& scene, const std::string& ph) {
+  scene.duration = Duration(120000);
+  scene.required_faults = {"bad_answer"};
+  scene.script = [&scene, ph] {
+    if (!start_traffic(scene, 80)) return;
     std::vector<simulation::SimulatedBackend*> two;
-    for (int i = 0; i < 3; ++i) two.push_back(&s.fleet.add_backend("fresh", "1", 0));
-    s.fleet.event(R"("t":"allowed","service":"fresh","version":"1","prefix":"/a/")");
-    s.fleet.sleep(Duration(2500));
-    auto doc = sim_layout("\"1\"", 3);
+    for (int i = 0; i < 3; ++i) two.push_back(&scene.fleet.add_backend("fresh", "1", 0));
+    scene.fleet.event(R"("t":"allowed","service":"fresh","version":"1","prefix":"/a/")");
+    scene.fleet.sleep(Duration(2500));
+    auto doc = simulated_configuration("\"1\"", 3);
     doc.replace(doc.find(R"("service":"app","methods":["GET"])"), 15, R"("service":"fresh")");
     doc.insert(doc.find("\"app\""), R"("fresh":{"versions":["1"],"deadline_ms":2000},)");
-    put(s, "second", doc);
-    if (!reach(s, "second", ph, Duration(80000))) return s.want(false, "phase " + ph + " was not reached");
-    for (auto* x : two) x->bad_percent = 60;
-    s.want(reach(s, "second", "STOPPED", Duration(20000)), "a bad release was not stopped in phase " + ph);
-    s.fleet.sleep(Duration(2000));
+    record_configuration(scene, "second", doc);
+    if (!await_phase(scene, "second", ph, Duration(80000)))
+      return scene.require(false, "phase " + ph + " was not reached");
+    for (auto* backend : two) backend->bad_percent = 60;
+    scene.require(await_phase(scene, "second", "STOPPED", Duration(20000)),
+                  "a bad release was not stopped in phase " + ph);
+    scene.fleet.sleep(Duration(2000));
     uint64_t top = 0;
-    for (auto& h : s.fleet.hosts()) {
-      s.want(h->node->configuration_name() == "first", h->name + " did not go back");
-      top = std::max(top, h->node->generation());
+    for (auto& host : scene.fleet.hosts()) {
+      scene.require(host->node->configuration_name() == "first", host->name + " did not go back");
+      top = std::max(top, host->node->generation());
     }
     pb::RolloutState r;
-    rollout_seen(s, r);
-    s.want(top == r.generation(), "the way back was not under the highest generation");
+    read_rollout_state(scene, r);
+    scene.require(top == r.generation(), "the way back was not under the highest generation");
   };
 }
 
 // A layout that leaves the version in place out, or names a new one first, would take
 // a service to a version that was never on trial.
-void version_by_layout(Scene& s) {
-  s.length = Duration(80000);
-  s.story = [&s] {
-    if (!begin(s, 80)) return;
-    for (int i = 0; i < 3; ++i) s.fleet.add_backend("app", "2", 0).bad_percent = 60;
-    for (int i = 0; i < 3; ++i) s.fleet.add_backend("content", "2", 3);
-    allow(s, "2");
-    s.fleet.sleep(Duration(3000));
-    s.fleet.event(R"("t":"bad_version","service":"app","version":"2")");
+void version_by_layout(Scene& scene) {
+  scene.duration = Duration(80000);
+  scene.script = [&scene] {
+    if (!start_traffic(scene, 80)) return;
+    for (int i = 0; i < 3; ++i) scene.fleet.add_backend("app", "2", 0).bad_percent = 60;
+    for (int i = 0; i < 3; ++i) scene.fleet.add_backend("content", "2", 3);
+    allow_version(scene, "2");
+    scene.fleet.sleep(Duration(3000));
+    scene.fleet.event(R"("t":"bad_version","service":"app","version":"2")");
     for (auto* vs : {"\"2\"", "\"2\",\"1\""}) {
       auto name = fmt::format("v{}", std::string(vs).size());
-      auto t = s.fleet.operator_call("PUT", "/v1/releases/layout/" + name,
-                                     sim_layout(vs, 3, 0, R"(,"express":"in a hurry")"));
-      s.want(t.lost || t.status == 409 || t.status == 202, "the layout gave " + t.body);
-      s.fleet.sleep(Duration(12000));
+      auto response =
+          scene.fleet.operator_call("PUT", "/v1/releases/layout/" + name,
+                                    simulated_configuration(vs, 3, 0, R"(,"express":"in a hurry")"));
+      scene.require(response.lost || response.status == 409 || response.status == 202,
+                    "the layout gave " + response.body);
+      scene.fleet.sleep(Duration(12000));
     }
     // What was recorded before a version came into place may still be stated again.
-    auto again = s.fleet.operator_call("PUT", "/v1/releases/layout/first", sim_layout());
-    s.want(again.lost || again.status == 200, "a known layout stated again gave " + again.body);
-    s.want(s.fleet.good * 10 > s.fleet.calls * 9,
-           fmt::format("only {} of {} calls went well", s.fleet.good, s.fleet.calls));
+    auto again = scene.fleet.operator_call("PUT", "/v1/releases/layout/first", simulated_configuration());
+    scene.require(again.lost || again.status == 200, "a known layout stated again gave " + again.body);
+    scene.require(scene.fleet.good * 10 > scene.fleet.calls * 9,
+                  fmt::format("only {} of {} calls went well", scene.fleet.good, scene.fleet.calls));
   };
 }
 
 // Quiet hours are the fleet's, not a machine's: whoever holds the leadership waits for them.
-void quiet_hours(Scene& s) {
-  s.length = Duration(90000);
-  s.must_meet = {"kill"};
-  s.story = [&s] {
-    if (!begin(s, 60)) return;
-    auto from = s.fleet.hosts()[0]->wall_offset_ms + s.world.now().count();
+void quiet_hours(Scene& scene) {
+  scene.duration = Duration(90000);
+  scene.required_faults = {"kill"};
+  scene.script = [&scene] {
+    if (!start_traffic(scene, 60)) return;
+    auto from = scene.fleet.hosts()[0]->wall_offset_ms + scene.world.now().count();
     auto hour = [&](int64_t plus_min) {
       auto m = (from / 60000 + plus_min) % 1440;
       return fmt::format("{:02}:{:02}", m / 60, m % 60);
@@ -108,140 +113,149 @@
     auto sys =
         fmt::format(R"({{"express":"hours for all","content":{{"quiet_hours":{{"from":"{}","to":"{}"}}}}}})",
                     hour(60), hour(120));
-    s.want(s.fleet.wait_until(
-               Duration(8000),
-               [&] { return s.fleet.operator_call("PUT", "/v1/releases/system/hours", sys).status == 202; }),
-           "quiet hours were not taken");
-    s.fleet.sleep(Duration(3000));
-    put(s, "second", sim_layout("\"1\"", 3));
+    scene.require(
+        scene.fleet.wait_until(
+            Duration(8000),
+            [&] { return scene.fleet.operator_call("PUT", "/v1/releases/system/hours", sys).status == 202; }),
+        "quiet hours were not taken");
+    scene.fleet.sleep(Duration(3000));
+    record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
     for (int i = 0; i < 2; ++i) {
-      s.fleet.sleep(Duration(3000));
-      s.want(phase(s, "second") == "WAITING", "a phase started in the busy hours");
-      auto* host = duty_holder(s);
+      scene.fleet.sleep(Duration(3000));
+      scene.require(release_phase(scene, "second") == "WAITING", "a phase started in the busy hours");
+      auto* host = leader_host(scene);
       if (!host) continue;
       auto name = host->name;
-      s.fleet.kill(name);
-      s.want(s.fleet.wait_until(Duration(15000), [&] { return duty_holder(s) != nullptr; }),
-             "nobody took the leadership up");
-      s.fleet.start(name);
+      scene.fleet.kill(name);
+      scene.require(scene.fleet.wait_until(Duration(15000), [&] { return leader_host(scene) != nullptr; }),
+                    "nobody took the leadership up");
+      scene.fleet.start(name);
     }
-    s.fleet.sleep(Duration(2000));
-    s.want(phase(s, "second") == "WAITING", "another holder of the leadership did not wait");
-    for (auto& h : s.fleet.hosts()) h->wall_offset_ms += 70 * 60000;
-    s.want(reach(s, "second", "ONE", Duration(6000)), "no phase started in the quiet hours");
-    for (auto& h : s.fleet.hosts()) h->wall_offset_ms -= 70 * 60000;
-    s.fleet.sleep(Duration(9000));
-    s.want(phase(s, "second") == "ONE", "a phase started after the quiet hours");
-    s.want(s.fleet.operator_call("PUT", "/v1/releases/system/odd",
-                                 R"({"content":{"quiet_hours":{"from":"27:00","to":"01:00"}}})")
-                   .status == 422,
-           "27:00 was taken");
+    scene.fleet.sleep(Duration(2000));
+    scene.require(release_phase(scene, "second") == "WAITING",
+                  "another holder of the leadership did not wait");
+    for (auto& h : scene.fleet.hosts()) h->wall_offset_ms += 70 * 60000;
+    scene.require(await_phase(scene, "second", "ONE", Duration(6000)), "no phase started in the quiet hours");
+    for (auto& h : scene.fleet.hosts()) h->wall_offset_ms -= 70 * 60000;
+    scene.fleet.sleep(Duration(9000));
+    scene.require(release_phase(scene, "second") == "ONE", "a phase started after the quiet hours");
+    scene.require(scene.fleet
+                          .operator_call("PUT", "/v1/releases/system/odd",
+                                         R"({"content":{"quiet_hours":{"from":"27:00","to":"01:00"}}})")
+                          .status == 422,
+                  "27:00 was taken");
   };
 }
 
 // Requests wait for seconds, for a place or for the origin's pace, while one layout
 // after the other comes in force everywhere; a relay is cut off now and then.
-void old_layout(Scene& s) {
-  s.length = Duration(90000);
-  s.must_meet = {"cut"};
-  s.story = [&s] {
+void old_layout(Scene& scene) {
+  scene.duration = Duration(90000);
+  scene.required_faults = {"cut"};
+  scene.script = [&scene] {
     auto doc = [](int life) {
-      auto d = sim_layout("\"1\"", life, 8, R"(,"express":"the story changes layouts often")");
+      auto d = simulated_configuration("\"1\"", life, 8, R"(,"express":"the story changes layouts often")");
       auto at = d.find("\"app\"");
       d.replace(d.find("\"deadline_ms\":2000", at), 18, R"("deadline_ms":9000,"inflight":8)");
       return d;
     };
-    if (!begin(s, 40, doc(3))) return;
-    s.fleet.event(R"("t":"rate","service":"app","n":8)");
+    if (!start_traffic(scene, 40, doc(3))) return;
+    scene.fleet.event(R"("t":"rate","service":"app","n":8)");
     for (int i = 0; i < 8; ++i) {
-      s.fleet.sleep(Duration(3000 + s.world.below(3000)));
-      auto& h = s.fleet.hosts()[s.world.below(s.fleet.hosts().size())];
-      s.fleet.isolate(h->name);
-      s.fleet.sleep(Duration(s.world.below(500)));
-      put(s, fmt::format("r{}", i), doc(1 + i));
-      s.fleet.sleep(Duration(s.world.below(1500)));
-      s.world.heal_all();
+      scene.fleet.sleep(Duration(3000 + scene.world.below(3000)));
+      auto& host = scene.fleet.hosts()[scene.world.below(scene.fleet.hosts().size())];
+      scene.fleet.isolate(host->name);
+      scene.fleet.sleep(Duration(scene.world.below(500)));
+      record_configuration(scene, fmt::format("r{}", i), doc(1 + i));
+      scene.fleet.sleep(Duration(scene.world.below(1500)));
+      scene.world.heal_all();
     }
-    s.fleet.sleep(Duration(9000));
+    scene.fleet.sleep(Duration(9000));
   };
 }
 
 // A release that breaks only what callers do not see: the workers' beats through its
 // nodes, or their way to a service that nobody asks just then.
-void blind_release_in(Scene& s, const std::string& ph, const std::string& what) {
-  s.length = Duration(470000);
-  s.must_meet = {what == "beats" ? "beat_unheard" : "unreachable"};
-  s.story = [&s, ph, what] {
-    if (!begin(s, 80)) return;
-    s.fleet.sleep(Duration(65000));  // so that it is known which beats are usual
-    put(s, "second", sim_layout("\"1\"", 3, 0, R"(,"holds":{"one_min":900,"two_min":1600})"));
-    if (!reach(s, "second", ph, Duration(280000))) return s.want(false, "phase " + ph + " was not reached");
-    s.fleet.faults().broken = "second";
-    s.fleet.faults().breaks = what;
+void blind_release_in(Scene& scene, const std::string& ph, const std::string& what) {
+  scene.duration = Duration(470000);
+  scene.required_faults = {what == "beats" ? "beat_unheard" : "unreachable"};
+  scene.script = [&scene, ph, what] {
+    if (!start_traffic(scene, 80)) return;
+    scene.fleet.sleep(Duration(65000));  // so that it is known which beats are usual
+    record_configuration(
+        scene, "second",
+        simulated_configuration("\"1\"", 3, 0, R"(,"holds":{"one_min":900,"two_min":1600})"));
+    if (!await_phase(scene, "second", ph, Duration(280000)))
+      return scene.require(false, "phase " + ph + " was not reached");
+    scene.fleet.faults().broken_release = "second";
+    scene.fleet.faults().broken_aspect = what;
     std::string now = ph;
-    s.fleet.wait_until(Duration(100000), [&] { return (now = phase(s, "second")) != ph; });
-    s.want(now == "STOPPED", "it was not stopped in phase " + ph + ": " + release_state(s, "second").text());
-    auto why = release_state(s, "second").at("course").at("why").string_or();
-    s.want(why.find(what == "beats" ? "check worker-beats" : "check probes") == 0,
-           "it was stopped for another reason: " + why);
+    scene.fleet.wait_until(Duration(100000), [&] { return (now = release_phase(scene, "second")) != ph; });
+    scene.require(now == "STOPPED",
+                  "it was not stopped in phase " + ph + ": " + release_state(scene, "second").text());
+    auto why = release_state(scene, "second").at("course").at("why").string_or();
+    scene.require(why.find(what == "beats" ? "check worker-beats" : "check probes") == 0,
+                  "it was stopped for another reason: " + why);
   };
 }
 
 // Without traffic there is no evidence, and no release goes on.
-void too_little(Scene& s) {
-  s.length = Duration(60000);
-  s.story = [&s] {
-    if (!begin(s, 1)) return;
-    put(s, "second", sim_layout("\"1\"", 3));
-    s.fleet.sleep(Duration(25000));
-    s.want(phase(s, "second") == "ONE", "it went on without evidence");
-    auto why = release_state(s, "second").at("course").at("why").string_or();
-    s.want(why.find("too little evidence") == 0, "it does not say why it holds: " + why);
-    auto t = s.fleet.operator_call("PUT", "/v1/releases/layout/second/waivers/evidence",
-                                   R"({"reason":"a quiet night"})");
-    s.want(t.status == 200, "the waiver was not taken");
-    s.want(reach(s, "second", "TWO", Duration(10000)), "a waived check still held it");
+void too_little(Scene& scene) {
+  scene.duration = Duration(60000);
+  scene.script = [&scene] {
+    if (!start_traffic(scene, 1)) return;
+    record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
+    scene.fleet.sleep(Duration(25000));
+    scene.require(release_phase(scene, "second") == "ONE", "it went on without evidence");
+    auto why = release_state(scene, "second").at("course").at("why").string_or();
+    scene.require(why.find("too little evidence") == 0, "it does not say why it holds: " + why);
+    auto response = scene.fleet.operator_call("PUT", "/v1/releases/layout/second/waivers/evidence",
+                                              R"({"reason":"a quiet night"})");
+    scene.require(response.status == 200, "the waiver was not taken");
+    scene.require(await_phase(scene, "second", "TWO", Duration(10000)), "a waived check still held it");
   };
 }
 
 // Compare-and-set by everybody at once while machines fail: for each version
 // one winner, and no read ever older than what was acknowledged before it.
-void races(Scene& s) {
-  s.length = Duration(60000);
-  s.must_meet = {"kill", "loss", "freeze"};
+void races(Scene& scene) {
+  scene.duration = Duration(60000);
+  scene.required_faults = {"kill", "loss", "freeze"};
   struct State {
     std::map<uint64_t, std::string> won;
     uint64_t acked = 0, writes = 0, reads = 0, stale = 0, unsure = 0;
   };
   auto st = std::make_shared<State>();
-  s.story = [&s, st] {
-    if (!begin(s, 5)) return;
-    s.world.weather = {20, 20, Duration(1), Duration(25)};
-    auto end = s.world.now() + Duration(30000);
-    for (auto& h : s.fleet.hosts())
+  scene.script = [&scene, st] {
+    if (!start_traffic(scene, 5)) return;
+    scene.world.network = {20, 20, Duration(1), Duration(25)};
+    auto end = scene.world.now() + Duration(30000);
+    for (auto& h : scene.fleet.hosts())
       for (int k = 0; k < 2; ++k)
-        s.fleet.spawn_outside([&s, st, end, host = h.get(), k] {
-          for (int i = 0; s.world.now() < end; ++i) {
-            s.fleet.sleep(Duration(s.world.below(1000)));
+        scene.fleet.spawn_outside([&scene, st, end, host = h.get(), k] {
+          for (int i = 0; scene.world.now() < end; ++i) {
+            scene.fleet.sleep(Duration(scene.world.below(1000)));
             if (!host->up()) continue;
             // The work runs in the host's own life and dies with it.
-            s.world.spawn(host->process, [&s, st, host, k, i] {
+            scene.world.spawn(host->process, [&scene, st, host, k, i] {
               auto& registers = host->node->registers();
               auto floor = st->acked;
               auto g = registers.read("race");
               auto* h = std::get_if<consensus::VersionedValue>(&g);
               if (!h) return;
               ++st->reads;
-              s.want(h->version >= floor,
-                     fmt::format("a read gave version {} after {} was acknowledged", h->version, floor));
+              scene.require(
+                  h->version >= floor,
+                  fmt::format("a read gave version {} after {} was acknowledged", h->version, floor));
               if (auto f = st->won.find(h->version); f != st->won.end())
-                s.want(f->second == h->data, "a read gave another value than was acknowledged");
+                scene.require(f->second == h->data, "a read gave another value than was acknowledged");
               auto mine = fmt::format("{}/{}/{}", host->name, k, i);
               auto w = registers.write("race", h->version, mine);
               if (auto* d = std::get_if<consensus::VersionedValue>(&w)) {
                 ++st->writes;
                 auto [f, fresh] = st->won.emplace(d->version, mine);
-                s.want(fresh || f->second == mine, fmt::format("two writers won version {}", d->version));
+                scene.require(fresh || f->second == mine,
+                              fmt::format("two writers won version {}", d->version));
                 st->acked = std::max(st->acked, d->version);
               } else if (std::holds_alternative<consensus::VersionConflict>(w)) {
                 ++st->stale;
@@ -251,158 +265,166 @@
             });
           }
         });
-    while (s.world.now() < end) {
-      s.fleet.sleep(Duration(500 + s.world.below(1500)));
-      auto& h = s.fleet.hosts()[s.world.below(s.fleet.hosts().size())];
-      if (s.world.random(400)) {
-        if (may_fall(s, *h)) s.fleet.kill(h->name);
-      } else if (s.world.random(500)) {
-        s.world.freeze(h->name, s.world.now() + Duration(s.world.below(3000)));
+    while (scene.world.now() < end) {
+      scene.fleet.sleep(Duration(500 + scene.world.below(1500)));
+      auto& h = scene.fleet.hosts()[scene.world.below(scene.fleet.hosts().size())];
+      if (scene.world.random(400)) {
+        if (may_lose(scene, *h)) scene.fleet.kill(h->name);
+      } else if (scene.world.random(500)) {
+        scene.world.freeze(h->name, scene.world.now() + Duration(scene.world.below(3000)));
       }
-      for (auto& x : s.fleet.hosts())
-        if (!x->up() && s.world.random(500)) s.fleet.start(x->name);
+      for (auto& x : scene.fleet.hosts())
+        if (!x->up() && scene.world.random(500)) scene.fleet.start(x->name);
     }
-    s.fleet.start_all();
-    s.fleet.sleep(Duration(6000));
-    s.figures = {{"race_writes", st->writes},
-                 {"race_reads", st->reads},
-                 {"race_stale", st->stale},
-                 {"race_unsure", st->unsure}};
-    s.want(st->writes > 20 && st->stale > 0,
-           fmt::format("there was no race: {} writes, {} stale, {} unsure, {} reads", st->writes, st->stale,
-                       st->unsure, st->reads));
+    scene.fleet.start_all();
+    scene.fleet.sleep(Duration(6000));
+    scene.figures = {{"race_writes", st->writes},
+                     {"race_reads", st->reads},
+                     {"race_stale", st->stale},
+                     {"race_unsure", st->unsure}};
+    scene.require(st->writes > 20 && st->stale > 0,
+                  fmt::format("there was no race: {} writes, {} stale, {} unsure, {} reads", st->writes,
+                              st->stale, st->unsure, st->reads));
   };
 }
 
 // Operators race each other and send nonsense; one wins, the rest are told.
-void operators_race(Scene& s) {
-  s.length = Duration(60000);
-  s.story = [&s] {
-    if (!begin(s)) return;
+void operators_race(Scene& scene) {
+  scene.duration = Duration(60000);
+  scene.script = [&scene] {
+    if (!start_traffic(scene)) return;
     auto won = std::make_shared<int>(0), lost = std::make_shared<int>(0), odd = std::make_shared<int>(0);
     for (int i = 0; i < 6; ++i)
-      s.fleet.spawn_outside([&s, i, won, lost, odd] {
-        auto t = s.fleet.operator_call("PUT", "/v1/releases/layout/contested", sim_layout("\"1\"", 1 + i));
-        (t.status == 202 ? *won : t.status == 409 ? *lost : *odd)++;
+      scene.fleet.spawn_outside([&scene, i, won, lost, odd] {
+        auto response = scene.fleet.operator_call("PUT", "/v1/releases/layout/contested",
+                                                  simulated_configuration("\"1\"", 1 + i));
+        (response.status == 202 ? *won : response.status == 409 ? *lost : *odd)++;
       });
-    s.fleet.sleep(Duration(6000));
-    s.want(*won == 1, fmt::format("{} operators won, {} lost, {} other", *won, *lost, *odd));
+    scene.fleet.sleep(Duration(6000));
+    scene.require(*won == 1, fmt::format("{} operators won, {} lost, {} other", *won, *lost, *odd));
     for (auto* bad :
          {"{", "[]", R"({"content":{}})", R"({"content":{"services":{"x":{"versions":[]}},"routes":[]}})"}) {
-      auto t = s.fleet.operator_call("PUT", "/v1/releases/layout/bad", bad);
-      s.want(t.status == 422 && t.body.find("\"defects\":[{\"at\":") != t.body.npos,
-             "an invalid layout gave " + t.body);
+      auto response = scene.fleet.operator_call("PUT", "/v1/releases/layout/bad", bad);
+      scene.require(
+          response.status == 422 && response.body.find("\"defects\":[{\"at\":") != response.body.npos,
+          "an invalid layout gave " + response.body);
     }
-    s.want(s.fleet.operator_call("GET", "/v1/releases/layout/bad", "").status == 404,
-           "an invalid layout was recorded");
-    auto a = s.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"1"})");
-    s.want(a.status == 200 && a.etag == "\"1\"", "the first statement of a service gave " + a.body);
-    auto b = s.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"1"})", {{"If-Match", "\"7\""}});
-    s.want(b.status == 412 && b.etag == "\"1\"", "a stale If-Match was not told the version in force");
-    s.want(purge(s, "once", "path", "/c/1") && purge(s, "once", "path", "/c/1"),
-           "a purge stated twice was not taken as one");
-    s.want(s.fleet.operator_call("PUT", "/v1/purges/once",
-                                 R"({"service":"content","kind":"path","path":"/c/2"})")
-                   .status == 409,
-           "another purge under a known name was acknowledged");
-    s.fleet.sleep(Duration(500));
-    s.want(s.fleet.operator_call("PUT", "/v1/purges/once", R"({"service":"app","kind":"path","path":"/c/1"})")
-                   .status == 409,
-           "another service's purge under a known name was acknowledged");
-    s.want(s.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"9"})").status == 422,
-           "a version that no layout allows was taken");
+    scene.require(scene.fleet.operator_call("GET", "/v1/releases/layout/bad", "").status == 404,
+                  "an invalid layout was recorded");
+    auto a = scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"1"})");
+    scene.require(a.status == 200 && a.etag == "\"1\"", "the first statement of a service gave " + a.body);
+    auto b =
+        scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"1"})", {{"If-Match", "\"7\""}});
+    scene.require(b.status == 412 && b.etag == "\"1\"", "a stale If-Match was not told the version in force");
+    scene.require(purge(scene, "once", "path", "/c/1") && purge(scene, "once", "path", "/c/1"),
+                  "a purge stated twice was not taken as one");
+    scene.require(scene.fleet
+                          .operator_call("PUT", "/v1/purges/once",
+                                         R"({"service":"content","kind":"path","path":"/c/2"})")
+                          .status == 409,
+                  "another purge under a known name was acknowledged");
+    scene.fleet.sleep(Duration(500));
+    scene.require(
+        scene.fleet
+                .operator_call("PUT", "/v1/purges/once", R"({"service":"app","kind":"path","path":"/c/1"})")
+                .status == 409,
+        "another service's purge under a known name was acknowledged");
+    scene.require(scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"9"})").status == 422,
+                  "a version that no layout allows was taken");
   };
 }
 
 // A watch returns when what it watches has changed, and not before.
-void watch(Scene& s) {
-  s.length = Duration(60000);
-  s.story = [&s] {
-    if (!begin(s)) return;
-    auto t = s.fleet.operator_call("GET", "/v1/assignments", "");
-    auto v = t.etag.substr(1, t.etag.size() - 2);
-    auto none = s.fleet.operator_call("GET", "/v1/services/none?after=0&wait_ms=100", "");
-    s.want(none.status == 404, "a watch of nothing did not say 404");
-    auto from = s.world.now();
-    auto same = s.fleet.operator_call("GET", "/v1/assignments?wait_ms=1500&after=" + v, "");
-    s.want(same.status == 304 && s.world.now() - from >= Duration(1500),
-           fmt::format("a watch of what does not change gave {}", same.status));
-    s.fleet.spawn_outside([&s] {
-      s.fleet.sleep(Duration(1000));
-      put(s, "second", sim_layout("\"1\"", 3));
+void watch(Scene& scene) {
+  scene.duration = Duration(60000);
+  scene.script = [&scene] {
+    if (!start_traffic(scene)) return;
+    auto response = scene.fleet.operator_call("GET", "/v1/assignments", "");
+    auto v = response.etag.substr(1, response.etag.size() - 2);
+    auto none = scene.fleet.operator_call("GET", "/v1/services/none?after=0&wait_ms=100", "");
+    scene.require(none.status == 404, "a watch of nothing did not say 404");
+    auto from = scene.world.now();
+    auto same = scene.fleet.operator_call("GET", "/v1/assignments?wait_ms=1500&after=" + v, "");
+    scene.require(same.status == 304 && scene.world.now() - from >= Duration(1500),
+                  fmt::format("a watch of what does not change gave {}", same.status));
+    scene.fleet.spawn_outside([&scene] {
+      scene.fleet.sleep(Duration(1000));
+      record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
     });
-    from = s.world.now();
-    auto next = s.fleet.operator_call("GET", "/v1/assignments?wait_ms=4500&after=" + v, "");
-    s.want(next.status == 200 && s.world.now() - from >= Duration(1000), "a watch missed a change");
+    from = scene.world.now();
+    auto next = scene.fleet.operator_call("GET", "/v1/assignments?wait_ms=4500&after=" + v, "");
+    scene.require(next.status == 200 && scene.world.now() - from >= Duration(1000),
+                  "a watch missed a change");
   };
 }
 
 // A split that leaves the duty's holder on the small side: it stops before its
 // read_lease ends, and the other side goes on.
-void split_duty(Scene& s) {
-  s.length = Duration(90000);
-  s.must_meet = {"cut"};
-  s.story = [&s] {
-    if (!begin(s, 40)) return;
-    put(s, "second", sim_layout("\"1\"", 3));
+void split_duty(Scene& scene) {
+  scene.duration = Duration(90000);
+  scene.required_faults = {"cut"};
+  scene.script = [&scene] {
+    if (!start_traffic(scene, 40)) return;
+    record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
     for (int i = 0; i < 3; ++i) {
-      auto* host = duty_holder(s);
-      if (!host) return s.want(false, "nobody holds the duty");
-      s.fleet.isolate(host->name);
-      bool passed = s.fleet.wait_until(Duration(15000), [&] {
-        auto* n = duty_holder(s);
+      auto* host = leader_host(scene);
+      if (!host) return scene.require(false, "nobody holds the duty");
+      scene.fleet.isolate(host->name);
+      bool passed = scene.fleet.wait_until(Duration(15000), [&] {
+        auto* n = leader_host(scene);
         return n && n != host;
       });
-      s.want(passed, "the leadership did not pass on");
-      s.world.heal_all();
-      s.fleet.sleep(Duration(2000 + s.world.below(3000)));
+      scene.require(passed, "the leadership did not pass on");
+      scene.world.heal_all();
+      scene.fleet.sleep(Duration(2000 + scene.world.below(3000)));
     }
   };
 }
 
 // Each machine in turn is stopped with a warning and started again.
-void rolling_restart(Scene& s) {
-  s.length = Duration(120000);
-  s.story = [&s] {
-    if (!begin(s, 40)) return;
-    auto calls = s.fleet.calls, good = s.fleet.good;
-    for (auto& h : s.fleet.hosts()) {
+void rolling_restart(Scene& scene) {
+  scene.duration = Duration(120000);
+  scene.script = [&scene] {
+    if (!start_traffic(scene, 40)) return;
+    auto calls = scene.fleet.calls, good = scene.fleet.good;
+    for (auto& host : scene.fleet.hosts()) {
       bool gone = false;
-      auto name = h->name;
-      s.world.spawn(h->process, [&gone, n = h->node.get()] {
+      auto name = host->name;
+      scene.world.spawn(host->process, [&gone, n = host->node.get()] {
         n->begin_shutdown();
         gone = true;
       });
-      s.want(s.fleet.wait_until(Duration(5000),
-                                [&] { return gone && h->node->request_handler().running_requests() == 0; }),
-             name + " did not leave within five seconds");
-      s.fleet.kill(name);
-      s.fleet.sleep(Duration(200));
-      s.fleet.start(name);
-      s.want(serves(s, Duration(10000)), name + " did not come back");
+      scene.require(
+          scene.fleet.wait_until(
+              Duration(5000), [&] { return gone && host->node->request_handler().running_requests() == 0; }),
+          name + " did not leave within five seconds");
+      scene.fleet.kill(name);
+      scene.fleet.sleep(Duration(200));
+      scene.fleet.start(name);
+      scene.require(await_all_ready(scene, Duration(10000)), name + " did not come back");
     }
-    calls = s.fleet.calls - calls;
-    good = s.fleet.good - good;
-    s.figures = {{"restart_calls", calls}, {"restart_not_good", calls - good}};
-    s.want(good * 100 >= calls * 99, fmt::format("only {} of {} calls went well", good, calls));
+    calls = scene.fleet.calls - calls;
+    good = scene.fleet.good - good;
+    scene.figures = {{"restart_calls", calls}, {"restart_not_good", calls - good}};
+    scene.require(good * 100 >= calls * 99, fmt::format("only {} of {} calls went well", good, calls));
   };
 }
 }  // namespace
 
-NamedCases rollout_stories() {
+NamedCases rollout_scenarios() {
   return {{"duty_dies", duty_dies},
-          {"bad_release_one", [](Scene& s) { bad_release_in(s, "ONE"); }},
-          {"bad_release_two", [](Scene& s) { bad_release_in(s, "TWO"); }},
-          {"bad_release_three", [](Scene& s) { bad_release_in(s, "THREE"); }},
+          {"bad_release_one", [](Scene& scene) { bad_release_in(scene, "ONE"); }},
+          {"bad_release_two", [](Scene& scene) { bad_release_in(scene, "TWO"); }},
+          {"bad_release_three", [](Scene& scene) { bad_release_in(scene, "THREE"); }},
           {"version_by_layout", version_by_layout},
           {"quiet_hours", quiet_hours},
           {"old_layout", old_layout},
-          {"blind_beats_one", [](Scene& s) { blind_release_in(s, "ONE", "beats"); }},
-          {"blind_beats_two", [](Scene& s) { blind_release_in(s, "TWO", "beats"); }},
-          {"blind_beats_three", [](Scene& s) { blind_release_in(s, "THREE", "beats"); }},
-          {"blind_reach_one", [](Scene& s) { blind_release_in(s, "ONE", "reach"); }},
-          {"blind_reach_two", [](Scene& s) { blind_release_in(s, "TWO", "reach"); }},
-          {"blind_reach_three", [](Scene& s) { blind_release_in(s, "THREE", "reach"); }},
+          {"blind_beats_one", [](Scene& scene) { blind_release_in(scene, "ONE", "beats"); }},
+          {"blind_beats_two", [](Scene& scene) { blind_release_in(scene, "TWO", "beats"); }},
+          {"blind_beats_three", [](Scene& scene) { blind_release_in(scene, "THREE", "beats"); }},
+          {"blind_reach_one", [](Scene& scene) { blind_release_in(scene, "ONE", "reach"); }},
+          {"blind_reach_two", [](Scene& scene) { blind_release_in(scene, "TWO", "reach"); }},
+          {"blind_reach_three", [](Scene& scene) { blind_release_in(scene, "THREE", "reach"); }},
           {"too_little", too_little},
           {"races", races},
           {"operators_race", operators_race},
--- a/test/scenarios/sim_cases.hpp
+++ b/test/scenarios/sim_cases.hpp
@@ -8,24 +8,24 @@
 namespace dunlinwing::test {
 
 struct SimFigures {
-  std::map<std::string, uint64_t> n;
-  std::set<std::string> must;  // faults that the seeds together have to have met
+  std::map<std::string, uint64_t> counts;
+  std::set<std::string> required_faults;  // faults that the seeds together have to have met
 };
 
 struct Scene {
   simulation::World& world;
   simulation::Fleet& fleet;
-  std::string only;             // the relay that all callers go to; empty: any that is ready
-  std::function<void()> story;  // a fiber of the outside world
-  Duration length{60000};
-  bool story_done = false;
-  std::string why;  // set when something was not seen
+  std::string only_node;         // the relay that all callers go to; empty: any that is ready
+  std::function<void()> script;  // a fiber of the outside world
+  Duration duration{60000};
+  bool script_done = false;
+  std::string failure;  // set when something was not seen
   std::map<std::string, uint64_t> figures;
-  Duration away_within{
+  Duration reject_within{
       0};  // no request may be turned away later than so long after it came; 0: not looked at
-  std::vector<std::string> must_meet;  // faults that the run has to have met
-  void want(bool ok, const std::string& what) {
-    if (!ok && why.empty()) why = what;
+  std::vector<std::string> required_faults;  // faults that the run has to have met
+  void require(bool ok, const std::string& what) {
+    if (!ok && failure.empty()) failure = what;
   }
 };
 
@@ -39,7 +39,7 @@
       : set_up(f), spares(sp), shape(std::move(sh)) {}
 };
 const std::map<std::string, SimCase>& sim_cases();
-void run_sim(const SimCase& c, const simulation::FleetShape& shape, uint64_t seed, SimFigures& sum,
+void run_sim(const SimCase& sim_case, const simulation::FleetShape& shape, uint64_t seed, SimFigures& sum,
              const std::string& journal);
 
 }  // namespace dunlinwing::test
--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -40,82 +40,83 @@
 
   void look() {
     if (!broken.empty()) return;
-    int holders = 0;
-    for (auto& h : fleet.hosts()) {
-      if (!h->up()) continue;
-      auto* n = h->node.get();
-      auto& [who, gen] = shown[h->name];
+    int replicas = 0;
+    for (auto& host : fleet.hosts()) {
+      if (!host->up()) continue;
+      auto* n = host->node.get();
+      auto& [who, gen] = shown[host->name];
       if (who != n) {
         who = n;
         gen = 0;
       }
-      if (n->generation() < gen) broken = h->name + " fell back to a lower generation";
+      if (n->generation() < gen) broken = host->name + " fell back to a lower generation";
       gen = n->generation();
       auto& set = n->registers().set();
-      if (set.epoch() && set.epoch() != seat[h->name]) {
-        seat[h->name] = set.epoch();
+      if (set.epoch() && set.epoch() != seat[host->name]) {
+        seat[host->name] = set.epoch();
         auto text = set.message().SerializeAsString();
         auto [at, fresh] = sets.emplace(set.epoch(), text);
         if (!fresh && at->second != text)
-          broken = fmt::format("two sets of holders under epoch {}, one of them at {}", set.epoch(), h->name);
+          broken =
+              fmt::format("two sets of holders under epoch {}, one of them at {}", set.epoch(), host->name);
       }
-      holders += n->leadership().held();
+      replicas += n->leadership().held();
     }
-    if (holders > 1) broken = "two nodes hold the rollout duty";
+    if (replicas > 1) broken = "two nodes hold the rollout duty";
   }
 };
 }  // namespace
 
-void run_sim(const SimCase& c, const simulation::FleetShape& sh, uint64_t seed, SimFigures& sum,
+void run_sim(const SimCase& sim_case, const simulation::FleetShape& sh, uint64_t seed, SimFigures& sum,
              const std::string& journal) {
-  simulation::World w(seed);
+  simulation::World world(seed);
   auto shape = sh;
-  shape.spares = c.spares;
-  if (c.shape) c.shape(shape);
-  simulation::Fleet f(w, shape);
-  Scene s{w, f, {}};
-  Watch watch{f, {}, {}, {}, {}, {}, {}};
-  w.synced = [&](auto& host, auto& r) { watch.synced(host, r); };
-  c.set_up(s);
-  w.run(
-      w.now() + s.length, [&] { watch.look(); },
+  shape.spares = sim_case.spares;
+  if (sim_case.shape) sim_case.shape(shape);
+  simulation::Fleet fleet(world, shape);
+  Scene scene{world, fleet, {}};
+  Watch watch{fleet, {}, {}, {}, {}, {}, {}};
+  world.synced = [&](auto& host, auto& r) { watch.synced(host, r); };
+  sim_case.set_up(scene);
+  world.run(
+      world.now() + scene.duration, [&] { watch.look(); },
       [&] {
-        f.start_all();
-        f.spawn_outside([&] {
-          s.story();
-          s.story_done = true;
+        fleet.start_all();
+        fleet.spawn_outside([&] {
+          scene.script();
+          scene.script_done = true;
         });
       });
-  bool done = s.story_done;
-  f.end();
-  w.run(w.now() + Duration(20000), nullptr, nullptr);
+  bool done = scene.script_done;
+  fleet.end();
+  world.run(world.now() + Duration(20000), nullptr, nullptr);
   Journals js;
-  for (auto& l : w.journal) js.add(l);
+  for (auto& l : world.journal) js.add(l);
   if (!journal.empty()) {
     std::ofstream o(journal);
-    for (auto& l : w.journal) o << l << "\n";
+    for (auto& l : world.journal) o << l << "\n";
   }
   auto r = check(js);
   for (auto& [k, v] : r.figures)
-    sum.n[k] = k.starts_with("longest") || k.starts_with("rate_top") || k.ends_with("kinds")
-                   ? std::max(sum.n[k], v)
-                   : sum.n[k] + v;
-  for (auto& [k, v] : w.faults_met) sum.n["met_" + k] += v;
-  for (auto& [k, v] : s.figures) sum.n[k] = std::max(sum.n[k], v);
-  sum.n["steps"] += w.steps();
+    sum.counts[k] = k.starts_with("longest") || k.starts_with("rate_top") || k.ends_with("kinds")
+                        ? std::max(sum.counts[k], v)
+                        : sum.counts[k] + v;
+  for (auto& [k, v] : world.faults_met) sum.counts["met_" + k] += v;
+  for (auto& [k, v] : scene.figures) sum.counts[k] = std::max(sum.counts[k], v);
+  sum.counts["steps"] += world.steps();
   expect(watch.broken.empty(), watch.broken);
   if (!r.breaches.empty())
     throw Failed(
         fmt::format("rule {} ({} breaches): {}", r.breaches[0].rule, r.breaches.size(), r.breaches[0].what));
-  expect(s.why.empty(), s.why);
+  expect(scene.failure.empty(), scene.failure);
   auto late = r.figures["longest_not_run_ms"];
-  expect(s.away_within == Duration(0) || Duration(static_cast<int64_t>(late)) <= s.away_within,
+  expect(scene.reject_within == Duration(0) || Duration(static_cast<int64_t>(late)) <= scene.reject_within,
          fmt::format("a request was turned away only after {} ms", late));
   expect(!r.figures["no_retry_after"], "a request was turned away without being told when to come back");
   expect(!r.figures["lost_unexplained"],
          fmt::format("{} requests were lost at relays that nothing befell", r.figures["lost_unexplained"]));
   expect(done, "the story did not come to its end");
-  for (auto& m : s.must_meet) sum.must.insert(m);
+  for (auto& m : scene.required_faults) sum.required_faults.insert(m);
 }
 
 }  // namespace dunlinwing::test
--- a/test/unit/consensus/trace_test.cpp
+++ b/test/unit/consensus/trace_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using consensus::VersionedValue;
-using Kind = MessageKind;
+using FaultKind = MessageKind;
 
 constexpr const char* kRegister = "r";
 constexpr Duration kPullSpan = kStalenessBound / 8;
@@ -18,7 +18,7 @@
 // The seed decides which replica a pull asks first, alone.
 constexpr uint64_t kSeeds = 8;
 
-void play(const std::function<void(ConsensusHarness&)>& script) {
+void play_day(const std::function<void(ConsensusHarness&)>& script) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     ConsensusHarness harness(seed);
     harness.run([&] { script(harness); });
@@ -86,30 +86,30 @@
 // chosen, and A copies it in a refill, below a promise of its own.
 void copy_an_unchosen_value(ConsensusHarness& harness) {
   auto first = start_write(harness, "P1", "one");
-  harness.deliver({"P1", "A", Kind::prepare});
-  harness.deliver({"P1", "B", Kind::prepare});
+  harness.deliver({"P1", "A", FaultKind::prepare});
+  harness.deliver({"P1", "B", FaultKind::prepare});
   auto second = start_write(harness, "P2", "two");
-  harness.deliver({"P2", "C", Kind::prepare});
-  harness.deliver({"P2", "A", Kind::prepare});
-  harness.deliver({"P1", "B", Kind::accept});
-  harness.await_sent({"P2", "C", Kind::accept});
+  harness.deliver({"P2", "C", FaultKind::prepare});
+  harness.deliver({"P2", "A", FaultKind::prepare});
+  harness.deliver({"P1", "B", FaultKind::accept});
+  harness.await_sent({"P2", "C", FaultKind::accept});
   harness.crash("P1");
   harness.crash("P2");
   harness.lose_disk("A");
-  harness.deliver({"A", "B", Kind::dump});
-  harness.deliver({"A", "C", Kind::dump});
+  harness.deliver({"A", "B", FaultKind::dump});
+  harness.deliver({"A", "C", FaultKind::dump});
   await_voting(harness, "A");
-  harness.deliver({"P2", "C", Kind::accept});
+  harness.deliver({"P2", "C", FaultKind::accept});
 }
 
 void read_counts_no_copy() {
-  play([](ConsensusHarness& harness) {
+  play_day([](ConsensusHarness& harness) {
     three_replicas(harness);
     copy_an_unchosen_value(harness);
     auto read = start_read(harness, "R");
-    harness.deliver({"R", "B", Kind::peek});
-    harness.deliver({"P2", "B", Kind::accept});  // with C a quorum: "two" is chosen
-    harness.deliver({"R", "A", Kind::peek});
+    harness.deliver({"R", "B", FaultKind::peek});
+    harness.deliver({"P2", "B", FaultKind::accept});  // with C a quorum: "two" is chosen
+    harness.deliver({"R", "A", FaultKind::peek});
     harness.rule({"R"}, Fate::deliver);
     auto found = value_of(harness.result(read, "the read"), "the read of R");
     same(found.data, std::string("two"), "what the read returned");
@@ -118,18 +118,18 @@
 }
 
 void pull_counts_no_copy() {
-  play([](ConsensusHarness& harness) {
+  play_day([](ConsensusHarness& harness) {
     three_replicas(harness);
     warm_up(harness, "R");
     copy_an_unchosen_value(harness);
-    harness.rule({"R", "", Kind::pull}, Fate::deliver);
-    harness.rule({"R", "C", Kind::pull}, Fate::refuse);
+    harness.rule({"R", "", FaultKind::pull}, Fate::deliver);
+    harness.rule({"R", "C", FaultKind::pull}, Fate::refuse);
     auto pull = start_pull(harness, "R");
-    harness.wait_until([&] { return pull->result || harness.held({"R", "", Kind::peek}); }, "the pull");
-    harness.deliver({"P2", "B", Kind::accept});
-    harness.rule({"R", "", Kind::peek}, Fate::deliver);
-    harness.rule({"R", "", Kind::prepare}, Fate::deliver);
-    harness.rule({"R", "", Kind::accept}, Fate::deliver);
+    harness.wait_until([&] { return pull->result || harness.held({"R", "", FaultKind::peek}); }, "the pull");
+    harness.deliver({"P2", "B", FaultKind::accept});
+    harness.rule({"R", "", FaultKind::peek}, Fate::deliver);
+    harness.rule({"R", "", FaultKind::prepare}, Fate::deliver);
+    harness.rule({"R", "", FaultKind::accept}, Fate::deliver);
     expect(harness.result(pull, "the pull"), "the pull is good");
     same_value(pulled(harness, "R"), read_now(harness, "S", ""));
   });
@@ -138,30 +138,30 @@
 // Steps 1 to 4 of the trace "without old_replies_of_reads": A and B have promised, C accepts.
 void accept_at_one(ConsensusHarness& harness) {
   auto write = start_write(harness, "P1", "one");
-  harness.deliver({"P1", "A", Kind::prepare});
-  harness.deliver({"P1", "B", Kind::prepare});
-  harness.deliver({"P1", "C", Kind::accept});
+  harness.deliver({"P1", "A", FaultKind::prepare});
+  harness.deliver({"P1", "B", FaultKind::prepare});
+  harness.deliver({"P1", "C", FaultKind::accept});
   harness.crash("P1");
 }
 
 // Steps 7 to 11: C loses the accepted value with its disk, and A accepts it after its dump.
 void lose_the_one_and_accept_at_another(ConsensusHarness& harness) {
   harness.lose_disk("C");
-  harness.deliver({"C", "A", Kind::dump});
-  harness.deliver({"P1", "A", Kind::accept});
-  harness.deliver({"C", "B", Kind::dump});
+  harness.deliver({"C", "A", FaultKind::dump});
+  harness.deliver({"P1", "A", FaultKind::accept});
+  harness.deliver({"C", "B", FaultKind::dump});
   await_voting(harness, "C");
 }
 
 void read_counts_no_old_reply() {
-  play([](ConsensusHarness& harness) {
+  play_day([](ConsensusHarness& harness) {
     three_replicas(harness);
     accept_at_one(harness);
     auto read = start_read(harness, "R");
-    harness.deliver({"R", "C", Kind::peek});
+    harness.deliver({"R", "C", FaultKind::peek});
     harness.stall("R");
     lose_the_one_and_accept_at_another(harness);
-    harness.deliver({"R", "A", Kind::peek});
+    harness.deliver({"R", "A", FaultKind::peek});
     harness.wake("R");
     harness.rule({"R"}, Fate::deliver);
     auto found = value_of(harness.result(read, "the read"), "the read of R");
@@ -174,41 +174,42 @@
   three_replicas(harness);
   warm_up(harness, "R");
   accept_at_one(harness);
-  harness.rule({"R", "", Kind::pull}, Fate::deliver);
-  harness.rule({"R", "A", Kind::pull}, silence);
-  for (auto kind : {Kind::peek, Kind::prepare, Kind::accept}) harness.rule({"R", "", kind}, Fate::refuse);
+  harness.rule({"R", "", FaultKind::pull}, Fate::deliver);
+  harness.rule({"R", "A", FaultKind::pull}, silence);
+  for (auto kind : {FaultKind::peek, FaultKind::prepare, FaultKind::accept})
+    harness.rule({"R", "", kind}, Fate::refuse);
   auto early = start_pull(harness, "R");
   harness.sleep(kPullSpan / 4 + Duration(4));  // all but A have answered, whoever was asked first
   lose_the_one_and_accept_at_another(harness);
   expect(!harness.result(early, "the first pull"), "the first pull settles nothing");
   harness.rule({"R"}, Fate::deliver);
-  harness.rule({"R", "C", Kind::pull}, Fate::refuse);
+  harness.rule({"R", "C", FaultKind::pull}, Fate::refuse);
   expect(harness.result(start_pull(harness, "R"), "the second pull"), "the second pull is good");
   same_value(pulled(harness, "R"), read_now(harness, "S", "A"));
 }
 
 void pull_counts_no_reply_of_an_earlier_one() {
-  play([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::refuse); });
+  play_day([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::refuse); });
 }
 
 // The early pull waits for A until its time is up, long after C answered.
 void age_of_a_reply_runs_from_the_ask() {
-  play([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::drop); });
+  play_day([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::drop); });
 }
 
 // The pull's node stands still between the replies of C and A to one pull.
 void pull_counts_no_old_reply() {
-  play([](ConsensusHarness& harness) {
+  play_day([](ConsensusHarness& harness) {
     three_replicas(harness);
     warm_up(harness, "R");
     accept_at_one(harness);
-    harness.rule({"R", "B", Kind::pull}, Fate::deliver);
-    harness.rule({"R", "C", Kind::pull}, Fate::deliver);
+    harness.rule({"R", "B", FaultKind::pull}, Fate::deliver);
+    harness.rule({"R", "C", FaultKind::pull}, Fate::deliver);
     auto pull = start_pull(harness, "R");
     harness.sleep(kPullSpan / 4 + Duration(4));
     harness.stall("R");
     lose_the_one_and_accept_at_another(harness);
-    harness.rule({"R", "A", Kind::pull}, Fate::deliver);
+    harness.rule({"R", "A", FaultKind::pull}, Fate::deliver);
     harness.sleep(Duration(5));
     harness.wake("R");
     harness.rule({"R"}, Fate::deliver);
@@ -220,9 +221,9 @@
 // Has P1 begin the change from A, B, C to A, B, D; A and B have voted for the joint set, and
 // nobody has adopted it.
 void vote_for_joint_set(ConsensusHarness& harness) {
-  harness.rule({"P1", "", Kind::adopt}, Fate::refuse);
+  harness.rule({"P1", "", FaultKind::adopt}, Fate::refuse);
   harness.rule({"P1", "C"}, Fate::refuse);
-  for (auto kind : {Kind::peek, Kind::prepare, Kind::accept}) {
+  for (auto kind : {FaultKind::peek, FaultKind::prepare, FaultKind::accept}) {
     harness.rule({"P1", "A", kind}, Fate::deliver);
     harness.rule({"P1", "B", kind}, Fate::deliver);
   }
@@ -231,7 +232,7 @@
   });
   auto begun = harness.result(begin, "the joint set");
   expect(std::holds_alternative<pb::ReplicaSet>(begun), "the joint set is written");
-  harness.rule({"P1", "", Kind::adopt}, Fate::hold);
+  harness.rule({"P1", "", FaultKind::adopt}, Fate::hold);
 }
 
 auto start_finish(ConsensusHarness& harness) {
@@ -247,37 +248,37 @@
 
 // C does not adopt the joint set, and B does not answer the pull of names.
 void let_change_go_on(ConsensusHarness& harness) {
-  harness.rule({"P1", "C", Kind::adopt}, Fate::refuse);  // also the one that is held
-  for (auto kind : {Kind::pull, Kind::peek, Kind::prepare, Kind::accept})
+  harness.rule({"P1", "C", FaultKind::adopt}, Fate::refuse);  // also the one that is held
+  for (auto kind : {FaultKind::pull, FaultKind::peek, FaultKind::prepare, FaultKind::accept})
     harness.rule({"P1", "", kind}, Fate::deliver);
-  harness.rule({"P1", "B", Kind::pull}, Fate::refuse);
-  harness.rule({"P1", "C", Kind::peek}, Fate::refuse);
+  harness.rule({"P1", "B", FaultKind::pull}, Fate::refuse);
+  harness.rule({"P1", "C", FaultKind::peek}, Fate::refuse);
 }
 
 // The trace "without names_from_adopters". C, which has not adopted the joint set, answers the
 // pull of names and then completes a quorum of the first set.
 void names_come_from_adopters() {
-  play([](ConsensusHarness& harness) {
+  play_day([](ConsensusHarness& harness) {
     three_replicas(harness);
     harness.add_blank_replica("D");
     warm_up(harness, "P1");
     harness.sleep(kRoundLimit * 2);  // D, being blank, has waited
     vote_for_joint_set(harness);
     auto finish = start_finish(harness);
-    harness.deliver({"P1", "A", Kind::adopt});
-    harness.deliver({"P1", "D", Kind::adopt});
+    harness.deliver({"P1", "A", FaultKind::adopt});
+    harness.deliver({"P1", "D", FaultKind::adopt});
     auto write = start_write(harness, "P2", "one");
-    harness.deliver({"P2", "B", Kind::prepare});
-    harness.deliver({"P2", "C", Kind::prepare});
-    harness.deliver({"P2", "B", Kind::accept});
-    harness.deliver({"P1", "B", Kind::adopt});
-    harness.rule({"D", "B", Kind::dump}, Fate::refuse);
-    harness.deliver({"D", "A", Kind::dump});
-    harness.deliver({"D", "C", Kind::dump});
+    harness.deliver({"P2", "B", FaultKind::prepare});
+    harness.deliver({"P2", "C", FaultKind::prepare});
+    harness.deliver({"P2", "B", FaultKind::accept});
+    harness.deliver({"P1", "B", FaultKind::adopt});
+    harness.rule({"D", "B", FaultKind::dump}, Fate::refuse);
+    harness.deliver({"D", "A", FaultKind::dump});
+    harness.deliver({"D", "C", FaultKind::dump});
     await_voting(harness, "D");
     let_change_go_on(harness);
     auto finished = harness.result(finish, "the end of the change");
-    harness.deliver({"P2", "C", Kind::accept});
+    harness.deliver({"P2", "C", FaultKind::accept});
     auto written = harness.result(write, "the write");
     expect(std::holds_alternative<VersionedValue>(written), "the write is acknowledged");
     if (!std::holds_alternative<pb::ReplicaSet>(finished)) {
--- a/test/unit/node/settings_test.cpp
+++ b/test/unit/node/settings_test.cpp
@@ -80,7 +80,8 @@
        [] { documented(node::settings_schema(), "settings.md"); }},
       {"layout: its page holds every key",
        [] { documented(config::routing_configuration_schema(), "configuration.md"); }},
-      {"system: its page holds every key", [] { documented(config::system_options_schema(), "configuration.md"); }},
+      {"system: its page holds every key",
+       [] { documented(config::system_options_schema(), "configuration.md"); }},
       {"wire: an older reader passes over what is new", older_peer},
       {"config: every defect is named by its place",
        [] {
--- a/test/unit/platform/translation_test.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -40,14 +40,14 @@
   same(g.asked[0].body, want.body, target);
 }
 
-config::RoutingConfigurationResult read(const Page& p) {
+config::RoutingConfigurationResult read(const OperatorConfiguration& p) {
   auto l = std::get<platform::TranslatedConfiguration>(platform::translate_configuration(p.text()));
   same(l.number, p.revision, "the number");
   return config::parse_routing_configuration("x", l.document);
 }
 
 void fields() {
-  auto g = read(first_page(590));
+  auto g = read(first_configuration(590));
   auto* l = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&g);
   expect(l, "the first page is valid");
   bool other = false;
@@ -74,7 +74,7 @@
 }
 
 void invalid() {
-  for (auto& [what, text] : invalid_texts(first_page(), 9)) {
+  for (auto& [what, text] : invalid_texts(first_configuration(), 9)) {
     Gate g;
     g.says = {422, {}, "{}"};
     auto st = g.call("PUT", "/configuration", text).status;
@@ -88,7 +88,7 @@
 }
 
 void configuration() {
-  auto p = first_page();
+  auto p = first_configuration();
   Gate g;
   same(g.call("PUT", "/configuration", p.text()).status, 200, "put");
   same(g.asked[0].target, std::string("/v1/layouts/3"), "its number");
@@ -110,7 +110,7 @@
   same(g.call("POST", "/configuration", p.text()).status, 405, "another method");
 }
 
-void calls() {
+void with_traffic() {
   passed(
       "PUT", "/instances/i-1",
       R"({"backend":"b","address":"10.0.0.1:80","zone":"z","revision":"v1","slots":32,"state":"ready","cold-remaining-s":1.25,"call-seq":4})",
@@ -262,7 +262,7 @@
   return {{"platform: a configuration's fields", fields},
           {"platform: each invalid form is refused", invalid},
           {"platform: a configuration goes in and comes back as it was", configuration},
-          {"platform: beats, ends, rollouts, purges and readiness", calls},
+          {"platform: beats, ends, rollouts, purges and readiness", with_traffic},
           {"platform: other paths are the product's own", others},
           {"platform: what a worker's answer is", looks},
           {"platform: requests are dressed", requests},
