--- /dev/null
+++ b/src/control_api/api_context.hpp
@@ -0,0 +1,24 @@
+/// @file
+/// What every handler of the control API works with, and the form of a handler.
+///
+/// Threads: handlers run in fibers of the thread that runs the node's control; each may wait.
+#pragma once
+#include "control_api/api_request.hpp"
+#include "node/node.hpp"
+
+namespace dunlinwing::control_api {
+
+class PurgeWriter;
+
+/// Outlives every request.
+struct ApiContext {
+  base::Ports& ports;
+  node::Node& node;
+  PurgeWriter& purge_writer;
+};
+
+/// Answers one request whose path matched the handler's route (control_api/router.cpp): the path has just
+/// the segments of the route's pattern.
+using Handler = base::Response (*)(const ApiContext& context, const ApiRequest& request);
+
+}  // namespace dunlinwing::control_api
--- a/src/control_api/api_request.cpp
+++ b/src/control_api/api_request.cpp
@@ -1,4 +1,3 @@
-// Paths, queries, ETags and error responses.
 #include "control_api/api_request.hpp"
 
 #include <fmt/format.h>
@@ -8,82 +7,88 @@
 
 namespace dunlinwing::control_api {
 namespace {
-constexpr const char* kComeBackSeconds = "1";
-
-int hex_digit(char c) {
-  if (c >= '0' && c <= '9') return c - '0';
-  if (c >= 'a' && c <= 'f') return c - 'a' + 10;
-  if (c >= 'A' && c <= 'F') return c - 'A' + 10;
+constexpr const char* kRetryAfterSeconds = "1";
+constexpr int kHexadecimal = 16;
+
+/// The value of a hexadecimal digit, or -1.
+int hex_digit(char digit) {
+  if (digit >= '0' && digit <= '9') return digit - '0';
+  if (digit >= 'a' && digit <= 'f') return digit - 'a' + 10;
+  if (digit >= 'A' && digit <= 'F') return digit - 'A' + 10;
   return -1;
 }
 
+/// Percent-decoding. What is no complete escape stays as it is.
 std::string decode(std::string_view text) {
-  std::string out;
+  std::string decoded;
   for (size_t i = 0; i < text.size(); ++i) {
     bool escaped = text[i] == '%' && i + 2 < text.size();
     if (escaped && hex_digit(text[i + 1]) >= 0 && hex_digit(text[i + 2]) >= 0) {
-      out += static_cast<char>(hex_digit(text[i + 1]) * 16 + hex_digit(text[i + 2]));
+      decoded += static_cast<char>(hex_digit(text[i + 1]) * kHexadecimal + hex_digit(text[i + 2]));
       i += 2;
     } else {
-      out += text[i];
+      decoded += text[i];
     }
   }
-  return out;
+  return decoded;
 }
 
+/// Empty segments are left out.
 std::vector<std::string> path_segments(std::string_view path) {
-  std::vector<std::string> out;
-  for (size_t i = 1; i <= path.size();) {
-    auto end = std::min(path.find('/', i), path.size());
-    if (end > i) out.push_back(decode(path.substr(i, end - i)));
-    i = end + 1;
+  std::vector<std::string> segments;
+  for (size_t at = 1; at <= path.size();) {
+    auto end = std::min(path.find('/', at), path.size());
+    if (end > at) segments.push_back(decode(path.substr(at, end - at)));
+    at = end + 1;
   }
-  return out;
+  return segments;
 }
 
 std::map<std::string, std::string> query_parameters(std::string_view query) {
-  std::map<std::string, std::string> out;
-  for (size_t i = 0; i <= query.size();) {
-    auto end = std::min(query.find('&', i), query.size());
-    auto one = query.substr(i, end - i);
-    auto equals = std::min(one.find('='), one.size());
-    if (!one.empty())
-      out[decode(one.substr(0, equals))] = decode(equals < one.size() ? one.substr(equals + 1) : "");
-    i = end + 1;
+  std::map<std::string, std::string> parameters;
+  for (size_t at = 0; at <= query.size();) {
+    auto end = std::min(query.find('&', at), query.size());
+    auto parameter = query.substr(at, end - at);
+    auto equals = std::min(parameter.find('='), parameter.size());
+    if (!parameter.empty())
+      parameters[decode(parameter.substr(0, equals))] =
+          decode(equals < parameter.size() ? parameter.substr(equals + 1) : "");
+    at = end + 1;
   }
-  return out;
+  return parameters;
 }
 }  // namespace
 
-ApiRequest parse_request(base::Request& request) {
-  std::string_view target = request.target;
-  auto mark = target.find('?');
-  ApiRequest call{request, path_segments(target.substr(0, mark)), {}};
-  if (mark != target.npos) call.query = query_parameters(target.substr(mark + 1));
-  return call;
+ApiRequest parse_request(const base::Request& http) {
+  std::string_view target = http.target;
+  auto question_mark = target.find('?');
+  ApiRequest request{http, path_segments(target.substr(0, question_mark)), {}};
+  if (question_mark != std::string_view::npos)
+    request.query = query_parameters(target.substr(question_mark + 1));
+  return request;
 }
 
 base::Response json_response(int status, std::string body, std::optional<uint64_t> version) {
   base::Response response{
       status, {{"Content-Type", "application/json"}, {"Cache-Control", "no-store"}}, std::move(body)};
   if (version) response.headers.emplace_back("ETag", fmt::format("\"{}\"", *version));
-  if (status == 503) response.headers.emplace_back("Retry-After", kComeBackSeconds);
+  if (status == 503) response.headers.emplace_back("Retry-After", kRetryAfterSeconds);
   if (!response.body.empty() && response.body.back() != '\n') response.body += '\n';
   return response;
 }
 
-base::Response error_response(int status, const std::string& why, std::optional<uint64_t> version) {
-  return json_response(status, fmt::format("{{\"defect\":{}}}", base::quote(why)), version);
+base::Response error_response(int status, const std::string& reason, std::optional<uint64_t> version) {
+  return json_response(status, fmt::format("{{\"defect\":{}}}", base::quote(reason)), version);
 }
 
 base::Response validation_errors(const std::vector<base::ValidationError>& errors) {
-  std::string list;
-  for (auto& error : errors)
-    list += fmt::format("{}{{\"at\":{},\"what\":{}}}", list.empty() ? "" : ",", base::quote(error.pointer),
-                        base::quote(error.message));
+  std::vector<std::string> list;
+  for (const auto& error : errors)
+    list.push_back(
+        fmt::format("{{\"at\":{},\"what\":{}}}", base::quote(error.pointer), base::quote(error.message)));
   return json_response(
-      422, fmt::format("{{\"defect\":\"the document is not valid; nothing was recorded\",\"defects\":[{}]}}",
-                       list));
+      422, fmt::format(R"({{"defect":"the document is not valid; nothing was recorded","defects":[{}]}})",
+                       fmt::join(list, ",")));
 }
 
 base::Response outcome_unknown() {
@@ -94,7 +99,7 @@
 
 std::variant<base::Json, base::Response> parse_body(const std::string& body, const base::Schema& schema) {
   auto parsed = base::Json::parse(body);
-  if (auto* error = std::get_if<base::ValidationError>(&parsed)) return validation_errors({*error});
+  if (const auto* error = std::get_if<base::ValidationError>(&parsed)) return validation_errors({*error});
   auto& json = std::get<base::Json>(parsed);
   auto errors = schema.check(json);
   if (!errors.empty()) return validation_errors(errors);
@@ -105,25 +110,24 @@
   google::protobuf::util::JsonPrintOptions options;
   options.always_print_primitive_fields = true;
   options.preserve_proto_field_names = false;  // json_name in proto/wire.proto pins the names
-  std::string out;
-  if (!google::protobuf::util::MessageToJsonString(message, &out, options).ok()) return "{}";
-  return out;
+  std::string json;
+  if (!google::protobuf::util::MessageToJsonString(message, &json, options).ok()) return "{}";
+  return json;
 }
 
-std::optional<base::Response> check_precondition(const base::Request& request, uint64_t version) {
+std::optional<base::Response> check_precondition(const base::Request& http, uint64_t version) {
   auto tag = fmt::format("\"{}\"", version);
-  auto match = base::header(request.headers, "If-Match");
-  auto none_match = base::header(request.headers, "If-None-Match");
+  auto match = base::header(http.headers, "If-Match");
+  auto none_match = base::header(http.headers, "If-None-Match");
   bool matches = match.empty() || match == tag || (match == "*" && version > 0);
   bool excluded = !none_match.empty() && (none_match == tag || (none_match == "*" && version > 0));
   if (matches && !excluded) return {};
   return json_response(
-      412, fmt::format("{{\"defect\":\"the version in force is another\",\"version\":{}}}", version),
-      version);
+      412, fmt::format(R"({{"defect":"the version in force is another","version":{}}})", version), version);
 }
 
-bool may_be_own_write(const base::Request& request, uint64_t version) {
-  return !check_precondition(request, version) || !check_precondition(request, version - 1);
+bool may_be_own_write(const base::Request& http, uint64_t version) {
+  return !check_precondition(http, version) || !check_precondition(http, version - 1);
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/artifact_chunks.cpp
+++ b/src/control_api/artifact_chunks.cpp
@@ -1,5 +1,5 @@
-// Which artifacts there are is known from the recorded releases. One that is not known is
-// looked for again after a pull, since its release may have been recorded a moment ago.
+// Which artifacts exist is known from the recorded releases. One that is unknown is looked up
+// again after a pull, since its release may have been recorded a moment ago.
 #include "control_api/artifact_chunks.hpp"
 
 #include <fmt/format.h>
@@ -10,13 +10,15 @@
 
 namespace dunlinwing::control_api {
 namespace {
-using PieceResult = std::variant<pb::ArtifactChunkResponse, software::ChunkError>;
+using Progress = software::Artifacts::Progress;
 
-base::Response piece_response(const PieceResult& result) {
-  if (auto* piece = std::get_if<pb::ArtifactChunkResponse>(&result))
+base::Response no_artifact_storage() { return error_response(503, "this node takes no artifacts"); }
+
+base::Response progress_response(const Progress& progress) {
+  if (const auto* stored = std::get_if<pb::ArtifactChunkResponse>(&progress))
     return json_response(200,
-                         fmt::format(R"({{"held":{},"whole":{}}})", piece->received(), piece->complete()));
-  switch (std::get<software::ChunkError>(result)) {
+                         fmt::format(R"({{"held":{},"whole":{}}})", stored->received(), stored->complete()));
+  switch (std::get<software::ChunkError>(progress)) {
     case software::ChunkError::unknown_artifact:
       return error_response(404, "no recorded software release names this digest");
     case software::ChunkError::gap:
@@ -26,36 +28,43 @@
   }
 }
 
-bool unknown(const PieceResult& result) {
-  auto* error = std::get_if<software::ChunkError>(&result);
+bool is_unknown_artifact(const Progress& progress) {
+  const auto* error = std::get_if<software::ChunkError>(&progress);
   return error && *error == software::ChunkError::unknown_artifact;
 }
-}  // namespace
 
-base::Response put_artifact_chunk(node::Node& node, ApiRequest& call) {
-  auto* artifacts = node.artifacts();
-  if (!artifacts) return error_response(503, "this node takes no artifacts");
+/// The offset that the query states, 0 where it states none; nothing when it is no number.
+std::optional<uint64_t> parse_offset(const ApiRequest& request) {
+  auto found = request.query.find("offset");
+  if (found == request.query.end()) return 0;
   uint64_t offset = 0;
-  if (auto f = call.query.find("offset"); f != call.query.end()) {
-    auto& text = f->second;
-    if (std::from_chars(text.data(), text.data() + text.size(), offset).ec != std::errc())
-      return error_response(422, "offset is no number");
-  }
-  auto& body = call.request.body;
-  if (body.empty() || body.size() > software::kChunkBytes)
+  const auto& text = found->second;
+  if (std::from_chars(text.data(), text.data() + text.size(), offset).ec != std::errc()) return {};
+  return offset;
+}
+}  // namespace
+
+base::Response put_artifact_chunk(const ApiContext& context, const ApiRequest& request) {
+  auto* artifacts = context.node.artifacts();
+  if (!artifacts) return no_artifact_storage();
+  auto offset = parse_offset(request);
+  if (!offset) return error_response(422, "offset is no number");
+  const auto& chunk = request.http.body;
+  if (chunk.empty() || chunk.size() > software::kChunkBytes)
     return error_response(413, "a piece has 1 to 1048576 bytes");
-  auto result = artifacts->append(call.path[2], offset, body);
-  if (unknown(result)) {
-    if (auto unheard = await_majority_contact(node)) return *unheard;
-    result = artifacts->append(call.path[2], offset, body);
+  const auto& sha256 = request.path[2];
+  auto progress = artifacts->append(sha256, *offset, chunk);
+  if (is_unknown_artifact(progress)) {
+    if (auto no_majority = await_majority_contact(context.node)) return *no_majority;
+    progress = artifacts->append(sha256, *offset, chunk);
   }
-  return piece_response(result);
+  return progress_response(progress);
 }
 
-base::Response get_artifact(node::Node& node, ApiRequest& call) {
-  auto* artifacts = node.artifacts();
-  if (!artifacts) return error_response(503, "this node takes no artifacts");
-  return piece_response(artifacts->progress(call.path[2]));
+base::Response get_artifact(const ApiContext& context, const ApiRequest& request) {
+  auto* artifacts = context.node.artifacts();
+  if (!artifacts) return no_artifact_storage();
+  return progress_response(artifacts->progress(request.path[2]));
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/drains.cpp
+++ b/src/control_api/drains.cpp
@@ -6,18 +6,19 @@
 
 namespace dunlinwing::control_api {
 
-base::Response put_drain(base::Ports& ports, node::Node& node, ApiRequest& call) {
-  auto &what = call.path[2], &name = call.path[3];
-  if (what != "node" && what != "zone") return error_response(404, "a node or a zone is drained");
-  auto body = parse_body(call.request.body, drain_schema());
-  if (auto* response = std::get_if<base::Response>(&body)) return *response;
-  auto& json = std::get<base::Json>(body);
+base::Response put_drain(const ApiContext& context, const ApiRequest& request) {
+  const auto& scope = request.path[2];
+  const auto& name = request.path[3];
+  if (scope != "node" && scope != "zone") return error_response(404, "a node or a zone is drained");
+  auto body = parse_body(request.http.body, drain_schema());
+  if (auto* invalid = std::get_if<base::Response>(&body)) return *invalid;
+  const auto& json = std::get<base::Json>(body);
   auto edit = [&](pb::Drain& drain) -> std::optional<base::Response> {
     drain.set_drained(json.at("drained").bool_or());
     drain.set_reason(json.at("reason").string_or());
     return {};
   };
-  return change_register<pb::Drain>(ports, node, call, node::drain_key(what, name), edit);
+  return change_register<pb::Drain>(context, request, node::drain_key(scope, name), edit);
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/listings.cpp
+++ b/src/control_api/listings.cpp
@@ -1,77 +1,85 @@
-// Registers that hold one message each are listed by the rest of their names.
 #include "control_api/listings.hpp"
 
 #include <fmt/format.h>
 
-#include "config/release.hpp"
+#include "control_api/known_registers.hpp"
+#include "control_api/purge_writer.hpp"
 #include "membership/deregistered.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
+constexpr std::string_view kDrainPrefix = "drain/";
+
+/// The registers that hold one message each, by the rest of their names.
+/// @param key  under which the response has them
 template <class Message>
-base::Response list_registers(node::Node& node, const std::string& prefix, const char* what) {
-  std::string list;
-  for (auto& [key, held] : node.state_cache().chosen()) {
-    if (!key.starts_with(prefix)) continue;
+base::Response list_registers(node::Node& node, std::string_view prefix, const char* key) {
+  std::vector<std::string> list;
+  for_each_register(node, prefix, [&](const std::string& name, const consensus::VersionedValue& value) {
     Message message;
-    message.ParseFromString(held.data);
-    list += fmt::format("{}{}:{}", list.empty() ? "" : ",", base::quote(key.substr(prefix.size())),
-                        message_json(message));
-  }
-  return json_response(200, fmt::format("{{\"{}\":{{{}}}}}", what, list));
+    message.ParseFromString(value.data);
+    list.push_back(fmt::format("{}:{}", base::quote(name), message_json(message)));
+  });
+  return json_response(200, fmt::format("{{\"{}\":{{{}}}}}", key, fmt::join(list, ",")));
 }
 
-std::string deregistered_names(node::Node& node) {
-  auto& chosen = node.state_cache().chosen();
-  auto found = chosen.find(membership::kDeregisteredKey);
-  std::string list;
-  if (found == chosen.end()) return list;
-  for (auto& instance : membership::read_deregistered(found->second.data))
-    list += (list.empty() ? "" : ",") + base::quote(instance);
-  return list;
+std::vector<std::string> deregistered_names(node::Node& node) {
+  std::vector<std::string> names;
+  auto value = known_register(node, membership::kDeregisteredKey);
+  for (const auto& instance : membership::read_deregistered(value.data))
+    names.push_back(base::quote(instance));
+  return names;
 }
 }  // namespace
 
-base::Response list_nodes(node::Node& node, TimePoint now) {
+base::Response list_nodes(const ApiContext& context, const ApiRequest&) {
+  auto now = context.ports.clock.now();
+  auto& statuses = context.node.state_cache().statuses();
   std::set<std::string> members;
-  for (auto& member : node.state_cache().statuses().members(now)) members.insert(member.name);
-  std::string list;
-  for (auto& known : node.state_cache().statuses().all(now)) {
-    if (known.info.zone().empty()) continue;
-    list += fmt::format(R"({}{{"name":{},"member":{},"age_ms":{},"facts":{}}})", list.empty() ? "" : ",",
-                        base::quote(known.name), members.count(known.name) > 0, known.age.count(),
-                        message_json(known.info));
+  for (auto& member : statuses.members(now)) members.insert(member.name);
+  std::vector<std::string> list;
+  for (auto& known : statuses.all(now)) {
+    if (known.info.zone().empty()) continue;  // nothing but its name was ever reported
+    list.push_back(fmt::format(R"({{"name":{},"member":{},"age_ms":{},"facts":{}}})", base::quote(known.name),
+                               members.count(known.name) > 0, known.age.count(), message_json(known.info)));
   }
-  return json_response(200, "{\"nodes\":[" + list + "]}");
+  return json_response(200, fmt::format("{{\"nodes\":[{}]}}", fmt::join(list, ",")));
 }
 
-base::Response list_instances(node::Node& node, TimePoint now) {
-  std::string list;
-  for (auto& [instance, worker] : node.state_cache().statuses().backend_instances(now)) {
-    list +=
-        fmt::format(R"({}{{"instance":{},"gone":{},"age_ms":{},"beat":{}}})", list.empty() ? "" : ",",
-                    base::quote(instance), worker.gone, worker.age.count(), message_json(worker.heartbeat));
-  }
-  return json_response(200, "{\"workers\":[" + list + "],\"departed\":[" + deregistered_names(node) + "]}");
+base::Response list_instances(const ApiContext& context, const ApiRequest&) {
+  auto instances = context.node.state_cache().statuses().backend_instances(context.ports.clock.now());
+  std::vector<std::string> list;
+  list.reserve(instances.size());
+  for (auto& [name, instance] : instances)
+    list.push_back(fmt::format(R"({{"instance":{},"gone":{},"age_ms":{},"beat":{}}})", base::quote(name),
+                               instance.gone, instance.age.count(), message_json(instance.heartbeat)));
+  return json_response(200, fmt::format(R"({{"workers":[{}],"departed":[{}]}})", fmt::join(list, ","),
+                                        fmt::join(deregistered_names(context.node), ",")));
 }
 
-base::Response list_drains(node::Node& node) { return list_registers<pb::Drain>(node, "drain/", "drains"); }
-base::Response list_purges(node::Node& node) {
-  return list_registers<pb::PurgeSet>(node, "purge/", "purges");
+base::Response list_drains(const ApiContext& context, const ApiRequest&) {
+  return list_registers<pb::Drain>(context.node, kDrainPrefix, "drains");
 }
 
-base::Response get_assignments(node::Node& node) {
-  auto& chosen = node.state_cache().chosen();
-  auto found = chosen.find(rollout::kRolloutKey);
-  uint64_t version = found == chosen.end() ? 0 : found->second.version;
-  return json_response(200, message_json(rollout::read_rollout_state(chosen)), version);
+base::Response list_purges(const ApiContext& context, const ApiRequest&) {
+  return list_registers<pb::PurgeSet>(context.node, kPurgePrefix, "purges");
 }
 
-base::Response get_assignment(node::Node& node, const std::string& name) {
-  auto rollout = rollout::read_rollout_state(node.state_cache().chosen());
-  auto found = rollout.nodes().find(name);
+base::Response get_assignments(const ApiContext& context, const ApiRequest&) {
+  auto version = known_register(context.node, rollout::kRolloutKey).version;
+  return json_response(200, message_json(rollout::read_rollout_state(context.node.state_cache().chosen())),
+                       version);
+}
+
+base::Response get_assignment(const ApiContext& context, const ApiRequest& request) {
+  auto rollout = rollout::read_rollout_state(context.node.state_cache().chosen());
+  auto found = rollout.nodes().find(request.path[2]);
   if (found == rollout.nodes().end()) return error_response(404, "no such node");
   return json_response(200, message_json(found->second), found->second.generation());
 }
 
+base::Response get_leadership(const ApiContext& context, const ApiRequest&) {
+  return json_response(200, "{\"rollout\":" + message_json(context.node.leadership().known_lease()) + "}");
+}
+
 }  // namespace dunlinwing::control_api
--- a/src/control_api/listings.hpp
+++ b/src/control_api/listings.hpp
@@ -1,17 +1,24 @@
-// What is known, as JSON: nodes, workers, drains, purges, assignments. Each is read from
-// what the last good pull brought.
+/// @file
+/// What the fleet's state holds, as JSON: nodes, backend instances, drains, purges, assignments, leases. Each
+/// is read from what the latest good pull brought. Handlers: see Handler in control_api/api_context.hpp.
 #pragma once
-#include "control_api/api_request.hpp"
-#include "node/node.hpp"
+#include "control_api/api_context.hpp"
 
 namespace dunlinwing::control_api {
 
-base::Response list_nodes(node::Node& node, TimePoint now);
-base::Response list_instances(node::Node& node, TimePoint now);
-base::Response list_drains(node::Node& node);
-base::Response list_purges(node::Node& node);
-// GET /v1/assignments and /v1/assignments/NODE
-base::Response get_assignments(node::Node& node);
-base::Response get_assignment(node::Node& node, const std::string& name);
+/// GET /v1/nodes: each node that has reported, whether or not it is a member now.
+base::Response list_nodes(const ApiContext& context, const ApiRequest& request);
+/// GET /v1/workers: backend instances, and those that were deregistered.
+base::Response list_instances(const ApiContext& context, const ApiRequest& request);
+/// GET /v1/drains
+base::Response list_drains(const ApiContext& context, const ApiRequest& request);
+/// GET /v1/purges
+base::Response list_purges(const ApiContext& context, const ApiRequest& request);
+/// GET /v1/assignments: the state of the rollout.
+base::Response get_assignments(const ApiContext& context, const ApiRequest& request);
+/// GET /v1/assignments/NODE
+base::Response get_assignment(const ApiContext& context, const ApiRequest& request);
+/// GET /v1/duties: the lease of the rollout leadership.
+base::Response get_leadership(const ApiContext& context, const ApiRequest& request);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/majority_contact.cpp
+++ b/src/control_api/majority_contact.cpp
@@ -1,12 +1,12 @@
-// A register operation has a time of its own, which is longer than clients wait. It is not
-// broken off, since a vote may be on its way; the client is told in time that its outcome
-// is unknown.
+// A register operation has a time limit of its own, which is longer than clients wait. It is not
+// aborted, since a vote may be on its way; the client is told in time that its outcome is unknown.
 #include "control_api/majority_contact.hpp"
 
 #include <algorithm>
 
 namespace dunlinwing::control_api {
 namespace {
+// Leaves a write the rest of kResponseLimit for its own round.
 constexpr Duration kLongestContact{650};
 constexpr const char* kNoMajority = "no majority of the replicas answers; nothing was recorded";
 }  // namespace
@@ -29,7 +29,7 @@
     std::optional<base::Response> response;
   };
   auto pending = std::make_shared<Pending>(Pending{ports.tasks.condition(), {}});
-  TimePoint end = ports.clock.now() + limit;
+  const TimePoint end = ports.clock.now() + limit;
   ports.tasks.spawn([pending, work = std::move(work)] {
     pending->response = work();
     pending->done->notify();
--- a/src/control_api/metrics.cpp
+++ b/src/control_api/metrics.cpp
@@ -1,86 +1,125 @@
-// Counters are this process's own, since its start.
 #include "control_api/metrics.hpp"
 
 #include <fmt/format.h>
 
-#include "base/json.hpp"
+#include "control_api/status_page.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
-struct Page {
-  std::string out;
-  void head(const char* name, const char* kind, const char* help) {
-    out += fmt::format("# HELP dunlinwing_{} {}\n# TYPE dunlinwing_{} {}\n", name, help, name, kind);
+enum class MetricType { counter, gauge };
+
+/// The text page under construction.
+class MetricsPage {
+ public:
+  /// The heading of a metric whose values follow by labelled().
+  void describe(const char* name, MetricType type, const char* help) {
+    text_ += fmt::format("# HELP dunlinwing_{} {}\n# TYPE dunlinwing_{} {}\n", name, help, name,
+                         type == MetricType::counter ? "counter" : "gauge");
+  }
+
+  template <class Value>
+  void labelled(const char* name, const std::string& labels, Value value) {
+    text_ += fmt::format("dunlinwing_{}{{{}}} {}\n", name, labels, value);
   }
-  template <class V>
-  void one(const char* name, const char* kind, const char* help, V v) {
-    head(name, kind, help);
-    out += fmt::format("dunlinwing_{} {}\n", name, v);
+
+  template <class Value>
+  void counter(const char* name, const char* help, Value value) {
+    single(name, MetricType::counter, help, value);
+  }
+
+  template <class Value>
+  void gauge(const char* name, const char* help, Value value) {
+    single(name, MetricType::gauge, help, value);
   }
+
+  std::string take() { return std::move(text_); }
+
+ private:
+  template <class Value>
+  void single(const char* name, MetricType type, const char* help, Value value) {
+    describe(name, type, help);
+    text_ += fmt::format("dunlinwing_{} {}\n", name, value);
+  }
+
+  std::string text_;
 };
-}  // namespace
 
-std::string metrics(node::Node& node, TimePoint now) {
-  Page p;
-  auto& c = node.request_handler().counters();
-  p.one("requests_total", "counter", "Requests of callers answered.", c.requests.load());
-  p.one("defects_total", "counter", "Answers that count as defects.", c.failures.load());
-  p.one("turned_away_total", "counter", "Requests promised not run.", c.rejected.load());
-  p.one("unknown_total", "counter", "Requests of unknown outcome.", c.unknown.load());
-  p.one("cache_hits_total", "counter", "Requests answered from the cache.", c.cache_hits.load());
-  p.one("cache_fills_total", "counter", "Fetches for the cache.", c.cache_fetches.load());
-  p.one("cache_bytes", "gauge", "Bytes cached.", node.request_handler().cache_bytes());
-  p.one("carried_total", "counter", "Fills asked of a shield.", c.forwarded.load());
-  p.one("repeats_total", "counter", "Repeats granted.", node.request_handler().upstream_client().retries());
-  p.one("ready", "gauge", "1 when the platform may send callers.", node.ready() ? 1 : 0);
-  p.one("generation", "gauge", "The generation in force here.", node.generation());
-  p.one("permit_left_ms", "gauge", "What is left of the read lease.",
-        std::max<int64_t>(0, (node.state_cache().read_lease_end() - now).count()));
-  p.one("duty_held", "gauge", "1 when this node does the rollout leadership.",
-        node.leadership().held() ? 1 : 0);
-  p.one("members", "gauge", "Nodes whose session stands.", node.state_cache().statuses().members(now).size());
-  p.one("registers", "gauge", "Registers known.", node.state_cache().chosen().size());
+void add_request_counters(MetricsPage& page, proxy::RequestHandler& handler) {
+  auto& counters = handler.counters();
+  page.counter("requests_total", "Requests of callers answered.", counters.requests.load());
+  page.counter("defects_total", "Answers that count as defects.", counters.failures.load());
+  page.counter("turned_away_total", "Requests promised not run.", counters.rejected.load());
+  page.counter("unknown_total", "Requests of unknown outcome.", counters.unknown.load());
+  page.counter("cache_hits_total", "Requests answered from the cache.", counters.cache_hits.load());
+  page.counter("cache_fills_total", "Fetches for the cache.", counters.cache_fetches.load());
+  page.gauge("cache_bytes", "Bytes cached.", handler.cache_bytes());
+  page.counter("carried_total", "Fills asked of a shield.", counters.forwarded.load());
+  page.counter("repeats_total", "Repeats granted.", handler.upstream_client().retries());
+}
+
+void add_node_gauges(MetricsPage& page, node::Node& node, TimePoint now) {
+  auto& state_cache = node.state_cache();
+  page.gauge("ready", "1 when the platform may send callers.", node.ready() ? 1 : 0);
+  page.gauge("generation", "The generation in force here.", node.generation());
+  page.gauge("permit_left_ms", "What is left of the read lease.", read_lease_left(node, now).count());
+  page.gauge("duty_held", "1 when this node does the rollout leadership.", node.leadership().held() ? 1 : 0);
+  page.gauge("members", "Nodes whose session stands.", state_cache.statuses().members(now).size());
+  page.gauge("registers", "Registers known.", state_cache.chosen().size());
   if (node.acceptor())
-    p.one("votes", "gauge", "1 when this holder's disk may vote.", node.acceptor()->non_voting() ? 0 : 1);
-  auto snapshot = node.request_handler().snapshot();
-  if (!snapshot->configuration) return p.out;
-  p.head("running", "gauge", "Requests at workers.");
-  for (auto& [s, x] : snapshot->configuration->services)
-    p.out += fmt::format("dunlinwing_running{{service=\"{}\"}} {}\n", s,
-                         node.request_handler().upstream_client().load(s).running);
-  p.head("waiting", "gauge", "Requests on the waitlist.");
-  for (auto& [s, x] : snapshot->configuration->services)
-    p.out += fmt::format("dunlinwing_waiting{{service=\"{}\"}} {}\n", s,
-                         node.request_handler().upstream_client().load(s).waiting);
-  p.head("shots_total", "counter", "UpstreamClient by version and how they ended.");
-  std::map<std::pair<std::string, std::string>, proxy::VersionOutcomes> sums;  // over the routes
-  for (auto& [k, v] : node.request_handler().upstream_client().counts()) {
-    auto& x = sums[{k.service, k.version}];
-    x.good += v.good;
-    x.bad += v.bad;
+    page.gauge("votes", "1 when this holder's disk may vote.", node.acceptor()->non_voting() ? 0 : 1);
+}
+
+void add_service_gauges(MetricsPage& page, proxy::UpstreamClient& upstream,
+                        const config::RoutingConfiguration& configuration) {
+  page.describe("running", MetricType::gauge, "Requests at workers.");
+  for (const auto& [service, settings] : configuration.services)
+    page.labelled("running", fmt::format("service=\"{}\"", service), upstream.load(service).running);
+  page.describe("waiting", MetricType::gauge, "Requests on the waitlist.");
+  for (const auto& [service, settings] : configuration.services)
+    page.labelled("waiting", fmt::format("service=\"{}\"", service), upstream.load(service).waiting);
+}
+
+/// Outcomes by service and version, summed over the routes.
+using OutcomesByVersion = std::map<std::string, std::map<std::string, proxy::VersionOutcomes>>;
+
+OutcomesByVersion sum_over_routes(proxy::UpstreamClient& upstream) {
+  OutcomesByVersion sums;
+  for (const auto& [key, outcomes] : upstream.counts()) {
+    auto& sum = sums[key.service][key.version];
+    sum.good += outcomes.good;
+    sum.bad += outcomes.bad;
   }
-  for (auto& [k, v] : sums) {
-    if (!snapshot->configuration->services.count(k.first)) continue;
-    for (auto& [what, m] : {std::make_pair("good", v.good), std::make_pair("bad", v.bad)})
-      p.out += fmt::format("dunlinwing_shots_total{{service=\"{}\",version=\"{}\",end=\"{}\"}} {}\n", k.first,
-                           k.second, what, m);
+  return sums;
+}
+
+void add_attempt_counters(MetricsPage& page, proxy::UpstreamClient& upstream,
+                          const config::RoutingConfiguration& configuration) {
+  constexpr const char* kName = "shots_total";
+  page.describe(kName, MetricType::counter, "UpstreamClient by version and how they ended.");
+  for (const auto& [service, versions] : sum_over_routes(upstream)) {
+    if (!configuration.services.count(service)) continue;
+    for (const auto& [version, outcomes] : versions) {
+      auto labels = [&service = service, &version = version](const char* end) {
+        return fmt::format(R"(service="{}",version="{}",end="{}")", service, version, end);
+      };
+      page.labelled(kName, labels("good"), outcomes.good);
+      page.labelled(kName, labels("bad"), outcomes.bad);
+    }
   }
-  return p.out;
 }
+}  // namespace
 
-std::string status(node::Node& node, TimePoint now) {
-  auto& config = node.config();
-  auto& k = node.request_handler().counters();
-  return fmt::format(
-      R"({{"name":{},"zone":{},"software":"{}","ready":{},"fresh":{},"permit_left_ms":{},"generation":{},"layout":{},"holder":{},"votes":{},"shield":{},"duty":{},"incarnation":{},"members":{},"requests":{},"defects":{},"turned_away":{},"unknown":{},"cache":{{"hits":{},"fills":{},"bytes":{}}}}})",
-      base::quote(config.name), base::quote(config.zone), kSoftware, node.ready(),
-      node.state_cache().has_read_lease(),
-      std::max<int64_t>(0, (node.state_cache().read_lease_end() - now).count()), node.generation(),
-      base::quote(node.configuration_name()), node.acceptor() != nullptr,
-      node.acceptor() && !node.acceptor()->non_voting(), config.shield, node.leadership().held(),
-      node.state_cache().incarnation(), node.state_cache().statuses().members(now).size(), k.requests.load(),
-      k.failures.load(), k.rejected.load(), k.unknown.load(), k.cache_hits.load(), k.cache_fetches.load(),
-      node.request_handler().cache_bytes());
+std::string metrics_page(node::Node& node, TimePoint now) {
+  MetricsPage page;
+  auto& handler = node.request_handler();
+  add_request_counters(page, handler);
+  add_node_gauges(page, node, now);
+  auto snapshot = handler.snapshot();
+  if (snapshot->configuration) {
+    add_service_gauges(page, handler.upstream_client(), *snapshot->configuration);
+    add_attempt_counters(page, handler.upstream_client(), *snapshot->configuration);
+  }
+  return page.take();
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/metrics.hpp
+++ b/src/control_api/metrics.hpp
@@ -1,11 +1,13 @@
-// What a relay tells of itself: metrics in Prometheus text form, and a status
-// page in JSON. Labels are bounded: services and versions of layouts in force.
+/// @file
+/// A node's metrics in the text form of Prometheus. Labels are bounded: only services of the configuration in
+/// force. Names and help texts are part of the API (docs/operators.md).
 #pragma once
 #include "node/node.hpp"
 
 namespace dunlinwing::control_api {
 
-std::string metrics(node::Node& node, TimePoint now);
-std::string status(node::Node& node, TimePoint now);
+/// The page of GET /metrics. Counters are this process's own, since its start.
+/// @param now  against which leases and sessions are judged
+std::string metrics_page(node::Node& node, TimePoint now);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/numbered_configuration.hpp
+++ b/src/control_api/numbered_configuration.hpp
@@ -1,13 +1,16 @@
-// The numbered configuration as a resource: stated whole under a number, the highest holds.
+/// @file
+/// The numbered configuration as a resource: sent whole under a number, the highest is in force. Handlers:
+/// see Handler in control_api/api_context.hpp.
 #pragma once
-#include "control_api/api_request.hpp"
-#include "node/node.hpp"
+#include "control_api/api_context.hpp"
 
 namespace dunlinwing::control_api {
 
-// PUT /v1/layouts/NUMBER {"content":{configuration},"stated":"what the operator sent"}
-base::Response put_numbered_configuration(base::Ports& ports, node::Node& node, ApiRequest& call);
-// GET /v1/layouts/current, after a pull that began after the request.
-base::Response get_numbered_configuration(node::Node& node);
+/// PUT /v1/layouts/NUMBER {"content":{configuration},"stated":"what the operator sent"}. 409: the number is
+/// in force with another content; 422: invalid.
+base::Response put_numbered_configuration(const ApiContext& context, const ApiRequest& request);
+
+/// GET /v1/layouts/current. 404 when none was ever recorded.
+base::Response get_numbered_configuration(const ApiContext& context, const ApiRequest& request);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/purge_writer.cpp
+++ b/src/control_api/purge_writer.cpp
@@ -1,87 +1,121 @@
-// One write a service is under way at a time; what comes meanwhile goes into
-// the next. Folding makes a purge wider, never narrower, so nothing purged can
-// come back.
+// One write per service is under way at a time; what arrives meanwhile goes into the next.
 #include "control_api/purge_writer.hpp"
 
 #include <algorithm>
 
 namespace dunlinwing::control_api {
 namespace {
-constexpr int kMostPurges = 128;
-
-bool covers(const pb::Purge& a, const pb::Purge& b) {
-  if (a.number() < b.number() || (!a.host().empty() && a.host() != b.host())) return false;
-  if (a.kind() == "service") return true;
-  if (a.kind() == "prefix" && (b.kind() == "prefix" || b.kind() == "path"))
-    return b.path().starts_with(a.path());
-  return a.kind() == b.kind() && a.path() == b.path();
+// Of one service, before the older half is merged: a register of a few kilobytes.
+constexpr int kMaxPurges = 128;
+// After which a waiting request looks again by itself; the writer wakes it long before.
+constexpr Duration kRecheckPeriod{1000};
+
+bool same_target(const pb::Purge& left, const pb::Purge& right) {
+  return left.kind() == right.kind() && left.path() == right.path() && left.host() == right.host();
+}
+
+/// Whether the newer purge makes the older one superfluous.
+bool covers(const pb::Purge& newer, const pb::Purge& older) {
+  if (newer.number() < older.number() || (!newer.host().empty() && newer.host() != older.host()))
+    return false;
+  if (newer.kind() == purge_kind::kService) return true;
+  if (newer.kind() == purge_kind::kPathPrefix &&
+      (older.kind() == purge_kind::kPathPrefix || older.kind() == purge_kind::kPath))
+    return older.path().starts_with(newer.path());
+  return newer.kind() == older.kind() && newer.path() == older.path();
+}
+
+template <class Predicate>
+void erase_purges(pb::PurgeSet& purges, Predicate predicate) {
+  auto* list = purges.mutable_purges();
+  list->erase(std::remove_if(list->begin(), list->end(), predicate), list->end());
+}
+
+/// Puts one purge of the whole service in place of the older half.
+void merge_older_half(pb::PurgeSet& purges) {
+  std::vector<uint64_t> numbers;
+  for (const auto& purge : purges.purges()) numbers.push_back(purge.number());
+  auto middle = numbers.begin() + kMaxPurges / 2;
+  std::nth_element(numbers.begin(), middle, numbers.end());
+  pb::Purge merged;
+  merged.set_kind(std::string(purge_kind::kService));
+  merged.set_number(*middle);
+  erase_purges(purges, [&](const pb::Purge& purge) { return purge.number() <= merged.number(); });
+  *purges.add_purges() = merged;
 }
 }  // namespace
 
 PurgeResult add_purge(pb::PurgeSet& purges, const pb::Purge& purge) {
-  for (auto& x : purges.purges())
-    if (!purge.name().empty() && x.name() == purge.name())
-      return {x.number(), true,
-              x.kind() != purge.kind() || x.path() != purge.path() || x.host() != purge.host()};
+  for (const auto& known : purges.purges())
+    if (!purge.name().empty() && known.name() == purge.name())
+      return {known.number(), true, !same_target(known, purge)};
   purges.set_number(purges.number() + 1);
-  pb::Purge n = purge;
-  n.set_number(purges.number());
-  auto* v = purges.mutable_purges();
-  v->erase(std::remove_if(v->begin(), v->end(), [&](auto& x) { return covers(n, x); }), v->end());
-  *v->Add() = n;
-  if (v->size() > kMostPurges) {
-    pb::Purge fold;
-    fold.set_kind("service");
-    std::vector<uint64_t> ns;
-    for (auto& x : *v) ns.push_back(x.number());
-    std::nth_element(ns.begin(), ns.begin() + kMostPurges / 2, ns.end());
-    fold.set_number(ns[kMostPurges / 2]);  // the older half
-    v->erase(std::remove_if(v->begin(), v->end(), [&](auto& x) { return x.number() <= fold.number(); }),
-             v->end());
-    *v->Add() = fold;
-  }
-  return {purges.number(), false};
+  pb::Purge added = purge;
+  added.set_number(purges.number());
+  erase_purges(purges, [&](const pb::Purge& older) { return covers(added, older); });
+  *purges.add_purges() = added;
+  if (purges.purges_size() > kMaxPurges) merge_older_half(purges);
+  return {purges.number(), false, false};
 }
 
 struct PurgeWriter::Impl {
-  struct Job {
+  using Result = std::variant<PurgeResult, PurgeError>;
+
+  /// A purge that a request waits for.
+  struct PendingPurge {
     pb::Purge purge;
-    std::shared_ptr<base::Condition> condition;
-    std::optional<std::variant<PurgeResult, PurgeError>> res;
+    std::shared_ptr<base::Condition> done;
+    std::optional<Result> result;
   };
-  struct Line {
-    bool writing = false;
-    std::vector<std::shared_ptr<Job>> jobs;
+  using Batch = std::vector<std::shared_ptr<PendingPurge>>;
+
+  /// What waits for the register of one service.
+  struct ServiceQueue {
+    bool writing = false;  ///< a fiber writes, and will write what is pending
+    Batch pending;
   };
+
   base::Ports& ports;
   consensus::RegisterClient& registers;
-  std::map<std::string, Line> by;
-
-  void write(const std::string& service, const std::vector<std::shared_ptr<Job>>& js) {
-    auto all = [&](PurgeError d) {
-      for (auto& j : js) j->res = d;
-    };
-    auto key = "purge/" + service;
-    auto g = registers.read(key);
-    auto* h = std::get_if<consensus::VersionedValue>(&g);
-    if (!h) return all(PurgeError::no_majority);
-    consensus::VersionedValue now = *h;
+  std::map<std::string, ServiceQueue> queues;  ///< by service; entries stay, since fibers refer to them
+
+  static void fail(const Batch& batch, PurgeError error) {
+    for (const auto& pending : batch) pending->result = error;
+  }
+
+  /// Adds the batch to the service's set and gives each of it a result.
+  void write(const std::string& service, const Batch& batch) {
+    auto key = std::string(kPurgePrefix) + service;
+    auto read = registers.read(key);
+    auto* value = std::get_if<consensus::VersionedValue>(&read);
+    if (!value) return fail(batch, PurgeError::no_majority);
+    auto held = *value;
     for (;;) {
       pb::PurgeSet purges;
-      purges.ParseFromString(now.data);
-      std::vector<PurgeResult> done;
-      for (auto& j : js) done.push_back(add_purge(purges, j->purge));
-      auto r = registers.write(key, now.version, purges.SerializeAsString());
-      if (std::holds_alternative<consensus::VersionedValue>(r)) {
-        for (size_t i = 0; i < js.size(); ++i) js[i]->res = done[i];
+      purges.ParseFromString(held.data);
+      std::vector<PurgeResult> results;
+      for (const auto& pending : batch) results.push_back(add_purge(purges, pending->purge));
+      auto written = registers.write(key, held.version, purges.SerializeAsString());
+      if (std::holds_alternative<consensus::VersionedValue>(written)) {
+        for (size_t i = 0; i < batch.size(); ++i) batch[i]->result = results[i];
         return;
       }
-      if (auto* d = std::get_if<consensus::RegisterError>(&r))
-        return all(*d == consensus::RegisterError::no_majority ? PurgeError::no_majority
-                                                               : PurgeError::outcome_unknown);
-      now = std::get<consensus::VersionConflict>(r).current;
+      if (auto* error = std::get_if<consensus::RegisterError>(&written))
+        return fail(batch, *error == consensus::RegisterError::no_majority ? PurgeError::no_majority
+                                                                           : PurgeError::outcome_unknown);
+      held = std::get<consensus::VersionConflict>(written).current;
     }
   }
+
+  /// Writes batch after batch until nothing is pending.
+  void drain(ServiceQueue& queue, const std::string& service) {
+    while (!queue.pending.empty()) {
+      auto batch = std::exchange(queue.pending, {});
+      write(service, batch);
+      for (const auto& pending : batch) pending->done->notify();
+    }
+    queue.writing = false;
+  }
 };
 
 PurgeWriter::PurgeWriter(base::Ports& ports, consensus::RegisterClient& registers)
@@ -89,24 +123,17 @@
 PurgeWriter::~PurgeWriter() = default;
 
 std::variant<PurgeResult, PurgeError> PurgeWriter::put(const std::string& service, const pb::Purge& purge) {
-  auto j = std::make_shared<Impl::Job>();
-  j->purge = purge;
-  j->condition = impl_->ports.tasks.condition();
-  auto& l = impl_->by[service];
-  l.jobs.push_back(j);
-  if (!l.writing) {
-    l.writing = true;
-    impl_->ports.tasks.spawn([me = impl_, &l, service] {
-      while (!l.jobs.empty()) {
-        auto js = std::exchange(l.jobs, {});
-        me->write(service, js);
-        for (auto& x : js) x->condition->notify();
-      }
-      l.writing = false;
-    });
+  auto pending = std::make_shared<Impl::PendingPurge>();
+  pending->purge = purge;
+  pending->done = impl_->ports.tasks.condition();
+  auto& queue = impl_->queues[service];
+  queue.pending.push_back(pending);
+  if (!queue.writing) {
+    queue.writing = true;
+    impl_->ports.tasks.spawn([impl = impl_, &queue, service] { impl->drain(queue, service); });
   }
-  while (!j->res) j->condition->wait(Duration(1000));
-  return *j->res;
+  while (!pending->result) pending->done->wait(kRecheckPeriod);
+  return *pending->result;
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/purge_writer.hpp
+++ b/src/control_api/purge_writer.hpp
@@ -1,29 +1,52 @@
-// Purges: those that come together are written together, and a service's list
-// stays bounded because old purges are folded into wider ones.
+/// @file
+/// Writes purges to the registers of their services. Purges that arrive together are written together, and a
+/// service's set stays bounded because the oldest purges are merged into one of the whole service.
+///
+/// Invariant: merging makes a purge wider, never narrower, so nothing that was purged becomes valid again.
+/// Threads: used in fibers of the control thread.
 #pragma once
 #include "consensus/register_client.hpp"
 
 namespace dunlinwing::control_api {
 
-enum class PurgeError { no_majority, outcome_unknown };
+/// The register of a service's purges is called by this and the service's name.
+inline constexpr std::string_view kPurgePrefix = "purge/";
+
+/// The kinds of purges as they are stored and as the API names them. They stay strings: a node keeps a kind
+/// that it does not know, from a newer program, as it is.
+namespace purge_kind {
+inline constexpr std::string_view kPath = "path";
+inline constexpr std::string_view kPathPrefix = "prefix";
+inline constexpr std::string_view kService = "service";
+inline constexpr std::string_view kTag = "tag";
+}  // namespace purge_kind
+
+enum class PurgeError {
+  no_majority,      ///< nothing was written
+  outcome_unknown,  ///< it may or may not have been written
+};
+
 struct PurgeResult {
-  uint64_t number = 0;
-  bool known = false;     // a purge of this name was there already
-  bool conflict = false;  // and it was another purge
+  uint64_t number = 0;    ///< of the purge, in its service's set
+  bool known = false;     ///< a purge of this name was there already; nothing was added
+  bool conflict = false;  ///< and it purges something else
 };
 
-// Adds to the set; pure.
+/// Adds a purge to the set, takes out those that it covers and keeps the set bounded. Pure.
 PurgeResult add_purge(pb::PurgeSet& purges, const pb::Purge& purge);
 
 class PurgeWriter {
  public:
+  /// Both outlive it and its fibers.
   PurgeWriter(base::Ports& ports, consensus::RegisterClient& registers);
   ~PurgeWriter();
+
+  /// Records a purge; returns once it is written, or has failed.
   std::variant<PurgeResult, PurgeError> put(const std::string& service, const pb::Purge& purge);
 
  private:
   struct Impl;
-  std::shared_ptr<Impl> impl_;
+  std::shared_ptr<Impl> impl_;  ///< shared with the fibers that write
 };
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/purges.cpp
+++ b/src/control_api/purges.cpp
@@ -1,69 +1,81 @@
-// A purge without a name is done again when it is sent again, which does no harm. One with
-// a name is done once.
+// A purge without a name is done again when it is sent again, which does no harm. One with a name
+// is done once.
 #include "control_api/purges.hpp"
 
 #include <fmt/format.h>
 
+#include "control_api/known_registers.hpp"
 #include "control_api/majority_contact.hpp"
+#include "control_api/purge_writer.hpp"
 #include "control_api/schemas.hpp"
 #include "proxy/routing_snapshot.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
-constexpr std::string_view kPurgePrefix = "purge/";
-constexpr const char* kWholeService = "service";
+struct PurgeRequest {
+  std::string service;  ///< proxy::kAllServices: every one
+  pb::Purge purge;
+};
+
+/// The request, or the response (422) that says why it is invalid.
+std::variant<PurgeRequest, base::Response> parse_purge(const ApiRequest& request) {
+  auto body = parse_body(request.http.body, purge_schema());
+  if (auto* invalid = std::get_if<base::Response>(&body)) return *invalid;
+  const auto& json = std::get<base::Json>(body);
+  PurgeRequest parsed;
+  auto& purge = parsed.purge;
+  purge.set_kind(json.at("kind").string_or());
+  const char* target_key = purge.kind() == purge_kind::kTag ? "tag" : "path";
+  purge.set_path(json.at(target_key).string_or());
+  purge.set_host(json.at("host").string_or());
+  if (request.path.size() > 2) purge.set_name(request.path[2]);
+  bool whole_service = purge.kind() == purge_kind::kService;
+  if (!whole_service && purge.path().empty())
+    return validation_errors({{std::string("/") + target_key, "is missing"}});
+  parsed.service = json.at("service").string_or(proxy::kAllServices);
+  if (parsed.service == proxy::kAllServices && whole_service)
+    return validation_errors({{"/service", "is missing"}});
+  return parsed;
+}
 
 base::Response name_taken(const std::string& service) {
   return error_response(
       409, "a purge of this name exists for service " + service + " and is another; take a new name");
 }
 
-// The other service that has a purge of this name, as of the latest pull.
-std::optional<std::string> other_service_with(node::Node& node, const std::string& name,
-                                              const std::string& service) {
-  for (auto& [key, held] : node.state_cache().chosen()) {
-    if (!key.starts_with(kPurgePrefix)) continue;
-    auto other = key.substr(kPurgePrefix.size());
-    pb::PurgeSet set;
-    if (other == service || !set.ParseFromString(held.data)) continue;
-    for (auto& purge : set.purges())
-      if (purge.name() == name) return other;
-  }
-  return {};
+/// The first other service that has a purge of this name, as of the latest pull.
+std::optional<std::string> find_other_service(node::Node& node, const PurgeRequest& wanted) {
+  std::optional<std::string> found;
+  for_each_register(node, kPurgePrefix,
+                    [&](const std::string& service, const consensus::VersionedValue& value) {
+                      pb::PurgeSet set;
+                      if (found || service == wanted.service || !set.ParseFromString(value.data)) return;
+                      for (const auto& purge : set.purges())
+                        if (purge.name() == wanted.purge.name()) found = service;
+                    });
+  return found;
 }
 
-pb::Purge purge_of(const base::Json& json) {
-  pb::Purge purge;
-  purge.set_kind(json.at("kind").string_or());
-  purge.set_path(json.at(purge.kind() == "tag" ? "tag" : "path").string_or());
-  purge.set_host(json.at("host").string_or());
-  return purge;
+base::Response purge_error(PurgeError error) {
+  return register_error(error == PurgeError::no_majority ? consensus::RegisterError::no_majority
+                                                         : consensus::RegisterError::fate_unknown);
 }
 }  // namespace
 
-base::Response put_purge(node::Node& node, PurgeWriter& purger, ApiRequest& call) {
-  auto body = parse_body(call.request.body, purge_schema());
-  if (auto* response = std::get_if<base::Response>(&body)) return *response;
-  auto& json = std::get<base::Json>(body);
-  auto purge = purge_of(json);
-  if (call.path.size() > 2) purge.set_name(call.path[2]);
-  if (purge.kind() != kWholeService && purge.path().empty())
-    return validation_errors({{purge.kind() == "tag" ? "/tag" : "/path", "is missing"}});
-  auto service = json.at("service").string_or(proxy::kAllServices);
-  if (service == proxy::kAllServices && purge.kind() == kWholeService)
-    return validation_errors({{"/service", "is missing"}});
-  if (!purge.name().empty()) {
-    if (auto unheard = await_majority_contact(node)) return *unheard;
-    if (auto other = other_service_with(node, purge.name(), service)) return name_taken(*other);
+base::Response put_purge(const ApiContext& context, const ApiRequest& request) {
+  auto parsed = parse_purge(request);
+  if (auto* invalid = std::get_if<base::Response>(&parsed)) return *invalid;
+  const auto& wanted = std::get<PurgeRequest>(parsed);
+  if (!wanted.purge.name().empty()) {
+    if (auto no_majority = await_majority_contact(context.node)) return *no_majority;
+    if (auto other = find_other_service(context.node, wanted)) return name_taken(*other);
   }
-  auto result = purger.put(service, purge);
-  if (auto* error = std::get_if<PurgeError>(&result))
-    return register_error(*error == PurgeError::no_majority ? consensus::RegisterError::no_majority
-                                                            : consensus::RegisterError::fate_unknown);
-  auto& done = std::get<PurgeResult>(result);
-  if (done.conflict) return name_taken(service);
+  auto written = context.purge_writer.put(wanted.service, wanted.purge);
+  if (auto* error = std::get_if<PurgeError>(&written)) return purge_error(*error);
+  const auto& result = std::get<PurgeResult>(written);
+  if (result.conflict) return name_taken(wanted.service);
   return json_response(200, fmt::format(R"({{"purge":{},"number":{},"was_known":{}}})",
-                                        base::quote(purge.name()), done.number, done.known));
+                                        base::quote(wanted.purge.name()), result.number, result.known));
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/purges.hpp
+++ b/src/control_api/purges.hpp
@@ -1,12 +1,12 @@
-// Purges as resources.
+/// @file
+/// Purges as resources. A handler: see Handler in control_api/api_context.hpp.
 #pragma once
-#include "control_api/api_request.hpp"
-#include "control_api/purge_writer.hpp"
-#include "node/node.hpp"
+#include "control_api/api_context.hpp"
 
 namespace dunlinwing::control_api {
 
-// PUT /v1/purges/NAME; POST /v1/purges, which purges anew each time.
-base::Response put_purge(node::Node& node, PurgeWriter& purger, ApiRequest& call);
+/// PUT /v1/purges/NAME purges once under the name; POST /v1/purges purges anew each time. 409: another purge
+/// has this name; 422: invalid.
+base::Response put_purge(const ApiContext& context, const ApiRequest& request);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/register_change.hpp
+++ b/src/control_api/register_change.hpp
@@ -1,40 +1,63 @@
-// One change of a register that holds a message: read, edit, compare-and-set.
+/// @file
+/// Changes of a register: read by majority, decide, compare-and-set, anew for as long as other writes come
+/// first.
+///
+/// Invariant: a response to a change is given only by what a majority has of the register, or is a 503.
+/// Threads: called in fibers of the control thread; each call waits for the network.
 #pragma once
 #include <google/protobuf/util/message_differencer.h>
 
+#include "control_api/api_context.hpp"
 #include "control_api/majority_contact.hpp"
 
 namespace dunlinwing::control_api {
 
-inline constexpr int kChangeAttempts = 8;
+/// What a change writes to its register.
+struct RegisterWrite {
+  std::string data;
+  std::string response_body;  ///< JSON, once it is written
+};
 
-// Edits the message in the register. `edit` returns a response to give up with one.
-// A change that is in force already is acknowledged, also when only the client's own write,
-// whose answer was lost, can have overtaken its precondition (RFC 9110, 13.1.1).
+/// A change of one register.
+struct RegisterChange {
+  std::string key;
+  int max_attempts = 8;  ///< compare-and-sets; none but the first begins after the request's deadline
+  /// The text of the 503 when each attempt came second.
+  std::string outpaced = "other writes came first; send it again";
+  /// What to write in place of the value, or the response that ends the request without a write. Called for
+  /// each attempt.
+  std::function<std::variant<RegisterWrite, base::Response>(const consensus::VersionedValue&)> decide;
+  /// Called once the value is written; may be null.
+  std::function<void()> on_written;
+};
+
+/// @return 200 with the new version once it is written; else what `decide` responded, or a 503
+base::Response apply_change(const ApiContext& context, const ApiRequest& request,
+                            const RegisterChange& change);
+
+/// Edits the message in a register. A change that is in force already is acknowledged, also when only the
+/// client's own write, whose response was lost, can have overtaken its precondition (RFC 9110, 13.1.1).
+/// @param edit  (Message&) -> std::optional<base::Response>: edits it, or gives the response that rejects the
+///              request
 template <class Message, class Edit>
-base::Response change_register(base::Ports& ports, node::Node& node, ApiRequest& call, const std::string& key,
+base::Response change_register(const ApiContext& context, const ApiRequest& request, const std::string& key,
                                Edit edit) {
-  auto read = node.registers().read(key);
-  if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
-  auto held = std::get<consensus::VersionedValue>(read);
-  for (int i = 0; i < kChangeAttempts && (i == 0 || ports.clock.now() < call.deadline); ++i) {
-    Message before, after;
+  RegisterChange change;
+  change.key = key;
+  change.decide = [&](const consensus::VersionedValue& held) -> std::variant<RegisterWrite, base::Response> {
+    Message before;
     before.ParseFromString(held.data);
-    after = before;
+    Message after = before;
     auto rejected = edit(after);
     bool in_force =
         !rejected && held.version > 0 && google::protobuf::util::MessageDifferencer::Equals(before, after);
-    if (in_force && may_be_own_write(call.request, held.version))
+    if (in_force && may_be_own_write(request.http, held.version))
       return json_response(200, message_json(after), held.version);
-    if (auto failed = check_precondition(call.request, held.version)) return *failed;
+    if (auto failed = check_precondition(request.http, held.version)) return *failed;
     if (rejected) return *rejected;
-    auto written = node.registers().write(key, held.version, after.SerializeAsString());
-    if (auto* value = std::get_if<consensus::VersionedValue>(&written))
-      return json_response(200, message_json(after), value->version);
-    if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
-    held = std::get<consensus::VersionConflict>(written).current;
-  }
-  return error_response(503, "other writes came first; send it again");
+    return RegisterWrite{after.SerializeAsString(), message_json(after)};
+  };
+  return apply_change(context, request, change);
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/releases.cpp
+++ b/src/control_api/releases.cpp
@@ -1,5 +1,5 @@
-// Whether a name is taken is read from its register, by majority; a document is judged by
-// itself first.
+// Whether a name is taken is read from its register, by majority; a document is validated by itself
+// first.
 #include "control_api/releases.hpp"
 
 #include <fmt/format.h>
@@ -7,6 +7,7 @@
 #include <algorithm>
 
 #include "base/log.hpp"
+#include "control_api/known_registers.hpp"
 #include "control_api/register_change.hpp"
 #include "control_api/schemas.hpp"
 #include "control_api/services.hpp"
@@ -17,56 +18,54 @@
 namespace {
 constexpr base::Log logger("control-api");
 constexpr std::string_view kReleasePrefix = "release/";
+constexpr std::string_view kConfigurationKind = "layout";  // of releases, as the API names it
 
-std::optional<consensus::VersionedValue> chosen(node::Node& node, const std::string& key) {
-  auto& all = node.state_cache().chosen();
-  auto found = all.find(key);
-  if (found == all.end() || found->second.version == 0) return {};
-  return found->second;
-}
+using RoutingConfigurationPtr = std::shared_ptr<const config::RoutingConfiguration>;
+
+// ---- Reading ----
 
-std::string course(const pb::RolloutState& rollout, const std::string& kind, const std::string& name) {
-  for (auto& progress : rollout.releases())
+std::string progress_json(const pb::RolloutState& rollout, const std::string& kind, const std::string& name) {
+  for (const auto& progress : rollout.releases())
     if (progress.kind() == kind && progress.release() == name) return message_json(progress);
   return "null";
 }
 
-base::Response get_release(node::Node& node, const std::string& kind, const std::string& name,
-                           bool with_document) {
-  auto held = chosen(node, config::release_key(kind, name));
-  if (!held) return error_response(404, "no such release");
+/// The members of a release's JSON object but for its document, without the closing brace.
+std::string release_summary(node::Node& node, const pb::RolloutState& rollout, const std::string& kind,
+                            const std::string& name) {
   pb::OperatorAction action;
-  if (auto stated = chosen(node, config::operator_action_key(kind, name)))
-    action.ParseFromString(stated->data);
-  auto rollout = rollout::read_rollout_state(node.state_cache().chosen());
-  std::string body = fmt::format(R"({{"kind":{},"name":{},"course":{},"acts":{})", base::quote(kind),
-                                 base::quote(name), course(rollout, kind, name), message_json(action));
-  if (with_document) body += ",\"document\":" + held->data;
-  return json_response(200, body + "}", held->version);
+  action.ParseFromString(known_register(node, config::operator_action_key(kind, name)).data);
+  return fmt::format(R"({{"kind":{},"name":{},"course":{},"acts":{})", base::quote(kind), base::quote(name),
+                     progress_json(rollout, kind, name), message_json(action));
 }
 
-base::Response list_releases(node::Node& node, const std::string& only_kind) {
-  std::string list;
-  for (auto& [key, held] : node.state_cache().chosen()) {
-    if (!key.starts_with(kReleasePrefix) || !held.version) continue;
-    auto slash = key.find('/', kReleasePrefix.size());
-    auto kind = key.substr(kReleasePrefix.size(), slash - kReleasePrefix.size());
-    auto name = key.substr(slash + 1);
-    if (!only_kind.empty() && kind != only_kind) continue;
-    auto one = get_release(node, kind, name, false);
-    one.body.pop_back();
-    list += (list.empty() ? "" : ",") + one.body;
-  }
-  return json_response(200, "{\"releases\":[" + list + "]}");
+/// @param only_kind  empty: every kind
+base::Response list(node::Node& node, const std::string& only_kind) {
+  auto rollout = rollout::read_rollout_state(node.state_cache().chosen());
+  std::vector<std::string> releases;
+  for_each_register(node, kReleasePrefix,
+                    [&](const std::string& path, const consensus::VersionedValue& value) {
+                      if (!value.version) return;
+                      auto slash = path.find('/');
+                      auto kind = path.substr(0, slash);
+                      if (!only_kind.empty() && kind != only_kind) return;
+                      releases.push_back(release_summary(node, rollout, kind, path.substr(slash + 1)) + "}");
+                    });
+  return json_response(200, fmt::format("{{\"releases\":[{}]}}", fmt::join(releases, ",")));
 }
 
+base::Response no_such_kind() { return error_response(404, "no such kind of release"); }
+base::Response no_such_release() { return error_response(404, "no such release"); }
+
+// ---- Recording ----
+
 base::Response leaves_out_current(const std::string& service, const std::string& current) {
   constexpr auto kForm =
       R"({{"defects":[{{"at":"/content/services/{}/versions","what":"leaves out {}, the version in place; move the service first"}}]}})";
   return json_response(409, fmt::format(kForm, service, current));
 }
 
-// Whether the configuration has a version that serves the service now or served it before.
+/// Whether the configuration has a version that serves the service now or served it before.
 bool keeps_a_version(const config::ServiceConfiguration& service, const pb::ServiceState& state) {
   auto allowed = [&](const std::string& version) {
     return std::find(service.versions.begin(), service.versions.end(), version) != service.versions.end();
@@ -75,17 +74,18 @@
   return std::any_of(state.previous_versions().begin(), state.previous_versions().end(), allowed);
 }
 
-// A worker version goes into service by a move, on trial; never by a configuration that
-// leaves out the one in place. The response when this one does, or when that cannot be told.
+/// A version of a service is put in place by a version rollout, through a canary; never by a configuration
+/// that leaves out the one in place.
+/// @return the response when this one does, or when that is unknown
 std::optional<base::Response> check_versions(node::Node& node, const config::Release& release) {
-  auto read = config::parse_routing_configuration(release.name, release.content);
-  auto* next = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&read);
+  auto parsed = config::parse_routing_configuration(release.name, release.content);
+  auto* next = std::get_if<RoutingConfigurationPtr>(&parsed);
   if (!next) return {};
-  auto in_force = configuration_in_force(node);
-  if (auto* response = std::get_if<base::Response>(&in_force)) return *response;
-  auto now = std::get<std::shared_ptr<const config::RoutingConfiguration>>(in_force);
-  for (auto& [name, service] : (*next)->services) {
-    if (!now || !now->services.count(name)) continue;
+  auto read = configuration_in_force(node);
+  if (auto* response = std::get_if<base::Response>(&read)) return *response;
+  auto in_force = std::get<RoutingConfigurationPtr>(read);
+  for (const auto& [name, service] : (*next)->services) {
+    if (!in_force || !in_force->services.count(name)) continue;
     auto held = node.registers().read(rollout::service_key(name));
     if (auto* error = std::get_if<consensus::RegisterError>(&held)) return register_error(*error);
     pb::ServiceState state;
@@ -95,75 +95,129 @@
   return {};
 }
 
-// The response when the name is taken, by the same document or by another.
-base::Response already_recorded(ApiRequest& call, const consensus::VersionedValue& held,
-                                const std::string& path) {
-  if (held.data == call.request.body && may_be_own_write(call.request, held.version))
-    return json_response(200, fmt::format(R"({{"recorded":true,"was_known":true,"at":"{}"}})", path),
-                         held.version);
-  if (auto failed = check_precondition(call.request, held.version)) return *failed;
+/// A release as a request names it.
+struct ReleaseName {
+  const std::string& kind;
+  const std::string& name;
+  std::string path() const { return fmt::format("/v1/releases/{}/{}", kind, name); }
+  std::string key() const { return config::release_key(kind, name); }
+};
+
+std::string recorded_json(const ReleaseName& release, bool was_known) {
+  return fmt::format(R"({{"recorded":true,"was_known":{},"at":"{}"}})", was_known, release.path());
+}
+
+/// The response when the name is taken, by the same document or by another.
+base::Response already_recorded(const ApiRequest& request, const consensus::VersionedValue& held,
+                                const ReleaseName& release) {
+  if (held.data == request.http.body && may_be_own_write(request.http, held.version))
+    return json_response(200, recorded_json(release, true), held.version);
+  if (auto failed = check_precondition(request.http, held.version)) return *failed;
   return error_response(409, "a release of this name exists and is immutable", held.version);
 }
+
+/// Writes a release that is valid to its register, which was never written.
+base::Response record(node::Node& node, const ApiRequest& request, const ReleaseName& release) {
+  auto written = node.registers().write(release.key(), 0, request.http.body);
+  if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
+  if (auto* conflict = std::get_if<consensus::VersionConflict>(&written))
+    return already_recorded(request, conflict->current, release);
+  logger.info("Release {} {} was recorded.", release.kind, release.name);
+  auto response = json_response(202, recorded_json(release, false), 1);
+  response.headers.emplace_back("Location", release.path());
+  return response;
+}
+
+// ---- Operator actions ----
+
+enum class ActionKind { waiver, withdrawal, express };
+
+struct ActionRequest {
+  ActionKind kind;
+  std::string check;  ///< that a waiver names
+};
+
+/// The action that a path /v1/releases/KIND/NAME/ACTION names; nothing when it names none.
+std::optional<ActionRequest> parse_action(const std::vector<std::string>& path) {
+  const auto& action = path[4];
+  if (path.size() == 5) {
+    if (action == "withdrawal") return ActionRequest{ActionKind::withdrawal, {}};
+    if (action == "express") return ActionRequest{ActionKind::express, {}};
+    return {};
+  }
+  const auto& check = path[5];
+  bool known = std::any_of(std::begin(rollout::kChecks), std::end(rollout::kChecks),
+                           [&](const char* name) { return check == name; });
+  if (action != "waivers" || !known) return {};
+  return ActionRequest{ActionKind::waiver, check};
+}
+
+void set_reason(pb::OperatorAction& action, const ActionRequest& wanted, const std::string& reason) {
+  switch (wanted.kind) {
+    case ActionKind::waiver:
+      (*action.mutable_waived())[wanted.check] = reason;
+      return;
+    case ActionKind::withdrawal:
+      action.set_withdrawn(reason);
+      return;
+    case ActionKind::express:
+      action.set_express(reason);
+      return;
+  }
+}
 }  // namespace
 
-base::Response put_release(node::Node& node, ApiRequest& call) {
-  auto &kind = call.path[2], &name = call.path[3];
-  if (!config::is_kind(kind)) return error_response(404, "no such kind of release");
-  if (!config::is_valid_name(name))
+base::Response put_release(const ApiContext& context, const ApiRequest& request) {
+  const ReleaseName release{request.path[2], request.path[3]};
+  if (!config::is_kind(release.kind)) return no_such_kind();
+  if (!config::is_valid_name(release.name))
     return error_response(422, "a release is named by letters, digits, '-', '_' and '.'");
-  auto release = config::parse_release(kind, name, call.request.body);
-  if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&release))
+  auto parsed = config::parse_release(release.kind, release.name, request.http.body);
+  if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&parsed))
     return validation_errors(*errors);
-  auto path = fmt::format("/v1/releases/{}/{}", kind, name);
-  auto key = config::release_key(kind, name);
-  auto read = node.registers().read(key);
+  auto read = context.node.registers().read(release.key());
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
-  auto& held = std::get<consensus::VersionedValue>(read);
-  if (held.version > 0) return already_recorded(call, held, path);
-  if (auto failed = check_precondition(call.request, held.version)) return *failed;
-  if (kind == "layout")
-    if (auto response = check_versions(node, std::get<config::Release>(release))) return *response;
-  auto written = node.registers().write(key, 0, call.request.body);
-  if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
-  if (auto* conflict = std::get_if<consensus::VersionConflict>(&written))
-    return already_recorded(call, conflict->current, path);
-  logger.info("Release {} {} was recorded.", kind, name);
-  auto response =
-      json_response(202, fmt::format(R"({{"recorded":true,"was_known":false,"at":"{}"}})", path), 1);
-  response.headers.emplace_back("Location", path);
-  return response;
+  const auto& held = std::get<consensus::VersionedValue>(read);
+  if (held.version > 0) return already_recorded(request, held, release);
+  if (auto failed = check_precondition(request.http, held.version)) return *failed;
+  if (release.kind == kConfigurationKind)
+    if (auto response = check_versions(context.node, std::get<config::Release>(parsed))) return *response;
+  return record(context.node, request, release);
 }
 
-base::Response put_operator_action(base::Ports& ports, node::Node& node, ApiRequest& call) {
-  auto &kind = call.path[2], &name = call.path[3], &what = call.path[4];
-  std::string check = call.path.size() > 5 ? call.path[5] : "";
-  bool waiver = what == "waivers" && std::any_of(std::begin(rollout::kChecks), std::end(rollout::kChecks),
-                                                 [&](auto* known) { return check == known; });
-  if (!waiver && (call.path.size() != 5 || (what != "withdrawal" && what != "express")))
-    return error_response(404, "no such resource");
-  auto body = parse_body(call.request.body, reason_schema());
-  if (auto* response = std::get_if<base::Response>(&body)) return *response;
+base::Response put_operator_action(const ApiContext& context, const ApiRequest& request) {
+  const ReleaseName release{request.path[2], request.path[3]};
+  auto wanted = parse_action(request.path);
+  if (!wanted) return error_response(404, "no such resource");
+  auto body = parse_body(request.http.body, reason_schema());
+  if (auto* invalid = std::get_if<base::Response>(&body)) return *invalid;
   auto reason = std::get<base::Json>(body).at("reason").string_or();
-  auto release = node.registers().read(config::release_key(kind, name));
-  if (auto* error = std::get_if<consensus::RegisterError>(&release)) return register_error(*error);
-  if (std::get<consensus::VersionedValue>(release).version == 0)
-    return error_response(404, "no such release");
+  auto read = context.node.registers().read(release.key());
+  if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
+  if (std::get<consensus::VersionedValue>(read).version == 0) return no_such_release();
   auto edit = [&](pb::OperatorAction& action) -> std::optional<base::Response> {
-    if (waiver)
-      (*action.mutable_waived())[check] = reason;
-    else
-      (what == "express" ? *action.mutable_express() : *action.mutable_withdrawn()) = reason;
+    set_reason(action, *wanted, reason);
     return {};
   };
-  return change_register<pb::OperatorAction>(ports, node, call, config::operator_action_key(kind, name),
-                                             edit);
+  return change_register<pb::OperatorAction>(context, request,
+                                             config::operator_action_key(release.kind, release.name), edit);
+}
+
+base::Response list_releases(const ApiContext& context, const ApiRequest&) { return list(context.node, {}); }
+
+base::Response list_releases_of_kind(const ApiContext& context, const ApiRequest& request) {
+  const auto& kind = request.path[2];
+  return config::is_kind(kind) ? list(context.node, kind) : no_such_kind();
 }
 
-base::Response get_releases(node::Node& node, ApiRequest& call) {
-  auto& path = call.path;
-  if (path.size() > 2 && !config::is_kind(path[2])) return error_response(404, "no such kind of release");
-  if (path.size() == 4) return get_release(node, path[2], path[3], true);
-  return list_releases(node, path.size() == 3 ? path[2] : "");
+base::Response get_release(const ApiContext& context, const ApiRequest& request) {
+  const ReleaseName release{request.path[2], request.path[3]};
+  if (!config::is_kind(release.kind)) return no_such_kind();
+  auto held = known_register(context.node, release.key());
+  if (held.version == 0) return no_such_release();
+  auto rollout = rollout::read_rollout_state(context.node.state_cache().chosen());
+  auto summary = release_summary(context.node, rollout, release.kind, release.name);
+  return json_response(200, summary + ",\"document\":" + held.data + "}", held.version);
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/replicas.cpp
+++ b/src/control_api/replicas.cpp
@@ -1,18 +1,14 @@
-// A new replica must be up, with an empty disk, before it is added: it is refilled
-// from the others before it votes. An old one is removed only after that.
+// A new replica must be up, with an empty disk, before it is added: it is refilled from the others
+// before it votes. An old one is removed only after that.
 #include "control_api/replicas.hpp"
 
-#include <fmt/format.h>
-
-#include <algorithm>
-
+#include "control_api/known_registers.hpp"
 #include "control_api/majority_contact.hpp"
 #include "control_api/schemas.hpp"
-#include "net/peer.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
-base::Response set_error(consensus::ReplicaSetError error) {
+base::Response replica_set_error(consensus::ReplicaSetError error) {
   switch (error) {
     case consensus::ReplicaSetError::no_change:
       return error_response(503, "another change of the set is under way; ask again");
@@ -28,22 +24,21 @@
 }
 }  // namespace
 
-base::Response get_replicas(node::Node& node) {
-  auto& chosen = node.state_cache().chosen();
-  auto found = chosen.find(consensus::kReplicaSetKey);
-  uint64_t version = found == chosen.end() ? 0 : found->second.version;
-  return json_response(200, message_json(node.registers().set().message()), version);
+base::Response get_replicas(const ApiContext& context, const ApiRequest&) {
+  return json_response(200, message_json(context.node.registers().set().message()),
+                       known_register(context.node, consensus::kReplicaSetKey).version);
 }
 
-base::Response put_replica(node::Node& node, ApiRequest& call) {
-  auto body = parse_body(call.request.body, replica_schema());
-  if (auto* response = std::get_if<base::Response>(&body)) return *response;
-  auto& json = std::get<base::Json>(body);
+base::Response put_replica(const ApiContext& context, const ApiRequest& request) {
+  auto body = parse_body(request.http.body, replica_schema());
+  if (auto* invalid = std::get_if<base::Response>(&body)) return *invalid;
+  const auto& json = std::get<base::Json>(body);
   bool add = json.at("holder").bool_or();
   auto address = json.at("address").string_or();
   if (add && address.empty()) return validation_errors({{"/address", "is missing"}});
-  if (auto unheard = await_majority_contact(node)) return *unheard;
-  auto& name = call.path[2];
+  auto& node = context.node;
+  if (auto no_majority = await_majority_contact(node)) return *no_majority;
+  const auto& name = request.path[2];
   auto next = node.registers().set().current();
   bool present = consensus::contains_name(next, name);
   if (add == present) return json_response(200, message_json(node.registers().set().message()));
@@ -53,7 +48,7 @@
     std::erase_if(next, [&](auto& replica) { return replica.name == name; });
   auto result =
       node.registers().change(next, [&] { return node.state_cache().register_names(node.config().bound); });
-  if (auto* error = std::get_if<consensus::ReplicaSetError>(&result)) return set_error(*error);
+  if (auto* error = std::get_if<consensus::ReplicaSetError>(&result)) return replica_set_error(*error);
   return json_response(200, message_json(std::get<pb::ReplicaSet>(result)));
 }
 
--- a/src/control_api/router.cpp
+++ b/src/control_api/router.cpp
@@ -1,6 +1,3 @@
-// Routes each request to its resource. A read waits for a pull that began after it came in,
-// so it shows whatever was acknowledged before. A write is compare-and-set on the register of
-// its resource, and is answered in time, come what may (contact.hpp).
 #include "control_api/router.hpp"
 
 #include <algorithm>
@@ -14,21 +11,125 @@
 #include "control_api/metrics.hpp"
 #include "control_api/node_identity.hpp"
 #include "control_api/numbered_configuration.hpp"
+#include "control_api/purge_writer.hpp"
 #include "control_api/purges.hpp"
 #include "control_api/releases.hpp"
 #include "control_api/replicas.hpp"
 #include "control_api/services.hpp"
+#include "control_api/status_page.hpp"
 #include "control_api/version_rollouts.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
 constexpr Duration kLongestWatch{30000};
-constexpr const char* kNoResource = "no such resource";
+constexpr std::string_view kWildcard = "*";
 
-int64_t query_number(const ApiRequest& call, const char* name) {
+base::Response get_readiness(const ApiContext& context, const ApiRequest&) {
+  return context.node.ready() ? json_response(200, "{\"ready\":true}")
+                              : json_response(503, "{\"ready\":false}");
+}
+
+base::Response get_status(const ApiContext& context, const ApiRequest&) {
+  return json_response(200, status_page(context.node, context.ports.clock.now()));
+}
+
+base::Response get_metrics(const ApiContext& context, const ApiRequest&) {
+  return {200,
+          {{"Content-Type", "text/plain; version=0.0.4"}},
+          metrics_page(context.node, context.ports.clock.now())};
+}
+
+base::Response no_such_resource() { return error_response(404, "no such resource"); }
+
+/// How a request is answered.
+enum class RouteType {
+  local,       ///< of this node alone, at once, whether or not it is in contact with the others
+  read,        ///< after contact with a majority; may be a watch
+  write,       ///< within kResponseLimit
+  long_write,  ///< takes as long as it needs
+};
+
+struct Route {
+  RouteType type;
+  std::string_view method;  ///< empty: any; a read by GET may be by HEAD too
+  std::string_view path;    ///< a segment that is kWildcard stands for any one
+  Handler handler;
+};
+
+constexpr Route kRoutes[] = {
+    {RouteType::local, "", "/readyz", get_readiness},
+    {RouteType::local, "GET", "/status", get_status},
+    {RouteType::local, "GET", "/metrics", get_metrics},
+    {RouteType::local, "GET", "/v1/self", get_node_identity},
+
+    {RouteType::read, "GET", "/v1/nodes", list_nodes},
+    {RouteType::read, "GET", "/v1/duties", get_leadership},
+    {RouteType::read, "GET", "/v1/assignments", get_assignments},
+    {RouteType::read, "GET", "/v1/assignments/*", get_assignment},
+
+    {RouteType::read, "GET", "/v1/layouts/current", get_numbered_configuration},
+    {RouteType::write, "PUT", "/v1/layouts/*", put_numbered_configuration},
+
+    {RouteType::read, "GET", "/v1/releases", list_releases},
+    {RouteType::read, "GET", "/v1/releases/*", list_releases_of_kind},
+    {RouteType::read, "GET", "/v1/releases/*/*", get_release},
+    {RouteType::write, "PUT", "/v1/releases/*/*", put_release},
+    {RouteType::write, "PUT", "/v1/releases/*/*/*", put_operator_action},
+    {RouteType::write, "PUT", "/v1/releases/*/*/*/*", put_operator_action},
+
+    {RouteType::read, "GET", "/v1/services/*", get_service},
+    {RouteType::write, "PUT", "/v1/services/*", put_service},
+    {RouteType::read, "GET", "/v1/moves/*", get_version_rollout},
+    {RouteType::write, "PUT", "/v1/moves/*", put_version_rollout},
+
+    {RouteType::read, "GET", "/v1/workers", list_instances},
+    {RouteType::write, "POST", "/v1/beats", post_heartbeat},
+    {RouteType::write, "DELETE", "/v1/workers/*", delete_instance},
+
+    {RouteType::read, "GET", "/v1/purges", list_purges},
+    {RouteType::write, "POST", "/v1/purges", put_purge},
+    {RouteType::write, "PUT", "/v1/purges/*", put_purge},
+
+    {RouteType::read, "GET", "/v1/drains", list_drains},
+    {RouteType::write, "PUT", "/v1/drains/*/*", put_drain},
+
+    {RouteType::read, "GET", "/v1/holders", get_replicas},
+    {RouteType::long_write, "PUT", "/v1/holders/*", put_replica},
+
+    {RouteType::read, "GET", "/v1/artifacts/*", get_artifact},
+    {RouteType::long_write, "PUT", "/v1/artifacts/*", put_artifact_chunk},
+};
+
+bool matches_method(const Route& route, std::string_view method) {
+  if (route.type == RouteType::read && method == "HEAD") return true;
+  return route.method.empty() || route.method == method;
+}
+
+/// @param pattern  of a route
+/// @param path     of a request
+bool matches_path(std::string_view pattern, const std::vector<std::string>& path) {
+  for (const auto& segment : path) {
+    if (pattern.empty()) return false;
+    pattern.remove_prefix(1);  // the slash
+    auto expected = pattern.substr(0, pattern.find('/'));
+    if (expected != kWildcard && expected != segment) return false;
+    pattern.remove_prefix(expected.size());
+  }
+  return pattern.empty();
+}
+
+/// The route of a request, or null.
+const Route* find_route(const ApiRequest& request) {
+  for (const auto& route : kRoutes)
+    if (matches_method(route, request.http.method) && matches_path(route.path, request.path)) return &route;
+  return nullptr;
+}
+
+/// A number that the query states; -1 where it states none.
+int64_t query_number(const ApiRequest& request, const char* name) {
   int64_t value = -1;
-  if (auto f = call.query.find(name); f != call.query.end())
-    std::from_chars(f->second.data(), f->second.data() + f->second.size(), value);
+  if (auto found = request.query.find(name); found != request.query.end())
+    std::from_chars(found->second.data(), found->second.data() + found->second.size(), value);
   return value;
 }
 
@@ -43,38 +144,23 @@
 struct Router::Impl {
   base::Ports& ports;
   node::Node& node;
-  PurgeWriter purger;
-
-  Impl(base::Ports& p, node::Node& n) : ports(p), node(n), purger(p, n.registers()) {}
-
-  base::Response read(ApiRequest& call) {
-    auto& path = call.path;
-    auto is = [&](size_t segments, const char* name) { return path.size() == segments && path[1] == name; };
-    if (path.size() <= 4 && path[1] == "releases") return get_releases(node, call);
-    if (is(2, "assignments")) return get_assignments(node);
-    if (is(3, "assignments")) return get_assignment(node, path[2]);
-    if (is(2, "nodes")) return list_nodes(node, ports.clock.now());
-    if (is(2, "workers")) return list_instances(node, ports.clock.now());
-    if (is(2, "purges")) return list_purges(node);
-    if (is(2, "drains")) return list_drains(node);
-    if (is(2, "holders")) return get_replicas(node);
-    if (is(3, "layouts") && path[2] == "current") return get_numbered_configuration(node);
-    if (is(3, "artifacts")) return get_artifact(node, call);
-    if (is(2, "duties"))
-      return json_response(200, "{\"rollout\":" + message_json(node.leadership().known_lease()) + "}");
-    if (is(3, "moves")) return get_version_rollout(node, call);
-    if (is(3, "services")) return get_service(node, call);
-    return error_response(404, kNoResource);
-  }
+  PurgeWriter purge_writer;
+  ApiContext context;
 
-  // A watch is a read that waits until the response's version is past `after`.
-  base::Response watch(ApiRequest& call) {
-    auto after = query_number(call, "after");
-    Duration longest = std::clamp(Duration(query_number(call, "wait_ms")), Duration(0), kLongestWatch);
-    TimePoint end = ports.clock.now() + longest;
+  Impl(base::Ports& all_ports, node::Node& own_node)
+      : ports(all_ports),
+        node(own_node),
+        purge_writer(all_ports, own_node.registers()),
+        context{all_ports, own_node, purge_writer} {}
+
+  /// A read. With `after` in its query it is a watch: it waits until the response's version is past that.
+  base::Response read(const ApiRequest& request, const Route* route) const {
+    auto after = query_number(request, "after");
+    auto longest = std::clamp(Duration(query_number(request, "wait_ms")), Duration(0), kLongestWatch);
+    const TimePoint end = ports.clock.now() + longest;
     for (;;) {
-      if (auto unheard = await_majority_contact(node)) return *unheard;
-      auto response = read(call);
+      if (auto no_majority = await_majority_contact(node)) return *no_majority;
+      auto response = route ? route->handler(context, request) : no_such_resource();
       if (after < 0 || response.status != 200) return response;
       auto version = etag_number(response);
       if (version > after) return response;
@@ -82,65 +168,31 @@
     }
   }
 
-  base::Response write(ApiRequest& call) {
-    auto& path = call.path;
-    auto is = [&](size_t segments, const char* name) { return path.size() == segments && path[1] == name; };
-    auto& method = call.request.method;
-    if (method == "POST" && is(2, "beats")) return post_heartbeat(node, call);
-    if (method == "POST" && is(2, "purges")) return put_purge(node, purger, call);
-    if (method == "DELETE" && is(3, "workers")) return delete_instance(node, call);
-    if (method != "PUT") return error_response(405, "resources are read by GET and stated by PUT");
-    if (is(4, "releases")) return put_release(node, call);
-    if (is(5, "releases") || is(6, "releases")) return put_operator_action(ports, node, call);
-    if (is(3, "services")) return put_service(ports, node, call);
-    if (is(3, "layouts")) return put_numbered_configuration(ports, node, call);
-    if (is(3, "moves")) return put_version_rollout(ports, node, call);
-    if (is(3, "purges")) return put_purge(node, purger, call);
-    if (is(4, "drains")) return put_drain(ports, node, call);
-    return error_response(404, kNoResource);
-  }
-
-  // What takes as long as it needs: pieces of a mebibyte, and a change of the set of replicas.
-  static bool is_long(const ApiRequest& call) {
-    return call.request.method == "PUT" && call.path.size() == 3 &&
-           (call.path[1] == "artifacts" || call.path[1] == "holders");
-  }
-  base::Response write_long(ApiRequest& call) {
-    return call.path[1] == "artifacts" ? put_artifact_chunk(node, call) : put_replica(node, call);
-  }
-
-  // What this relay tells of itself alone, whether or not it hears the others.
-  std::optional<base::Response> read_local(const ApiRequest& call) {
-    auto& path = call.path;
-    bool get = call.request.method == "GET";
-    if (path.size() == 1 && path[0] == "readyz")
-      return node.ready() ? json_response(200, "{\"ready\":true}") : json_response(503, "{\"ready\":false}");
-    if (get && path.size() == 1 && path[0] == "status")
-      return json_response(200, status(node, ports.clock.now()));
-    if (get && path.size() == 1 && path[0] == "metrics")
-      return base::Response{
-          200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics(node, ports.clock.now())};
-    if (path.size() < 2 || path[0] != "v1") return error_response(404, kNoResource);
-    if (get && path.size() == 2 && path[1] == "self") return node_identity(node);
-    return {};
+  base::Response write(const ApiRequest& request, const Route* route) const {
+    if (route) return route->handler(context, request);
+    if (request.http.method != "PUT")
+      return error_response(405, "resources are read by GET and stated by PUT");
+    return no_such_resource();
   }
 };
 
 Router::Router(base::Ports& ports, node::Node& node) : impl_(std::make_shared<Impl>(ports, node)) {}
 Router::~Router() = default;
 
-base::Response Router::handle(base::Request& request) {
-  auto call = parse_request(request);
-  if (auto response = impl_->read_local(call)) return *response;
-  if (request.method == "GET" || request.method == "HEAD") return impl_->watch(call);
-  if (Impl::is_long(call)) return impl_->write_long(call);
+base::Response Router::handle(base::Request& http) {
+  auto request = parse_request(http);
+  const auto* route = find_route(request);
+  if (route && route->type == RouteType::local) return route->handler(impl_->context, request);
+  if (request.path.size() < 2 || request.path[0] != "v1") return no_such_resource();
+  if (http.method == "GET" || http.method == "HEAD") return impl_->read(request, route);
+  if (route && route->type == RouteType::long_write) return route->handler(impl_->context, request);
   auto deadline = impl_->ports.clock.now() + kResponseLimit;
   // The work may outlast this call, so it has a request of its own.
-  auto own = std::make_shared<base::Request>(request);
-  return respond_within(impl_->ports, kResponseLimit, [impl = impl_, own, deadline] {
-    auto parsed = parse_request(*own);
-    parsed.deadline = deadline;
-    return impl->write(parsed);
+  auto own = std::make_shared<base::Request>(http);
+  return respond_within(impl_->ports, kResponseLimit, [impl = impl_, own, deadline, route] {
+    auto own_request = parse_request(*own);
+    own_request.deadline = deadline;
+    return impl->write(own_request, route);
   });
 }
 
--- a/src/control_api/router.hpp
+++ b/src/control_api/router.hpp
@@ -1,5 +1,10 @@
-// The interface for operators, workers and the platform: named resources in JSON
-// over HTTP, at any relay.
+/// @file
+/// The HTTP interface for operators and backend instances: named resources in JSON, at any node. The
+/// routes stand in one table in router.cpp; docs/resources.md describes them.
+///
+/// Invariants: a read waits for a pull that began after it came in, so it shows whatever was acknowledged
+/// before. A write is compare-and-set on the register of its resource. Both are answered in time, with a 503
+/// at the latest (control_api/majority_contact).
 #pragma once
 #include "node/node.hpp"
 
@@ -7,15 +12,17 @@
 
 class Router {
  public:
+  /// Both outlive it and the fibers of its requests.
   Router(base::Ports& ports, node::Node& node);
   ~Router();
-  // Answers one request. Parks the calling fiber, for kAnswerLimit at most (contact.hpp)
-  // unless the request asks to wait or transfers a large object.
-  base::Response handle(base::Request& request);
+
+  /// Answers one request. Suspends the calling fiber of the control thread, for kResponseLimit at most,
+  /// unless the request asks to wait (a watch), uploads a chunk or changes the set of replicas.
+  base::Response handle(base::Request& http);
 
  private:
   struct Impl;
-  std::shared_ptr<Impl> impl_;
+  std::shared_ptr<Impl> impl_;  ///< shared with the fibers of writes, which may outlast handle()
 };
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/services.hpp
+++ b/src/control_api/services.hpp
@@ -1,30 +1,39 @@
-// Services: which worker version of each is in place, and the configuration that says
-// which services and versions there are.
+/// @file
+/// Services: which version of each is in place, and the configuration that says which services and versions
+/// there are.
+///
+/// Threads: called in fibers of the control thread. The look-ups wait for a majority of the replicas.
+/// Handlers: see Handler in control_api/api_context.hpp.
 #pragma once
 #include "config/routing_configuration.hpp"
-#include "control_api/majority_contact.hpp"
+#include "control_api/api_context.hpp"
 
 namespace dunlinwing::control_api {
 
-// The configuration in force as a majority knows it, not as this relay last heard of it.
-// Null when none is; a 503 when no majority answers or it cannot be read here.
+/// The configuration in force as a majority knows it, not as this node last heard of it.
+/// @return null when none is; a 503 when no majority answers or it cannot be read here
 std::variant<std::shared_ptr<const config::RoutingConfiguration>, base::Response> configuration_in_force(
     node::Node& node);
 
-// The service in the configuration in force, once it allows the version there.
-// Else the response: 404 for an unknown service, 422 for a version that is not allowed, 503.
+/// The service in the configuration in force, once that allows the version.
+/// @return else the response: 404 for an unknown service, 422 for a version that is not allowed, 503
 std::variant<std::shared_ptr<const config::ServiceConfiguration>, base::Response> service_for_version(
     node::Node& node, const std::string& name, const std::string& version);
 
-// The version that is taken to be in place when the register does not say it yet.
-std::variant<std::string, base::Response> version_in_place(base::Ports& ports, node::Node& node,
-                                                           const std::string& name,
-                                                           const config::ServiceConfiguration& service,
-                                                           const std::string& except);
+/// Sets the version in place where the service's register does not say it yet: the configuration's first, or
+/// the one that most instances run.
+/// @param requested  the version that is to replace it
+/// @return the response (503) when no majority answers
+[[nodiscard]] std::optional<base::Response> fill_in_current(const ApiContext& context,
+                                                            pb::ServiceState& state, const std::string& name,
+                                                            const config::ServiceConfiguration& service,
+                                                            const std::string& requested);
 
-// PUT /v1/services/NAME {"version":…,"lift_quarantine":…}
-base::Response put_service(base::Ports& ports, node::Node& node, ApiRequest& call);
-// GET /v1/services/NAME
-base::Response get_service(node::Node& node, ApiRequest& call);
+/// PUT /v1/services/NAME {"version":…,"lift_quarantine":…}: starts a canary of the version. 409: it is
+/// quarantined; 503 also while another version is being switched to.
+base::Response put_service(const ApiContext& context, const ApiRequest& request);
+
+/// GET /v1/services/NAME
+base::Response get_service(const ApiContext& context, const ApiRequest& request);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/version_rollouts.cpp
+++ b/src/control_api/version_rollouts.cpp
@@ -1,6 +1,6 @@
-// A move is acknowledged once it is recorded. The same request again is the same move: while
-// it runs, after it has ended, and for a while after a newer one took its place. Another
-// takes the place of a running one, unless the service is just being switched.
+// A version rollout is acknowledged once it is recorded. The same request again is the same rollout:
+// while it runs, after it has ended, and for a while after a newer one replaced it. Another replaces
+// a running one, unless the service is just being switched.
 #include "control_api/version_rollouts.hpp"
 
 #include <fmt/format.h>
@@ -8,141 +8,155 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "control_api/majority_contact.hpp"
+#include "control_api/known_registers.hpp"
+#include "control_api/register_change.hpp"
 #include "control_api/schemas.hpp"
 #include "control_api/services.hpp"
 #include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::control_api {
 namespace {
-constexpr int kAttempts = 8;
-constexpr int kEarlierKept = 8;
-// So long after it was replaced, a move that is asked for again in the same words is a request
-// sent again. Later it is a new one.
-constexpr Duration kRepeatSpan{30000};
-
-struct MoveRequest {
-  std::string service, version;
-  Duration within{0};
+// Replaced rollouts that a service's register keeps: as many as operators' clients may still retry.
+constexpr int kMaxEarlier = 8;
+// For so long after a rollout was replaced, an equal request is a retry of it. Later it is a new one.
+constexpr Duration kRetryWindow{30000};
+
+/// What an operator requests.
+struct RolloutRequest {
+  std::string service;
+  std::string version;
+  Duration deadline{0};  ///< from now
   bool lift_quarantine = false;
 };
 
-base::Response move_response(const pb::ServiceState& state, uint64_t version) {
+// ---- Responses ----
+
+std::string rollout_json(const pb::ServiceState& state) {
   constexpr auto kForm =
       R"({{"state":{},"version":{},"why":{},"within_ms":{},"asked_ms_ago":{},"good":{},"bad":{}}})";
-  return json_response(200,
-                       fmt::format(kForm, base::quote(rollout::rollout_outcome(state)),
-                                   base::quote(state.requested()), base::quote(state.reason()),
-                                   state.deadline_ms(), state.held_ms(), state.good(), state.bad()),
-                       version);
+  return fmt::format(kForm, base::quote(rollout::rollout_outcome(state)), base::quote(state.requested()),
+                     base::quote(state.reason()), state.deadline_ms(), state.held_ms(), state.good(),
+                     state.bad());
 }
 
-base::Response earlier_response(const pb::EarlierVersionRollout& earlier, uint64_t version) {
+std::string earlier_json(const pb::EarlierVersionRollout& earlier) {
   constexpr auto kForm = R"({{"state":{},"version":{},"why":{},"within_ms":{}}})";
-  return json_response(200,
-                       fmt::format(kForm, base::quote(earlier.outcome()), base::quote(earlier.version()),
-                                   base::quote(earlier.reason()), earlier.deadline_ms()),
-                       version);
+  return fmt::format(kForm, base::quote(earlier.outcome()), base::quote(earlier.version()),
+                     base::quote(earlier.reason()), earlier.deadline_ms());
 }
 
-bool running(const pb::ServiceState& state) { return !state.canary().empty() && state.deadline_ms() > 0; }
+// ---- Decisions: pure functions of the service's state and the request ----
+
+bool is_running(const pb::ServiceState& state) { return !state.canary().empty() && state.deadline_ms() > 0; }
 
-// Whether the latest move is the one that is asked for.
-bool is_latest(const pb::ServiceState& state, const MoveRequest& move) {
-  if (state.requested() != move.version) return false;
-  if (running(state)) return state.canary() == move.version;
-  bool stands = state.quarantined().count(move.version) > 0 || state.current() == move.version;
-  return stands && !move.lift_quarantine;
+/// Whether the latest rollout is the one that is requested.
+bool is_latest(const pb::ServiceState& state, const RolloutRequest& wanted) {
+  if (state.requested() != wanted.version) return false;
+  if (is_running(state)) return state.canary() == wanted.version;
+  bool ended = state.quarantined().count(wanted.version) > 0 || state.current() == wanted.version;
+  return ended && !wanted.lift_quarantine;
 }
 
-// The replaced move that this request repeats, or null.
-const pb::EarlierVersionRollout* find_repeated(const pb::ServiceState& state, const MoveRequest& move,
-                                               int64_t wall_ms) {
-  if (move.lift_quarantine) return nullptr;
-  for (auto& earlier : state.earlier()) {
-    bool same = earlier.version() == move.version &&
-                earlier.deadline_ms() == static_cast<uint64_t>(move.within.count());
-    if (same && std::abs(wall_ms - earlier.replaced_wall_ms()) < kRepeatSpan.count()) return &earlier;
+/// The replaced rollout that this request is a retry of, or null.
+/// @param wall_ms  now, by the calendar clock
+const pb::EarlierVersionRollout* find_retried(const pb::ServiceState& state, const RolloutRequest& wanted,
+                                              int64_t wall_ms) {
+  if (wanted.lift_quarantine) return nullptr;
+  for (const auto& earlier : state.earlier()) {
+    bool same = earlier.version() == wanted.version &&
+                earlier.deadline_ms() == static_cast<uint64_t>(wanted.deadline.count());
+    if (same && std::abs(wall_ms - earlier.replaced_wall_ms()) < kRetryWindow.count()) return &earlier;
   }
   return nullptr;
 }
 
-// Keeps the latest move among the earlier ones, as it ends.
-void keep_earlier(pb::ServiceState& state, int64_t wall_ms) {
+/// The response to a request that changes nothing: it is a retry, its precondition fails, or a switch is
+/// under way.
+std::optional<base::Response> response_without_change(const pb::ServiceState& state,
+                                                      const RolloutRequest& wanted, const base::Request& http,
+                                                      uint64_t version, int64_t wall_ms) {
+  if (is_latest(state, wanted)) return json_response(200, rollout_json(state), version);
+  if (const auto* retried = find_retried(state, wanted, wall_ms))
+    return json_response(200, earlier_json(*retried), version);
+  if (auto failed = check_precondition(http, version)) return failed;
+  if (is_running(state) && state.switching())
+    return error_response(503, "the service is being switched to version " + state.canary() +
+                                   "; ask again when that has ended");
+  return {};
+}
+
+/// Moves the latest rollout, which ends with this, to the earlier ones.
+void archive_latest(pb::ServiceState& state, int64_t wall_ms) {
   rollout::drop_canary(state);
   if (state.requested().empty() || !state.deadline_ms()) return;
-  auto& earlier = *state.mutable_earlier();
-  auto* kept = earlier.Add();
-  kept->set_version(state.requested());
-  kept->set_deadline_ms(state.deadline_ms());
-  kept->set_outcome(state.outcome());
-  kept->set_reason(state.reason());
-  kept->set_replaced_wall_ms(wall_ms);
-  if (earlier.size() > kEarlierKept) earlier.DeleteSubrange(0, earlier.size() - kEarlierKept);
+  auto& list = *state.mutable_earlier();
+  auto* archived = list.Add();
+  archived->set_version(state.requested());
+  archived->set_deadline_ms(state.deadline_ms());
+  archived->set_outcome(state.outcome());
+  archived->set_reason(state.reason());
+  archived->set_replaced_wall_ms(wall_ms);
+  if (list.size() > kMaxEarlier) list.DeleteSubrange(0, list.size() - kMaxEarlier);
 }
 
-// Makes the move the latest.
-void record_move(pb::ServiceState& state, const MoveRequest& move, Duration longest) {
-  if (move.lift_quarantine) state.mutable_quarantined()->erase(move.version);
-  bool in_place = state.current() == move.version;
-  if (!in_place && !state.quarantined().count(move.version))
-    return rollout::start_canary(state, move.version, move.within, longest);
-  state.set_requested(move.version);
-  state.set_deadline_ms(static_cast<uint64_t>(move.within.count()));
+/// Makes the requested rollout the latest. One to a version that is in place or quarantined has ended at
+/// once.
+/// @param longest  the service's longest request
+void start_rollout(pb::ServiceState& state, const RolloutRequest& wanted, Duration longest) {
+  if (wanted.lift_quarantine) state.mutable_quarantined()->erase(wanted.version);
+  bool in_place = state.current() == wanted.version;
+  if (!in_place && !state.quarantined().count(wanted.version)) {
+    rollout::start_canary(state, wanted.version, wanted.deadline, longest);
+    return;
+  }
+  state.set_requested(wanted.version);
+  state.set_deadline_ms(static_cast<uint64_t>(wanted.deadline.count()));
   state.set_outcome(in_place ? "completed" : "rolled_back");
   state.set_reason(in_place ? "it is in place"
-                            : "the version is in quarantine: " + state.quarantined().at(move.version));
+                            : "the version is in quarantine: " + state.quarantined().at(wanted.version));
+}
+
+std::variant<RolloutRequest, base::Response> parse_rollout(const ApiRequest& request) {
+  auto body = parse_body(request.http.body, version_rollout_schema());
+  if (auto* invalid = std::get_if<base::Response>(&body)) return *invalid;
+  const auto& json = std::get<base::Json>(body);
+  return RolloutRequest{request.path[2], json.at("version").string_or(),
+                        Duration(json.at("within_ms").integer_or()), json.at("lift_quarantine").bool_or()};
 }
 }  // namespace
 
-base::Response get_version_rollout(node::Node& node, ApiRequest& call) {
-  auto& chosen = node.state_cache().chosen();
-  auto found = chosen.find(rollout::service_key(call.path[2]));
+base::Response get_version_rollout(const ApiContext& context, const ApiRequest& request) {
+  auto held = known_register(context.node, rollout::service_key(request.path[2]));
   pb::ServiceState state;
-  if (found != chosen.end()) state.ParseFromString(found->second.data);
+  state.ParseFromString(held.data);
   if (rollout::rollout_outcome(state).empty())
     return error_response(404, "no move of this service was ever asked for");
-  return move_response(state, found->second.version);
+  return json_response(200, rollout_json(state), held.version);
 }
 
-base::Response put_version_rollout(base::Ports& ports, node::Node& node, ApiRequest& call) {
-  auto body = parse_body(call.request.body, version_rollout_schema());
-  if (auto* response = std::get_if<base::Response>(&body)) return *response;
-  auto& json = std::get<base::Json>(body);
-  MoveRequest move{call.path[2], json.at("version").string_or(), Duration(json.at("within_ms").integer_or()),
-                   json.at("lift_quarantine").bool_or()};
-  auto looked_up = service_for_version(node, move.service, move.version);
+base::Response put_version_rollout(const ApiContext& context, const ApiRequest& request) {
+  auto parsed = parse_rollout(request);
+  if (auto* invalid = std::get_if<base::Response>(&parsed)) return *invalid;
+  const auto& wanted = std::get<RolloutRequest>(parsed);
+  auto looked_up = service_for_version(context.node, wanted.service, wanted.version);
   if (auto* response = std::get_if<base::Response>(&looked_up)) return *response;
   auto service = std::get<std::shared_ptr<const config::ServiceConfiguration>>(looked_up);
-  auto key = rollout::service_key(move.service);
-  auto read = node.registers().read(key);
-  if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
-  auto held = std::get<consensus::VersionedValue>(read);
-  for (int i = 0; i < kAttempts && (i == 0 || ports.clock.now() < call.deadline); ++i) {
+  RegisterChange change;
+  change.key = rollout::service_key(wanted.service);
+  change.outpaced = "other writes came first; ask again";
+  change.decide = [&](const consensus::VersionedValue& held) -> std::variant<RegisterWrite, base::Response> {
     pb::ServiceState state;
     state.ParseFromString(held.data);
-    if (is_latest(state, move)) return move_response(state, held.version);
-    auto wall_ms = ports.clock.wall_ms();
-    if (auto* repeated = find_repeated(state, move, wall_ms))
-      return earlier_response(*repeated, held.version);
-    if (auto failed = check_precondition(call.request, held.version)) return *failed;
-    if (running(state) && state.switching())
-      return error_response(503, "the service is being switched to version " + state.canary() +
-                                     "; ask again when that has ended");
-    if (state.current().empty()) {
-      auto current = version_in_place(ports, node, move.service, *service, move.version);
-      if (auto* response = std::get_if<base::Response>(&current)) return *response;
-      state.set_current(std::get<std::string>(current));
-    }
-    keep_earlier(state, wall_ms);
-    record_move(state, move, service->deadline);
-    auto written = node.registers().write(key, held.version, state.SerializeAsString());
-    if (auto* value = std::get_if<consensus::VersionedValue>(&written))
-      return move_response(state, value->version);
-    if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
-    held = std::get<consensus::VersionConflict>(written).current;
-  }
-  return error_response(503, "other writes came first; ask again");
+    auto wall_ms = context.ports.clock.wall_ms();
+    if (auto response = response_without_change(state, wanted, request.http, held.version, wall_ms))
+      return *response;
+    if (auto no_majority = fill_in_current(context, state, wanted.service, *service, wanted.version))
+      return *no_majority;
+    archive_latest(state, wall_ms);
+    start_rollout(state, wanted, service->deadline);
+    return RegisterWrite{state.SerializeAsString(), rollout_json(state)};
+  };
+  return apply_change(context, request, change);
 }
 
 }  // namespace dunlinwing::control_api
