--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -7,7 +7,6 @@
 #include <algorithm>
 #include <atomic>
 #include <boost/asio/ip/tcp.hpp>
-#include <charconv>
 #include <list>
 
 #include "base/log.hpp"
@@ -116,17 +115,6 @@
 }
 }  // namespace
 
-std::optional<Address> split_address(const std::string& s) {
-  auto c = s.rfind(':');
-  if (c == std::string::npos) return {};
-  Address a{s.substr(0, c), 0};
-  auto [e, ec] = std::from_chars(s.data() + c + 1, s.data() + s.size(), a.port);
-  boost::system::error_code bad;
-  asio::ip::make_address(a.ip, bad);
-  if (bad || ec != std::errc() || e != s.data() + s.size()) return {};
-  return a;
-}
-
 std::variant<pb::PeerResponse, base::PeerError> PeerClient::call(const std::string& address,
                                                                  const pb::PeerRequest& request,
                                                                  Duration limit) {
--- a/src/net/peer.hpp
+++ b/src/net/peer.hpp
@@ -2,6 +2,7 @@
 // four bytes of length before it, over TCP. An ask and its reply use one
 // connection at a time; idle connections are kept per thread.
 #pragma once
+#include "net/address.hpp"
 #include "net/event_loop.hpp"
 
 namespace dunlinwing::net {
@@ -25,10 +26,4 @@
 std::optional<std::string> serve_peers(EventLoopPool& pool, const std::string& address, PeerHandler h,
                                        size_t most = 4096);
 
-struct Address {
-  std::string ip;
-  uint16_t port = 0;
-};
-std::optional<Address> split_address(const std::string& s);
-
 }  // namespace dunlinwing::net
--- /dev/null
+++ b/src/node/heartbeat_table.cpp
@@ -0,0 +1,44 @@
+#include "node/heartbeat_table.hpp"
+
+namespace dunlinwing::node {
+namespace {
+// For how long an instance is reported after its last heartbeat: long after it counts as gone, so that no
+// late report of another node brings it back.
+constexpr int kReportedPeriods = 20;  // of its own heartbeats, and
+constexpr int kReportedBounds = 10;
+
+bool says_the_same(const pb::Heartbeat& known, const pb::Heartbeat& heartbeat) {
+  return known.sequence() > 0 && known.address() == heartbeat.address() &&
+         known.service() == heartbeat.service() && known.version() == heartbeat.version() &&
+         known.leaving() == heartbeat.leaving();
+}
+}  // namespace
+
+bool HeartbeatTable::record(const pb::Heartbeat& heartbeat, TimePoint now) {
+  Entry& entry = entries_[heartbeat.instance()];
+  const bool same = says_the_same(entry.heartbeat, heartbeat);
+  if (heartbeat.sequence() >= entry.heartbeat.sequence()) {
+    const bool was_leaving = entry.heartbeat.leaving();
+    entry = {heartbeat, now};
+    if (was_leaving) entry.heartbeat.set_leaving(true);
+  }
+  return same;
+}
+
+void HeartbeatTable::report(TimePoint now, pb::NodeStatus& status) {
+  std::erase_if(entries_, [&](const auto& item) {
+    const Entry& entry = item.second;
+    const Duration reported =
+        Duration(entry.heartbeat.period_ms()) * kReportedPeriods + bound_ * kReportedBounds;
+    return now - entry.received > reported;
+  });
+  for (const auto& [instance, entry] : entries_) {
+    pb::Heartbeat* reported = status.add_heartbeats();
+    *reported = entry.heartbeat;
+    reported->set_age_ms(static_cast<uint64_t>((now - entry.received).count()));
+  }
+  status.set_heartbeats_accepted(accepted_);
+  status.set_heartbeats_rejected(rejected_);
+}
+
+}  // namespace dunlinwing::node
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -89,7 +89,7 @@
       : settings(std::move(cc)),
         pool(settings.threads),
         sockets(dw::node::share_sockets(settings.max_sockets, !settings.data_directory.empty())),
-        net(sockets.peers_asked),
+        net(sockets.peers_called),
         origin(16u << 20, sockets.upstream_idle) {}
 
   // Carried requests are traffic: they run on a traffic thread, not on control's.
@@ -167,7 +167,7 @@
     artifacts = std::make_unique<dw::software::Artifacts>(
         ports, node->registers(), node->state_cache(), settings.node.name,
         dw::software::ArtifactStorage{shelf.get(), hand.get()}, settings.node.bound);
-    node->artifacts(artifacts.get());
+    node->set_artifacts(artifacts.get());
     dw::software::StagerPorts sp;
     sp.wanted = [this] { return node->wanted_software(); };
     sp.report_error = [this](auto& why) { node->report_software_error(why); };
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -3,14 +3,148 @@
 
 #include <fmt/format.h>
 
-#include "base/log.hpp"
+#include <algorithm>
+
 #include "config/release.hpp"
-#include "net/peer.hpp"
+#include "net/address.hpp"
 
 namespace dunlinwing::node {
 namespace {
-constexpr int kOtherFiles = 200;
-}
+// Of the descriptors some are for files that the system opens beside ours.
+constexpr int kFileDescriptors = 200;
+// Of a machine's memory a quarter may be stored responses, and a quarter bodies of requests (see Listeners).
+constexpr double kCacheShare = 1.0 / 4;
+constexpr double kBytesPerMegabyte = 1 << 20;
+constexpr int64_t kDefaultBoundMs = 2000;
+
+Duration seconds(const base::Json& value) { return Duration(static_cast<int64_t>(value.real_or() * 1000)); }
+
+/// Reads one settings file, a method for each part of it. Errors are collected on the way.
+class SettingsParser {
+ public:
+  explicit SettingsParser(const base::Json& json) : json_(json) {}
+
+  SettingsResult parse(std::vector<base::ValidationError> schema_errors) {
+    errors_ = std::move(schema_errors);
+    read_addresses();
+    read_fleet();
+    read_readiness_address();
+    read_process();
+    read_bounds();
+    read_resources();
+    check_shield();
+    read_system_options();
+    check_replicas();
+    if (!errors_.empty()) return errors_;
+    return settings_;
+  }
+
+ private:
+  /// The text, which has to be empty or an address; `pointer` is its place in the file.
+  std::string address(const std::string& pointer, const std::string& text) {
+    if (!text.empty() && !net::split_address(text)) errors_.push_back({pointer, "is not IP:port"});
+    return text;
+  }
+
+  void read_addresses() {
+    const auto listen = json_.at("listen");
+    settings_.client_address = address("/listen/callers", listen.at("callers").string_or());
+    settings_.control_address = address("/listen/control", listen.at("control").string_or());
+    settings_.node.peer_address = address("/listen/peers", listen.at("peers").string_or());
+    settings_.node.http_address = settings_.control_address;  // empty on a machine that takes no requests
+  }
+
+  void read_readiness_address() {
+    settings_.readiness_address =
+        address("/listen/readiness", json_.at("listen").at("readiness").string_or());
+  }
+
+  void check_shield() {
+    settings_.node.shield = json_.at("shield").bool_or();
+    if (settings_.node.shield) return;
+    for (const char* key : {"callers", "control"})
+      if (!json_.at("listen").has(key)) errors_.push_back({std::string("/listen/") + key, "is missing"});
+  }
+
+  void read_fleet() {
+    NodeConfig& node = settings_.node;
+    node.name = json_.at("name").string_or();
+    node.zone = json_.at("zone").string_or();
+    for (const auto& [name, value] : json_.at("holders").members())
+      node.replicas.push_back({name, address("/holders/" + name, value.string_or())});
+    int index = 0;
+    for (const auto& seed : json_.at("seeds").strings())
+      node.seeds.push_back(address(fmt::format("/seeds/{}", index++), seed));
+    // A set that the settings name is the operators' to change, unless they say what to tolerate.
+    node.initial_boot = json_.at("first_start").bool_or(!node.replicas.empty());
+    node.tolerate = static_cast<int>(json_.at("tolerate").integer_or(node.replicas.empty() ? 1 : 0));
+    node.bound = Duration(json_.at("bound_ms").integer_or(kDefaultBoundMs));
+    node.scale = json_.at("hold_scale").real_or(1);
+  }
+
+  void read_process() {
+    settings_.data_directory = json_.at("data").string_or();
+    settings_.release_directory = json_.at("releases").string_or();
+    settings_.threads = static_cast<int>(json_.at("threads").integer_or(settings_.threads));
+    settings_.log_level = json_.at("log_level").string_or(settings_.log_level);
+    settings_.log_bytes =
+        static_cast<size_t>(json_.at("log_bytes").integer_or(static_cast<int64_t>(settings_.log_bytes)));
+    settings_.protocol_adapter = json_.at("face").string_or("own");
+    settings_.heartbeat_period = seconds(json_.at("beat_s"));
+  }
+
+  void read_bounds() {
+    if (!json_.has("bounds")) return;
+    const auto bounds = json_.at("bounds");
+    // One bound serves all that must be heeded everywhere: the shortest of them.
+    auto shortest = Duration::max();
+    for (const char* key : {"layout_s", "leave_s", "purge_s"})
+      if (bounds.has(key)) shortest = std::min(shortest, seconds(bounds.at(key)));
+    if (shortest != Duration::max()) settings_.node.bound = shortest;
+    settings_.grace = seconds(bounds.at("grace_s"));
+    config::SystemOptions& system = settings_.node.system;
+    system.retry_ratio = bounds.at("repeat_share").real_or(system.retry_ratio);
+    system.retry_allowance = static_cast<int64_t>(
+        bounds.at("repeat_allowance").real_or(static_cast<double>(system.retry_allowance)));
+    system.canary_percent = static_cast<int64_t>(
+        bounds.at("trial_share").real_or(static_cast<double>(system.canary_percent) / 100) * 100);
+    system.max_canary_failures = static_cast<int64_t>(
+        bounds.at("bad_answers").real_or(static_cast<double>(system.max_canary_failures)));
+  }
+
+  void read_resources() {
+    settings_.max_sockets =
+        static_cast<int>(std::max<int64_t>(0, json_.at("descriptors").integer_or(0) - kFileDescriptors));
+    settings_.node.max_sockets = settings_.max_sockets;
+    settings_.memory_mb = json_.at("memory_mb").real_or(0);
+    size_t& cache_bytes = settings_.node.max_cache_bytes;
+    if (settings_.memory_mb > 0)
+      cache_bytes = static_cast<size_t>(settings_.memory_mb * kBytesPerMegabyte * kCacheShare);
+    if (json_.has("cache_bytes")) cache_bytes = static_cast<size_t>(json_.at("cache_bytes").integer_or());
+  }
+
+  void read_system_options() {
+    if (!json_.has("system")) return;
+    for (const auto& error : config::check_system_options(json_.at("system")))
+      errors_.push_back({"/system" + error.pointer, error.message});
+    settings_.node.system = config::parse_system_options(json_.at("system"), settings_.node.system);
+  }
+
+  void check_replicas() {
+    const NodeConfig& node = settings_.node;
+    const bool is_replica = std::any_of(node.replicas.begin(), node.replicas.end(),
+                                        [&](const auto& replica) { return replica.name == node.name; });
+    if (is_replica && settings_.data_directory.empty())
+      errors_.push_back({"/holders/" + node.name, "a holder needs /data"});
+    if (node.replicas.size() % 2 == 0 && !node.replicas.empty())
+      errors_.push_back({"/holders", "an odd number is needed"});
+  }
+
+  const base::Json& json_;
+  Settings settings_;
+  std::vector<base::ValidationError> errors_;
+};
+}  // namespace
 
 std::string_view settings_schema() {
   return R"({
@@ -52,82 +186,11 @@
 
 SettingsResult parse_settings(std::string_view text) {
   static const base::Schema schema(settings_schema());
-  auto p = base::Json::parse(text);
-  if (auto* d = std::get_if<base::ValidationError>(&p)) return std::vector<base::ValidationError>{*d};
-  auto& json = std::get<base::Json>(p);
-  auto ds = schema.check(json);
-  Settings settings;
-  auto& n = settings.node;
-  auto addr = [&](const std::string& at, const std::string& s) {
-    if (!s.empty() && !net::split_address(s)) ds.push_back({at, "is not IP:port"});
-    return s;
-  };
-  n.name = json.at("name").string_or();
-  n.zone = json.at("zone").string_or();
-  auto l = json.at("listen");
-  settings.client_address = addr("/listen/callers", l.at("callers").string_or());
-  settings.control_address = addr("/listen/control", l.at("control").string_or());
-  n.peer_address = addr("/listen/peers", l.at("peers").string_or());
-  n.http_address = settings.control_address;  // empty on a machine that takes no calls
-  for (auto& [k, v] : json.at("holders").members())
-    n.replicas.push_back({k, addr("/holders/" + k, v.string_or())});
-  int i = 0;
-  for (auto& s : json.at("seeds").strings()) n.seeds.push_back(addr(fmt::format("/seeds/{}", i++), s));
-  // A set that the settings name is the operators' to change, unless they say what to tolerate.
-  n.initial_boot = json.at("first_start").bool_or(!n.replicas.empty());
-  n.tolerate = static_cast<int>(json.at("tolerate").integer_or(n.replicas.empty() ? 1 : 0));
-  settings.data_directory = json.at("data").string_or();
-  settings.release_directory = json.at("releases").string_or();
-  n.shield = json.at("shield").bool_or();
-  settings.threads = static_cast<int>(json.at("threads").integer_or(settings.threads));
-  settings.log_level = json.at("log_level").string_or(settings.log_level);
-  settings.log_bytes =
-      static_cast<size_t>(json.at("log_bytes").integer_or(static_cast<int64_t>(settings.log_bytes)));
-  n.bound = Duration(json.at("bound_ms").integer_or(2000));
-  settings.readiness_address = addr("/listen/readiness", l.at("readiness").string_or());
-  settings.protocol_adapter = json.at("face").string_or("own");
-  auto span = [](const base::Json& v) { return Duration(static_cast<int64_t>(v.real_or() * 1000)); };
-  settings.heartbeat_period = span(json.at("beat_s"));
-  if (auto b = json.at("bounds"); json.has("bounds")) {
-    // One bound serves all that must be heeded everywhere: the shortest of them.
-    auto shortest = Duration::max();
-    for (auto* k : {"layout_s", "leave_s", "purge_s"})
-      if (b.has(k)) shortest = std::min(shortest, span(b.at(k)));
-    if (shortest != Duration::max()) n.bound = shortest;
-    settings.grace = span(b.at("grace_s"));
-    auto& s = n.system;
-    s.retry_ratio = b.at("repeat_share").real_or(s.retry_ratio);
-    s.retry_allowance =
-        static_cast<int64_t>(b.at("repeat_allowance").real_or(static_cast<double>(s.retry_allowance)));
-    s.canary_percent =
-        static_cast<int64_t>(b.at("trial_share").real_or(static_cast<double>(s.canary_percent) / 100) * 100);
-    s.max_canary_failures =
-        static_cast<int64_t>(b.at("bad_answers").real_or(static_cast<double>(s.max_canary_failures)));
-  }
-  // Of a machine's memory a quarter may be kept receipts and a quarter bodies under way.
-  // Of the descriptors some are for files that the system opens beside ours.
-  settings.max_sockets =
-      static_cast<int>(std::max<int64_t>(0, json.at("descriptors").integer_or(0) - kOtherFiles));
-  n.max_sockets = settings.max_sockets;
-  if (!n.shield)
-    for (auto* k : {"callers", "control"})
-      if (!l.has(k)) ds.push_back({std::string("/listen/") + k, "is missing"});
-  settings.memory_mb = json.at("memory_mb").real_or(0);
-  if (settings.memory_mb > 0) n.max_cache_bytes = static_cast<size_t>(settings.memory_mb * (1 << 20) / 4);
-  if (json.has("cache_bytes")) n.max_cache_bytes = static_cast<size_t>(json.at("cache_bytes").integer_or());
-  if (json.has("system")) {
-    for (auto& d : config::check_system_options(json.at("system")))
-      ds.push_back({"/system" + d.pointer, d.message});
-    n.system = config::parse_system_options(json.at("system"), n.system);
-  }
-  n.scale = json.at("hold_scale").real_or(1);
-  bool named = false;
-  for (auto& h : n.replicas) named |= h.name == n.name;
-  if (settings.data_directory.empty() && named) ds.push_back({"/holders/" + n.name, "a holder needs /data"});
-  if (n.replicas.size() % 2 == 0 && !n.replicas.empty())
-    ds.push_back({"/holders", "an odd number is needed"});
-  if (!ds.empty()) return ds;
-  return settings;
+  const auto parsed = base::Json::parse(text);
+  if (const auto* error = std::get_if<base::ValidationError>(&parsed))
+    return std::vector<base::ValidationError>{*error};
+  const auto& json = std::get<base::Json>(parsed);
+  return SettingsParser(json).parse(schema.check(json));
 }
 
 }  // namespace dunlinwing::node
--- a/src/node/settings_reloader.cpp
+++ b/src/node/settings_reloader.cpp
@@ -1,4 +1,3 @@
-// Settings with a defect change nothing; what was in force stays.
 #include "node/settings_reloader.hpp"
 
 #include <sys/stat.h>
@@ -6,7 +5,6 @@
 #include <algorithm>
 #include <fstream>
 #include <sstream>
-#include <tuple>
 
 #include "base/log.hpp"
 
@@ -14,83 +12,96 @@
 namespace {
 constexpr base::Log logger("relay");
 
-std::map<std::string, std::string> keys(std::string_view text) {
-  std::map<std::string, std::string> out;
-  auto p = base::Json::parse(text);
-  if (auto* j = std::get_if<base::Json>(&p))
-    for (auto& [k, v] : j->members()) out[k] = v.text();
-  return out;
+/// By what a changed file is recognised without reading it.
+struct FileStamp {
+  int64_t seconds = 0;
+  int64_t nanoseconds = 0;
+  int64_t bytes = 0;
+  uint64_t inode = 0;
+  bool operator==(const FileStamp&) const = default;
+};
+
+std::optional<FileStamp> stamp_of(const std::string& path) {
+  struct stat status {};
+  if (::stat(path.c_str(), &status) != 0) return {};
+  return FileStamp{status.st_mtim.tv_sec, status.st_mtim.tv_nsec, status.st_size, status.st_ino};
+}
+
+std::optional<std::string> text_of(const std::string& path) {
+  std::ifstream file(path);
+  std::stringstream text;
+  text << file.rdbuf();
+  if (!file) return {};
+  return text.str();
+}
+
+/// The texts of the values, by key.
+std::map<std::string, std::string> values_by_key(std::string_view text) {
+  std::map<std::string, std::string> values;
+  const auto parsed = base::Json::parse(text);
+  if (const auto* json = std::get_if<base::Json>(&parsed))
+    for (const auto& [key, value] : json->members()) values[key] = value.text();
+  return values;
 }
 }  // namespace
 
 std::vector<std::string> changed_keys(std::string_view before, std::string_view after) {
-  auto a = keys(before), b = keys(after);
-  std::vector<std::string> out;
-  for (auto& [k, v] : a)
-    if (auto f = b.find(k); f == b.end() || f->second != v) out.push_back(k);
-  for (auto& [k, v] : b)
-    if (!a.count(k)) out.push_back(k);
-  std::sort(out.begin(), out.end());
-  return out;
+  const auto old_values = values_by_key(before);
+  const auto new_values = values_by_key(after);
+  std::vector<std::string> changed;
+  for (const auto& [key, value] : old_values)
+    if (const auto found = new_values.find(key); found == new_values.end() || found->second != value)
+      changed.push_back(key);
+  for (const auto& [key, value] : new_values)
+    if (old_values.count(key) == 0) changed.push_back(key);
+  std::sort(changed.begin(), changed.end());
+  return changed;
 }
 
 struct SettingsReloader::Impl {
   std::string path;
-  std::function<void(std::vector<std::string>)> seeds;
-  using Print = std::tuple<int64_t, int64_t, int64_t, uint64_t>;
-  std::optional<Print> seen;
-  std::string text;
+  ApplySeeds apply_seeds;
+  std::optional<FileStamp> stamp;  ///< of the file as it was read last, or as its reading failed
+  std::string text;                ///< of the last valid settings
 
-  std::optional<Print> print() const {
-    struct stat s;
-    if (::stat(path.c_str(), &s) != 0) return {};
-    return Print{s.st_mtim.tv_sec, s.st_mtim.tv_nsec, s.st_size, s.st_ino};
-  }
-
-  std::optional<std::string> read() const {
-    std::ifstream f(path);
-    std::stringstream b;
-    b << f.rdbuf();
-    if (!f) return {};
-    return b.str();
-  }
-
-  void look(bool asked) {
-    auto now = print();
-    if (!now || (!asked && now == seen)) return;
-    seen = now;
-    auto t = read();
-    if (!t || (*t == text && !asked)) return;
-    auto g = parse_settings(*t);
-    if (auto* ds = std::get_if<std::vector<base::ValidationError>>(&g)) {
-      for (auto& d : *ds)
-        logger.error("{}: {} {}; the settings read before stay.", path, d.pointer.empty() ? "/" : d.pointer,
-                     d.message);
+  void check(bool requested) {
+    const auto current = stamp_of(path);
+    if (!current || (!requested && current == stamp)) return;
+    stamp = current;
+    const auto new_text = text_of(path);
+    if (!new_text || (*new_text == text && !requested)) return;
+    const auto parsed = parse_settings(*new_text);
+    if (const auto* errors = std::get_if<std::vector<base::ValidationError>>(&parsed)) {
+      for (const auto& error : *errors)
+        logger.error("{}: {} {}; the settings read before stay in force.", path,
+                     error.pointer.empty() ? "/" : error.pointer, error.message);
       return;
     }
-    auto settings = std::get<Settings>(g);
-    std::string rest;
-    auto ks = changed_keys(text, *t);
-    for (auto& k : ks)
-      if (k != "seeds") rest += (rest.empty() ? "" : ", ") + k;
-    text = *t;
-    if (!rest.empty()) logger.warn("{}: changed, and taken over only at the next start: {}.", path, rest);
-    if (std::find(ks.begin(), ks.end(), "seeds") == ks.end()) {
-      if (asked) logger.info("{}: read again; the seeds are as they were.", path);
+    apply(std::get<Settings>(parsed), *new_text, requested);
+  }
+
+  void apply(const Settings& settings, const std::string& new_text, bool requested) {
+    auto changed = changed_keys(text, new_text);
+    text = new_text;
+    const bool new_seeds = std::erase(changed, "seeds") > 0;
+    if (!changed.empty())
+      logger.warn("{}: changed, and in force only from the next start: {}.", path, fmt::join(changed, ", "));
+    if (!new_seeds) {
+      if (requested) logger.info("{}: read again; the seeds are unchanged.", path);
       return;
     }
     logger.info("{}: there are new seeds, {} of them.", path, settings.node.seeds.size());
-    seeds(settings.node.seeds);
+    apply_seeds(settings.node.seeds);
   }
 };
 
-SettingsReloader::SettingsReloader(std::string path, std::function<void(std::vector<std::string>)> seeds)
-    : impl_(new Impl{std::move(path), std::move(seeds), {}, {}}) {
-  impl_->seen = impl_->print();
-  impl_->text = impl_->read().value_or("");
+SettingsReloader::SettingsReloader(std::string path, ApplySeeds apply_seeds)
+    : impl_(new Impl{std::move(path), std::move(apply_seeds), {}, {}}) {
+  impl_->stamp = stamp_of(impl_->path);
+  impl_->text = text_of(impl_->path).value_or("");
 }
 SettingsReloader::~SettingsReloader() = default;
 
-void SettingsReloader::check(bool asked) { impl_->look(asked); }
+void SettingsReloader::check(bool requested) { impl_->check(requested); }
 
 }  // namespace dunlinwing::node
--- a/src/node/socket_budget.hpp
+++ b/src/node/socket_budget.hpp
@@ -1,35 +1,38 @@
-// How the descriptors that a process may have open for sockets are shared out, so that what
-// control needs is never taken by traffic: a replica without descriptors answers nobody.
+/// @file
+/// How the descriptors that a process may have open for sockets are shared out, so that what control needs is
+/// never taken by traffic: a replica without descriptors answers nobody.
 #pragma once
 #include <algorithm>
 #include <cstddef>
 
 namespace dunlinwing::node {
 
-// The most connections of each kind, all open at once.
+/// The most connections of each kind, all open at once.
 struct SocketBudget {
-  size_t clients = 0;          // 0: no bound
-  size_t upstream_idle = 512;  // kept to backend instances; as many as clients' requests are in use besides
-  size_t operators = 0;        // to the control API; 0: no bound
-  size_t readiness = 0;        // 0: no bound
-  size_t peers_served = 4096;  // from other relays
-  size_t peers_asked = 4096;   // to other relays
+  size_t clients = 0;  ///< 0: no bound
+  size_t upstream_idle =
+      512;               ///< idle ones to backend instances; as many as clients' requests are in use besides
+  size_t operators = 0;  ///< to the control API; 0: no bound
+  size_t readiness = 0;  ///< 0: no bound
+  size_t peers_served = 4096;  ///< from other nodes
+  size_t peers_called = 4096;  ///< to other nodes
 };
 
-// `sockets`: that the process may have open; 0: not stated. A process with a disk may be a
-// replica, which every relay asks several times a second.
+/// @param sockets         that the process may have open; 0: not stated
+/// @param may_be_replica  a process with a disk may be a replica, which every node calls several times a
+/// second
 inline SocketBudget share_sockets(int sockets, bool may_be_replica) {
   if (sockets <= 0) return {};
-  constexpr size_t kListening = 4;
-  constexpr size_t kLeast = 3;
-  auto all = static_cast<size_t>(sockets);
+  constexpr size_t kListening = 4;  // a socket for each address listened on
+  constexpr size_t kLeast = 3;      // connections of each kind
+  const auto all = static_cast<size_t>(sockets);
   SocketBudget budget;
   budget.operators = budget.readiness = std::max(kLeast, all / 16);
   budget.peers_served = std::max(kLeast, all / (may_be_replica ? 4 : 10));
-  budget.peers_asked = std::max(kLeast, all / 8);
-  size_t control =
-      kListening + budget.operators + budget.readiness + budget.peers_served + budget.peers_asked;
-  size_t traffic = all > control ? all - control : 0;
+  budget.peers_called = std::max(kLeast, all / 8);
+  const size_t control =
+      kListening + budget.operators + budget.readiness + budget.peers_served + budget.peers_called;
+  const size_t traffic = all > control ? all - control : 0;
   // Each client's request may use a connection to a backend instance beside its own.
   budget.upstream_idle = std::max<size_t>(1, traffic / 8);
   budget.clients = std::max<size_t>(kLeast, (traffic - std::min(traffic, budget.upstream_idle)) / 2);
--- a/test/unit/main.cpp
+++ b/test/unit/main.cpp
@@ -10,11 +10,28 @@
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   using namespace dunlinwing::test;
   std::vector<Case> all;
-  for (auto* part :
-       {&disk_cases, &disk_fault_cases, &acceptor_cases, &registry_cases, &consensus_trace_cases,
-        consensus_trace_cases, &consensus_property_cases, &rollout_cases, &fence_cases, &control_state_cases,
-        &contact_cases, &move_cases, &traffic_cases, &checker_cases, &config_cases, &compatibility_cases,
-        &keepers_cases, &platform_words_cases, &platform_rules_cases})
+  for (auto* part : {&disk_cases,
+                     &disk_fault_cases,
+                     &acceptor_cases,
+                     &registry_cases,
+                     &consensus_trace_cases,
+                     consensus_trace_cases,
+                     &consensus_property_cases,
+                     &rollout_cases,
+                     &fence_cases,
+                     &control_state_cases,
+                     &contact_cases,
+                     &move_cases,
+                     &traffic_cases,
+                     &checker_cases,
+                     &config_cases,
+                     &snapshot_builder_cases,
+                     &assignment_loader_cases,
+                     &heartbeat_table_cases,
+                     &compatibility_cases,
+                     &keepers_cases,
+                     &platform_words_cases,
+                     &platform_rules_cases})
     for (auto& c : (*part)()) all.push_back(c);
   return run_all(all, FLAGS_case_name);
 }
--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -174,7 +174,7 @@
     for (bool disk : {false, true}) {
       auto budget = node::share_sockets(sockets, disk);
       auto most = kListening + 2 * budget.clients + budget.upstream_idle + budget.operators +
-                  budget.readiness + budget.peers_served + budget.peers_asked;
+                  budget.readiness + budget.peers_served + budget.peers_called;
       expect(most <= static_cast<size_t>(sockets), fmt::format("{} of {} sockets", most, sockets));
       expect(budget.clients * 6 >= static_cast<size_t>(sockets), "clients get a sixth at the least");
     }
