--- a/src/rollout/version_rollout.cpp
+++ b/src/rollout/version_rollout.cpp
@@ -1,6 +1,3 @@
-// Fifty bad answers of a version on trial put it into quarantine for good, however
-// the version in place fares. A promoted version that turns bad (fifty in ten
-// seconds, or in a minute) while its forerunner still has workers gives way to it.
 #include "rollout/version_rollout.hpp"
 
 #include <fmt/format.h>
@@ -8,108 +5,157 @@
 
 #include <algorithm>
 
+#include "rollout/version_rollout_deadline.hpp"
+
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kMostKept = 16;  // former versions without workers
+constexpr double kWorseFactor = 2;    // a rate of bad answers is worse than another from so many times that,
+constexpr double kWorseSlack = 0.01;  // and from so much beside it
+constexpr double kMsPerSecond = 1000;
 
-double rate(uint64_t good, uint64_t bad) {
-  return good + bad ? static_cast<double>(bad) / static_cast<double>(good + bad) : 0;
+VersionTotals totals_of(const TotalsByVersion& totals, const std::string& version) {
+  auto found = totals.find(version);
+  return found == totals.end() ? VersionTotals{} : found->second;
 }
-bool worse(double a, double b) { return a > 2 * b + 0.01; }
-}  // namespace
 
-void prune_previous_versions(pb::ServiceState& state, const std::map<std::string, int>& workers) {
-  auto* kept = state.mutable_previous_versions();
-  auto idle = [&](const std::string& version) {
-    auto at = workers.find(version);
-    return at == workers.end() || !at->second;
-  };
-  auto many = std::count_if(kept->begin(), kept->end(), idle);
-  for (int i = 0; many > kMostKept && i < kept->size();) {
-    if (!idle(kept->Get(i))) {
-      ++i;
-      continue;
+// One step of a service without a deadline: its canary is judged, and the version in place may give way.
+class ServiceStep {
+ public:
+  ServiceStep(const std::string& service, const pb::ServiceState& state,
+              const VersionRolloutObservation& observation, const RolloutRules& rules)
+      : service_(service),
+        before_(state),
+        observation_(observation),
+        rules_(rules),
+        limit_(static_cast<uint64_t>(rules.system.max_canary_failures)),
+        state_(state) {}
+
+  VersionRolloutStep run() {
+    if (!state_.canary().empty()) {
+      add_canary_totals();
+      judge_canary();
     }
-    kept->DeleteSubrange(i, 1);
-    --many;
+    if (!revert_promotion(observation_.recent)) revert_promotion(observation_.minute);
+    if (effects_.empty() && !google::protobuf::util::MessageDifferencer::Equals(state_, before_))
+      effects_.emplace_back(PersistEffect{false});
+    return {std::move(state_), std::move(effects_)};
   }
+
+ private:
+  void add_canary_totals();
+  void judge_canary();
+  bool has_evidence(const VersionTotals& canary) const;
+  void quarantine_canary(const VersionTotals& canary, const VersionTotals& baseline);
+  void promote_canary(const VersionTotals& canary);
+  bool revert_promotion(const TotalsByVersion& totals);
+  bool may_return_to(const std::string& version, const TotalsByVersion& totals) const;
+  void quarantine(const std::string& version, const std::string& reason);
+  void log(std::string message) { effects_.emplace_back(LogEffect{std::move(message)}); }
+
+  const std::string& service_;
+  const pb::ServiceState& before_;
+  const VersionRolloutObservation& observation_;
+  const RolloutRules& rules_;
+  const uint64_t limit_;  // bad answers, from which a version goes
+  pb::ServiceState state_;
+  std::vector<Effect> effects_;
+};
+
+void ServiceStep::add_canary_totals() {
+  const auto canary = totals_of(observation_.delta, state_.canary());
+  const auto baseline = totals_of(observation_.delta, state_.current());
+  state_.set_good(state_.good() + canary.good);
+  state_.set_bad(state_.bad() + canary.bad);
+  state_.set_baseline_good(state_.baseline_good() + baseline.good);
+  state_.set_baseline_bad(state_.baseline_bad() + baseline.bad);
+  state_.set_held_ms(state_.held_ms() + static_cast<uint64_t>(observation_.elapsed.count()));
 }
 
-std::string service_key(const std::string& s) { return "service/" + s; }
+void ServiceStep::judge_canary() {
+  const VersionTotals canary{state_.good(), state_.bad()};
+  const VersionTotals baseline{state_.baseline_good(), state_.baseline_bad()};
+  if (canary.bad >= limit_ || observation_.aborted) return quarantine_canary(canary, baseline);
+  if (!has_evidence(canary)) return;
+  if (canary.is_worse_than(baseline))
+    return state_.set_reason("it answers worse than the version in place, and stays on trial");
+  promote_canary(canary);
+}
 
-VersionRolloutStep step(const std::string& name, const pb::ServiceState& state,
-                        const VersionRolloutObservation& observation, const RolloutRules& rules) {
-  if (!state.canary().empty() && state.deadline_ms())
-    return step_with_deadline(name, state, observation, rules);
-  VersionRolloutStep result{state, {}};
-  auto& n = result.state;
-  auto get = [](const std::map<std::string, VersionTotals>& m, const std::string& k) {
-    auto f = m.find(k);
-    return f == m.end() ? VersionTotals{} : f->second;
-  };
-  auto tell = [&](std::string t) { result.effects.push_back(LogEffect{std::move(t)}); };
-  auto banish = [&](const std::string& ver, const std::string& why) {
-    (*n.mutable_quarantined())[ver] = why;
-    n.set_reason(fmt::format("version {} is in quarantine: {}", ver, why));
-    tell(fmt::format("Service {}: {}.", name, n.reason()));
-    result.effects.push_back(PersistEffect{true});
-  };
-  auto limit = static_cast<uint64_t>(rules.system.max_canary_failures);
-  if (!n.canary().empty()) {
-    auto t = get(observation.delta, n.canary()), f = get(observation.delta, n.current());
-    n.set_good(n.good() + t.good);
-    n.set_bad(n.bad() + t.bad);
-    n.set_baseline_good(n.baseline_good() + f.good);
-    n.set_baseline_bad(n.baseline_bad() + f.bad);
-    n.set_held_ms(n.held_ms() + static_cast<uint64_t>(observation.elapsed.count()));
-    double a = rate(n.good(), n.bad()), b = rate(n.baseline_good(), n.baseline_bad());
-    if (n.bad() >= limit || observation.aborted) {
-      auto ver = n.canary();
-      n.clear_canary();
-      banish(ver, fmt::format("{} bad answers of {} on trial, against {} of {}", n.bad(), n.good() + n.bad(),
-                              n.baseline_bad(), n.baseline_good() + n.baseline_bad()));
-    } else if (n.good() + n.bad() >= static_cast<uint64_t>(rules.system.promote_requests) &&
-               Duration(static_cast<int64_t>(n.held_ms())) >=
-                   Duration(static_cast<int64_t>(static_cast<double>(rules.system.promote_seconds) * 1000 /
-                                                 rules.scale))) {
-      if (worse(a, b)) {
-        n.set_reason("it answers worse than the version in place, and stays on trial");
-      } else {
-        auto old = n.current();
-        auto* k = n.mutable_previous_versions();
-        k->erase(std::remove(k->begin(), k->end(), n.canary()), k->end());
-        if (std::find(k->begin(), k->end(), old) == k->end()) n.add_previous_versions(old);
-        prune_previous_versions(n, observation.instances);
-        n.set_current(n.canary());
-        n.clear_canary();
-        n.set_reason(fmt::format("promoted after {} requests, {} of them bad", n.good() + n.bad(), n.bad()));
-        tell(fmt::format("Service {}: version {} is {}.", name, n.current(), n.reason()));
-        result.effects.push_back(PersistEffect{true});
-      }
-    }
+// Whether the canary has had the requests and the time that a promotion needs.
+bool ServiceStep::has_evidence(const VersionTotals& canary) const {
+  const Duration least(
+      static_cast<int64_t>(static_cast<double>(rules_.system.promote_seconds) * kMsPerSecond / rules_.scale));
+  return canary.total() >= static_cast<uint64_t>(rules_.system.promote_requests) &&
+         Duration(static_cast<int64_t>(state_.held_ms())) >= least;
+}
+
+void ServiceStep::quarantine_canary(const VersionTotals& canary, const VersionTotals& baseline) {
+  const auto version = state_.canary();
+  state_.clear_canary();
+  quarantine(version, fmt::format("{} bad answers of {} on trial, against {} of {}", canary.bad,
+                                  canary.total(), baseline.bad, baseline.total()));
+}
+
+void ServiceStep::promote_canary(const VersionTotals& canary) {
+  auto* previous = state_.mutable_previous_versions();
+  previous->erase(std::remove(previous->begin(), previous->end(), state_.canary()), previous->end());
+  if (std::find(previous->begin(), previous->end(), state_.current()) == previous->end())
+    state_.add_previous_versions(state_.current());
+  prune_previous_versions(state_, observation_.instances);
+  state_.set_current(state_.canary());
+  state_.clear_canary();
+  state_.set_reason(fmt::format("promoted after {} requests, {} of them bad", canary.total(), canary.bad));
+  log(fmt::format("Service {}: version {} is {}.", service_, state_.current(), state_.reason()));
+  effects_.emplace_back(PersistEffect{true});
+}
+
+// Goes back to the latest previous version that fares better over this span; true when it did.
+bool ServiceStep::revert_promotion(const TotalsByVersion& totals) {
+  const auto current = totals_of(totals, state_.current());
+  if (current.bad < limit_) return false;
+  for (int i = state_.previous_versions_size() - 1; i >= 0; --i) {
+    const auto previous = state_.previous_versions(i);
+    if (!may_return_to(previous, totals)) continue;
+    const auto failed = state_.current();
+    state_.set_current(previous);
+    state_.mutable_previous_versions()->DeleteSubrange(i, 1);
+    quarantine(failed, fmt::format("{} bad answers of {} after promotion", current.bad, current.total()));
+    return true;
   }
-  // Whether the version in place gave way to one it followed, over this span.
-  auto gave_way = [&](const std::map<std::string, VersionTotals>& span) {
-    auto c = get(span, n.current());
-    if (c.bad < limit) return false;
-    for (int i = n.previous_versions_size() - 1; i >= 0; --i) {
-      auto k = n.previous_versions(i);
-      auto w = observation.instances.find(k);
-      auto kc = get(span, k);
-      if (n.quarantined().count(k) || w == observation.instances.end() || !w->second) continue;
-      if (!worse(rate(c.good, c.bad), rate(kc.good, kc.bad))) continue;
-      auto bad = n.current();
-      n.set_current(k);
-      n.mutable_previous_versions()->DeleteSubrange(i, 1);
-      banish(bad, fmt::format("{} bad answers of {} after promotion", c.bad, c.good + c.bad));
-      return true;
-    }
-    return false;
+  return false;
+}
+
+bool ServiceStep::may_return_to(const std::string& version, const TotalsByVersion& totals) const {
+  return !state_.quarantined().count(version) && instances_of(observation_.instances, version) != 0 &&
+         totals_of(totals, state_.current()).is_worse_than(totals_of(totals, version));
+}
+
+void ServiceStep::quarantine(const std::string& version, const std::string& reason) {
+  (*state_.mutable_quarantined())[version] = reason;
+  state_.set_reason(fmt::format("version {} is in quarantine: {}", version, reason));
+  log(fmt::format("Service {}: {}.", service_, state_.reason()));
+  effects_.emplace_back(PersistEffect{true});
+}
+}  // namespace
+
+VersionTotals& VersionTotals::operator+=(const VersionTotals& other) {
+  good += other.good;
+  bad += other.bad;
+  return *this;
+}
+
+bool VersionTotals::is_worse_than(const VersionTotals& other) const {
+  auto rate = [](const VersionTotals& totals) {
+    return totals.total() ? static_cast<double>(totals.bad) / static_cast<double>(totals.total()) : 0;
   };
-  if (!gave_way(observation.recent)) gave_way(observation.minute);
-  if (result.effects.empty() && !google::protobuf::util::MessageDifferencer::Equals(n, state))
-    result.effects.push_back(PersistEffect{false});
-  return result;
+  return rate(*this) > kWorseFactor * rate(other) + kWorseSlack;
+}
+
+VersionRolloutStep step(const std::string& service, const pb::ServiceState& state,
+                        const VersionRolloutObservation& observation, const RolloutRules& rules) {
+  if (!state.canary().empty() && state.deadline_ms())
+    return step_with_deadline(service, state, observation, rules);
+  return ServiceStep(service, state, observation, rules).run();
 }
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/version_rollout.hpp
+++ b/src/rollout/version_rollout.hpp
@@ -1,27 +1,43 @@
-// Moving a service to a new worker version: a trial of a bounded share, then
-// promotion on evidence, or quarantine. A pure step, like rollout's own.
+/// @file
+/// The version rollout of a service: a canary with a bounded share of the requests, then promotion on
+/// evidence, or quarantine. A pure step from the recorded state and an observation to the next state.
+///
+/// A canary that reaches the limit of bad answers is put into quarantine for good, however the version in
+/// place fares. A promoted version that turns bad, while a version before it still has backend instances and
+/// answers better, gives way to that one. Threads: any; nothing is shared.
 #pragma once
 #include "canary/canary_statistics.hpp"
 #include "rollout/release_state_machine.hpp"
+#include "rollout/service_state.hpp"
 
 namespace dunlinwing::rollout {
 
+/// Answers of one version.
 struct VersionTotals {
-  uint64_t good = 0, bad = 0;
+  uint64_t good = 0;
+  uint64_t bad = 0;
+
+  uint64_t total() const { return good + bad; }
+  VersionTotals& operator+=(const VersionTotals& other);
+  /// Whether its rate of bad answers is above twice the other's and a hundredth.
+  bool is_worse_than(const VersionTotals& other) const;
 };
+using TotalsByVersion = std::map<std::string, VersionTotals>;
 
+/// One service as the leader sees it.
 struct VersionRolloutObservation {
-  Duration elapsed{0};
-  std::map<std::string, VersionTotals> delta;   // by version, since the last sight
-  std::map<std::string, VersionTotals> recent;  // by version, over the last ten seconds
-  std::map<std::string, VersionTotals> minute;  // by version, over the last minute
-  std::map<std::string, int> instances;         // by version, beating
-  bool aborted = false;                         // some relay has given the trial up by itself
-  // For a move with a term:
-  Duration since_requested{0};                // at least so long ago it was asked for
-  Duration since_switch{0};                   // so long ago at the most its switch was recorded
-  std::map<std::string, int> warm_instances;  // by version, beating and not cold
-  bool all_warm = false;  // the workers that the trial asks are warm, and were a while ago
+  Duration elapsed{0};           ///< observed under the lease since the previous observation
+  TotalsByVersion delta;         ///< since the previous observation
+  TotalsByVersion recent;        ///< over the last ten seconds
+  TotalsByVersion minute;        ///< over the last minute
+  InstancesByVersion instances;  ///< those that send heartbeats
+  bool aborted = false;          ///< some node has aborted the canary by itself
+
+  // The others are of a version rollout with a deadline alone.
+  Duration since_requested{0};        ///< at least so long ago it was requested
+  Duration since_switch{0};           ///< at most so long ago its switch was recorded
+  InstancesByVersion warm_instances;  ///< of `instances`, those that have warmed up
+  bool all_warm = false;              ///< all that the canary uses have been warm for a while
   canary::CanarySample sample;
 };
 
@@ -29,25 +45,9 @@
   pb::ServiceState state;
   std::vector<Effect> effects;
 };
+
+/// The next state of the service. A state without any PersistEffect is unchanged.
 VersionRolloutStep step(const std::string& service, const pb::ServiceState& state,
                         const VersionRolloutObservation& observation, const RolloutRules& rules);
 
-// A move within a term (term.cpp): judged late in it, then switched as a whole, and
-// completed once no relay can still send to the old version. Without a verdict in time
-// the version is rolled back.
-VersionRolloutStep step_with_deadline(const std::string& service, const pb::ServiceState& state,
-                                      const VersionRolloutObservation& observation,
-                                      const RolloutRules& rules);
-
-// Drops the oldest former versions that no worker beats with, beyond the sixteen latest of them.
-void prune_previous_versions(pb::ServiceState& state, const std::map<std::string, int>& workers);
-void drop_canary(pb::ServiceState& state);  // without a verdict
-// Opens a trial; `within` 0: without a term.
-void start_canary(pb::ServiceState& state, const std::string& version, Duration within, Duration longest);
-// What the operator is told of a move with a term: running, completed, rolled_back, or empty when none was
-// asked for.
-std::string rollout_outcome(const pb::ServiceState& state);
-
-std::string service_key(const std::string& service);
-
 }  // namespace dunlinwing::rollout
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -1,133 +1,184 @@
-// Two things can go wrong: a bad version that is promoted breaks a rule, a good one that
-// is not costs little. So every doubt ends in a roll-back. The verdict comes as late as
-// the term allows, which leaves the most evidence and, should the version turn bad only
-// under the whole load, the least time for it; in the switch the relays still judge, and
-// go back by themselves.
+#include "rollout/version_rollout_deadline.hpp"
+
 #include <fmt/format.h>
 
 #include <algorithm>
 
 #include "canary/canary_share.hpp"
-#include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::rollout {
 namespace {
-Duration span(uint64_t ms) { return Duration(static_cast<int64_t>(ms)); }
-int of(const std::map<std::string, int>& m, const std::string& k) {
-  auto f = m.find(k);
-  return f == m.end() ? 0 : f->second;
+constexpr int kTicksPerBound = 8;  // the leader looks so often
+constexpr int kWriteTicks = 3;     // for a verdict to be recorded and known everywhere
+constexpr int kVerdictTicks = 2;   // in which the verdict may come
+
+Duration from_ms(uint64_t ms) { return Duration(static_cast<int64_t>(ms)); }
+
+// When the decisions fall. `first_verdict` and `last_verdict` count from the request.
+struct Schedule {
+  Duration switch_span{0};  // after it is recorded, until no request can still go to the old version
+  Duration first_verdict{0};
+  Duration last_verdict{0};
+};
+
+Schedule schedule(const pb::ServiceState& state, const RolloutRules& rules) {
+  const Duration tick = rules.bound / kTicksPerBound;
+  Schedule result;
+  result.switch_span = rules.bound + std::min(from_ms(state.longest_ms()), rules.bound);
+  result.last_verdict = from_ms(state.deadline_ms()) - result.switch_span - tick * kWriteTicks;
+  result.first_verdict = result.last_verdict - tick * kVerdictTicks;
+  return result;
+}
+
+// One step of a canary with a deadline, by its phase.
+class DeadlineStep {
+ public:
+  DeadlineStep(const std::string& service, const pb::ServiceState& state,
+               const VersionRolloutObservation& observation, const RolloutRules& rules)
+      : service_(service),
+        version_(state.canary()),
+        observation_(observation),
+        rules_(rules),
+        schedule_(schedule(state, rules)),
+        canary_(canary::sum(observation.sample.canary)),
+        baseline_(canary::sum(observation.sample.baseline)),
+        state_(state) {}
+
+  VersionRolloutStep run() {
+    update_totals();
+    if (auto failure = canary_failure(); !failure.empty())
+      roll_back(failure);
+    else if (state_.switching())
+      step_in_switch();
+    else if (since_requested() >= schedule_.last_verdict)
+      roll_back("no verdict in time: " +
+                (state_.reason().empty() ? std::string("nothing was seen") : state_.reason()));
+    else
+      step_before_switch();
+    if (effects_.empty()) persist(false);
+    return {std::move(state_), std::move(effects_)};
+  }
+
+ private:
+  void update_totals();
+  std::string canary_failure() const;
+  void step_before_switch();
+  std::string switch_blocker() const;
+  void adjust_share();
+  void begin_switch();
+  void step_in_switch();
+  void complete();
+  void roll_back(const std::string& reason);
+  void end(const char* outcome, const std::string& reason);
+
+  Duration since_requested() const { return from_ms(state_.held_ms()); }
+  std::string figures() const;
+  void persist(bool urgent) { effects_.emplace_back(PersistEffect{urgent}); }
+  void log(std::string message) { effects_.emplace_back(LogEffect{std::move(message)}); }
+
+  const std::string& service_;
+  const std::string version_;  // of the canary
+  const VersionRolloutObservation& observation_;
+  const RolloutRules& rules_;
+  const Schedule schedule_;
+  const canary::OutcomeCounts canary_;
+  const canary::OutcomeCounts baseline_;
+  pb::ServiceState state_;
+  std::vector<Effect> effects_;
+};
+
+// A leader that took over lately may have seen less than what is recorded: nothing falls.
+void DeadlineStep::update_totals() {
+  state_.set_held_ms(std::max(state_.held_ms(), static_cast<uint64_t>(observation_.since_requested.count())));
+  state_.set_good(std::max(state_.good(), canary_.good));
+  state_.set_bad(std::max(state_.bad(), canary_.bad));
+  state_.set_baseline_good(std::max(state_.baseline_good(), baseline_.good));
+  state_.set_baseline_bad(std::max(state_.baseline_bad(), baseline_.bad));
+}
+
+std::string DeadlineStep::figures() const {
+  return fmt::format("{} bad answers of {}, {} slow, against {} and {} of {}", canary_.bad, canary_.total(),
+                     canary_.slow, baseline_.bad, baseline_.slow, baseline_.total());
 }
-}  // namespace
 
-void drop_canary(pb::ServiceState& state) {
-  state.clear_canary();
-  state.set_switching(false);
-  if (state.outcome() != "running") return;
-  state.set_outcome("rolled_back");
-  state.set_reason("another order took its place");
+// What ends the canary at once, in any phase; empty: nothing does.
+std::string DeadlineStep::canary_failure() const {
+  if (observation_.aborted || state_.bad() >= static_cast<uint64_t>(rules_.system.max_canary_failures) ||
+      canary::is_clearly_worse(observation_.sample))
+    return figures();
+  return canary::regression(observation_.sample);
 }
 
-void start_canary(pb::ServiceState& state, const std::string& version, Duration within, Duration longest) {
-  drop_canary(state);
-  state.set_canary(version);
-  state.set_canary_number(state.canary_number() + 1);
-  for (auto set :
-       {&pb::ServiceState::set_good, &pb::ServiceState::set_bad, &pb::ServiceState::set_baseline_good,
-        &pb::ServiceState::set_baseline_bad, &pb::ServiceState::set_held_ms})
-    (state.*set)(0);
-  state.set_reason("on trial");
-  state.set_deadline_ms(static_cast<uint64_t>(within.count()));
-  state.set_longest_ms(static_cast<uint64_t>(longest.count()));
-  state.set_percent(within > Duration(0) ? canary::kColdPercent : 0);
-  if (within == Duration(0)) return;
-  state.set_requested(version);
-  state.set_outcome("running");
+void DeadlineStep::step_before_switch() {
+  const auto blocker = switch_blocker();
+  adjust_share();
+  state_.set_reason(blocker.empty() ? "nothing speaks against it so far" : blocker);
+  if (blocker.empty() && since_requested() >= schedule_.first_verdict) begin_switch();
 }
 
-std::string rollout_outcome(const pb::ServiceState& state) {
-  return state.requested().empty() ? std::string() : state.outcome();
+// What speaks against the switch; empty: nothing does.
+std::string DeadlineStep::switch_blocker() const {
+  if (!observation_.all_warm) return "its workers are not warm yet";
+  if (auto blocker = canary::promotion_blocker(observation_.sample); !blocker.empty()) return blocker;
+  // Three quarters of the instances in place have to stand ready to take their load.
+  const int warm = instances_of(observation_.warm_instances, version_);
+  const int in_place = instances_of(observation_.instances, state_.current());
+  if (warm * 4 < std::max(1, in_place) * 3)
+    return fmt::format("{} warm workers for {} of the version in place", warm, in_place);
+  return {};
 }
 
-VersionRolloutStep step_with_deadline(const std::string& name, const pb::ServiceState& state,
+// What the verdict does not need is left for the switch, should it have to go back.
+void DeadlineStep::adjust_share() {
+  const uint32_t percent = observation_.all_warm && !canary::has_ample_evidence(observation_.sample)
+                               ? canary::kDeadlinePercent
+                               : canary::kColdPercent;
+  if (!observation_.all_warm || state_.percent() == percent) return;
+  state_.set_percent(percent);
+  persist(true);
+}
+
+void DeadlineStep::begin_switch() {
+  state_.set_switching(true);
+  state_.set_reason("switching: " + figures());
+  log(fmt::format("Service {}: {} to version {}.", service_, state_.reason(), version_));
+  persist(true);
+}
+
+void DeadlineStep::step_in_switch() {
+  if (!instances_of(observation_.instances, version_))
+    return roll_back("its workers went away in the switch");
+  if (auto regression = canary::regression_after_switch(observation_.sample); !regression.empty())
+    return roll_back(regression);
+  if (observation_.since_switch >= schedule_.switch_span) complete();
+}
+
+void DeadlineStep::complete() {
+  auto* previous = state_.mutable_previous_versions();
+  previous->erase(std::remove(previous->begin(), previous->end(), version_), previous->end());
+  state_.set_current(version_);
+  end("completed", figures());
+}
+
+void DeadlineStep::roll_back(const std::string& reason) {
+  (*state_.mutable_quarantined())[version_] = reason;
+  end("rolled_back", reason);
+}
+
+void DeadlineStep::end(const char* outcome, const std::string& reason) {
+  state_.clear_canary();
+  state_.set_switching(false);
+  state_.set_outcome(outcome);
+  state_.set_reason(reason);
+  log(fmt::format("Service {}: the rollout of version {} is {}: {}.", service_, version_, outcome, reason));
+  persist(true);
+}
+}  // namespace
+
+VersionRolloutStep step_with_deadline(const std::string& service, const pb::ServiceState& state,
                                       const VersionRolloutObservation& observation,
                                       const RolloutRules& rules) {
-  VersionRolloutStep result{state, {}};
-  auto& n = result.state;
-  auto to = state.canary();
-  auto all = canary::sum(observation.sample.canary), from = canary::sum(observation.sample.baseline);
-  n.set_held_ms(std::max(state.held_ms(), static_cast<uint64_t>(observation.since_requested.count())));
-  n.set_good(std::max(state.good(), all.good));
-  n.set_bad(std::max(state.bad(), all.bad));
-  n.set_baseline_good(std::max(state.baseline_good(), from.good));
-  n.set_baseline_bad(std::max(state.baseline_bad(), from.bad));
-  Duration term = span(state.deadline_ms()), at = span(n.held_ms()), margin = rules.bound / 8;
-  Duration ending =
-      rules.bound + std::min(span(state.longest_ms()), rules.bound);  // of a switch, once it is recorded
-  Duration latest = term - ending - margin * 3, verdict = latest - margin * 2;
-
-  auto save = [&](bool urgent) { result.effects.push_back(PersistEffect{urgent}); };
-  auto end = [&](const char* how, const std::string& why) {
-    n.clear_canary();
-    n.set_switching(false);
-    n.set_outcome(how);
-    n.set_reason(why);
-    result.effects.push_back(
-        LogEffect{fmt::format("Service {}: the move to version {} is {}: {}.", name, to, how, why)});
-    save(true);
-  };
-  auto back = [&](const std::string& why) {
-    (*n.mutable_quarantined())[to] = why;
-    end("rolled_back", why);
-  };
-  auto figures = fmt::format("{} bad answers of {}, {} slow, against {} and {} of {}", all.bad, all.total(),
-                             all.slow, from.bad, from.slow, from.total());
-  if (observation.aborted || n.bad() >= static_cast<uint64_t>(rules.system.max_canary_failures) ||
-      canary::is_clearly_worse(observation.sample)) {
-    back(figures);
-  } else if (auto why = canary::regression(observation.sample); !why.empty()) {
-    back(why);
-  } else if (state.switching()) {
-    if (!of(observation.instances, to)) {
-      back("its workers went away in the switch");
-    } else if (auto poor = canary::regression_after_switch(observation.sample); !poor.empty()) {
-      back(poor);
-    } else if (observation.since_switch >= ending) {
-      auto* k = n.mutable_previous_versions();
-      k->erase(std::remove(k->begin(), k->end(), to), k->end());
-      n.set_current(to);
-      end("completed", figures);
-    }
-  } else if (at >= latest) {
-    back("no verdict in time: " +
-         (state.reason().empty() ? std::string("nothing was seen") : state.reason()));
-  } else {
-    auto few = [&] {
-      return of(observation.warm_instances, to) * 4 <
-             std::max(1, of(observation.instances, state.current())) * 3;
-    };
-    why = !observation.all_warm ? std::string("its workers are not warm yet")
-                                : canary::promotion_blocker(observation.sample);
-    if (why.empty() && few())
-      why = fmt::format("{} warm workers for {} of the version in place", of(observation.warm_instances, to),
-                        of(observation.instances, state.current()));
-    // What is not needed for the verdict is left for the switch, should it have to go back.
-    uint32_t share = observation.all_warm && !canary::has_ample_evidence(observation.sample)
-                         ? canary::kDeadlinePercent
-                         : canary::kColdPercent;
-    if (observation.all_warm && state.percent() != share) {
-      n.set_percent(share);
-      save(true);
-    }
-    n.set_reason(why.empty() ? "nothing speaks against it so far" : why);
-    if (why.empty() && at >= verdict) {
-      n.set_switching(true);
-      n.set_reason("switching: " + figures);
-      result.effects.push_back(LogEffect{fmt::format("Service {}: {} to version {}.", name, n.reason(), to)});
-      save(true);
-    }
-  }
-  if (result.effects.empty()) save(false);
-  return result;
+  return DeadlineStep(service, state, observation, rules).run();
 }
 
 }  // namespace dunlinwing::rollout
