--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -1,404 +1,363 @@
-// Records of votes that arrive together are synced together. What a pull may
-// see is what has been synced.
 #include "consensus/acceptor.hpp"
 
 #include "base/log.hpp"
+#include "consensus/record_writer.hpp"
 #include "consensus/refill.hpp"
 #include "consensus/vote.hpp"
 
 namespace dunlinwing::consensus {
 namespace {
 constexpr base::Log logger("consensus");
-// Pauses between two tries to write a failed disk anew, as parts of a round's limit: the first,
-// and the longest, to which it doubles.
-constexpr int kFirstPauseShare = 16;
-constexpr int kLongestPauseShare = 2;
+// The pause between two surveys of a refill, as a part of the round's timeout.
+constexpr int kSurveyPauseShare = 4;
+
+using Registers = std::map<std::string, pb::RegisterState>;
+
+pb::LogRecord record_of(const pb::RegisterState& state) {
+  pb::LogRecord record;
+  *record.mutable_register_state() = state;
+  return record;
+}
+
+pb::PeerResponse non_voting_response() {
+  pb::PeerResponse response;
+  response.mutable_vote()->set_non_voting(true);
+  return response;
+}
 }  // namespace
 
+/// The replica's memory and its refill. Kept alive by the fibers that it starts.
 struct Acceptor::Impl : std::enable_shared_from_this<Acceptor::Impl> {
   base::Ports& ports;
   base::Disk& disk;
-  std::string node_name;
+  const std::string node_name;
   ReplicaSetView& set;
-  uint64_t epoch = 0;         // of the set under which asks are answered
-  uint64_t synced_epoch = 0;  // of the set that is durable here; never above `epoch`
-  Duration round;
+  const Duration round_timeout;
+  RecordWriter writer;
+
+  uint64_t epoch = 0;         ///< of the set under which requests are answered; only rises
+  uint64_t synced_epoch = 0;  ///< of the set that is durable here; never above `epoch`
   pb::ReplicaStage stage = pb::REPLICA_EMPTY;
-  std::optional<pb::InitialBoot> first;
-  bool bad = false;     // the disk failed, and was not yet written anew
-  bool missed = false;  // memory changed while it was being written anew
-  bool writing = false, refilling = false;
-  TimePoint began{0};  // of the write under way
-  uint64_t failures = 0;
-  std::map<std::string, pb::RegisterState> slots, synced;
-  std::map<std::string, uint64_t> feed;
-  uint64_t boot = 0, count = 0;
-  std::vector<pb::LogRecord> batch;
-  uint64_t put = 0, done = 0;
-  std::vector<std::shared_ptr<base::Condition>> waits;
-
-  Impl(base::Ports& ports, base::Disk& d, std::string m, ReplicaSetView& s, Duration r)
-      : ports(ports), disk(d), node_name(std::move(m)), set(s), round(r) {}
-
-  std::vector<Replica> others() const {
-    std::vector<Replica> out;
-    for (auto& h : set.all())
-      if (h.name != node_name) out.push_back(h);
-    return out;
+  std::optional<pb::InitialBoot> initial_boot;
+  bool refilling = false;  ///< a fiber is in run_refill(); there is one at most
+
+  Registers registers;                             ///< what is voted on; may be ahead of the disk
+  Registers synced;                                ///< what is on the disk: all that others may see
+  std::map<std::string, uint64_t> change_numbers;  ///< of each synced register's latest accepted value
+  uint64_t change_count = 0;                       ///< the highest number in `change_numbers`
+  uint64_t boot_id = 0;                            ///< of this start; never 0
+
+  Impl(base::Ports& ports, base::Disk& disk, std::string node_name, ReplicaSetView& set, Duration timeout)
+      : ports(ports),
+        disk(disk),
+        node_name(std::move(node_name)),
+        set(set),
+        round_timeout(timeout),
+        writer(ports, disk, this->node_name, timeout, writer_owner()) {}
+
+  RecordWriterOwner writer_owner() {
+    return {[this] { return snapshot(); }, [this](const pb::LogRecord& record) { publish(record); },
+            [this](const pb::Snapshot& snapshot) { publish_snapshot(snapshot); },
+            [this] {
+              if (stage != pb::REPLICA_VOTING && !refilling) spawn([this] { run_refill(false); });
+            },
+            [this](std::function<void()> task) { spawn(std::move(task)); }};
   }
 
-  pb::Snapshot whole() const {
-    pb::Snapshot im;
-    im.set_stage(stage);
-    if (epoch) *im.mutable_replica_set() = set.message();
-    if (first && stage == pb::REPLICA_EMPTY) *im.mutable_initial_boot() = *first;
-    for (auto& [k, s] : slots) *im.add_registers() = s;
-    return im;
+  void spawn(std::function<void()> task) {
+    ports.tasks.spawn([self = shared_from_this(), task = std::move(task)] { task(); });
   }
 
-  void publish(const pb::LogRecord& r) {
-    if (r.has_replica_set()) synced_epoch = std::max(synced_epoch, r.replica_set().epoch());
-    if (!r.has_register_state()) return;
-    auto& state = synced[r.register_state().name()];
-    if (!is_equal(state.accepted(), r.register_state().accepted())) feed[r.register_state().name()] = ++count;
-    state = r.register_state();
+  bool non_voting() const { return writer.failed() || stage != pb::REPLICA_VOTING; }
+
+  // ---- Memory ----
+
+  pb::Snapshot snapshot() const {
+    pb::Snapshot all;
+    all.set_stage(stage);
+    if (epoch) *all.mutable_replica_set() = set.message();
+    if (initial_boot && stage == pb::REPLICA_EMPTY) *all.mutable_initial_boot() = *initial_boot;
+    for (const auto& [name, state] : registers) *all.add_registers() = state;
+    return all;
   }
 
-  // True once the record and all before it are synced; false when the disk fails, or answers
-  // nothing for a round's limit. The write may then still complete, but is answered by nobody.
-  bool sync(const pb::LogRecord& r) {
-    if (bad) {
-      missed = true;  // by the image being written
-      return false;
+  void take_loaded(const pb::Snapshot& snapshot) {
+    stage = snapshot.stage();
+    set.adopt(snapshot.replica_set());
+    epoch = synced_epoch = snapshot.replica_set().epoch();
+    for (const auto& state : snapshot.registers()) {
+      registers[state.name()] = synced[state.name()] = state;
+      change_numbers[state.name()] = ++change_count;
     }
-    batch.push_back(r);
-    uint64_t mine = ++put, failures_before = failures;
-    if (!writing) {
-      writing = true;
-      began = ports.clock.now();
-      ports.tasks.spawn([me = shared_from_this()] { me->write_batches(); });
-    }
-    auto end = ports.clock.now() + round;
-    while (done < mine && failures == failures_before && ports.clock.now() < end) {
-      auto s = ports.tasks.condition();
-      waits.push_back(s);
-      s->wait(end - ports.clock.now());
-    }
-    return done >= mine && failures == failures_before;
+    if (stage == pb::REPLICA_EMPTY && snapshot.has_initial_boot()) initial_boot = snapshot.initial_boot();
   }
 
-  void wake_all() {
-    for (auto& w : std::exchange(waits, {})) w->notify();
+  // True for a disk on which nothing was ever recorded.
+  bool is_new() const {
+    return !initial_boot && stage == pb::REPLICA_EMPTY && registers.empty() && epoch == 0;
   }
 
-  // What comes while a batch is being written goes into the next.
-  void write_batches() {
-    while (!batch.empty()) {
-      auto b = std::exchange(batch, {});
-      uint64_t upto = put;
-      began = ports.clock.now();
-      if (disk.save(b, [this] { return whole(); })) {
-        recover();
-        continue;
-      }
-      for (auto& x : b) publish(x);
-      done = upto;
-      wake_all();
-    }
-    writing = false;
+  // Shows others what a record says, now that it is on the disk.
+  void publish(const pb::LogRecord& record) {
+    if (record.has_replica_set()) synced_epoch = std::max(synced_epoch, record.replica_set().epoch());
+    if (record.has_register_state()) publish_register(record.register_state());
   }
 
-  // After a failed write nobody knows what of it is on the disk. The replica is mute until a
-  // whole image of its memory is written beside what was there, synced and read back.
-  //
-  // Why that is safe. Let M be the memory when the image is made, and A all that this replica
-  // ever answered for: promises, accepts, its set and its stage.
-  // - A is in M, or superseded there: every answer is given from memory after its record is
-  //   synced, and memory only rises in ballots and epochs. So no promise or accept that
-  //   somebody counted is forgotten.
-  // - M holds besides what was never answered for, for each such caller was told mute. A
-  //   promise that nobody counted only turns lower ballots away. An accept that nobody
-  //   counted is a value proposed at a ballot above every promise here, just as if the
-  //   answer had been lost on its way: Paxos holds whether or not such an answer arrives.
-  //   A later reader who counts it finds it on the disk.
-  // - Nothing of M is told of before the image is synced: mute replicas answer no vote, peek,
-  //   dump or pull. Then what is published is what is in the image.
-  // - What changed in memory while the image was being written had its sync refused
-  //   (`missed`), so another image follows before anything is answered.
-  // - No caller of before is answered later: `failures` has risen, whatever `done` becomes.
-  void recover() {
-    bad = true;
-    ++failures;
-    wake_all();
-    logger.error("{}: the disk failed; this replica is mute until it is written anew.", node_name);
-    Duration pause = std::max(Duration(1), round / kFirstPauseShare);
-    for (;;) {
-      missed = false;
-      batch.clear();  // all of it is in the image
-      auto image = whole();
-      if (!disk.rewrite(image)) {
-        if (missed) continue;
-        publish_image(image);
-        break;
-      }
-      ports.clock.sleep(pause);
-      pause = std::min<Duration>(pause * 2, std::max(Duration(1), round / kLongestPauseShare));
-    }
-    bad = false;
-    logger.info("{}: the disk is written anew; this replica votes again.", node_name);
-    if (stage != pb::REPLICA_VOTING && !refilling)
-      ports.tasks.spawn([me = shared_from_this()] { me->fill(false); });
+  void publish_register(const pb::RegisterState& state) {
+    auto& published = synced[state.name()];
+    if (!is_equal(published.accepted(), state.accepted())) change_numbers[state.name()] = ++change_count;
+    published = state;
   }
 
-  void publish_image(const pb::Snapshot& image) {
-    pb::LogRecord r;
-    if (image.has_replica_set()) *r.mutable_replica_set() = image.replica_set();
-    publish(r);
-    for (auto& slot : image.registers()) {
-      *r.mutable_register_state() = slot;
-      publish(r);
+  void publish_snapshot(const pb::Snapshot& snapshot) {
+    if (snapshot.has_replica_set()) synced_epoch = std::max(synced_epoch, snapshot.replica_set().epoch());
+    for (const auto& state : snapshot.registers()) publish_register(state);
+  }
+
+  // ---- Requests ----
+
+  pb::PeerResponse answer_snapshot() const {
+    pb::PeerResponse response;
+    if (writer.failed()) {
+      response.set_error("the disk failed");
+      return response;
     }
+    auto* snapshot = response.mutable_snapshot();
+    snapshot->set_stage(stage);
+    *snapshot->mutable_replica_set() = set.message();
+    for (const auto& [name, state] : synced) *snapshot->add_registers() = state;
+    return response;
   }
 
-  // A write under way for longer than a round's limit: nothing more is queued behind it.
-  bool stalled() const { return writing && ports.clock.now() - began > round; }
+  pb::PeerResponse answer_adopt(const pb::AdoptReplicaSet& request) {
+    const bool adopted = !writer.failed() && !writer.stalled() && adopt(request.replica_set());
+    pb::PeerResponse response;
+    response.mutable_vote()->set_granted(adopted);
+    return response;
+  }
 
-  // Refills until formed, over failures of the disk; one fiber at a time, for a second one
-  // could take what it heard over a vote given since.
-  void fill(bool told) {
-    refilling = true;
-    do refill(told);
-    while (stage != pb::REPLICA_VOTING && !bad);
-    refilling = false;
+  pb::PeerResponse answer_read(const pb::ReadRegister& request) const {
+    pb::PeerResponse response;
+    auto* vote = response.mutable_vote();
+    vote->set_granted(true);
+    if (auto found = synced.find(request.name()); found != synced.end())
+      *vote->mutable_register_state() = found->second;
+    return response;
   }
 
-  pb::PeerResponse vote(const VoteStep& st) {
-    pb::PeerResponse out;
-    auto* v = out.mutable_vote();
-    if (st.must_sync) {
-      slots[st.state.name()] = st.state;
-      pb::LogRecord r;
-      *r.mutable_register_state() = st.state;
-      if (!sync(r)) {
-        v->set_non_voting(true);
-        return out;
-      }
+  // Takes the step and syncs it; only then the vote may be counted.
+  pb::PeerResponse answer_vote(const VoteStep& step) {
+    if (step.granted) {
+      registers[step.state.name()] = step.state;
+      if (!writer.sync({record_of(step.state)})) return non_voting_response();
     }
-    v->set_granted(st.granted);
-    *v->mutable_register_state() = st.state;
-    return out;
+    pb::PeerResponse response;
+    response.mutable_vote()->set_granted(step.granted);
+    *response.mutable_vote()->mutable_register_state() = step.state;
+    return response;
   }
 
-  // True once the set, or a newer one, is durable here. Asks of lower epochs are rejected
-  // from the first moment on.
-  bool adopt(const pb::ReplicaSet& s) {
-    if (s.epoch() <= synced_epoch) return true;
-    set.adopt(s);
-    epoch = std::max(epoch, s.epoch());
-    pb::LogRecord r;
-    *r.mutable_replica_set() = set.message();  // this one, or a newer one that memory has already
-    return sync(r) && synced_epoch >= s.epoch();
+  // True once the set, or a newer one, is durable here. Requests of lower epochs are rejected from the first
+  // moment on.
+  bool adopt(const pb::ReplicaSet& newer) {
+    if (newer.epoch() <= synced_epoch) return true;
+    set.adopt(newer);
+    epoch = std::max(epoch, newer.epoch());
+    pb::LogRecord record;
+    *record.mutable_replica_set() = set.message();  // this one, or a newer one that memory has already
+    return writer.sync({record}) && synced_epoch >= newer.epoch();
   }
 
-  // All that the others hold, in one sync. It was not accepted here, so it is no vote.
-  bool take(std::map<std::string, pb::RegisterState>& got) {
-    pb::LogRecord last;
-    for (auto& [k, s] : got) {
-      s.set_name(k);
-      s.set_refilled(s.accepted().round() > 0);
-      slots[k] = s;
-      pb::LogRecord r;
-      *r.mutable_register_state() = s;
-      if (last.has_register_state()) {
-        batch.push_back(std::exchange(last, r));
-        ++put;
-      } else {
-        last = r;
-      }
-    }
-    return got.empty() || sync(last);
+  // ---- Refill ----
+
+  std::vector<Replica> other_replicas() const {
+    std::vector<Replica> others;
+    for (const auto& replica : set.all())
+      if (replica.name != node_name) others.push_back(replica);
+    return others;
   }
 
-  void set_stage(pb::ReplicaStage s) {
-    stage = s;
-    pb::LogRecord r;
-    r.set_stage(s);
-    if (sync(r)) logger.info("{}: this disk is now {}.", node_name, pb::ReplicaStage_Name(s));
+  void enter_stage(pb::ReplicaStage next) {
+    stage = next;
+    pb::LogRecord record;
+    record.set_stage(next);
+    if (writer.sync({record}))
+      logger.info("The disk of replica {} is now {}.", node_name, pb::ReplicaStage_Name(next));
   }
 
-  // What all others hold, waiting for each of them as long as a round may take.
+  // Asks all others for what they hold, waiting for each of them as long as a round may take.
   RefillSurvey survey() {
-    auto others = this->others();
-    pb::PeerRequest dump;
-    dump.mutable_snapshot()->set_node(node_name);
-    auto replies = call_replicas(
-        ports, others, [&](size_t) { return dump; }, round, [](auto&) { return false; });
+    const auto others = other_replicas();
+    pb::PeerRequest request;
+    request.mutable_snapshot()->set_node(node_name);
+    const auto responses = call_replicas(
+        ports, others, [&](size_t) { return request; }, round_timeout, [](auto&) { return false; });
     RefillSurvey survey;
     survey.requested = others.size();
-    for (size_t k = 0; k < replies.size(); ++k)
-      if (replies[k] && replies[k]->has_snapshot())
-        add_response(survey, others[k], replies[k]->snapshot(), set);
+    for (size_t i = 0; i < responses.size(); ++i)
+      if (responses[i] && responses[i]->has_snapshot())
+        add_response(survey, others[i], responses[i]->snapshot(), set);
     return survey;
   }
 
+  // Takes the registers that the others hold, in one sync. They were not accepted here, so they are no votes.
+  bool take_registers(Registers& reported) {
+    std::vector<pb::LogRecord> records;
+    for (auto& [name, state] : reported) {
+      state.set_name(name);
+      state.set_refilled(state.accepted().round() > 0);
+      registers[name] = state;
+      records.push_back(record_of(state));
+    }
+    return writer.sync(records);
+  }
+
   // Takes all that the others hold, under the present set; false when the disk fails.
-  bool take_survey(RefillSurvey& survey) {
-    if (!adopt(set.message()) || !take(survey.registers)) return false;
-    logger.info("{}: refilled with {} registers from {} holders.", node_name, survey.registers.size(),
-                survey.voting);
-    set_stage(pb::REPLICA_VOTING);
+  bool adopt_state(RefillSurvey& survey) {
+    if (!adopt(set.message()) || !take_registers(survey.registers)) return false;
+    logger.info("Replica {} is refilled with {} registers from {} replicas.", node_name,
+                survey.registers.size(), survey.voting);
+    enter_stage(pb::REPLICA_VOTING);
+    return true;
+  }
+
+  // A joining disk knows its set; false when the disk fails.
+  bool become_joining() {
+    if (!adopt(set.message())) return false;
+    enter_stage(pb::REPLICA_JOINING);
     return true;
   }
 
-  // Remembers the seeds of the first start before anything else, for a restart amid it.
-  bool remember_first() {
+  bool record_initial_boot() {
     pb::LogRecord record;
-    *record.mutable_initial_boot() = *first;
-    return sync(record);
+    *record.mutable_initial_boot() = *initial_boot;
+    return writer.sync({record});
   }
 
-  // Until formed, or the disk fails.
-  void refill(bool told) {
-    if (told && !first->seeds().empty() && !remember_first()) return;
-    if (stage == pb::REPLICA_EMPTY) ports.clock.sleep(round);
-    bool doubted = false;
-    while (stage != pb::REPLICA_VOTING && !bad) {
+  // Refills until the disk votes, over failures of it. One fiber at a time: a second one could take what was
+  // reported to it over a vote given since.
+  void run_refill(bool is_initial_boot) {
+    refilling = true;
+    do refill(is_initial_boot);
+    while (stage != pb::REPLICA_VOTING && !writer.failed());
+    refilling = false;
+  }
+
+  // Returns once the disk votes, or fails. The seeds of the first start are recorded before anything else,
+  // for a restart amid it.
+  void refill(bool is_initial_boot) {
+    if (is_initial_boot && !initial_boot->seeds().empty() && !record_initial_boot()) return;
+    if (stage == pb::REPLICA_EMPTY) ports.clock.sleep(round_timeout);
+    bool reported_undecidable = false;
+    while (stage != pb::REPLICA_VOTING && !writer.failed()) {
       if (!set.has(node_name)) {  // no replica yet, or the set is not known
-        ports.clock.sleep(round / 4);
+        pause_between_surveys();
         continue;
       }
-      auto survey = this->survey();
-      switch (next_step(survey, stage, set, node_name, first.has_value())) {
-        case RefillStep::adopt_state:
-          if (!take_survey(survey)) return;
-          break;
-        case RefillStep::become_joining:
-          if (!adopt(set.message())) return;  // a born disk knows its set
-          set_stage(pb::REPLICA_JOINING);
-          break;
-        case RefillStep::become_voting:
-          set_stage(pb::REPLICA_VOTING);
-          break;
-        case RefillStep::undecidable:
-          if (!std::exchange(doubted, true))
-            logger.warn(
-                "{}: this disk is blank, and the others cannot tell whether anything was ever recorded; it "
-                "stays mute.",
-                node_name);
-          ports.clock.sleep(round / 4);
-          break;
-        case RefillStep::survey_again:
-          ports.clock.sleep(round / 4);
-          break;
-      }
+      auto result = survey();
+      const auto step = next_step(result, stage, set, node_name, initial_boot.has_value());
+      if (step == RefillStep::undecidable && !std::exchange(reported_undecidable, true))
+        logger.warn(
+            "Replica {} cannot vote: its disk is empty, and the others cannot tell whether anything was "
+            "ever recorded.",
+            node_name);
+      if (!take(step, result)) return;
+    }
+  }
+
+  // False when the disk fails.
+  bool take(RefillStep step, RefillSurvey& result) {
+    switch (step) {
+      case RefillStep::adopt_state:
+        return adopt_state(result);
+      case RefillStep::become_joining:
+        return become_joining();
+      case RefillStep::become_voting:
+        enter_stage(pb::REPLICA_VOTING);
+        return true;
+      case RefillStep::undecidable:
+      case RefillStep::survey_again:
+        pause_between_surveys();
+        return true;
     }
+    return true;
   }
+
+  void pause_between_surveys() { ports.clock.sleep(round_timeout / kSurveyPauseShare); }
 };
 
 Acceptor::Acceptor(base::Ports& ports, base::Disk& disk, std::string node_name, ReplicaSetView& set,
-                   Duration round)
-    : impl_(std::make_shared<Impl>(ports, disk, std::move(node_name), set, round)) {}
+                   Duration round_timeout)
+    : impl_(std::make_shared<Impl>(ports, disk, std::move(node_name), set, round_timeout)) {}
+
 Acceptor::~Acceptor() = default;
 
-void Acceptor::start(const std::optional<pb::InitialBoot>& first) {
-  auto l = impl_->disk.load();
-  impl_->boot = impl_->ports.random.draw() | 1;
-  impl_->stage = l.snapshot.stage();
-  impl_->set.adopt(l.snapshot.replica_set());
-  impl_->epoch = impl_->synced_epoch = l.snapshot.replica_set().epoch();
-  for (auto& state : l.snapshot.registers()) {
-    impl_->slots[state.name()] = impl_->synced[state.name()] = state;
-    impl_->feed[state.name()] = ++impl_->count;
-  }
-  logger.info("{}: the disk is {} and holds {} registers.", impl_->node_name,
-              pb::ReplicaStage_Name(impl_->stage), impl_->slots.size());
-  if (impl_->stage == pb::REPLICA_EMPTY && l.snapshot.has_initial_boot())
-    impl_->first = l.snapshot.initial_boot();
-  bool told =
-      first && !impl_->first && impl_->stage == pb::REPLICA_EMPTY && impl_->slots.empty() && !impl_->epoch;
-  if (told) impl_->first = first;
-  if (l.unwritten) {
-    impl_->bad = impl_->writing = true;
-    impl_->ports.tasks.spawn([p = impl_] {
-      p->recover();
-      p->write_batches();
-    });
-  }
-  if (impl_->stage != pb::REPLICA_VOTING) impl_->ports.tasks.spawn([p = impl_, told] { p->fill(told); });
+void Acceptor::start(const std::optional<pb::InitialBoot>& initial_boot) {
+  auto& impl = *impl_;
+  const auto loaded = impl.disk.load();
+  impl.boot_id = impl.ports.random.draw() | 1;
+  impl.take_loaded(loaded.snapshot);
+  logger.info("The disk of replica {} is {} and holds {} registers.", impl.node_name,
+              pb::ReplicaStage_Name(impl.stage), impl.registers.size());
+  const bool is_initial_boot = initial_boot && impl.is_new();
+  if (is_initial_boot) impl.initial_boot = initial_boot;
+  if (loaded.unwritten) impl.writer.start_recovery();
+  if (impl.stage != pb::REPLICA_VOTING)
+    impl.spawn([&impl, is_initial_boot] { impl.run_refill(is_initial_boot); });
 }
 
-std::optional<pb::InitialBoot> Acceptor::initial_boot() const { return impl_->first; }
+std::optional<pb::InitialBoot> Acceptor::initial_boot() const { return impl_->initial_boot; }
+
+bool Acceptor::non_voting() const { return impl_->non_voting(); }
 
-bool Acceptor::non_voting() const { return impl_->bad || impl_->stage != pb::REPLICA_VOTING; }
 bool Acceptor::adopt(const pb::ReplicaSet& set) { return impl_->adopt(set); }
 
 std::vector<std::string> Acceptor::refilled_registers() const {
   std::vector<std::string> names;
-  for (auto& [name, state] : impl_->synced)
+  for (const auto& [name, state] : impl_->synced)
     if (state.refilled()) names.push_back(name);
   return names;
 }
 
 pb::PeerResponse Acceptor::answer(const pb::PeerRequest& request) {
   auto& impl = *impl_;
-  pb::PeerResponse out;
-  if (request.has_snapshot()) {
-    if (impl.bad) {
-      out.set_error("the disk failed");
-      return out;
-    }
-    auto* im = out.mutable_snapshot();
-    im->set_stage(impl.stage);
-    *im->mutable_replica_set() = impl.set.message();
-    for (auto& [k, s] : impl.synced) *im->add_registers() = s;
-    return out;
-  }
-  if (request.has_adopt()) {
-    bool ok = !impl.bad && !impl.stalled() && adopt(request.adopt().replica_set());
-    out.mutable_vote()->set_granted(ok);
-    return out;
-  }
+  if (request.has_snapshot()) return impl.answer_snapshot();
+  if (request.has_adopt()) return impl.answer_adopt(request.adopt());
   if (request.epoch() < impl.epoch) {
-    *out.mutable_vote()->mutable_newer_set() = impl.set.message();
-    out.mutable_vote()->set_non_voting(true);
-    return out;
-  }
-  if (non_voting() || (impl.stalled() && !request.has_read_register())) {
-    out.mutable_vote()->set_non_voting(true);
-    return out;
+    auto response = non_voting_response();
+    *response.mutable_vote()->mutable_newer_set() = impl.set.message();
+    return response;
   }
+  if (non_voting() || (impl.writer.stalled() && !request.has_read_register())) return non_voting_response();
   if (request.has_prepare())
-    return impl.vote(prepare(impl.slots[request.prepare().name()], request.prepare()));
-  if (request.has_accept()) return impl.vote(accept(impl.slots[request.accept().name()], request.accept()));
-  auto* v = out.mutable_vote();
-  v->set_granted(true);
-  if (auto f = impl.synced.find(request.read_register().name()); f != impl.synced.end())
-    *v->mutable_register_state() = f->second;
-  return out;
+    return impl.answer_vote(prepare(impl.registers[request.prepare().name()], request.prepare()));
+  if (request.has_accept())
+    return impl.answer_vote(accept(impl.registers[request.accept().name()], request.accept()));
+  return impl.answer_read(request.read_register());
 }
 
-void Acceptor::append_changes(uint64_t boot, uint64_t seen, uint64_t most_bytes,
-                              pb::PullResponse& out) const {
-  auto& impl = *impl_;
-  out.set_boot_id(impl.boot);
-  out.set_position(non_voting() ? 0 : impl.count);  // of what is not told yet nothing was seen
-  out.set_non_voting(non_voting());
-  if (impl.epoch) *out.mutable_replica_set() = impl.set.message();
-  out.set_adopted_epoch(impl.synced_epoch);
+void Acceptor::append_changes(const ChangePosition& seen, uint64_t max_bytes,
+                              pb::PullResponse& response) const {
+  const auto& impl = *impl_;
+  response.set_boot_id(impl.boot_id);
+  response.set_non_voting(non_voting());
+  if (impl.epoch) *response.mutable_replica_set() = impl.set.message();
+  response.set_adopted_epoch(impl.synced_epoch);
+  response.set_position(0);  // of what is not sent yet nothing was seen
   if (non_voting()) return;
-  if (boot != impl.boot) seen = 0;
-  std::map<uint64_t, const std::string*> later;  // by the number of the change
-  for (auto& [name, number] : impl.feed)
-    if (number > seen) later[number] = &name;
+  const uint64_t position = seen.boot_id == impl.boot_id ? seen.position : 0;
+  std::map<uint64_t, const std::string*> names_by_change;
+  for (const auto& [name, number] : impl.change_numbers)
+    if (number > position) names_by_change[number] = &name;
   size_t bytes = 0;
-  for (auto& [number, name] : later) {
-    auto& state = impl.synced.at(*name);
+  for (const auto& [number, name] : names_by_change) {
+    const auto& state = impl.synced.at(*name);
     bytes += state.ByteSizeLong();
-    if (most_bytes && bytes > most_bytes && out.registers_size() > 0) return out.set_more(true);
-    *out.add_registers() = state;
-    out.set_position(number);
+    if (max_bytes && bytes > max_bytes && response.registers_size() > 0) return response.set_more(true);
+    *response.add_registers() = state;
+    response.set_position(number);
   }
-  out.set_position(impl.count);
+  response.set_position(impl.change_count);
 }
 
 }  // namespace dunlinwing::consensus
--- a/src/consensus/quorum_call.cpp
+++ b/src/consensus/quorum_call.cpp
@@ -1,41 +1,59 @@
-// The shared table of replies outlives the caller, so that a late reply finds
-// a place to go and is then forgotten.
 #include "consensus/quorum_call.hpp"
 
 namespace dunlinwing::consensus {
+namespace {
 
-PeerResponses call_replicas(base::Ports& ports, const std::vector<Replica>& ts,
-                            const std::function<pb::PeerRequest(size_t)>& make, Duration limit,
-                            const StopCondition& enough, const std::string& node_name,
-                            const LocalReplica& local) {
-  struct Table {
-    PeerResponses rs;
-    size_t left;
-    std::shared_ptr<base::Condition> condition;
-  };
-  auto t = std::make_shared<Table>();
-  t->rs.resize(ts.size());
-  t->left = ts.size();
-  t->condition = ports.tasks.condition();
-  auto end = ports.clock.now() + limit;
-  for (size_t i = 0; i < ts.size(); ++i)
-    ports.tasks.spawn(
-        [&ports, t, i, to = ts[i], a = make(i), limit, mine = local && ts[i].name == node_name, local] {
-          if (mine) {
-            t->rs[i] = local(a);
-          } else {
-            auto r = ports.peers.call(to.address, a, limit);
-            if (auto* response = std::get_if<pb::PeerResponse>(&r)) t->rs[i] = std::move(*response);
-          }
-          --t->left;
-          t->condition->notify();
-        });
-  while (t->left && !enough(t->rs)) {
-    auto now = ports.clock.now();
+/// Shared by the caller and the fibers of its requests, so that a response that comes after the call has
+/// returned still has a place.
+struct Call {
+  PeerResponses responses;
+  size_t pending = 0;  ///< requests without an outcome
+  std::shared_ptr<base::Condition> condition;
+};
+
+// Sends one request in a fiber of its own.
+void send(base::Ports& ports, const std::shared_ptr<Call>& call, size_t index,
+          std::function<std::optional<pb::PeerResponse>()> request) {
+  ports.tasks.spawn([call, index, request = std::move(request)] {
+    call->responses[index] = request();
+    --call->pending;
+    call->condition->notify();
+  });
+}
+
+std::optional<pb::PeerResponse> call_peer(base::PeerTransport& peers, const std::string& address,
+                                          const pb::PeerRequest& request, Duration timeout) {
+  auto result = peers.call(address, request, timeout);
+  if (auto* response = std::get_if<pb::PeerResponse>(&result)) return std::move(*response);
+  return {};
+}
+
+}  // namespace
+
+PeerResponses call_replicas(base::Ports& ports, const std::vector<Replica>& replicas,
+                            const RequestFactory& make_request, Duration timeout, const StopCondition& enough,
+                            const LocalMember& local) {
+  auto call = std::make_shared<Call>();
+  call->responses.resize(replicas.size());
+  call->pending = replicas.size();
+  call->condition = ports.tasks.condition();
+  const auto end = ports.clock.now() + timeout;
+  for (size_t i = 0; i < replicas.size(); ++i) {
+    auto request = make_request(i);
+    if (local.answer && replicas[i].name == local.node_name)
+      send(ports, call, i, [answer = local.answer, request = std::move(request)] { return answer(request); });
+    else
+      send(ports, call, i,
+           [&peers = ports.peers, address = replicas[i].address, request = std::move(request), timeout] {
+             return call_peer(peers, address, request, timeout);
+           });
+  }
+  while (call->pending > 0 && !enough(call->responses)) {
+    const auto now = ports.clock.now();
     if (now >= end) break;
-    t->condition->wait(end - now);
+    call->condition->wait(end - now);
   }
-  return t->rs;
+  return call->responses;
 }
 
 }  // namespace dunlinwing::consensus
--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -1,7 +1,6 @@
-// Every change is one Paxos round: prepare, look at the highest accepted
-// value, accept either that value again or the next one. A value carries the
-// tag of its writer and those of the writes before it, so that a writer whose
-// round broke off can find out whether another finished it.
+// Every change is one Paxos round: prepare, look at the highest accepted value, accept either that value
+// again or the next one. A value carries the identifier of its write and those of the writes before it, so
+// that a writer whose round was cut short can find out whether another proposer finished it.
 #include "consensus/register_client.hpp"
 
 #include <algorithm>
@@ -11,308 +10,397 @@
 
 namespace dunlinwing::consensus {
 namespace {
-constexpr int kPastTags = 8;
-constexpr int kRounds = 5;       // of a round's limit: how long an operation tries
-constexpr int kSilentTries = 3;  // without hearing a majority before it says so
-constexpr int kMostDoublings = 6;
-constexpr size_t kAtOnce = 16;  // registers finished side by side; replicas sync their votes together
-constexpr size_t kFewestReplicas = 3;
-constexpr int kTellPart = 4;  // of a round's limit: how long members are told of a new set
+constexpr int kEarlierWriteIds = 8;          // of the writes before it that a value carries
+constexpr int kOperationRounds = 5;          // round timeouts for which an operation tries
+constexpr int kTriesWithoutQuorum = 3;       // rounds without votes of a quorum before an operation gives up
+constexpr int kRewriteTries = 10;            // rounds for each register that is rewritten
+constexpr size_t kConcurrentRewrites = 16;   // replicas sync votes that come together in one write
+constexpr size_t kMinReplicas = 3;           // the fewest that can bear a loss
+constexpr int kSetAnnouncementShare = 4;     // of a round timeout: how long members are told of a new set
+constexpr uint64_t kFirstBackOffShare = 32;  // of a round timeout: the longest pause after the first round
+constexpr int kMaxBackOffDoublings = 6;
+
+using Response = std::optional<pb::PeerResponse>;
+
+bool is_granted(const Response& response) {
+  return response && response->has_vote() && response->vote().granted();
+}
+
+bool is_voting(const Response& response) {
+  return response && response->has_vote() && !response->vote().non_voting();
+}
+
+bool may_be_granted(const Response& response) { return !response || is_granted(response); }
+
+template <class Predicate>
+MemberFlags flags(const PeerResponses& responses, Predicate predicate) {
+  MemberFlags members(responses.size());
+  for (size_t i = 0; i < responses.size(); ++i) members[i] = predicate(responses[i]);
+  return members;
+}
+
+VersionedValue versioned(const pb::Value& value) { return {value.version(), value.data()}; }
+
+/// What the members answered to one request.
+struct Votes {
+  PeerResponses responses;
+  /// They came later than a round's timeout after the request: they count no longer, for a vote so old may
+  /// come from a disk that was lost since.
+  bool expired = false;
+};
+
+enum class ProposalOutcome {
+  no_quorum,  ///< no quorum of voting replicas answered; nothing was proposed
+  undecided,  ///< promises were refused, or the value may or may not have been accepted
+  chosen,
+};
+
+struct ProposalResult {
+  ProposalOutcome outcome = ProposalOutcome::no_quorum;
+  pb::Value value;  ///< in force; meaningful when it was chosen
+};
+
+/// The value to be accepted where the given one is in force: the next one, or that one again.
+using NextValue = std::function<pb::Value(const pb::Value& current)>;
+
+pb::Value same_value(const pb::Value& current) { return current; }
+
+/// One compare-and-set, over as many rounds as it takes.
+class CompareAndSet {
+ public:
+  CompareAndSet(uint64_t expected_version, const std::string& data, std::string write_id)
+      : expected_version_(expected_version), data_(data), write_id_(std::move(write_id)) {}
+
+  /// Whether the value may already have been sent to replicas.
+  bool proposed() const { return proposed_; }
+
+  pb::Value next_value(const pb::Value& current) {
+    if (contains_own(current) || current.version() != expected_version_) return current;
+    proposed_ = true;
+    pb::Value next;
+    next.set_version(expected_version_ + 1);
+    next.set_data(data_);
+    next.set_write_id(write_id_);
+    if (!current.write_id().empty()) next.add_earlier_write_ids(current.write_id());
+    for (const auto& earlier : current.earlier_write_ids()) {
+      if (next.earlier_write_ids_size() >= kEarlierWriteIds) break;
+      next.add_earlier_write_ids(earlier);
+    }
+    return next;
+  }
+
+  /// What a value in force says of this write; nothing while it is still the one to be replaced.
+  std::optional<WriteResult> result_under(const pb::Value& current) const {
+    if (contains_own(current)) return VersionedValue{expected_version_ + 1, data_};
+    if (current.version() == expected_version_) return {};
+    // Past this many later writes the identifiers no longer tell whether ours was among them.
+    if (proposed_ && current.version() > expected_version_ + kEarlierWriteIds)
+      return RegisterError::fate_unknown;
+    return VersionConflict{versioned(current)};
+  }
+
+ private:
+  bool contains_own(const pb::Value& value) const {
+    const auto& earlier = value.earlier_write_ids();
+    return value.write_id() == write_id_ ||
+           std::find(earlier.begin(), earlier.end(), write_id_) != earlier.end();
+  }
+
+  const uint64_t expected_version_;
+  const std::string& data_;
+  const std::string write_id_;
+  bool proposed_ = false;
+};
+
 }  // namespace
 
 struct RegisterClient::Impl {
   base::Ports& ports;
-  std::string node_name;
   ReplicaSetView& set;
-  Duration round;
-  LocalReplica local;
-  uint64_t top = 0;
-
-  // What the members answered, and whether it may still be counted. A vote older than a
-  // round's limit may come from a disk that was lost since.
-  struct Votes {
-    PeerResponses replies;
-    bool expired = false;
-  };
+  const Duration round_timeout;
+  const LocalMember local;
+  uint64_t highest_round = 0;  ///< of any ballot used or seen here; the next proposal goes above it
 
-  // The set must not change while a round counts: replies are counted by the quorum of the
-  // set that was asked, and a newer set that somebody names voids the round.
-  Votes ask(pb::PeerRequest request, const StopCondition& enough) {
-    auto epoch = set.epoch();
+  // ---- Votes ----
+
+  // The set must not change while a round counts: responses are counted by the quorum of the set that was
+  // asked, and a newer set that somebody names voids the round.
+  Votes collect_votes(pb::PeerRequest request, const StopCondition& enough) {
+    const auto epoch = set.epoch();
     request.set_epoch(epoch);
-    auto from = ports.clock.now();
+    const auto began = ports.clock.now();
     Votes votes;
-    votes.replies = call_replicas(
-        ports, set.all(), [&](size_t) { return request; }, round, enough, node_name, local);
-    for (auto& r : votes.replies)
-      if (r && r->has_vote()) set.adopt(r->vote().newer_set());
-    if (set.epoch() != epoch) votes.replies.assign(set.all().size(), std::nullopt);
-    votes.expired = ports.clock.now() - from > round;
+    votes.responses = call_replicas(
+        ports, set.all(), [&](size_t) { return request; }, round_timeout, enough, local);
+    for (const auto& response : votes.responses)
+      if (response && response->has_vote()) set.adopt(response->vote().newer_set());
+    if (set.epoch() != epoch) votes.responses.assign(set.all().size(), std::nullopt);
+    votes.expired = ports.clock.now() - began > round_timeout;
     return votes;
   }
 
-  void note(const pb::Vote& v) { top = std::max(top, v.register_state().promised().round()); }
-
-  template <class Predicate>
-  static MemberFlags flags(const PeerResponses& rs, Predicate said) {
-    MemberFlags out(rs.size());
-    for (size_t i = 0; i < rs.size(); ++i) out[i] = said(rs[i]);
-    return out;
-  }
-  static bool said_yes(const std::optional<pb::PeerResponse>& r) {
-    return r && r->has_vote() && r->vote().granted();
+  bool quorum_granted(const PeerResponses& responses) const {
+    return set.is_quorum(flags(responses, is_granted));
   }
-  static bool votes(const std::optional<pb::PeerResponse>& r) {
-    return r && r->has_vote() && !r->vote().non_voting();
+
+  // Voting is over when a quorum has granted, or so many have refused that none can.
+  bool is_settled(const PeerResponses& responses) const {
+    return quorum_granted(responses) || !set.is_quorum(flags(responses, may_be_granted));
   }
 
-  bool quorum_said_yes(const PeerResponses& rs) const { return set.is_quorum(flags(rs, said_yes)); }
-  // Voting is over when a quorum said yes, or so many said no that none can.
-  bool settled(const PeerResponses& rs) const {
-    auto may_say_yes = [](auto& r) { return !r || said_yes(r); };
-    return quorum_said_yes(rs) || !set.is_quorum(flags(rs, may_say_yes));
+  Votes collect_until_settled(const pb::PeerRequest& request) {
+    auto votes =
+        collect_votes(request, [&](const PeerResponses& responses) { return is_settled(responses); });
+    for (const auto& response : votes.responses)
+      if (response && response->has_vote())
+        highest_round = std::max(highest_round, response->vote().register_state().promised().round());
+    return votes;
   }
 
   // Proposers that met each other wait a random while, longer each time.
-  void back_off(int i) {
-    auto most =
-        static_cast<uint64_t>(round.count()) / 32 * static_cast<uint64_t>(1 << std::min(i, kMostDoublings));
-    ports.clock.sleep(Duration(1 + ports.random.below(most + 1)));
+  void back_off(int tries) {
+    const uint64_t first = static_cast<uint64_t>(round_timeout.count()) / kFirstBackOffShare;
+    const uint64_t longest = first * (uint64_t{1} << std::min(tries, kMaxBackOffDoublings));
+    ports.clock.sleep(Duration(1 + ports.random.below(longest + 1)));
   }
 
+  // ---- Reads ----
+
   // The state that a quorum has accepted at one ballot, none higher being seen.
-  const pb::RegisterState* agreed(const PeerResponses& rs) const {
+  const pb::RegisterState* agreed_state(const PeerResponses& responses) const {
     const pb::RegisterState* best = nullptr;
-    for (auto& r : rs)
-      if (said_yes(r) && (!best || is_lower(best->accepted(), r->vote().register_state().accepted())))
-        best = &r->vote().register_state();
+    for (const auto& response : responses)
+      if (is_granted(response) &&
+          (!best || is_lower(best->accepted(), response->vote().register_state().accepted())))
+        best = &response->vote().register_state();
     if (!best) return nullptr;
-    auto has_best = [&](auto& r) {
-      if (!said_yes(r)) return false;
-      auto& state = r->vote().register_state();
+    auto has_accepted_best = [&](const Response& response) {
+      if (!is_granted(response)) return false;
+      const auto& state = response->vote().register_state();
       return !state.refilled() && is_equal(best->accepted(), state.accepted());
     };
-    return set.is_quorum(flags(rs, has_best)) ? best : nullptr;
+    return set.is_quorum(flags(responses, has_accepted_best)) ? best : nullptr;
   }
 
-  std::optional<pb::Value> peek(const std::string& name) {
+  // The value in force when a quorum shows it without a proposal.
+  std::optional<pb::Value> read_agreed(const std::string& name) {
     pb::PeerRequest request;
     request.mutable_read_register()->set_name(name);
-    auto votes = ask(request, [&](auto& r) { return agreed(r) != nullptr; });
+    const auto votes = collect_votes(
+        request, [&](const PeerResponses& responses) { return agreed_state(responses) != nullptr; });
     if (votes.expired) return {};
-    if (auto* s = agreed(votes.replies)) return s->value();
+    if (const auto* state = agreed_state(votes.responses)) return state->value();
     return {};
   }
 
-  // One round. `make` turns the value in force into the next, or into itself.
-  // Promised but not chosen: the accept may or may not hold.
-  struct Out {
-    pb::Value value;
-    bool heard = false, promised = false, chosen = false;
-  };
-  Out turn(const std::string& name, const std::function<pb::Value(const pb::Value&)>& make) {
-    Out o;
-    pb::Ballot b;
-    b.set_round(++top);
-    b.set_node(node_name);
+  // ---- Proposals ----
+
+  Votes request_promises(const std::string& name, const pb::Ballot& ballot) {
     pb::PeerRequest request;
     request.mutable_prepare()->set_name(name);
-    *request.mutable_prepare()->mutable_ballot() = b;
-    auto promises = ask(request, [&](auto& r) { return settled(r); });
-    pb::RegisterState best;
-    for (auto& r : promises.replies)
-      if (r && r->has_vote()) {
-        note(r->vote());
-        if (r->vote().granted() && is_lower(best.accepted(), r->vote().register_state().accepted()))
-          best = r->vote().register_state();
-      }
-    o.heard = set.is_quorum(flags(promises.replies, votes));
-    auto epoch = set.epoch();
-    if (promises.expired || !quorum_said_yes(promises.replies)) return o;
-    o.promised = true;
-    o.value = make(best.value());
-    pb::PeerRequest c;
-    c.mutable_accept()->set_name(name);
-    *c.mutable_accept()->mutable_ballot() = b;
-    *c.mutable_accept()->mutable_value() = o.value;
-    auto accepts = ask(c, [&](auto& r) { return settled(r); });
-    for (auto& r : accepts.replies)
-      if (r && r->has_vote()) note(r->vote());
-    o.chosen = !accepts.expired && set.epoch() == epoch && quorum_said_yes(accepts.replies);
-    return o;
+    *request.mutable_prepare()->mutable_ballot() = ballot;
+    return collect_until_settled(request);
   }
 
-  // Makes the present set last at its members; which of them answered that it does.
-  MemberFlags spread_set(Duration limit) {
+  Votes request_accepts(const std::string& name, const pb::Ballot& ballot, const pb::Value& value) {
     pb::PeerRequest request;
-    *request.mutable_adopt()->mutable_replica_set() = set.message();
-    auto all_answered = [](const PeerResponses& rs) {
-      return std::all_of(rs.begin(), rs.end(), [](auto& r) { return r.has_value(); });
-    };
-    auto rs = call_replicas(
-        ports, set.all(), [&](size_t) { return request; }, limit, all_answered, node_name, local);
-    return flags(rs, said_yes);
+    request.mutable_accept()->set_name(name);
+    *request.mutable_accept()->mutable_ballot() = ballot;
+    *request.mutable_accept()->mutable_value() = value;
+    return collect_until_settled(request);
   }
 
-  // Writes the value in force of each register anew, so that a quorum of the present set has it.
-  bool finish(const std::vector<std::string>& names) {
-    struct Table {
-      std::vector<std::string> names;
-      size_t next = 0, left = 0;
-      bool ok = true;
-      std::shared_ptr<base::Condition> condition;
-    };
-    auto t = std::make_shared<Table>(
-        Table{names, 0, std::min(kAtOnce, names.size()), true, ports.tasks.condition()});
-    for (size_t k = t->left; k > 0; --k)
-      ports.tasks.spawn([this, t] {
-        while (t->ok && t->next < t->names.size()) {
-          auto& n = t->names[t->next++];
-          bool done = false;
-          for (int i = 0; i < 2 * kRounds && !done && t->ok; ++i) {
-            done = turn(n, [](const pb::Value& v) { return v; }).chosen;
-            if (!done) back_off(i);
-          }
-          t->ok &= done;
+  // Of those that promised, the value accepted at the highest ballot.
+  static pb::Value highest_value(const PeerResponses& promises) {
+    pb::RegisterState highest;
+    for (const auto& response : promises)
+      if (is_granted(response) && is_lower(highest.accepted(), response->vote().register_state().accepted()))
+        highest = response->vote().register_state();
+    return highest.value();
+  }
+
+  // One round. Undecided: the accepts may or may not hold.
+  ProposalResult propose(const std::string& name, const NextValue& next_value) {
+    ProposalResult result;
+    pb::Ballot ballot;
+    ballot.set_round(++highest_round);
+    ballot.set_node(local.node_name);
+    const auto promises = request_promises(name, ballot);
+    if (set.is_quorum(flags(promises.responses, is_voting))) result.outcome = ProposalOutcome::undecided;
+    const auto epoch = set.epoch();
+    if (promises.expired || !quorum_granted(promises.responses)) return result;
+    result.value = next_value(highest_value(promises.responses));
+    const auto accepts = request_accepts(name, ballot, result.value);
+    if (!accepts.expired && set.epoch() == epoch && quorum_granted(accepts.responses))
+      result.outcome = ProposalOutcome::chosen;
+    return result;
+  }
+
+  // ---- Operations ----
+
+  ReadResult read(const std::string& name) {
+    const TimePoint end = ports.clock.now() + round_timeout * kOperationRounds;
+    for (int i = 0, without_quorum = 0; i == 0 || ports.clock.now() < end; ++i) {
+      if (const auto value = read_agreed(name)) return versioned(*value);
+      const auto result = propose(name, same_value);
+      if (result.outcome == ProposalOutcome::chosen) return versioned(result.value);
+      if (result.outcome == ProposalOutcome::no_quorum && ++without_quorum >= kTriesWithoutQuorum) break;
+      back_off(i);
+    }
+    return RegisterError::no_majority;
+  }
+
+  WriteResult write(const std::string& name, uint64_t expected_version, const std::string& data) {
+    CompareAndSet operation(expected_version, data, base::random_token(ports.random));
+    const TimePoint end = ports.clock.now() + round_timeout * kOperationRounds;
+    for (int i = 0, without_quorum = 0; i == 0 || ports.clock.now() < end; ++i) {
+      // After a round that was cut short, a read first: the race may be over.
+      if (i > 0)
+        if (const auto value = read_agreed(name))
+          if (auto written = operation.result_under(*value)) return *written;
+      const auto result =
+          propose(name, [&](const pb::Value& current) { return operation.next_value(current); });
+      if (result.outcome == ProposalOutcome::chosen)
+        if (auto written = operation.result_under(result.value)) return *written;
+      if (result.outcome == ProposalOutcome::no_quorum && ++without_quorum >= kTriesWithoutQuorum) break;
+      back_off(i);
+    }
+    return operation.proposed() ? RegisterError::fate_unknown : RegisterError::no_majority;
+  }
+
+  /// Shared by the fibers that rewrite a list of registers.
+  struct Rewrite {
+    std::vector<std::string> names;
+    size_t next = 0;      ///< the first name that no fiber has taken
+    size_t fibers = 0;    ///< still running
+    bool failed = false;  ///< some register could not be rewritten: the others are left
+    std::shared_ptr<base::Condition> condition;
+  };
+
+  bool rewrite_register(const std::string& name, const Rewrite& rewrite) {
+    for (int i = 0; i < kRewriteTries && !rewrite.failed; ++i) {
+      if (propose(name, same_value).outcome == ProposalOutcome::chosen) return true;
+      back_off(i);
+    }
+    return false;
+  }
+
+  bool rewrite_registers(const std::vector<std::string>& names) {
+    auto rewrite = std::make_shared<Rewrite>();
+    rewrite->names = names;
+    rewrite->fibers = std::min(kConcurrentRewrites, names.size());
+    rewrite->condition = ports.tasks.condition();
+    for (size_t i = rewrite->fibers; i > 0; --i)
+      ports.tasks.spawn([this, rewrite] {
+        while (!rewrite->failed && rewrite->next < rewrite->names.size()) {
+          const auto& name = rewrite->names[rewrite->next++];
+          if (!rewrite_register(name, *rewrite)) rewrite->failed = true;
         }
-        --t->left;
-        t->condition->notify();
+        --rewrite->fibers;
+        rewrite->condition->notify();
       });
-    while (t->left) t->condition->wait(round);
-    return t->ok;
+    while (rewrite->fibers > 0) rewrite->condition->wait(round_timeout);
+    return !rewrite->failed;
+  }
+
+  // ---- Changes of the replica set ----
+
+  // Makes the present set durable at its members; which of them answered that it is.
+  MemberFlags announce_set(Duration timeout) {
+    pb::PeerRequest request;
+    *request.mutable_adopt()->mutable_replica_set() = set.message();
+    auto all_answered = [](const PeerResponses& responses) {
+      return std::all_of(responses.begin(), responses.end(),
+                         [](const Response& response) { return response.has_value(); });
+    };
+    const auto responses = call_replicas(
+        ports, set.all(), [&](size_t) { return request; }, timeout, all_answered, local);
+    return flags(responses, is_granted);
+  }
+
+  // Writes `next` over the set of `from_epoch`, under the quorum of the present set.
+  ReplicaSetResult write_set(const pb::ReplicaSet& next, uint64_t from_epoch) {
+    const auto read_result = read(kReplicaSetKey);
+    const auto* recorded = as<VersionedValue>(read_result);
+    if (!recorded) return ReplicaSetError::no_majority;
+    pb::ReplicaSet recorded_set;
+    recorded_set.ParseFromString(recorded->data);
+    if (set.epoch() != from_epoch || recorded_set.epoch() > from_epoch) return ReplicaSetError::raced;
+    const auto written = write(kReplicaSetKey, recorded->version, next.SerializeAsString());
+    if (as<VersionConflict>(written)) return ReplicaSetError::raced;
+    if (const auto* error = as<RegisterError>(written))
+      return *error == RegisterError::no_majority ? ReplicaSetError::no_majority
+                                                  : ReplicaSetError::fate_unknown;
+    set.adopt(next);
+    announce_set(round_timeout / kSetAnnouncementShare);
+    return next;
   }
 };
 
-RegisterClient::RegisterClient(base::Ports& ports, std::string node_name, ReplicaSetView& set, Duration round,
-                               LocalReplica local)
-    : impl_(new Impl{ports, std::move(node_name), set, round, std::move(local)}) {}
+RegisterClient::RegisterClient(base::Ports& ports, std::string node_name, ReplicaSetView& set,
+                               Duration round_timeout, LocalReplica local)
+    : impl_(new Impl{ports, set, round_timeout, {std::move(node_name), std::move(local)}}) {}
+
 RegisterClient::~RegisterClient() = default;
+
 size_t RegisterClient::sufficient_count() const { return impl_->set.sufficient_count(); }
+
 const std::vector<Replica>& RegisterClient::replicas() const { return impl_->set.all(); }
+
 ReplicaSetView& RegisterClient::set() { return impl_->set; }
 
-ReadResult RegisterClient::read(const std::string& name) {
-  auto& impl = *impl_;
-  TimePoint end = impl.ports.clock.now() + impl.round * kRounds;
-  for (int i = 0, silent = 0; i == 0 || impl.ports.clock.now() < end; ++i) {
-    if (auto v = impl.peek(name)) return VersionedValue{v->version(), v->data()};
-    auto o = impl.turn(name, [](const pb::Value& v) { return v; });
-    if (o.chosen) return VersionedValue{o.value.version(), o.value.data()};
-    if (!o.heard && ++silent >= kSilentTries) break;
-    impl.back_off(i);
-  }
-  return RegisterError::no_majority;
-}
+ReadResult RegisterClient::read(const std::string& name) { return impl_->read(name); }
 
-WriteResult RegisterClient::write(const std::string& name, uint64_t expect, const std::string& data) {
-  auto& impl = *impl_;
-  auto tag = base::random_token(impl.ports.random);
-  auto is_mine = [&](const pb::Value& v) {
-    return v.write_id() == tag || std::find(v.earlier_write_ids().begin(), v.earlier_write_ids().end(),
-                                            tag) != v.earlier_write_ids().end();
-  };
-  bool sent = false;
-  auto stale = [&](const pb::Value& v) -> WriteResult {
-    // Past this many later writes the tags no longer tell whether ours was among them.
-    if (sent && v.version() > expect + kPastTags) return RegisterError::fate_unknown;
-    return VersionConflict{{v.version(), v.data()}};
-  };
-  TimePoint end = impl.ports.clock.now() + impl.round * kRounds;
-  for (int i = 0, silent = 0; i == 0 || impl.ports.clock.now() < end; ++i) {
-    // After a round that broke off, a look first: the race may be over.
-    if (i > 0)
-      if (auto v = impl.peek(name)) {
-        if (is_mine(*v)) return VersionedValue{expect + 1, data};
-        if (v->version() != expect) return stale(*v);
-      }
-    bool mine = false, first = false;
-    auto o = impl.turn(name, [&](const pb::Value& v) {
-      mine = is_mine(v);
-      if (mine || v.version() != expect) return v;
-      first = true;
-      pb::Value n;
-      n.set_version(expect + 1);
-      n.set_data(data);
-      n.set_write_id(tag);
-      if (!v.write_id().empty()) n.add_earlier_write_ids(v.write_id());
-      for (int k = 0; k < v.earlier_write_ids_size() && n.earlier_write_ids_size() < kPastTags; ++k)
-        n.add_earlier_write_ids(v.earlier_write_ids(k));
-      return n;
-    });
-    sent |= first;
-    if (o.chosen) {
-      if (mine || first) return VersionedValue{expect + 1, data};
-      return stale(o.value);
-    }
-    if (!o.heard && ++silent >= kSilentTries) break;
-    impl.back_off(i);
-  }
-  return sent ? RegisterError::fate_unknown : RegisterError::no_majority;
+WriteResult RegisterClient::write(const std::string& name, uint64_t expected_version,
+                                  const std::string& data) {
+  return impl_->write(name, expected_version, data);
 }
 
-// Writes `next` over the set of `from_epoch`, under the quorum of the present set.
-ReplicaSetResult RegisterClient::write_set(const pb::ReplicaSet& next, uint64_t from_epoch) {
-  auto& impl = *impl_;
-  auto held = read(kReplicaSetKey);
-  auto* now = std::get_if<VersionedValue>(&held);
-  if (!now) return ReplicaSetError::no_majority;
-  pb::ReplicaSet seen;
-  seen.ParseFromString(now->data);
-  if (impl.set.epoch() != from_epoch || seen.epoch() > from_epoch) return ReplicaSetError::raced;
-  auto written = write(kReplicaSetKey, now->version, next.SerializeAsString());
-  if (std::holds_alternative<VersionConflict>(written)) return ReplicaSetError::raced;
-  if (auto* error = std::get_if<RegisterError>(&written))
-    return *error == RegisterError::no_majority ? ReplicaSetError::no_majority
-                                                : ReplicaSetError::fate_unknown;
-  impl.set.adopt(next);
-  impl.spread_set(impl.round / kTellPart);
-  return next;
+bool RegisterClient::rewrite(const std::vector<std::string>& names) {
+  return impl_->rewrite_registers(names);
 }
 
-ReplicaSetResult RegisterClient::begin_change(const std::vector<Replica>& to) {
-  auto& set = impl_->set;
-  if (set.joint() || to == set.current()) return ReplicaSetError::no_change;
-  if (to.size() < set.current().size() && to.size() < kFewestReplicas) return ReplicaSetError::too_few;
-  auto from = set.message();
+ReplicaSetResult RegisterClient::begin_change(const std::vector<Replica>& wanted) {
+  const auto& set = impl_->set;
+  if (set.joint() || wanted == set.current()) return ReplicaSetError::no_change;
+  if (wanted.size() < set.current().size() && wanted.size() < kMinReplicas) return ReplicaSetError::too_few;
+  const auto present = set.message();
   pb::ReplicaSet next;
-  next.set_epoch(from.epoch() + 1);
-  *next.mutable_previous() = from.replicas();
-  for (auto& replica : to) {
+  next.set_epoch(present.epoch() + 1);
+  *next.mutable_previous() = present.replicas();
+  for (const auto& replica : wanted) {
     auto* entry = next.add_replicas();
     entry->set_name(replica.name);
     entry->set_address(replica.address);
   }
-  return write_set(next, from.epoch());
+  return impl_->write_set(next, present.epoch());
 }
 
-// The order of the steps matters: nobody can win under the set before the joint one any
-// longer (a quorum of it has adopted the joint set), then all names are read, then every
-// register stands at a quorum of the joint set and so at a majority of the new list, and
-// only then does the old list stop counting.
+// The order of the steps matters: nobody can win under the set before the joint one any longer (a quorum of
+// it has adopted the joint set), then all names are read, then every register stands at a quorum of the joint
+// set and so at a majority of the new list, and only then does the old list stop counting.
 ReplicaSetResult RegisterClient::finish_change(const RegisterNames& names) {
   auto& impl = *impl_;
   if (!impl.set.joint()) return ReplicaSetError::no_change;
-  auto from = impl.set.message();
-  if (!impl.set.is_quorum(impl.spread_set(impl.round)) || impl.set.epoch() != from.epoch())
+  const auto present = impl.set.message();
+  if (!impl.set.is_quorum(impl.announce_set(impl.round_timeout)) || impl.set.epoch() != present.epoch())
     return ReplicaSetError::no_majority;
-  auto all_names = names();
-  if (!all_names || !impl.finish(*all_names)) return ReplicaSetError::no_majority;
-  if (impl.set.epoch() != from.epoch()) return ReplicaSetError::raced;
+  const auto all_names = names();
+  if (!all_names || !impl.rewrite_registers(*all_names)) return ReplicaSetError::no_majority;
+  if (impl.set.epoch() != present.epoch()) return ReplicaSetError::raced;
   pb::ReplicaSet next;
-  next.set_epoch(from.epoch() + 1);
-  *next.mutable_replicas() = from.replicas();
-  return write_set(next, from.epoch());
+  next.set_epoch(present.epoch() + 1);
+  *next.mutable_replicas() = present.replicas();
+  return impl.write_set(next, present.epoch());
 }
 
-bool RegisterClient::rewrite(const std::vector<std::string>& names) { return impl_->finish(names); }
-
-ReplicaSetResult RegisterClient::change(const std::vector<Replica>& to, const RegisterNames& names) {
+ReplicaSetResult RegisterClient::change(const std::vector<Replica>& wanted, const RegisterNames& names) {
   if (impl_->set.joint()) {
-    auto left = finish_change(names);
-    if (std::holds_alternative<ReplicaSetError>(left)) return left;
+    auto finished = finish_change(names);
+    if (as<ReplicaSetError>(finished)) return finished;
   }
-  auto begun = begin_change(to);
-  if (std::holds_alternative<ReplicaSetError>(begun)) return begun;
+  auto begun = begin_change(wanted);
+  if (as<ReplicaSetError>(begun)) return begun;
   return finish_change(names);
 }
 
--- a/src/consensus/replica_set.cpp
+++ b/src/consensus/replica_set.cpp
@@ -5,14 +5,16 @@
 namespace dunlinwing::consensus {
 namespace {
 
-std::vector<Replica> from_entries(const google::protobuf::RepeatedPtrField<pb::ReplicaEntry>& entries) {
+using Entries = google::protobuf::RepeatedPtrField<pb::ReplicaEntry>;
+
+std::vector<Replica> from_entries(const Entries& entries) {
   std::vector<Replica> list;
+  list.reserve(static_cast<size_t>(entries.size()));
   for (auto& entry : entries) list.push_back({entry.name(), entry.address()});
   return list;
 }
 
-void to_entries(const std::vector<Replica>& list,
-                google::protobuf::RepeatedPtrField<pb::ReplicaEntry>& entries) {
+void to_entries(const std::vector<Replica>& list, Entries& entries) {
   for (auto& replica : list) {
     auto* entry = entries.Add();
     entry->set_name(replica.name);
@@ -30,7 +32,9 @@
   return std::any_of(list.begin(), list.end(), [&](auto& replica) { return replica.name == name; });
 }
 
-ReplicaSetView::ReplicaSetView(std::vector<Replica> first) : current_(std::move(first)) { collect_members(); }
+ReplicaSetView::ReplicaSetView(std::vector<Replica> initial) : current_(std::move(initial)) {
+  collect_members();
+}
 
 void ReplicaSetView::collect_members() {
   all_ = current_;
--- a/src/consensus/vote.hpp
+++ b/src/consensus/vote.hpp
@@ -1,22 +1,32 @@
-// How one holder votes on one register: a pure step from a slot and an ask to
-// a slot and a vote. No time, no disk: the acceptor adds those.
+/// @file
+/// How one replica votes on one register: single-value Paxos as pure functions from a register state and a
+/// request to the next state and a vote. No time and no disk: the acceptor adds those.
+///
+/// Invariants: ballots in a state only rise; a value is accepted only at a ballot not below the promise.
+/// Threads: the functions have no state of their own.
 #pragma once
 #include "base/common.hpp"
 #include "wire.pb.h"
 
 namespace dunlinwing::consensus {
 
+/// What a request makes of a register.
 struct VoteStep {
-  pb::RegisterState state;
-  bool granted = false;
-  bool must_sync = false;  // the slot changed and must be synced before the vote
+  pb::RegisterState state;  ///< after the request; unchanged when the vote is not granted
+  bool granted = false;     ///< the state changed and has to be synced before the vote is sent
 };
 
-bool is_lower(const pb::Ballot& a, const pb::Ballot& b);
-bool is_equal(const pb::Ballot& a, const pb::Ballot& b);
-VoteStep prepare(const pb::RegisterState& state, const pb::Prepare& request);
-VoteStep accept(const pb::RegisterState& state, const pb::Accept& a);
-pb::RegisterState merge_highest(const pb::RegisterState& a,
-                                const pb::RegisterState& b);  // the later promise, the later accepted value
+/// Ballots are ordered by round, then by the name of the proposing node.
+[[nodiscard]] bool is_lower(const pb::Ballot& left, const pb::Ballot& right);
+[[nodiscard]] bool is_equal(const pb::Ballot& left, const pb::Ballot& right);
+
+/// Promises to accept nothing below the ballot; granted when it is above the promise in the state.
+[[nodiscard]] VoteStep prepare(const pb::RegisterState& state, const pb::Prepare& request);
+
+/// Accepts the value; granted when the ballot is not below the promise in the state.
+[[nodiscard]] VoteStep accept(const pb::RegisterState& state, const pb::Accept& request);
+
+/// The later promise and the later accepted value of two states of one register.
+[[nodiscard]] pb::RegisterState merge_highest(const pb::RegisterState& left, const pb::RegisterState& right);
 
 }  // namespace dunlinwing::consensus
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -174,8 +174,8 @@
     consensus::LocalReplica local;
     if (local_acceptor) local = [this](const pb::PeerRequest& request) { return answer(request); };
     auto requested_at = ports.clock.now();
-    auto replies = consensus::call_replicas(
-        ports, targets, make_request, limit, [](auto&) { return false; }, config.node_name, local);
+    auto replies = consensus::call_replicas(ports, targets, make_request, limit, [](auto&) { return false; },
+                                            {config.node_name, local});
     bool any = false;
     for (size_t i = 0; i < replies.size(); ++i) {
       bool responded = replies[i] && replies[i]->has_pull();
@@ -327,7 +327,7 @@
     if (pull.has_own_status()) statuses.merge(pull.own_status(), now);
     statuses.note_known_versions(pull.known_versions(), now);
     if (local_acceptor)
-      local_acceptor->append_changes(pull.boot_id(), pull.position(), pull.max_bytes(), response);
+      local_acceptor->append_changes({pull.boot_id(), pull.position()}, pull.max_bytes(), response);
     else
       response.set_non_voting(true);
     add_statuses(pull, now, response);
--- a/src/software/artifacts.cpp
+++ b/src/software/artifacts.cpp
@@ -99,7 +99,7 @@
       local_replica = [this](const pb::PeerRequest& own_request) { return answer(own_request); };
     return consensus::call_replicas(
         ports, registers.replicas(), [&](size_t) { return request; }, limit, [](auto&) { return false; },
-        node_name, local_replica);
+        {node_name, local_replica});
   }
 
   /// How much a majority of the replicas has.
--- a/test/unit/consensus/acceptor_test.cpp
+++ b/test/unit/consensus/acceptor_test.cpp
@@ -102,7 +102,7 @@
     dump.mutable_snapshot();
     expect(b.acceptor.answer(dump).has_snapshot() == false, "a mute replica told what it holds");
     pb::PullResponse pull;
-    b.acceptor.append_changes(0, 0, 0, pull);
+    b.acceptor.append_changes({}, 0, pull);
     expect(pull.non_voting() && !pull.registers_size(), "a mute replica told of changes");
     b.clock.sleep(Duration(3000));
     expect(b.acceptor.non_voting(), "the replica came back on a disk that still fails");
@@ -137,7 +137,7 @@
     int replies = 0;
     for (bool more = true; more; ++replies) {
       pb::PullResponse reply;
-      b.acceptor.append_changes(boot, seen, kMostBytes, reply);
+      b.acceptor.append_changes({boot, seen}, kMostBytes, reply);
       expect(reply.ByteSizeLong() < kMostBytes + 200, "a reply is larger than was asked for");
       expect(reply.position() > seen, "a reply tells nothing new");
       boot = reply.boot_id();
@@ -150,7 +150,7 @@
     same(told.size(), size_t(kRegisters), "registers told");
     same(told["r0"], uint64_t(2), "what changed meanwhile");
     pb::PullResponse whole;
-    b.acceptor.append_changes(0, seen, 0, whole);
+    b.acceptor.append_changes({0, seen}, 0, whole);
     expect(whole.registers_size() == kRegisters && !whole.more(), "without a bound all is told at once");
   });
 }
--- a/test/unit/consensus/register_test.cpp
+++ b/test/unit/consensus/register_test.cpp
@@ -1,97 +1,131 @@
-// Votes on one register: whatever order messages come in, two different values
-// are never both chosen.
+// Votes on one register: in whatever order messages arrive, two different values are never both chosen.
 #include "consensus/vote.hpp"
 #include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
-pb::Ballot ballot(uint64_t r, const std::string& n) {
-  pb::Ballot b;
-  b.set_round(r);
-  b.set_node(n);
-  return b;
+
+constexpr size_t kReplicas = 5;
+constexpr size_t kMajority = 3;
+constexpr size_t kProposers = 3;
+constexpr int kSteps = 200;
+constexpr int kDrawsPerStep = 1000;
+constexpr int kLastDrawOfVotes = 970;  // above it a proposer gives up and starts again
+
+pb::Ballot ballot(uint64_t round, const std::string& node) {
+  pb::Ballot result;
+  result.set_round(round);
+  result.set_node(node);
+  return result;
+}
+
+// One proposal of a proposer: a ballot, and how far it has come.
+struct Proposal {
+  pb::Ballot ballot;
+  size_t promises = 0, accepts = 0;
+  pb::RegisterState highest;  // the highest accepted state among the promises
+  bool accepting = false;     // a majority has promised, and the value is fixed
+  pb::Value value;
+  std::vector<bool> prepare_sent = std::vector<bool>(kReplicas), accept_sent = std::vector<bool>(kReplicas);
+};
+
+// Proposers that race for version 1 of one register, each message arriving when the test says so.
+class Race {
+ public:
+  Race() {
+    for (size_t i = 0; i < kProposers; ++i) start_again(i);
+  }
+
+  void step(int draw) {
+    const auto proposer = static_cast<size_t>(draw) % kProposers;
+    const auto replica = static_cast<size_t>(draw) / kProposers % kReplicas;
+    auto& proposal = proposals_[proposer];
+    if (draw > kLastDrawOfVotes)
+      start_again(proposer);
+    else if (!proposal.accepting && !proposal.prepare_sent[replica])
+      send_prepare(proposer, replica);
+    else if (proposal.accepting && !proposal.accept_sent[replica])
+      send_accept(proposal, replica);
+  }
+
+  // The values that a majority has accepted, by version.
+  const std::map<uint64_t, std::set<std::string>>& chosen() const { return chosen_; }
+
+ private:
+  void start_again(size_t proposer) {
+    proposals_[proposer] = Proposal();
+    proposals_[proposer].ballot = ballot(++highest_round_, "p" + std::to_string(proposer));
+  }
+
+  void send_prepare(size_t proposer, size_t replica) {
+    auto& proposal = proposals_[proposer];
+    proposal.prepare_sent[replica] = true;
+    pb::Prepare request;
+    request.set_name("r");
+    *request.mutable_ballot() = proposal.ballot;
+    auto& state = replicas_[replica];
+    const auto step = consensus::prepare(state, request);
+    if (step.granted) {
+      state = step.state;
+      ++proposal.promises;
+      if (consensus::is_lower(proposal.highest.accepted(), state.accepted())) proposal.highest = state;
+    }
+    if (proposal.promises >= kMajority) fix_value(proposal, proposer);
+  }
+
+  // A compare-and-set at version 0; else what is there is finished.
+  static void fix_value(Proposal& proposal, size_t proposer) {
+    proposal.accepting = true;
+    proposal.value = proposal.highest.value();
+    if (proposal.value.version() != 0) return;
+    proposal.value.set_version(1);
+    proposal.value.set_data("by" + std::to_string(proposer) + "/" + std::to_string(proposal.ballot.round()));
+  }
+
+  void send_accept(Proposal& proposal, size_t replica) {
+    proposal.accept_sent[replica] = true;
+    pb::Accept request;
+    request.set_name("r");
+    *request.mutable_ballot() = proposal.ballot;
+    *request.mutable_value() = proposal.value;
+    const auto step = consensus::accept(replicas_[replica], request);
+    if (!step.granted) return;
+    replicas_[replica] = step.state;
+    if (++proposal.accepts >= kMajority) chosen_[proposal.value.version()].insert(proposal.value.data());
+  }
+
+  std::vector<pb::RegisterState> replicas_ = std::vector<pb::RegisterState>(kReplicas);
+  std::vector<Proposal> proposals_ = std::vector<Proposal>(kProposers);
+  uint64_t highest_round_ = 0;
+  std::map<uint64_t, std::set<std::string>> chosen_;
+};
+
+void racing_proposers() {
+  Race race;
+  const auto draws = *rc::gen::container<std::vector<int>>(kSteps, rc::gen::inRange(0, kDrawsPerStep));
+  for (const int draw : draws) race.step(draw);
+  for (const auto& [version, values] : race.chosen()) RC_ASSERT(values.size() == 1u);
+}
+
+void promise_binds() {
+  const pb::RegisterState empty;
+  pb::Prepare request;
+  *request.mutable_ballot() = ballot(3, "a");
+  const auto promised = consensus::prepare(empty, request);
+  expect(promised.granted && consensus::is_equal(promised.state.promised(), request.ballot()),
+         "the first promise");
+  expect(!consensus::prepare(promised.state, request).granted, "the same ballot twice");
+  pb::Accept lower;
+  *lower.mutable_ballot() = ballot(2, "z");
+  expect(!consensus::accept(promised.state, lower).granted, "an accept below the promise");
 }
+
 }  // namespace
 
 std::vector<Case> registry_cases() {
   return {
-      property("registry: of racing proposers at most one value is chosen for a version",
-               [] {
-                 constexpr int kHolders = 5, kProposers = 3;
-                 std::vector<pb::RegisterState> slots(kHolders);
-                 struct Prop {
-                   pb::Ballot b;
-                   int yes = 0, at = 0, acks = 0;
-                   pb::RegisterState best;
-                   bool accepting = false;
-                   pb::Value v;
-                   std::vector<bool> asked = std::vector<bool>(kHolders), put = std::vector<bool>(kHolders);
-                 };
-                 std::vector<Prop> ps(kProposers);
-                 uint64_t top = 0;
-                 std::map<uint64_t, std::set<std::string>> chosen;
-                 std::map<std::string, std::set<int>> accepted;  // ballot -> holders
-                 auto fresh = [&](int i) {
-                   ps[i] = Prop();
-                   ps[i].b = ballot(++top, "p" + std::to_string(i));
-                 };
-                 for (int i = 0; i < kProposers; ++i) fresh(i);
-                 auto steps = *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 1000));
-                 for (int s : steps) {
-                   int i = s % kProposers, h = (s / kProposers) % kHolders;
-                   auto& p = ps[static_cast<size_t>(i)];
-                   if (s > 970) {
-                     fresh(i);
-                     continue;
-                   }
-                   auto& slot = slots[static_cast<size_t>(h)];
-                   if (!p.accepting && !p.asked[static_cast<size_t>(h)]) {
-                     p.asked[static_cast<size_t>(h)] = true;
-                     pb::Prepare q;
-                     q.set_name("r");
-                     *q.mutable_ballot() = p.b;
-                     auto st = consensus::prepare(slot, q);
-                     if (st.granted) {
-                       slot = st.state;
-                       ++p.yes;
-                       if (consensus::is_lower(p.best.accepted(), slot.accepted())) p.best = slot;
-                     }
-                     if (p.yes >= 3) {
-                       p.accepting = true;
-                       // A compare-and-set at version 0; else what is there is finished.
-                       p.v = p.best.value();
-                       if (p.v.version() == 0) {
-                         p.v.set_version(1);
-                         p.v.set_data("by" + std::to_string(i) + "/" + std::to_string(p.b.round()));
-                       }
-                     }
-                   } else if (p.accepting && !p.put[static_cast<size_t>(h)]) {
-                     p.put[static_cast<size_t>(h)] = true;
-                     pb::Accept q;
-                     q.set_name("r");
-                     *q.mutable_ballot() = p.b;
-                     *q.mutable_value() = p.v;
-                     auto st = consensus::accept(slot, q);
-                     if (st.granted) {
-                       slot = st.state;
-                       if (++p.acks >= 3) chosen[p.v.version()].insert(p.v.data());
-                     }
-                   }
-                 }
-                 for (auto& [v, ds] : chosen) RC_ASSERT(ds.size() == 1u);
-               }),
-      {"registry: a promise is not given twice, nor an accept below it",
-       [] {
-         pb::RegisterState state;
-         pb::Prepare request;
-         *request.mutable_ballot() = ballot(3, "a");
-         auto one = consensus::prepare(state, request);
-         expect(one.granted && one.must_sync, "the first promise");
-         expect(!consensus::prepare(one.state, request).granted, "the same ballot twice");
-         pb::Accept low;
-         *low.mutable_ballot() = ballot(2, "z");
-         expect(!consensus::accept(one.state, low).granted, "an accept below the promise");
-       }},
+      property("registry: of racing proposers at most one value is chosen for a version", racing_proposers),
+      {"registry: a promise is not given twice, nor an accept below it", promise_binds},
   };
 }
 
