--- /dev/null
+++ b/src/node/shutdown_sequence.cpp
@@ -0,0 +1,42 @@
+#include "node/shutdown_sequence.hpp"
+
+#include "base/log.hpp"
+
+namespace dunlinwing::node {
+namespace {
+constexpr base::Log logger("relay");
+constexpr Duration kBusyCheck(10);  // how soon it is checked again whether requests run
+constexpr Duration kParked(1000);   // period of a fiber that only waits for the end of the process
+}  // namespace
+
+ShutdownTimes shutdown_times(Duration grace, Duration bound) {
+  if (grace > Duration(0)) return {grace * 9 / 20, grace * 4 / 5};
+  return {bound * 5 / 8, bound * 2};
+}
+
+ShutdownSequence::ShutdownSequence(base::Clock& clock, Node& node, Listeners& listeners, ShutdownTimes times)
+    : clock_(clock), node_(node), listeners_(listeners), times_(times) {}
+
+void ShutdownSequence::run() {
+  while (begun_) clock_.sleep(kParked);
+  begun_ = true;
+  const TimePoint begin = clock_.now();
+  logger.info("{}: asked to stop; draining.", node_.config().name);
+  listeners_.drain_clients();
+  node_.begin_shutdown();
+  // The platform asks each second whether this node is ready, so clients go on coming for as long; they are
+  // served until it has heard that the node is not.
+  const TimePoint stop_serving = begin + times_.stop_serving;
+  if (clock_.now() < stop_serving) clock_.sleep(stop_serving - clock_.now());
+  node_.request_handler().start_draining();
+  listeners_.close_clients();
+  while (is_busy() && clock_.now() < begin + times_.give_up) clock_.sleep(kBusyCheck);
+  logger.info("{}: stopped.", node_.config().name);
+}
+
+bool ShutdownSequence::is_busy() const {
+  return node_.request_handler().running_requests() > 0 || listeners_.running_client_requests() > 0 ||
+         node_.can_transfer_replica();
+}
+
+}  // namespace dunlinwing::node
