--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -1,124 +1,176 @@
-// The locks (shields', cache's, a fill's) are leaves: none is held while another is
-// taken, nor while a fiber parks.
 #include "proxy/cached_request_handler.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <cctype>
 
 #include "cache/cacheability.hpp"
 
 namespace dunlinwing::proxy {
 namespace {
-constexpr Duration kShieldRest{2000};
-constexpr int kFewNodes = 24;  // fewer fetch for themselves: a hop costs more than the origin is spared
+// A shield that failed is not used for about as long as the fleet takes to notice that a node is gone.
+constexpr Duration kShieldBackoff{2000};
+// In smaller fleets nodes fetch for themselves: the way over a shield costs more than the origin is spared.
+constexpr int kMinNodesForShields = 24;
+// Part of the remaining time that a shield has: the rest is for a fetch of this node's own.
+constexpr int kShieldPart = 2;
+constexpr uint64_t kMinRetrySpreadMs = 100;
 
-// What was fetched by GET, as the answer to HEAD.
+void erase_headers(base::Headers& headers, std::initializer_list<std::string_view> names) {
+  std::erase_if(headers, [&](const auto& header) {
+    return std::any_of(names.begin(), names.end(),
+                       [&](std::string_view name) { return base::equals_ignore_case(header.name, name); });
+  });
+}
+
+// A response to GET, as the response to HEAD.
 void shape_head(base::Response& response, const base::Request& request) {
   if (request.method != "HEAD") return;
   response.headers.emplace_back("Content-Length", std::to_string(response.body.size()));
   response.body.clear();
 }
 
-// A kept receipt as the answer to this request: its age told, cut to the one range
-// that was asked for, or only confirmed when the caller has the same already.
-base::Response answer(const cache::CachedResponse& cached, const base::Request& request, TimePoint now,
-                      bool kept) {
-  auto have = base::header(cached.response.headers, "ETag");
-  auto known = base::header(request.headers, "If-None-Match");
-  auto range = base::header(request.headers, "Range");
+// A cached response as the response to this request: with its age, reduced to the range that was asked for,
+// or only confirmed when the client has the same already.
+base::Response shape_cached(const cache::CachedResponse& cached, const base::Request& request, TimePoint now,
+                            bool with_age) {
+  const auto known_tag = base::header(request.headers, "If-None-Match");
+  const auto range = base::header(request.headers, "Range");
   base::Response response{cached.response.status, cached.response.headers, {}};
-  std::erase_if(response.headers, [](auto& h) { return base::equals_ignore_case(h.name, "Age"); });
-  if (!kept)
+  erase_headers(response.headers, {"Age"});
+  if (with_age)
     response.headers.emplace_back(
         "Age", std::to_string(std::max<int64_t>(0, (now - cached.generated_at).count()) / 1000));
-  if (!known.empty() && known == have) {
+  if (!known_tag.empty() && known_tag == base::header(cached.response.headers, "ETag")) {
     response.status = 304;
     return response;
   }
-  size_t from = 0, size = cached.response.body.size();
-  if (auto c = range.empty() ? std::nullopt : cache::parse_byte_range(range, size)) {
-    if (!c->size) return {416, {{"Content-Range", fmt::format("bytes */{}", size)}}, {}};
+  const size_t whole_size = cached.response.body.size();
+  cache::ByteRange part{0, whole_size};
+  if (auto requested = range.empty() ? std::nullopt : cache::parse_byte_range(range, whole_size)) {
+    if (!requested->size) return {416, {{"Content-Range", fmt::format("bytes */{}", whole_size)}}, {}};
+    part = *requested;
     response.status = 206;
-    response.headers.emplace_back("Content-Range",
-                                  fmt::format("bytes {}-{}/{}", c->first, c->first + c->size - 1, size));
-    from = c->first;
-    size = c->size;
+    response.headers.emplace_back(
+        "Content-Range", fmt::format("bytes {}-{}/{}", part.first, part.first + part.size - 1, whole_size));
   }
-  response.body = cached.response.body.substr(from, size);
+  response.body = cached.response.body.substr(part.first, part.size);
   shape_head(response, request);
   return response;
 }
 
-// No part of a key can hold the line break that parts them. The host counts also where the
-// route takes any: an object of one host is not another's.
-std::string key_of(const RequestContext& context) {
+// No part of a key can hold the line break that separates them. The host counts also where the route takes
+// any: an object of one host is not another's.
+std::string cache_key(const RequestContext& context) {
   auto host = base::header(context.request.headers, "Host");
-  std::transform(host.begin(), host.end(), host.begin(), [](unsigned char c) { return std::tolower(c); });
+  std::transform(host.begin(), host.end(), host.begin(),
+                 [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
   return context.service->name + "\n" + host + "\n" + context.request.target;
 }
 
-PurgeTarget named(const RequestContext& context, const cache::CachedResponse& cached) {
+PurgeTarget purge_target(const RequestContext& context, const cache::CachedResponse& cached) {
   return {context.service->name, context.host, context.request.target, &cached.tags};
 }
+
+// The request for the whole object.
+RequestContext whole_object_request(const RequestContext& context) {
+  RequestContext whole = context;
+  whole.request.method = "GET";
+  erase_headers(whole.request.headers, {"Range", "If-None-Match", "If-Range"});
+  return whole;
+}
+
+pb::PeerRequest forward_request(const RequestContext& context, uint64_t known_purge_number,
+                                Duration remaining) {
+  pb::PeerRequest request;
+  auto* forward = request.mutable_forward();
+  forward->set_id(context.request.id);
+  forward->set_configuration(context.configuration->name);
+  forward->set_service(context.service->name);
+  forward->set_target(context.request.target);
+  forward->set_remaining_ms(static_cast<uint32_t>(std::max<int64_t>(0, remaining.count())));
+  forward->set_known_purge_number(known_purge_number);
+  forward->set_entry_node(context.entry_node);
+  forward->set_generation(context.generation);
+  for (const auto& [name, value] : context.request.headers) {
+    auto* header = forward->add_headers();
+    header->set_name(name);
+    header->set_value(value);
+  }
+  return request;
+}
+
+// Ends a fetch at the end of the scope, with the response that others may use.
+class FetchGuard {
+ public:
+  FetchGuard(cache::Cache& cache, std::string key, std::shared_ptr<cache::Cache::Fetch> fetch)
+      : cache_(cache), key_(std::move(key)), fetch_(std::move(fetch)) {}
+  ~FetchGuard() { cache_.finish_fetch(key_, fetch_, cached_); }
+  FetchGuard(const FetchGuard&) = delete;
+  FetchGuard& operator=(const FetchGuard&) = delete;
+
+  void share(cache::CachedResponsePtr cached) { cached_ = std::move(cached); }
+
+ private:
+  cache::Cache& cache_;
+  std::string key_;
+  std::shared_ptr<cache::Cache::Fetch> fetch_;
+  cache::CachedResponsePtr cached_;
+};
 }  // namespace
 
-// Turned away, with when to come back, spread so that a crowd does not return at once.
-RequestOutcome OutcomeBuilder::rejected(int status, const std::string& why, Duration back) const {
-  std::optional<Duration> b;
+RequestOutcome OutcomeBuilder::rejected(int status, const std::string& reason, Duration retry_after) const {
+  std::optional<Duration> spread;
   if (status == 503 || status == 429)
-    b = back + Duration(ports.random.below(static_cast<uint64_t>(back.count()) + 100));
-  return {adapter.local_response(status, why, ExecutionStatus::not_executed, b),
+    spread = retry_after +
+             Duration(ports.random.below(static_cast<uint64_t>(retry_after.count()) + kMinRetrySpreadMs));
+  return {adapter.local_response(status, reason, ExecutionStatus::not_executed, spread),
           ExecutionStatus::not_executed};
 }
 
-RequestOutcome OutcomeBuilder::unknown(const std::string& why) const {
-  return {adapter.local_response(502, why, ExecutionStatus::unknown, {}), ExecutionStatus::unknown};
+RequestOutcome OutcomeBuilder::unknown(const std::string& reason) const {
+  return {adapter.local_response(502, reason, ExecutionStatus::unknown, {}), ExecutionStatus::unknown};
 }
 
 RequestOutcome OutcomeBuilder::from(UpstreamResult&& result) const {
   RequestOutcome outcome;
-  if (result.outcome == AttemptOutcome::answered) {
+  if (result.outcome == UpstreamOutcome::responded) {
     adapter.strip_internal_headers(result.response);
-    outcome = {std::move(result.response)};
+    outcome.response = std::move(result.response);
+  } else if (result.outcome == UpstreamOutcome::unknown) {
+    outcome = unknown(result.reason);
   } else {
-    outcome = result.outcome == AttemptOutcome::unknown ? unknown(result.reason)
-                                                        : rejected(503, result.reason, result.retry_after);
+    outcome = rejected(503, result.reason, result.retry_after);
   }
   outcome.retry_after = result.retry_after;
-  outcome.superseded = result.outcome == AttemptOutcome::superseded;
-  outcome.possibly_sent = result.possibly_sent;
-  outcome.possibly_executed = result.possibly_executed;
+  outcome.superseded = result.outcome == UpstreamOutcome::superseded;
+  outcome.execution_state = result.execution;
   return outcome;
 }
 
-CachedRequestHandler::CachedRequestHandler(base::Ports& ports, const ProtocolAdapter& adapter,
-                                           std::string node_name, std::function<bool()> fresh,
-                                           std::function<RoutingSnapshotPtr()> table, UpstreamClient& shots,
-                                           RequestCounters& counts)
-    : ports_(ports),
-      adapter_(adapter),
-      outcomes_{ports, adapter},
-      node_name_(std::move(node_name)),
-      has_read_lease_(std::move(fresh)),
-      snapshot_(std::move(table)),
-      upstream_client_(shots),
-      counters_(counts) {}
+CachedRequestHandler::CachedRequestHandler(NodeContext node, UpstreamClient& upstream_client,
+                                           RequestCounters& counters)
+    : node_(std::move(node)),
+      outcomes_{node_.ports, node_.adapter},
+      upstream_client_(upstream_client),
+      counters_(counters) {}
 
 cache::CachedResponsePtr CachedRequestHandler::lookup(const RequestContext& context) {
-  return cache_.find(key_of(context));
+  return cache_.find(cache_key(context));
 }
 
 bool CachedRequestHandler::is_usable(const cache::CachedResponsePtr& cached, const RequestContext& context,
                                      TimePoint now) const {
   if (!cached) return false;
-  auto snapshot = snapshot_();
-  Duration most = std::min(cached->lifetime, configured_lifetime(context));
-  auto st = snapshot->service_states.find(context.service->name);
-  bool banned = st != snapshot->service_states.end() && st->second.quarantined().count(cached->version);
-  if (proxy::is_superseded(*snapshot, context.entry_node, context.generation)) return false;
-  return now - cached->generated_at < most && !banned &&
-         !purged(*snapshot, named(context, *cached), cached->purge_number) && has_read_lease_();
+  auto snapshot = node_.snapshot();
+  const Duration lifetime = std::min(cached->lifetime, configured_lifetime(context));
+  auto state = snapshot->service_states.find(context.service->name);
+  const bool quarantined =
+      state != snapshot->service_states.end() && state->second.quarantined().count(cached->version);
+  if (is_superseded(*snapshot, context.entry_node, context.generation)) return false;
+  return now - cached->generated_at < lifetime && !quarantined &&
+         !purged(*snapshot, purge_target(context, *cached), cached->purge_number) && node_.has_read_lease();
 }
 
 Duration CachedRequestHandler::configured_lifetime(const RequestContext& context) {
@@ -126,150 +178,154 @@
                                                      : Duration(context.service->cache_lifetime_s * 1000);
 }
 
-// A shield that just failed is left alone for about as long as the fleet takes to notice.
-void CachedRequestHandler::shield_failed(const std::string& address) {
-  std::lock_guard lock(mutex_);
-  shield_backoff_[address] = ports_.clock.now() + kShieldRest;
+void CachedRequestHandler::back_off_shield(const std::string& address) {
+  const std::lock_guard lock(mutex_);
+  shield_backoff_[address] = node_.ports.clock.now() + kShieldBackoff;
 }
 
-std::string CachedRequestHandler::shield_for(const RoutingSnapshot& snapshot, const std::string& key) {
-  const Shield* best = nullptr;
-  size_t top = 0;
-  if (snapshot.nodes < kFewNodes) return {};
-  std::lock_guard lock(mutex_);
-  for (auto& s : snapshot.shields) {
-    if (s.name == node_name_) return {};  // a shield fetches for itself
-    if (auto f = shield_backoff_.find(s.address);
-        f != shield_backoff_.end() && f->second > ports_.clock.now())
-      continue;
-    auto h = std::hash<std::string>()(s.name + "\n" + key);
-    if (!best || h > top) {
-      best = &s;
-      top = h;
-    }
+// The address of the key's shield: of those in use the one of the highest hash, so that all nodes choose
+// alike (rendezvous hashing). Empty: this node fetches for itself.
+std::string CachedRequestHandler::select_shield(const RoutingSnapshot& snapshot, const std::string& key) {
+  if (snapshot.nodes < kMinNodesForShields) return {};
+  const Shield* selected = nullptr;
+  size_t highest = 0;
+  const std::lock_guard lock(mutex_);
+  for (const auto& shield : snapshot.shields) {
+    if (shield.name == node_.node_name) return {};
+    auto backoff = shield_backoff_.find(shield.address);
+    if (backoff != shield_backoff_.end() && backoff->second > node_.ports.clock.now()) continue;
+    const size_t hash = std::hash<std::string>()(shield.name + "\n" + key);
+    if (selected && hash <= highest) continue;
+    selected = &shield;
+    highest = hash;
   }
-  return best ? best->address : std::string();
+  return selected ? selected->address : std::string();
 }
 
-// From the shield when there is one that can, else from a worker. The item is
-// null when the receipt may not be kept.
-std::pair<RequestOutcome, cache::CachedResponsePtr> CachedRequestHandler::fetch(const RequestContext& context,
-                                                                                const std::string& key) {
+CachedRequestHandler::FetchResult CachedRequestHandler::fetch(const RequestContext& context,
+                                                              const std::string& key) {
   ++counters_.cache_fetches;
-  auto cached = std::make_shared<cache::CachedResponse>();
-  cached->service = context.service->name;
-  cached->generated_at = ports_.clock.now();
-  cached->purge_number = purge_number(*snapshot_(), context.service->name);
-  RequestContext direct = context;
-  direct.request.method = "GET";
-  std::erase_if(direct.request.headers, [](auto& h) {
-    return base::equals_ignore_case(h.name, "Range") || base::equals_ignore_case(h.name, "If-None-Match") ||
-           base::equals_ignore_case(h.name, "If-Range");
-  });
-  auto& get = direct.request;
-  if (auto to = shield_for(*context.snapshot, key); !to.empty()) {
-    pb::PeerRequest request;
-    auto* forward = request.mutable_forward();
-    forward->set_id(get.id);
-    forward->set_configuration(context.configuration->name);
-    forward->set_service(context.service->name);
-    forward->set_target(get.target);
-    forward->set_remaining_ms(
-        static_cast<uint32_t>(std::max<int64_t>(0, (context.deadline - ports_.clock.now()).count())));
-    forward->set_known_purge_number(cached->purge_number);
-    forward->set_entry_node(context.entry_node);
-    forward->set_generation(context.generation);
-    for (auto& [k, v] : get.headers) {
-      auto* h = forward->add_headers();
-      h->set_name(k);
-      h->set_value(v);
-    }
-    ++counters_.forwarded;
-    auto r = ports_.peers.call(to, request, (context.deadline - ports_.clock.now()) / 2);
-    auto* response = std::get_if<pb::PeerResponse>(&r);
-    auto* nd = std::get_if<base::PeerError>(&r);
-    bool reached = !nd || *nd != base::PeerError::unreachable;
-    if (reached) upstream_client_.record_request(context.service->name);
-    if (nd) shield_failed(to);
-    if (response && response->has_forward() && !response->forward().not_executed() &&
-        !response->forward().outcome_unknown()) {
-      auto& forwarded = response->forward();
-      cached->response.status = static_cast<int>(forwarded.status());
-      for (auto& h : forwarded.headers()) cached->response.headers.emplace_back(h.name(), h.value());
-      cached->response.body = forwarded.body();
-      cached->generated_at -= Duration(static_cast<int64_t>(forwarded.age_ms()));
-      cached->lifetime = Duration(static_cast<int64_t>(forwarded.lifetime_ms()));
-      cached->purge_number = min_purge_number(cached->purge_number, forwarded.purge_number());
-      cached->version = forwarded.version();
-      cached->tags = adapter_.cache_tags(cached->response);
-      // It may have been kept there, and this node may have slept since it asked.
-      if (forwarded.cacheable()
-              ? is_usable(cached, context, ports_.clock.now())
-              : has_read_lease_() && !purged(*snapshot_(), named(context, *cached), cached->purge_number))
-        return {RequestOutcome{cached->response},
-                forwarded.cacheable() ? cache::CachedResponsePtr(cached) : nullptr};
-    }
-    // The shield speaks for the origin: what it turns away is not tried around it.
-    if (response && response->has_forward() && response->forward().rejected())
-      return {outcomes_.rejected(503, response->forward().reason(),
-                                 Duration(static_cast<int64_t>(response->forward().retry_after_ms()))),
-              nullptr};
-    // What the shield did with it is not known, so a direct shot may be a repeat.
-    direct.is_retry = reached && !(response && response->has_forward() && response->forward().not_executed());
+  auto entry = std::make_shared<cache::CachedResponse>();
+  entry->service = context.service->name;
+  entry->generated_at = node_.ports.clock.now();
+  entry->purge_number = purge_number(*node_.snapshot(), context.service->name);
+  RequestContext whole = whole_object_request(context);
+  if (auto shield = select_shield(*context.snapshot, key); !shield.empty())
+    if (auto result = fetch_from_shield(whole, shield, entry)) return std::move(*result);
+  return fetch_from_backend(whole, entry);
+}
+
+// Nothing when this node has to fetch by itself; the request is then marked as a retry if the shield may have
+// had it executed.
+std::optional<CachedRequestHandler::FetchResult> CachedRequestHandler::fetch_from_shield(
+    RequestContext& context, const std::string& shield, const std::shared_ptr<cache::CachedResponse>& entry) {
+  const Duration remaining = context.deadline - node_.ports.clock.now();
+  ++counters_.forwarded;
+  auto reply = node_.ports.peers.call(shield, forward_request(context, entry->purge_number, remaining),
+                                      remaining / kShieldPart);
+  const auto* error = std::get_if<base::PeerError>(&reply);
+  const bool reached = !error || *error != base::PeerError::unreachable;
+  if (reached) upstream_client_.record_request(context.service->name);
+  if (error) back_off_shield(shield);
+  const auto* response = std::get_if<pb::PeerResponse>(&reply);
+  if (!response || !response->has_forward()) {
+    context.is_retry = reached;
+    return {};
+  }
+  const auto& forwarded = response->forward();
+  if (!forwarded.not_executed() && !forwarded.outcome_unknown())
+    if (auto result = accept_forwarded(context, forwarded, entry)) return result;
+  // The shield speaks for the origin: what it rejects is not tried around it.
+  if (forwarded.rejected())
+    return FetchResult{outcomes_.rejected(503, forwarded.reason(),
+                                          Duration(static_cast<int64_t>(forwarded.retry_after_ms()))),
+                       nullptr};
+  context.is_retry = !forwarded.not_executed();
+  return {};
+}
+
+// Nothing when the response may not be used: the shield may have had it cached, and this node may have been
+// suspended since it asked.
+std::optional<CachedRequestHandler::FetchResult> CachedRequestHandler::accept_forwarded(
+    const RequestContext& context, const pb::ForwardResponse& forwarded,
+    const std::shared_ptr<cache::CachedResponse>& entry) {
+  entry->response.status = static_cast<int>(forwarded.status());
+  for (const auto& header : forwarded.headers())
+    entry->response.headers.emplace_back(header.name(), header.value());
+  entry->response.body = forwarded.body();
+  entry->generated_at -= Duration(static_cast<int64_t>(forwarded.age_ms()));
+  entry->lifetime = Duration(static_cast<int64_t>(forwarded.lifetime_ms()));
+  entry->purge_number = min_purge_number(entry->purge_number, forwarded.purge_number());
+  entry->version = forwarded.version();
+  entry->tags = node_.adapter.cache_tags(entry->response);
+  if (forwarded.cacheable()) {
+    if (!is_usable(entry, context, node_.ports.clock.now())) return {};
+    return FetchResult{{}, entry};
   }
-  auto result = upstream_client_.execute(direct);
-  result.possibly_sent |= direct.is_retry;  // the shield may have had it run
-  result.possibly_executed |= direct.is_retry;
-  if (result.outcome != AttemptOutcome::answered) return {outcomes_.from(std::move(result)), nullptr};
-  auto life = context.route->cache_lifetime > Duration(0)
-                  ? cache::configured_lifetime(result.response, context.route->cache_lifetime)
-                  : cache::response_lifetime(get, result.response);
-  cached->generated_at -= cache::age_header(result.response);
-  cached->version = result.version;
-  cached->tags = adapter_.cache_tags(result.response);
-  cached->response = outcomes_.from(std::move(result)).response;
-  if (!life) return {RequestOutcome{cached->response}, nullptr};
-  cached->lifetime = *life;
-  return {RequestOutcome{cached->response}, cached};
+  if (!node_.has_read_lease() ||
+      purged(*node_.snapshot(), purge_target(context, *entry), entry->purge_number))
+    return {};
+  return FetchResult{{std::move(entry->response)}, nullptr};
+}
+
+CachedRequestHandler::FetchResult CachedRequestHandler::fetch_from_backend(
+    const RequestContext& context, const std::shared_ptr<cache::CachedResponse>& entry) {
+  auto result = upstream_client_.execute(context);
+  if (context.is_retry) result.execution = ExecutionState::possibly_executed;  // by the earlier way
+  if (result.outcome != UpstreamOutcome::responded) return {outcomes_.from(std::move(result)), nullptr};
+  auto lifetime = context.route->cache_lifetime > Duration(0)
+                      ? cache::configured_lifetime(result.response, context.route->cache_lifetime)
+                      : cache::response_lifetime(context.request, result.response);
+  entry->generated_at -= cache::age_header(result.response);
+  entry->version = result.version;
+  entry->tags = node_.adapter.cache_tags(result.response);
+  auto response = outcomes_.from(std::move(result)).response;
+  if (!lifetime) return {{std::move(response)}, nullptr};
+  entry->response = std::move(response);
+  entry->lifetime = *lifetime;
+  return {{}, entry};
+}
+
+RequestOutcome CachedRequestHandler::respond_from_cache(const cache::CachedResponse& cached,
+                                                        const RequestContext& context) {
+  // A lifetime that the route states is not the origin's, so an age would say nothing to the client.
+  const bool with_age = context.route->cache_lifetime <= Duration(0);
+  return {shape_cached(cached, context.request, node_.ports.clock.now(), with_age)};
+}
+
+// Half of the request's time is for the other's fetch, half for an attempt of its own: what the other got
+// may be for that request alone.
+RequestOutcome CachedRequestHandler::await_other_fetch(const RequestContext& context,
+                                                       const std::shared_ptr<cache::Cache::Fetch>& fetch) {
+  auto cached =
+      cache_.await_fetch(fetch, node_.ports.tasks.condition(),
+                         std::max<Duration>(context.start_deadline() - node_.ports.clock.now(), Duration(0)));
+  if (!cached || !is_usable(*cached, context, node_.ports.clock.now()))
+    return outcomes_.from(upstream_client_.execute(context));
+  ++counters_.cache_hits;
+  return respond_from_cache(**cached, context);
 }
 
 RequestOutcome CachedRequestHandler::handle(const RequestContext& context) {
-  bool kept = context.route->cache_lifetime > Duration(0);
-  auto key = key_of(context);
-  if (auto cached = cache_.find(key); is_usable(cached, context, ports_.clock.now())) {
+  const auto key = cache_key(context);
+  if (auto cached = cache_.find(key); is_usable(cached, context, node_.ports.clock.now())) {
     ++counters_.cache_hits;
-    return {answer(*cached, context.request, ports_.clock.now(), kept)};
+    return respond_from_cache(*cached, context);
   }
-  auto flight = fmt::format("{}|{}|{}", key, context.configuration->name,
-                            purge_number(*snapshot_(), context.service->name));
-  auto [f, leads] = cache_.join_fetch(flight);
-  if (!leads) {
-    // Half of its time is for the other's fetch, half for one of its own.
-    auto i =
-        cache_.await_fetch(f, ports_.tasks.condition(),
-                           std::max<Duration>(context.start_deadline() - ports_.clock.now(), Duration(0)));
-    if (i && is_usable(*i, context, ports_.clock.now())) {
-      ++counters_.cache_hits;
-      return {answer(**i, context.request, ports_.clock.now(), kept)};
-    }
-    return outcomes_.from(upstream_client_.execute(context));  // what the other got was for it alone
+  auto fetch_key = fmt::format("{}|{}|{}", key, context.configuration->name,
+                               purge_number(*node_.snapshot(), context.service->name));
+  const auto [fetch_under_way, leads] = cache_.join_fetch(fetch_key);
+  if (!leads) return await_other_fetch(context, fetch_under_way);
+  FetchGuard guard(cache_, std::move(fetch_key), fetch_under_way);
+  auto fetched = fetch(context, key);
+  if (!fetched.cached) {
+    shape_head(fetched.outcome.response, context.request);
+    return std::move(fetched.outcome);
   }
-  std::pair<RequestOutcome, cache::CachedResponsePtr> got;
-  struct Close {
-    cache::Cache& c;
-    std::string k;
-    std::shared_ptr<cache::Cache::Fetch> f;
-    cache::CachedResponsePtr cached;
-    ~Close() { c.finish_fetch(k, f, cached); }
-  } close{cache_, flight, f, nullptr};
-  got = fetch(context, key);
-  close.cached = got.second;
-  if (got.second)
-    cache_.put(key, got.second,
-               std::min<size_t>(static_cast<size_t>(context.configuration->cache_bytes), max_bytes_));
-  if (got.second) return {answer(*got.second, context.request, ports_.clock.now(), kept)};
-  shape_head(got.first.response, context.request);
-  return got.first;
+  guard.share(fetched.cached);
+  cache_.put(key, fetched.cached,
+             std::min<size_t>(static_cast<size_t>(context.configuration->cache_bytes), max_bytes_));
+  return respond_from_cache(*fetched.cached, context);
 }
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -1,222 +1,314 @@
-// Lock order: the tally's lock, the shields', the cache's, a fill's, the waitlists',
-// the places', the budgets'. In fact none is held while another is taken, nor
-// while a fiber parks.
 #include "proxy/request_handler.hpp"
 
+#include <algorithm>
 #include <mutex>
 
 #include "cache/cacheability.hpp"
 
 namespace dunlinwing::proxy {
+namespace {
+constexpr uint64_t kWeightSteps = 1 << 20;  // in which services are drawn by weight
+
+struct ReleaseCounts {
+  uint64_t requests = 0;
+  uint64_t failures = 0;
+};
+
+// A client's request, and what ways that were superseded may have done with it.
+struct ClientRequest {
+  const base::Request& request;
+  TimePoint arrived{0};
+  std::optional<Duration> remaining;  // that the client will wait, when it says so
+  ExecutionState execution_state = ExecutionState::not_sent;
+};
+
+// Whether a response counts against the release that decided it.
+bool is_failure(int status) { return status >= 500 || status == 404 || status == 405 || status == 413; }
+
+bool is_cacheable(const RequestContext& context) {
+  const auto kind = context.route->kind;
+  return CachedRequestHandler::configured_lifetime(context) > Duration(0) &&
+         (kind == config::RequestKind::by_method || kind == config::RequestKind::cacheable) &&
+         cache::is_cacheable_request(context.request, context.route->cache_lifetime > Duration(0));
+}
+
+pb::ForwardResponse refuse_forwarded(const char* reason) {
+  pb::ForwardResponse response;
+  response.set_not_executed(true);
+  response.set_reason(reason);
+  return response;
+}
+
+void set_outcome(pb::ForwardResponse& response, const RequestOutcome& outcome) {
+  const bool possibly_sent = outcome.execution_state != ExecutionState::not_sent;
+  response.set_status(static_cast<uint32_t>(outcome.response.status));
+  response.set_not_executed(outcome.execution_status == ExecutionStatus::not_executed && !possibly_sent);
+  response.set_rejected(response.not_executed() && !outcome.superseded);
+  response.set_retry_after_ms(static_cast<uint64_t>(outcome.retry_after.count()));
+  response.set_outcome_unknown(outcome.execution_status == ExecutionStatus::unknown || possibly_sent);
+  for (const auto& [name, value] : outcome.response.headers) {
+    auto* header = response.add_headers();
+    header->set_name(name);
+    header->set_value(value);
+  }
+  response.set_body(outcome.response.body);
+}
+
+void set_cached(pb::ForwardResponse& response, const cache::CachedResponse& cached, TimePoint now) {
+  response.set_cacheable(true);
+  response.set_age_ms(static_cast<uint64_t>(std::max<int64_t>(0, (now - cached.generated_at).count())));
+  response.set_lifetime_ms(static_cast<uint64_t>(cached.lifetime.count()));
+  response.set_purge_number(cached.purge_number);
+  response.set_version(cached.version);
+}
+}  // namespace
 
 struct RequestHandler::Impl {
-  base::Ports& ports;
-  const ProtocolAdapter& adapter;
-  std::string node_name, zone;
-  std::function<bool()> has_read_lease;
-  std::shared_ptr<const RoutingSnapshot> snapshot = std::make_shared<RoutingSnapshot>();
+  RoutingSnapshotPtr snapshot = std::make_shared<RoutingSnapshot>();  // read and replaced atomically
+  NodeContext node;
   UpstreamClient upstream_client;
   RequestCounters counters;
   OutcomeBuilder outcomes;
   CachedRequestHandler cached_requests;
   std::atomic<bool> draining{false};
   mutable std::mutex mutex;
-  std::map<std::string, std::pair<uint64_t, uint64_t>> release_counts;
+  std::map<std::string, ReleaseCounts> release_counts;  // by release; guarded by `mutex`
 
-  Impl(base::Ports& p, const ProtocolAdapter& fa, std::string a, std::string z, std::function<bool()> f)
-      : ports(p),
-        adapter(fa),
-        node_name(std::move(a)),
-        zone(z),
-        has_read_lease(f),
-        upstream_client(p, fa, node_name, z, f, [this] { return current_snapshot(); }),
-        outcomes{p, fa},
-        cached_requests(
-            p, fa, node_name, f, [this] { return current_snapshot(); }, upstream_client, counters) {}
+  explicit Impl(NodeContext node_context)
+      : node(std::move(node_context)),
+        upstream_client(node),
+        outcomes{node.ports, node.adapter},
+        cached_requests(node, upstream_client, counters) {}
 
   RoutingSnapshotPtr current_snapshot() const { return std::atomic_load(&snapshot); }
+  TimePoint now() const { return node.ports.clock.now(); }
 
-  void count_response(const std::string& release, bool defect) {
-    ++counters.requests;
-    if (defect) ++counters.failures;
-    std::lock_guard lock(mutex);
-    auto& t = release_counts[release];
-    ++t.first;
-    t.second += defect;
+  // Why new requests are rejected; null: they are not.
+  const char* unready_reason(const RoutingSnapshot& current) const {
+    if (draining) return "this node is draining";
+    if (!node.has_read_lease() || !current.configuration ||
+        is_superseded(current, node.node_name, current.generation))
+      return "this node is not ready";
+    return nullptr;
   }
 
-  // One of the route's services, by weight.
+  // One of the route's services, by weight; null when none has any.
   const config::ServiceConfiguration* select_service(const config::RoutingConfiguration& configuration,
                                                      const config::RouteConfiguration& route) const {
-    double all = 0;
-    for (auto& [k, w] : route.weighted_services) all += w;
-    if (all <= 0) return nullptr;
-    double at = route.weighted_services.size() > 1
-                    ? all * static_cast<double>(ports.random.below(1 << 20)) / (1 << 20)
-                    : 0;
-    for (auto& [k, w] : route.weighted_services) {
-      if (w > 0 && at < w) return &configuration.services.at(k);
-      at -= w;
+    double sum = 0;
+    for (const auto& [service, weight] : route.weighted_services) sum += weight;
+    if (sum <= 0) return nullptr;
+    double drawn = 0;
+    if (route.weighted_services.size() > 1)
+      drawn = sum * static_cast<double>(node.ports.random.below(kWeightSteps)) / kWeightSteps;
+    const std::string* selected = nullptr;
+    for (const auto& [service, weight] : route.weighted_services) {
+      if (weight > 0 && drawn < weight) return &configuration.services.at(service);
+      if (weight > 0 && !selected) selected = &service;  // for what rounding leaves over
+      drawn -= weight;
+    }
+    return selected ? &configuration.services.at(*selected) : nullptr;
+  }
+
+  // The request with its route, service and deadline, or the outcome when it has none.
+  std::variant<RequestContext, RequestOutcome> route_request(const ClientRequest& client,
+                                                             const RoutingSnapshotPtr& current) const {
+    const auto& request = client.request;
+    const auto& configuration = *current->configuration;
+    if (static_cast<int64_t>(request.body.size()) > configuration.body_bytes)
+      return outcomes.rejected(413, "the body is longer than the layout allows");
+    bool other_method = false;
+    const auto* route = configuration.match(request.method, base::header(request.headers, "Host"),
+                                            request.target, other_method);
+    if (!route)
+      return other_method ? outcomes.rejected(405, "no route takes this method")
+                          : outcomes.rejected(404, "no route leads there");
+    const auto* service = select_service(configuration, *route);
+    if (!service) return outcomes.rejected(503, "no service of this route has any weight");
+    Duration timeout = route->timeout > Duration(0) ? route->timeout : service->deadline;
+    if (client.remaining) timeout = std::min(timeout, *client.remaining);
+    return RequestContext{.snapshot = current,
+                          .configuration = current->configuration,
+                          .service = service,
+                          .route = route,
+                          .request = request,
+                          .host = route->host,
+                          .arrived = client.arrived,
+                          .deadline = client.arrived + timeout,
+                          .entry_node = node.node_name,
+                          .generation = current->generation,
+                          .is_retry = client.execution_state != ExecutionState::not_sent};
+  }
+
+  RequestOutcome dispatch(const RequestContext& context) {
+    if (is_cacheable(context)) return cached_requests.handle(context);
+    return outcomes.from(upstream_client.execute(context));
+  }
+
+  // Counts the outcome and completes the response.
+  // @param current  the snapshot that decided it; null: none did
+  base::Response conclude(const base::Request& request, RequestOutcome outcome,
+                          const RoutingSnapshot* current) {
+    if (outcome.execution_status == ExecutionStatus::not_executed) ++counters.rejected;
+    if (outcome.execution_status == ExecutionStatus::unknown) ++counters.unknown;
+    const uint64_t generation = current ? current->generation : 0;
+    if (generation) count_response(current->configuration->name, is_failure(outcome.response.status));
+    node.adapter.finish_response(outcome.response, request.id, generation);
+    return std::move(outcome.response);
+  }
+
+  void count_response(const std::string& release, bool failure) {
+    ++counters.requests;
+    if (failure) ++counters.failures;
+    const std::lock_guard lock(mutex);
+    auto& counts = release_counts[release];
+    ++counts.requests;
+    counts.failures += failure;
+  }
+
+  // The forwarded request with its route and service, or why this node does not take it.
+  std::variant<RequestContext, const char*> route_forwarded(const pb::ForwardRequest& forward,
+                                                            const RoutingSnapshotPtr& current) const {
+    if (draining || !node.has_read_lease()) return "this node is not ready";
+    auto configuration = current->configurations.find(forward.configuration());
+    if (configuration == current->configurations.end()) return "this node lacks the layout";
+    auto service = configuration->second->services.find(forward.service());
+    if (service == configuration->second->services.end()) return "the layout has no such service";
+    const uint64_t known_there = forward.known_purge_number();
+    if (min_purge_number(purge_number(*current, forward.service()), known_there) != known_there)
+      return "this node lacks a purge";
+    RequestContext context{.snapshot = current,
+                           .configuration = configuration->second,
+                           .service = &service->second,
+                           .arrived = now(),
+                           .entry_node = forward.entry_node(),
+                           .generation = forward.generation()};
+    context.deadline = context.arrived + Duration(forward.remaining_ms());
+    context.request.method = "GET";
+    context.request.target = forward.target();
+    for (const auto& header : forward.headers())
+      context.request.headers.emplace_back(header.name(), header.value());
+    context.request.id = node.adapter.read_identity(context.request, node.ports.random).id;
+    bool other_method = false;
+    context.route = configuration->second->match("GET", base::header(context.request.headers, "Host"),
+                                                 forward.target(), other_method);
+    if (!context.route) return "the layout has no such route";
+    context.host = context.route->host;
+    return context;
+  }
+
+  void report_releases(pb::NodeStatus& status) const {
+    const std::lock_guard lock(mutex);
+    for (const auto& [release, counts] : release_counts) {
+      auto* reported = status.add_release_counts();
+      reported->set_release(release);
+      reported->set_requests(counts.requests);
+      reported->set_failures(counts.failures);
+    }
+  }
+
+  void report_versions(pb::NodeStatus& status) const {
+    for (const auto& [key, outcomes_of_version] : upstream_client.counts()) {
+      auto* reported = status.add_version_counts();
+      reported->set_service(key.service);
+      reported->set_version(key.version);
+      reported->set_route(key.route);
+      reported->set_good(outcomes_of_version.good);
+      reported->set_bad(outcomes_of_version.bad);
+      reported->set_slow(outcomes_of_version.slow);
+      reported->set_total_ms(outcomes_of_version.total_ms);
+    }
+  }
+
+  void report_canaries(pb::NodeStatus& status) const {
+    for (const auto& [service, failures] : upstream_client.canary_failures()) {
+      auto* reported = status.add_canary_counts();
+      reported->set_service(service);
+      reported->set_number(failures.canary_number);
+      reported->set_bad(failures.failed_attempts);
+    }
+    auto current = current_snapshot();
+    for (const auto& service : current->aborted_canaries) {
+      auto state = current->service_states.find(service);
+      if (state == current->service_states.end()) continue;
+      auto* reported = status.add_canary_counts();
+      reported->set_service(service);
+      reported->set_number(state->second.canary_number());
+      reported->set_aborted(true);
     }
-    for (auto& [k, w] : route.weighted_services)
-      if (w > 0) return &configuration.services.at(k);
-    return nullptr;
   }
 };
 
 RequestHandler::RequestHandler(base::Ports& ports, const ProtocolAdapter& adapter, std::string node_name,
-                               std::string zone, std::function<bool()> fresh)
-    : impl_(new Impl(ports, adapter, std::move(node_name), std::move(zone), std::move(fresh))) {}
+                               std::string zone, std::function<bool()> has_read_lease)
+    : impl_(new Impl({ports, adapter, std::move(node_name), std::move(zone), std::move(has_read_lease),
+                      [this] { return impl_->current_snapshot(); }})) {}
 RequestHandler::~RequestHandler() = default;
 
 base::Response RequestHandler::handle(base::Request& request) {
   auto& impl = *impl_;
-  auto arrived = impl.ports.clock.now();
-  auto asked = impl.adapter.read_identity(request, impl.ports.random);
-  request.id = asked.id;
-  auto host = base::header(request.headers, "Host");
-  RoutingSnapshotPtr snapshot;
-  RequestOutcome outcome;
-  uint64_t under = 0;  // the generation that decided the answer
-  for (bool again = false, doubt = false;;) {
-    snapshot = impl.current_snapshot();
-    if (impl.draining || !impl.has_read_lease() || !snapshot->configuration ||
-        is_superseded(*snapshot, impl.node_name, snapshot->generation)) {
-      const char* why = impl.draining ? "this node is draining" : "this node is not ready";
-      outcome = doubt ? impl.outcomes.unknown(why) : impl.outcomes.rejected(503, why);
-      under = 0;
-    } else {
-      under = snapshot->generation;
-      outcome = [&]() -> RequestOutcome {
-        auto& configuration = *snapshot->configuration;
-        if (static_cast<int64_t>(request.body.size()) > configuration.body_bytes)
-          return impl.outcomes.rejected(413, "the body is longer than the layout allows");
-        bool other = false;
-        auto* route = configuration.match(request.method, host, request.target, other);
-        if (!route)
-          return other ? impl.outcomes.rejected(405, "no route takes this method")
-                       : impl.outcomes.rejected(404, "no route leads there");
-        auto* service = impl.select_service(configuration, *route);
-        if (!service) return impl.outcomes.rejected(503, "no service of this route has any weight");
-        Duration most = route->timeout > Duration(0) ? route->timeout : service->deadline;
-        if (asked.remaining) most = std::min(most, *asked.remaining);
-        RequestContext x{snapshot,       snapshot->configuration,
-                         service,        route,
-                         request,        route->host.empty() ? "" : route->host,
-                         arrived,        arrived + most,
-                         impl.node_name, snapshot->generation,
-                         again};
-        bool keep =
-            CachedRequestHandler::configured_lifetime(x) > Duration(0) &&
-            (route->kind == config::RequestKind::by_method || route->kind == config::RequestKind::cacheable);
-        if (keep && cache::is_cacheable_request(request, route->cache_lifetime > Duration(0)))
-          return impl.cached_requests.handle(x);
-        return impl.outcomes.from(impl.upstream_client.execute(x));
-      }();
-      again |= outcome.possibly_sent;
-      doubt |= outcome.possibly_executed;
-      if (outcome.superseded) continue;  // a newer layout came in force while it waited
-      // What was turned away after an earlier way may have had it run is not promised.
-      if (doubt && outcome.execution == ExecutionStatus::not_executed)
-        outcome = impl.outcomes.unknown("an earlier way may have had it run");
+  const TimePoint arrived = impl.now();
+  auto identity = impl.node.adapter.read_identity(request, impl.node.ports.random);
+  request.id = std::move(identity.id);
+  ClientRequest client{request, arrived, identity.remaining};
+  for (;;) {
+    const auto current = impl.current_snapshot();
+    if (const char* reason = impl.unready_reason(*current)) {
+      const bool possibly_executed = client.execution_state == ExecutionState::possibly_executed;
+      return impl.conclude(
+          request, possibly_executed ? impl.outcomes.unknown(reason) : impl.outcomes.rejected(503, reason),
+          nullptr);
     }
-    break;
+    auto routed = impl.route_request(client, current);
+    auto* context = std::get_if<RequestContext>(&routed);
+    auto outcome = context ? impl.dispatch(*context) : std::get<RequestOutcome>(std::move(routed));
+    client.execution_state = std::max(client.execution_state, outcome.execution_state);
+    if (outcome.superseded) continue;  // a newer configuration came into force while it waited
+    // What was rejected now may have been executed by an earlier way.
+    if (client.execution_state == ExecutionState::possibly_executed &&
+        outcome.execution_status == ExecutionStatus::not_executed)
+      outcome = impl.outcomes.unknown("an earlier way may have had it run");
+    return impl.conclude(request, std::move(outcome), current.get());
   }
-  if (outcome.execution == ExecutionStatus::not_executed) ++impl.counters.rejected;
-  if (outcome.execution == ExecutionStatus::unknown) ++impl.counters.unknown;
-  int st = outcome.response.status;
-  if (under)
-    impl.count_response(snapshot->configuration->name, st >= 500 || st == 404 || st == 405 || st == 413);
-  impl.adapter.finish_response(outcome.response, request.id, under);
-  return std::move(outcome.response);
 }
 
 pb::ForwardResponse RequestHandler::handle_forwarded(const pb::ForwardRequest& forward) {
-  auto& impl = *impl_;
-  pb::ForwardResponse out;
-  auto snapshot = impl.current_snapshot();
-  auto no = [&](const char* why) {
-    out.set_not_executed(true);
-    out.set_reason(why);
-    return out;
-  };
-  if (impl.draining || !impl.has_read_lease()) return no("this node is not ready");
-  auto l = snapshot->configurations.find(forward.configuration());
-  if (l == snapshot->configurations.end()) return no("this node lacks the layout");
-  auto s = l->second->services.find(forward.service());
-  if (s == l->second->services.end()) return no("the layout has no such service");
-  if (min_purge_number(purge_number(*snapshot, forward.service()), forward.known_purge_number()) !=
-      forward.known_purge_number())
-    return no("this node lacks a purge");
-  RequestContext context{snapshot,
-                         l->second,
-                         &s->second,
-                         nullptr,
-                         {},
-                         {},
-                         impl.ports.clock.now(),
-                         {},
-                         forward.entry_node(),
-                         forward.generation()};
-  context.deadline = context.arrived + Duration(forward.remaining_ms());
-  context.request.method = "GET";
-  context.request.target = forward.target();
-  for (auto& h : forward.headers()) context.request.headers.emplace_back(h.name(), h.value());
-  context.request.id = impl.adapter.read_identity(context.request, impl.ports.random).id;
-  bool other = false;
-  context.route =
-      l->second->match("GET", base::header(context.request.headers, "Host"), forward.target(), other);
-  if (!context.route) return no("the layout has no such route");
-  context.host = context.route->host;
-  auto way = impl.cached_requests.handle(context);
-  auto& response = way.response;
-  auto cached = impl.cached_requests.lookup(context);
-  out.set_status(static_cast<uint32_t>(response.status));
-  out.set_not_executed(way.execution == ExecutionStatus::not_executed && !way.possibly_sent);
-  out.set_rejected(out.not_executed() && !way.superseded);
-  out.set_retry_after_ms(static_cast<uint64_t>(way.retry_after.count()));
-  out.set_outcome_unknown(way.execution == ExecutionStatus::unknown || way.possibly_sent);
-  for (auto& [k, v] : response.headers) {
-    auto* h = out.add_headers();
-    h->set_name(k);
-    h->set_value(v);
-  }
-  out.set_body(response.body);
-  if (impl.cached_requests.is_usable(cached, context, impl.ports.clock.now()) &&
-      cached->response.body == response.body) {
-    out.set_cacheable(true);
-    out.set_age_ms(
-        static_cast<uint64_t>(std::max<int64_t>(0, (impl.ports.clock.now() - cached->generated_at).count())));
-    out.set_lifetime_ms(static_cast<uint64_t>(cached->lifetime.count()));
-    out.set_purge_number(cached->purge_number);
-    out.set_version(cached->version);
-  } else {
-    out.set_purge_number(purge_number(*snapshot, forward.service()));
-  }
-  return out;
+  const auto current = impl_->current_snapshot();
+  auto routed = impl_->route_forwarded(forward, current);
+  if (const auto* reason = std::get_if<const char*>(&routed)) return refuse_forwarded(*reason);
+  const auto& context = std::get<RequestContext>(routed);
+  const auto outcome = impl_->cached_requests.handle(context);
+  const auto cached = impl_->cached_requests.lookup(context);
+  pb::ForwardResponse response;
+  set_outcome(response, outcome);
+  if (impl_->cached_requests.is_usable(cached, context, impl_->now()) &&
+      cached->response.body == outcome.response.body)
+    set_cached(response, *cached, impl_->now());
+  else
+    response.set_purge_number(purge_number(*current, forward.service()));
+  return response;
 }
 
 std::vector<std::string> RequestHandler::unreachable_services(Duration limit) {
-  std::vector<std::string> out;
-  auto snapshot = impl_->current_snapshot();
-  if (!snapshot->configuration) return out;
-  for (auto& [name, s] : snapshot->configuration->services) {
-    auto f = snapshot->backend_instances.find(name);
-    if (f == snapshot->backend_instances.end() || f->second.empty()) continue;
-    config::RouteConfiguration any;
-    RequestContext context{snapshot,
-                           snapshot->configuration,
-                           &s,
-                           &any,
-                           {},
-                           {},
-                           impl_->ports.clock.now(),
-                           impl_->ports.clock.now() + limit,
-                           impl_->node_name,
-                           snapshot->generation};
-    if (!impl_->upstream_client.can_reach(context, limit)) out.push_back(name);
+  std::vector<std::string> unreachable;
+  const auto current = impl_->current_snapshot();
+  if (!current->configuration) return unreachable;
+  const config::RouteConfiguration any_route;
+  for (const auto& [name, service] : current->configuration->services) {
+    auto instances = current->backend_instances.find(name);
+    if (instances == current->backend_instances.end() || instances->second.empty()) continue;
+    const TimePoint now = impl_->now();
+    const RequestContext context{.snapshot = current,
+                                 .configuration = current->configuration,
+                                 .service = &service,
+                                 .route = &any_route,
+                                 .arrived = now,
+                                 .deadline = now + limit,
+                                 .entry_node = impl_->node.node_name,
+                                 .generation = current->generation};
+    if (!impl_->upstream_client.can_reach(context, limit)) unreachable.push_back(name);
   }
-  return out;
+  return unreachable;
 }
 
 void RequestHandler::set_snapshot(RoutingSnapshotPtr snapshot) {
@@ -232,42 +324,13 @@
 size_t RequestHandler::cache_bytes() const { return impl_->cached_requests.bytes(); }
 
 void RequestHandler::report_status(pb::NodeStatus& status) const {
-  std::lock_guard lock(impl_->mutex);
-  for (auto& [k, t] : impl_->release_counts) {
-    auto* x = status.add_release_counts();
-    x->set_release(k);
-    x->set_requests(t.first);
-    x->set_failures(t.second);
-  }
-  for (auto& [k, c] : impl_->upstream_client.counts()) {
-    auto* x = status.add_version_counts();
-    x->set_service(k.service);
-    x->set_version(k.version);
-    x->set_route(k.route);
-    x->set_good(c.good);
-    x->set_bad(c.bad);
-    x->set_slow(c.slow);
-    x->set_total_ms(c.total_ms);
-  }
-  auto snapshot = impl_->current_snapshot();
-  for (auto& [k, c] : impl_->upstream_client.canary_failures()) {
-    auto* x = status.add_canary_counts();
-    x->set_service(k);
-    x->set_number(c.first);
-    x->set_bad(c.second);
-  }
-  for (auto& s : snapshot->aborted_canaries) {
-    auto f = snapshot->service_states.find(s);
-    if (f == snapshot->service_states.end()) continue;
-    auto* x = status.add_canary_counts();
-    x->set_service(s);
-    x->set_number(f->second.canary_number());
-    x->set_aborted(true);
-  }
-  for (auto& [k, a] : impl_->upstream_client.rate_demand()) {
-    auto* x = status.add_demands();
-    x->set_service(k);
-    x->set_requested(a);
+  impl_->report_releases(status);
+  impl_->report_versions(status);
+  impl_->report_canaries(status);
+  for (const auto& [service, requests] : impl_->upstream_client.rate_demand()) {
+    auto* reported = status.add_demands();
+    reported->set_service(service);
+    reported->set_requested(requests);
   }
 }
 
--- a/src/proxy/request_handler.hpp
+++ b/src/proxy/request_handler.hpp
@@ -1,5 +1,12 @@
-// The way of a request through a relay, as one function read from top to
-// bottom; and the shield's side of a carried one.
+/// @file
+/// The way of a client's request through a node: readiness, route, service, then the cache or a backend
+/// instance, again when a newer configuration supersedes it meanwhile; and the shield's side of requests that
+/// other nodes forward.
+///
+/// Invariants: each response is decided under one snapshot. A client is told "not executed" only when no way
+/// that the request went can have had it executed.
+/// Threads: handle(), handle_forwarded() and unreachable_services() run in fibers, any number at once; the
+/// snapshot is replaced atomically. No lock is held while another is taken or a fiber is suspended.
 #pragma once
 #include "proxy/cached_request_handler.hpp"
 
@@ -7,24 +14,42 @@
 
 class RequestHandler {
  public:
+  /// @param ports           outlive the handler, as does the adapter
+  /// @param has_read_lease  whether what this node knows is recent enough to act on
   RequestHandler(base::Ports& ports, const ProtocolAdapter& adapter, std::string node_name, std::string zone,
-                 std::function<bool()> fresh);
+                 std::function<bool()> has_read_lease);
   ~RequestHandler();
+
+  /// Answers a client's request, by its deadline at the latest. Sets the request's id.
   base::Response handle(base::Request& request);
+
+  /// Answers a request for an object that another node forwards to this one as its shield.
   pb::ForwardResponse handle_forwarded(const pb::ForwardRequest& forward);
-  // The services that have workers and none that a request from here could reach:
-  // route, version, place and connection are tried, and no byte is sent.
+
+  /// The services that have backend instances of which none accepts a connection. No byte is sent.
+  /// @param limit  for each connection
   std::vector<std::string> unreachable_services(Duration limit);
+
+  /// @param snapshot  not null
   void set_snapshot(RoutingSnapshotPtr snapshot);
   RoutingSnapshotPtr snapshot() const;
-  void start_draining();  // from now on every new request is turned away
+
+  /// From now on every new request is rejected.
+  void start_draining();
+
+  /// Requests at backend instances or waiting for one.
   int running_requests();
-  void report_status(pb::NodeStatus& status) const;  // what this node tells of its traffic
+
+  /// Adds the counts of this node's requests to its heartbeat.
+  void report_status(pb::NodeStatus& status) const;
+
   const RequestCounters& counters() const;
   UpstreamClient& upstream_client();
   size_t cache_bytes() const;
-  void set_cache_limit(size_t bytes);  // the machine's own bound, beside the layout's
-  void evict_expired();                // drops kept receipts that are past their life
+  /// Bounds the cache beside the configuration's own bound. Only before the first request.
+  void set_cache_limit(size_t bytes);
+  /// Drops cached responses that are past their lifetime.
+  void evict_expired();
 
  private:
   struct Impl;
--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -1,325 +1,375 @@
-// A shot ends in one of four ways: a whole answer by the worker that was
-// meant; nothing was sent; the worker said it did not run it; or nobody can
-// tell. Only safe requests are sent again after the last, and within budget.
-// A caller is promised "not run" only when no byte of any shot left.
 #include "proxy/upstream_client.hpp"
 
-#include <fmt/format.h>
-
 #include <mutex>
 
+#include "limits/budget.hpp"
+#include "proxy/canary_admission.hpp"
+#include "proxy/load_balancer.hpp"
+
 namespace dunlinwing::proxy {
 namespace {
-constexpr int kMostTries = 8;    // workers looked for, sent to or not
-constexpr int kWorkPart = 4;     // of its deadline a first shot must still have half this part
-constexpr int kConnectPart = 4;  // of the time left, for a connection to stand
-constexpr int kSlow = 4;         // times the usual, and an answer counts as slow
-constexpr Duration kSlowLeast{20};
-constexpr size_t kLeastPlaces = 6;
-constexpr size_t kRelaysOfAll = 12;  // relays that use one worker, about
-constexpr double kCapPart = 0.85;    // of the connections a worker takes, over all relays
-// How far past its aim an answer may be expected to be while it is still worth its place, by rank.
-constexpr double kPatience[] = {3.0, 2.0, 1.3};
-
-UpstreamResult turned_away(std::string why, Duration back = Duration(0)) {
-  UpstreamResult result{AttemptOutcome::not_executed, {}, {}, std::move(why)};
-  result.retry_after = back;
+constexpr int kFirstAttemptPart = 8;  // of the time budget must remain for a first attempt: more than 1/8
+constexpr int kConnectPart = 4;       // of the remaining time, for a connection to be made: 1/4
+constexpr int kProbes = 2;            // instances tried by can_reach()
+
+// A good response is slow when it takes so many times the usual latency, and so long at least.
+constexpr int kSlowMultiple = 4;
+constexpr Duration kMinSlow{20};
+
+// Of the connections that an instance accepts, all nodes together use this part: a node may know of fewer
+// nodes than there are.
+constexpr double kConnectionPart = 0.85;
+
+UpstreamResult rejected(std::string reason, Duration retry_after = Duration(0)) {
+  UpstreamResult result;
+  result.reason = std::move(reason);
+  result.retry_after = retry_after;
   return result;
 }
 
-bool plainly_safe(const std::string& m) { return m == "GET" || m == "HEAD" || m == "OPTIONS"; }
+const char* failure_reason(AttemptClass attempt) {
+  if (attempt == AttemptClass::not_sent) return "no worker could be reached";
+  if (is_refused(attempt)) return "a worker said that it did not run it, and no other took it";
+  if (attempt == AttemptClass::no_response) return "no whole answer came";
+  return "the answer was not the worker's own whole answer";
+}
+
+AttemptHealth health_of(AttemptClass attempt) {
+  if (attempt == AttemptClass::not_sent) return AttemptHealth::unreachable;
+  return attempt == AttemptClass::good || is_refused(attempt) ? AttemptHealth::healthy
+                                                              : AttemptHealth::failed;
+}
+
+bool is_safe_method(const std::string& method) {
+  return method == "GET" || method == "HEAD" || method == "OPTIONS";
+}
+
+const pb::ServiceState* find_state(const RoutingSnapshot& snapshot, const std::string& service) {
+  auto found = snapshot.service_states.find(service);
+  return found == snapshot.service_states.end() ? nullptr : &found->second;
+}
 }  // namespace
 
 bool RequestContext::is_idempotent() const {
   if (route->kind == config::RequestKind::by_method)
-    return plainly_safe(request.method) && service->retry_idempotent;
+    return is_safe_method(request.method) && service->retry_idempotent;
   return route->kind != config::RequestKind::unsafe;
 }
 
 struct UpstreamClient::Impl {
-  base::Ports& ports;
-  const ProtocolAdapter& adapter;
-  std::string zone;
-  std::function<bool()> has_read_lease;
-  std::function<RoutingSnapshotPtr()> snapshot;
+  class Execution;
+
+  NodeContext node;
   LoadBalancer load_balancer;
   CanaryAdmission canary_admission;
   limits::RetryBudget retry_budget;
   limits::RateLimiter rate_limiter;
   AdmissionQueues admission_queues;
-  mutable std::mutex mutex;
-  std::map<OutcomeKey, VersionOutcomes> counts;
-  std::map<std::string, uint64_t> rate_demand;
-  std::map<std::string, std::pair<uint64_t, uint64_t>> canary_failures;  // number, bad answers
   std::atomic<uint64_t> retries{0};
-  int max_instances = 0;
-
-  Impl(base::Ports& p, const ProtocolAdapter& fa, std::string z, std::function<bool()> f,
-       std::function<RoutingSnapshotPtr()> t)
-      : ports(p),
-        adapter(fa),
-        zone(std::move(z)),
-        has_read_lease(std::move(f)),
-        snapshot(std::move(t)),
-        load_balancer(p.clock, p.random),
-        rate_limiter(p.clock),
-        admission_queues(p) {}
-
-  void record_outcome(const RequestContext& context, const membership::BackendInstance& instance, bool good,
-                      Duration took) {
-    auto t = snapshot();
-    auto st = t->service_states.find(instance.service);
-    auto usual = load_balancer.typical_latency(instance.service);
-    bool slow = good && usual > Duration(0) && took > std::max(usual * kSlow, kSlowLeast);
-    std::lock_guard lock(mutex);
-    auto& c = counts[{instance.service, instance.version, context.route->label()}];
-    (good ? c.good : c.bad)++;
-    c.slow += slow;
-    c.total_ms += static_cast<uint64_t>(took.count());
-    if (st == t->service_states.end() || st->second.canary() != instance.version) return;
-    auto& x = canary_failures[instance.service];
-    if (x.first != st->second.canary_number()) x = {st->second.canary_number(), 0};
-    x.second += !good;
+  std::atomic<int> max_instances{0};
+  mutable std::mutex mutex;  // guards the counts below
+  std::map<OutcomeKey, VersionOutcomes> counts;
+  std::map<std::string, uint64_t> rate_demand;            // by service
+  std::map<std::string, CanaryFailures> canary_failures;  // by service
+
+  explicit Impl(NodeContext node_context)
+      : node(std::move(node_context)),
+        load_balancer(node.ports.clock, node.ports.random),
+        rate_limiter(node.ports.clock),
+        admission_queues(node.ports) {
+    load_balancer.set_node_name(node.node_name);
   }
 
-  // How long until it makes sense to come back, when the wait at the best place found is not worth it.
-  std::optional<Duration> overload_retry_after(const RequestContext& context,
-                                               const BackendSelection& c) const {
-    if (context.route->latency_target <= Duration(0)) return {};
-    Duration one = c.expected - c.queueing;
-    auto rank = static_cast<size_t>(std::min<int>(context.route->priority, std::size(kPatience) - 1));
-    Duration most =
-        std::max(Duration(static_cast<int64_t>(static_cast<double>(context.route->latency_target.count()) *
-                                               kPatience[rank])) -
-                     one,
-                 one);
-    Duration left = context.deadline - ports.clock.now();
-    if (c.queueing <= most && c.queueing + one < left) return {};
-    return std::max(c.queueing - most, Duration(0)) + one / 2;
+  // Waits in the admission queue. Nothing when the request may run.
+  std::optional<UpstreamResult> admit(const RequestContext& context) {
+    const auto& service = *context.service;
+    switch (admission_queues.admit(service.name, service.max_in_flight, service.max_waiting,
+                                   context.start_deadline())) {
+      case AdmissionResult::queue_full:
+        return rejected("the waitlist is full", admission_queues.drain_time(service.name));
+      case AdmissionResult::too_late:
+        return rejected("its deadline cannot be met", admission_queues.drain_time(service.name));
+      case AdmissionResult::admitted:
+        break;
+    }
+    return {};
+  }
+
+  bool try_acquire_retry(const std::string& service) {
+    auto snapshot = node.snapshot();
+    if (!retry_budget.try_acquire(service, limits::retry_allowance_of_node(snapshot->system.retry_allowance,
+                                                                           snapshot->nodes, snapshot->rank)))
+      return false;
+    ++retries;
+    return true;
   }
 
   double rate_quota(const std::string& service) {
-    auto t = snapshot();
-    auto f = t->rate_quotas.find(service);
-    return f == t->rate_quotas.end() ? 0 : f->second;
+    auto snapshot = node.snapshot();
+    auto found = snapshot->rate_quotas.find(service);
+    return found == snapshot->rate_quotas.end() ? 0 : found->second;
   }
 
-  // Waits for this request's turn at a paced origin. When none comes in time: how long it would have been.
+  // Waits until the rate limit lets one more request through. When that would be too late: how long it
+  // would have taken.
   std::optional<Duration> await_rate_limit(const RequestContext& context) {
-    auto& service = *context.service;
+    const auto& service = context.service->name;
+    const Duration target = context.route->latency_target;
     for (;;) {
-      // A turn that comes too late for the aim is not worth waiting for.
-      Duration most = context.start_deadline() - ports.clock.now();
-      if (context.route->latency_target > Duration(0))
-        most = std::min(most, context.route->latency_target * 3 / 4);
-      auto r = rate_limiter.reserve(service.name, rate_quota(service.name), most);
-      auto* t = std::get_if<limits::RateReservation>(&r);
-      if (!t) return std::get<Duration>(r);
-      if (t->wait > Duration(0)) ports.clock.sleep(t->wait);
-      if (rate_limiter.is_valid(*t, rate_quota(service.name))) return {};
+      Duration longest = context.start_deadline() - node.ports.clock.now();
+      // A quarter of the latency target is left for the attempt itself.
+      if (target > Duration(0)) longest = std::min(longest, target * 3 / 4);
+      auto reserved = rate_limiter.reserve(service, rate_quota(service), longest);
+      auto* reservation = std::get_if<limits::RateReservation>(&reserved);
+      if (!reservation) return std::get<Duration>(reserved);
+      if (reservation->wait > Duration(0)) node.ports.clock.sleep(reservation->wait);
+      if (rate_limiter.is_valid(*reservation, rate_quota(service))) return {};
+    }
+  }
+
+  // By the latest snapshot: an instance that has left since the request entered is not chosen.
+  // @param tried   instances that are not to be chosen again
+  // @param canary  whether the request counts for the canary's share
+  std::optional<BackendSelection> select_backend(const RequestContext& context,
+                                                 const std::vector<std::string>& tried, bool canary) {
+    const auto& service = *context.service;
+    auto snapshot = node.snapshot();
+    auto instances = snapshot->backend_instances.find(service.name);
+    if (instances == snapshot->backend_instances.end()) return {};
+    auto versions = eligible_versions(service, find_state(*snapshot, service.name));
+    if (canary) {
+      auto canaries =
+          canary_admission.admit(*snapshot, service.name, versions.canary, context.route->label());
+      if (!canaries.empty())
+        if (auto selection = load_balancer.choose(canaries, {versions.canary}, node.zone, tried))
+          return selection;
     }
+    return load_balancer.choose(instances->second, versions.open, node.zone, tried,
+                                subset_size(instances->second.size(), snapshot->nodes, max_instances));
   }
 
-  // Of many workers each relay of a large fleet uses a few, so that its connections
-  // are used often enough to be kept, and each worker is used by a few relays.
-  size_t subset_size(const RoutingSnapshot& snapshot, size_t workers) const {
-    size_t n =
-        std::max<size_t>(kLeastPlaces, (workers * kRelaysOfAll + static_cast<size_t>(snapshot.nodes) - 1) /
-                                           static_cast<size_t>(std::max(snapshot.nodes, 1)));
-    return max_instances > 0 ? std::min(n, std::max(kLeastPlaces, static_cast<size_t>(max_instances))) : n;
+  void count_demand(const config::ServiceConfiguration& service) {
+    if (service.rate <= 0) return;
+    const std::lock_guard lock(mutex);
+    ++rate_demand[service.name];
   }
 
-  std::optional<BackendSelection> select_backend(const RequestContext& context,
-                                                 const std::vector<std::string>& tried, bool probe = false) {
-    auto t = snapshot();  // the latest: a worker that left since is not chosen
-    auto f = t->backend_instances.find(context.service->name);
-    if (f == t->backend_instances.end()) return {};
-    auto st = t->service_states.find(context.service->name);
-    auto v = eligible_versions(*context.service, st == t->service_states.end() ? nullptr : &st->second);
-    if (!probe)
-      if (auto instances =
-              canary_admission.admit(*t, context.service->name, v.canary, context.route->label());
-          !instances.empty())
-        if (auto x = load_balancer.choose(instances, {v.canary}, zone, tried)) return x;
-    return load_balancer.choose(f->second, v.open, zone, tried, subset_size(*t, f->second.size()));
+  // Counts an attempt that its instance may have executed.
+  void count_outcome(const RequestContext& context, const membership::BackendInstance& instance, bool good,
+                     Duration latency) {
+    auto snapshot = node.snapshot();
+    const auto* state = find_state(*snapshot, instance.service);
+    const auto usual = load_balancer.typical_latency(instance.service);
+    const bool slow = good && usual > Duration(0) && latency > std::max(usual * kSlowMultiple, kMinSlow);
+    const std::lock_guard lock(mutex);
+    auto& outcomes = counts[{instance.service, instance.version, context.route->label()}];
+    (good ? outcomes.good : outcomes.bad)++;
+    outcomes.slow += slow;
+    outcomes.total_ms += static_cast<uint64_t>(latency.count());
+    if (!state || state->canary() != instance.version) return;
+    auto& failures = canary_failures[instance.service];
+    if (failures.canary_number != state->canary_number()) failures = {state->canary_number(), 0};
+    failures.failed_attempts += !good;
   }
 };
 
-UpstreamClient::UpstreamClient(base::Ports& ports, const ProtocolAdapter& adapter, std::string node_name,
-                               std::string zone, std::function<bool()> fresh,
-                               std::function<RoutingSnapshotPtr()> table)
-    : impl_(new Impl(ports, adapter, std::move(zone), std::move(fresh), std::move(table))) {
-  impl_->load_balancer.set_node_name(node_name);
-}
-UpstreamClient::~UpstreamClient() = default;
+// One admitted request: the steps of its attempts, and what they came to so far.
+class UpstreamClient::Impl::Execution {
+ public:
+  Execution(Impl& client, const RequestContext& context)
+      : client_(client),
+        context_(context),
+        retry_state_(context.is_idempotent(), context.route->max_attempts, context.is_retry) {}
 
-bool UpstreamClient::try_acquire_retry(const RequestContext& context) {
-  auto snapshot = impl_->snapshot();
-  if (!impl_->retry_budget.try_acquire(
-          context.service->name,
-          limits::retry_allowance_of_node(snapshot->system.retry_allowance, snapshot->nodes, snapshot->rank)))
-    return false;
-  ++impl_->retries;
-  return true;
-}
-
-bool UpstreamClient::can_reach(const RequestContext& context, Duration limit) {
-  std::vector<std::string> tried;
-  for (int i = 0; i < 2; ++i) {
-    auto to = impl_->select_backend(context, tried, true);
-    if (!to) return false;
-    if (impl_->ports.origin.can_connect(to->instance.address, limit)) return true;
-    tried.push_back(to->instance.instance);
+  UpstreamResult run() {
+    while (retry_state_.may_attempt()) {
+      if (!acquire_retry() || !await_rate_limit() || !check_configuration()) break;
+      auto selection = select_backend();
+      if (!selection) break;
+      const Duration remaining = context_.deadline - now();
+      if (!check_deadline(remaining) || !check_read_lease()) break;
+      const NextStep next = attempt(selection->instance, remaining);
+      if (next == NextStep::respond) return std::move(result_);
+      if (next == NextStep::stop) break;
+    }
+    result_.execution = retry_state_.execution();
+    return std::move(result_);
   }
-  return false;
-}
 
-void UpstreamClient::record_request(const std::string& s) {
-  impl_->retry_budget.record_request(s, impl_->snapshot()->system.retry_ratio);
-}
+ private:
+  TimePoint now() const { return client_.node.ports.clock.now(); }
 
-std::map<std::string, uint64_t> UpstreamClient::rate_demand() const {
-  std::lock_guard lock(impl_->mutex);
-  return impl_->rate_demand;
-}
+  // Each step returns whether the request goes on; if it does not, the result says why. Once something was
+  // sent, what came of that stays the result.
 
-UpstreamResult UpstreamClient::execute(const RequestContext& context) {
-  auto& impl = *impl_;
-  auto& service = *context.service;
-  if (service.rate > 0) {
-    std::lock_guard lock(impl.mutex);
-    ++impl.rate_demand[service.name];
+  bool acquire_retry() {
+    if (!retry_state_.next_is_retry() || client_.try_acquire_retry(context_.service->name)) return true;
+    if (retry_state_.is_first_attempt()) result_ = rejected("the repeat budget is used up");
+    return false;
   }
-  auto& clock = impl.ports.clock;
-  switch (impl.admission_queues.admit(service.name, service.max_in_flight, service.max_waiting,
-                                      context.start_deadline())) {
-    case AdmissionResult::queue_full:
-      return turned_away("the waitlist is full", impl.admission_queues.drain_time(service.name));
-    case AdmissionResult::too_late:
-      return turned_away("its deadline cannot be met", impl.admission_queues.drain_time(service.name));
-    case AdmissionResult::admitted:
-      break;
+
+  bool await_rate_limit() {
+    if (context_.service->rate <= 0) return true;
+    auto retry_after = client_.await_rate_limit(context_);
+    if (!retry_after) return true;
+    if (retry_state_.nothing_sent()) result_ = rejected("the origin's rate is used up", *retry_after);
+    return false;
   }
-  struct Out {
-    Impl& impl;
-    const std::string& s;
-    TimePoint from;
-    ~Out() { impl.admission_queues.release(s, impl.ports.clock.now() - from); }
-  } out{impl, service.name, clock.now()};
 
-  std::vector<std::string> tried;
-  UpstreamResult last = turned_away("no worker of an allowed version is known");
-  bool left = false, doubt = false;  // as in Fetched
-  auto fail = [&](std::string why) {
-    last = turned_away(std::move(why), impl.load_balancer.typical_latency(service.name));
-    if (doubt) last.outcome = AttemptOutcome::unknown;
-  };
-  bool must_pay = context.is_retry;
-  int shots = 0;
-  for (int i = 0; i < kMostTries && shots < context.route->max_attempts; ++i) {
-    if (must_pay && !try_acquire_retry(context)) {
-      if (i == 0) last = turned_away("the repeat budget is used up");
-      break;
-    }
-    if (service.rate > 0) {
-      if (auto late = impl.await_rate_limit(context)) {
-        if (!left) last = turned_away("the origin's rate is used up", *late);
-        break;
+  bool check_configuration() {
+    if (!is_superseded(*client_.node.snapshot(), context_.entry_node, context_.generation)) return true;
+    result_ = rejected("a newer layout is in force");
+    result_.outcome = UpstreamOutcome::superseded;
+    return false;
+  }
+
+  std::optional<BackendSelection> select_backend() {
+    auto selection = client_.select_backend(context_, tried_, true);
+    if (!selection) return {};
+    if (retry_state_.is_first_attempt()) {
+      const ExpectedLatency expected{selection->expected, selection->queueing};
+      if (auto retry_after = overload_retry_after(*context_.route, expected, context_.deadline - now())) {
+        result_ = rejected("its aim is out of reach here", *retry_after);
+        return {};
       }
     }
-    if (is_superseded(*impl.snapshot(), context.entry_node, context.generation)) {
-      last = {AttemptOutcome::superseded, {}, {}, "a newer layout is in force"};
-      break;
-    }
-    auto c = impl.select_backend(context, tried);
-    if (!c) break;
-    if (!left && i == 0)
-      if (auto late = impl.overload_retry_after(context, *c))
-        return turned_away("its aim is out of reach here", *late);
-    auto& instance = c->instance;
-    tried.push_back(instance.instance);
-    base::Request request = context.request;
-    Duration limit = context.deadline - clock.now();
-    impl.adapter.prepare_request(request, {instance, context.entry_node, context.generation, limit});
-    if (limit <= (left ? Duration(0) : context.time_budget() / (2 * kWorkPart))) {
-      if (!left) last.reason = "its deadline has passed";
-      break;
-    }
-    if (!impl.has_read_lease()) {
-      if (!left) last = turned_away("what this node knows is too old");
-      break;
-    }
-    base::AttemptRules rules(limit);
-    rules.connect_timeout = limit / kConnectPart;
-    rules.idempotent = context.is_idempotent();
-    rules.is_own_response = [&](const base::Response& response) {
-      return impl.adapter.is_response_to(response, request.id);
+    tried_.push_back(selection->instance.instance);
+    return selection;
+  }
+
+  bool check_deadline(Duration remaining) {
+    const Duration needed =
+        retry_state_.nothing_sent() ? context_.time_budget() / kFirstAttemptPart : Duration(0);
+    if (remaining > needed) return true;
+    if (retry_state_.nothing_sent()) result_.reason = "its deadline has passed";
+    return false;
+  }
+
+  bool check_read_lease() {
+    if (client_.node.has_read_lease()) return true;
+    if (retry_state_.nothing_sent()) result_ = rejected("what this node knows is too old");
+    return false;
+  }
+
+  NextStep attempt(const membership::BackendInstance& instance, Duration remaining) {
+    base::Request request = context_.request;
+    client_.node.adapter.prepare_request(request,
+                                         {instance, context_.entry_node, context_.generation, remaining});
+    client_.load_balancer.attempt_started(instance);
+    const TimePoint sent_at = now();
+    auto reply = client_.node.ports.origin.send(instance.address, request, attempt_rules(request, remaining));
+    const Duration latency = now() - sent_at;
+    const AttemptClass attempt_class = classify_attempt(reply, client_.node.adapter, instance, request);
+    record(instance, attempt_class, reply, latency);
+    const NextStep next = retry_state_.decide_next(attempt_class);
+    set_result(instance, attempt_class, std::move(reply));
+    return next;
+  }
+
+  base::AttemptRules attempt_rules(const base::Request& request, Duration remaining) const {
+    const auto& adapter = client_.node.adapter;
+    base::AttemptRules rules(remaining);
+    rules.connect_timeout = remaining / kConnectPart;
+    rules.idempotent = context_.is_idempotent();
+    rules.is_own_response = [&adapter, &request](const base::Response& response) {
+      return adapter.is_response_to(response, request.id);
     };
-    rules.is_anonymous = [&](const base::Response& response) {
-      return impl.adapter.names_no_request(response);
+    rules.is_anonymous = [&adapter](const base::Response& response) {
+      return adapter.names_no_request(response);
     };
-    if (service.max_connections > 0)
-      rules.max_connections = std::max(
-          1, static_cast<int>(kCapPart * service.max_connections / std::max(impl.snapshot()->nodes, 1)));
-    impl.load_balancer.attempt_started(instance);
-    TimePoint from = clock.now();
-    auto r = impl.ports.origin.send(instance.address, request, rules);
-    Duration took = clock.now() - from;
-    auto* a = std::get_if<base::Response>(&r);
-    ResponseClass l = a ? impl.adapter.classify(*a, instance, request) : ResponseClass::invalid;
-    if (a && is_unrequested_partial(request, *a)) l = ResponseClass::invalid;
-    auto* d = std::get_if<base::AttemptError>(&r);
-    bool unsent = d && *d == base::AttemptError::unsent;
-    if (d && *d == base::AttemptError::not_run) l = ResponseClass::not_executed;
-    bool declined = l == ResponseClass::not_executed || l == ResponseClass::wrong_instance;
-    if (!must_pay && !unsent) record_request(service.name);
-    impl.load_balancer.attempt_finished(
-        instance, {unsent                                 ? AttemptHealth::unreachable
-                   : l == ResponseClass::good || declined ? AttemptHealth::healthy
-                                                          : AttemptHealth::failed,
-                   a && l != ResponseClass::invalid ? impl.adapter.reported_load(*a) : std::nullopt,
-                   l == ResponseClass::good ? took : Duration(0)});
-    if (l == ResponseClass::wrong_instance) impl.load_balancer.mark_wrong_instance(instance);
-    if (!unsent && !declined) impl.record_outcome(context, instance, l == ResponseClass::good, took);
-    left |= !unsent;
-    doubt |= !unsent && !declined;
-    shots += !unsent;
-    if (l == ResponseClass::good ||
-        (l == ResponseClass::failed && (!context.is_idempotent() || shots >= context.route->max_attempts)))
-      return {AttemptOutcome::answered, std::move(*a), instance.version, {}};
-    if (unsent) {
-      fail("no worker could be reached");
-      continue;  // nothing was sent, so this was no send and the next is no repeat
+    if (const int most = context_.service->max_connections; most > 0) {
+      const int nodes = std::max(client_.node.snapshot()->nodes, 1);
+      rules.max_connections = std::max(1, static_cast<int>(kConnectionPart * most / nodes));
+    }
+    return rules;
+  }
+
+  // Tells the parts that learn from attempts.
+  void record(const membership::BackendInstance& instance, AttemptClass attempt_class,
+              const AttemptReply& reply, Duration latency) {
+    const bool sent = attempt_class != AttemptClass::not_sent;
+    const bool good = attempt_class == AttemptClass::good;
+    if (sent && !retry_state_.next_is_retry())
+      client_.retry_budget.record_request(context_.service->name,
+                                          client_.node.snapshot()->system.retry_ratio);
+    const auto* response = std::get_if<base::Response>(&reply);
+    const bool reports_load = response && attempt_class != AttemptClass::invalid_response;
+    client_.load_balancer.attempt_finished(
+        instance, {health_of(attempt_class),
+                   reports_load ? client_.node.adapter.reported_load(*response) : std::nullopt,
+                   good ? latency : Duration(0)});
+    if (attempt_class == AttemptClass::wrong_instance) client_.load_balancer.mark_wrong_instance(instance);
+    if (sent && !is_refused(attempt_class)) client_.count_outcome(context_, instance, good, latency);
+  }
+
+  void set_result(const membership::BackendInstance& instance, AttemptClass attempt_class,
+                  AttemptReply reply) {
+    if (attempt_class == AttemptClass::good || attempt_class == AttemptClass::failed) {
+      result_ = {UpstreamOutcome::responded, std::get<base::Response>(std::move(reply)), instance.version};
+      return;
     }
-    if (l == ResponseClass::failed)
-      last = {AttemptOutcome::answered, std::move(*a), instance.version, {}};
-    else if (declined)
-      fail("a worker said that it did not run it, and no other took it");
-    else
-      fail(a ? "the answer was not the worker's own whole answer" : "no whole answer came");
-    if (!context.is_idempotent() && !declined) break;
-    must_pay = true;
+    result_ = rejected(failure_reason(attempt_class),
+                       client_.load_balancer.typical_latency(context_.service->name));
+    if (retry_state_.execution() == ExecutionState::possibly_executed)
+      result_.outcome = UpstreamOutcome::unknown;
+  }
+
+  Impl& client_;
+  const RequestContext& context_;
+  RetryState retry_state_;
+  std::vector<std::string> tried_;  // instances, by name
+  UpstreamResult result_ = rejected("no worker of an allowed version is known");
+};
+
+UpstreamClient::UpstreamClient(NodeContext node) : impl_(new Impl(std::move(node))) {}
+UpstreamClient::~UpstreamClient() = default;
+
+UpstreamResult UpstreamClient::execute(const RequestContext& context) {
+  impl_->count_demand(*context.service);
+  if (auto rejection = impl_->admit(context)) return std::move(*rejection);
+  const AdmissionGuard admitted(impl_->admission_queues, impl_->node.ports.clock, context.service->name);
+  return Impl::Execution(*impl_, context).run();
+}
+
+bool UpstreamClient::can_reach(const RequestContext& context, Duration limit) {
+  std::vector<std::string> tried;
+  for (int i = 0; i < kProbes; ++i) {
+    auto selection = impl_->select_backend(context, tried, false);
+    if (!selection) return false;
+    if (impl_->node.ports.origin.can_connect(selection->instance.address, limit)) return true;
+    tried.push_back(selection->instance.instance);
   }
-  last.possibly_sent = left;
-  last.possibly_executed = doubt;
-  return last;
+  return false;
+}
+
+void UpstreamClient::record_request(const std::string& service) {
+  impl_->retry_budget.record_request(service, impl_->node.snapshot()->system.retry_ratio);
 }
 
 std::map<OutcomeKey, VersionOutcomes> UpstreamClient::counts() const {
-  std::lock_guard lock(impl_->mutex);
+  const std::lock_guard lock(impl_->mutex);
   return impl_->counts;
 }
-std::map<std::string, std::pair<uint64_t, uint64_t>> UpstreamClient::canary_failures() const {
-  std::lock_guard lock(impl_->mutex);
+
+std::map<std::string, CanaryFailures> UpstreamClient::canary_failures() const {
+  const std::lock_guard lock(impl_->mutex);
   return impl_->canary_failures;
 }
-ServiceLoad UpstreamClient::load(const std::string& s) { return impl_->admission_queues.load(s); }
+
+std::map<std::string, uint64_t> UpstreamClient::rate_demand() const {
+  const std::lock_guard lock(impl_->mutex);
+  return impl_->rate_demand;
+}
+
+ServiceLoad UpstreamClient::load(const std::string& service) { return impl_->admission_queues.load(service); }
 int UpstreamClient::running_requests() { return impl_->admission_queues.running_requests(); }
 uint64_t UpstreamClient::retries() const { return impl_->retries; }
-Duration UpstreamClient::typical_latency(const std::string& s) const {
-  return impl_->load_balancer.typical_latency(s);
+Duration UpstreamClient::typical_latency(const std::string& service) const {
+  return impl_->load_balancer.typical_latency(service);
+}
+void UpstreamClient::set_max_instances(int max_instances) { impl_->max_instances = max_instances; }
+void UpstreamClient::retain_instances(const std::vector<std::string>& instances) {
+  impl_->load_balancer.retain(instances);
 }
-void UpstreamClient::set_max_instances(int m) { impl_->max_instances = m; }
-void UpstreamClient::retain_instances(const std::vector<std::string>& a) { impl_->load_balancer.retain(a); }
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/upstream_client.hpp
+++ b/src/proxy/upstream_client.hpp
@@ -1,76 +1,122 @@
-// Getting one request run by a worker: waitlist, pace, place, shot, and the
-// checks on what comes back. Says truthfully whether the request ran.
+/// @file
+/// Has one request executed by a backend instance: admission, retry budget, rate limit, choice of the
+/// instance, the attempt, and the checks on its response. Reports truthfully whether the request may have
+/// been executed.
+///
+/// Invariants: nothing is sent without a valid read lease, under a superseded configuration, or to a version
+/// that may not serve. Only idempotent requests are sent again when an instance may have executed them, and
+/// each retry comes out of the budget. "Not executed" is reported only when no instance can have executed it.
+/// Threads: every function may be called from any fiber; execute() and can_reach() may suspend it. No lock is
+/// held while another is taken, nor while a fiber is suspended.
 #pragma once
 #include <atomic>
 
-#include "base/ports.hpp"
-#include "limits/budget.hpp"
 #include "proxy/admission_queue.hpp"
-#include "proxy/canary_admission.hpp"
-#include "proxy/load_balancer.hpp"
+#include "proxy/attempt_decision.hpp"
+#include "proxy/routing_snapshot.hpp"
 
 namespace dunlinwing::proxy {
 
+/// What the parts of one node's request path share. What it refers to outlives them.
+struct NodeContext {
+  base::Ports& ports;
+  const ProtocolAdapter& adapter;
+  std::string node_name;
+  std::string zone;
+  std::function<bool()> has_read_lease;          ///< whether what this node knows is recent enough to act on
+  std::function<RoutingSnapshotPtr()> snapshot;  ///< the latest; never null
+};
+
+/// A request with all that was decided on it when it entered.
 struct RequestContext {
   RoutingSnapshotPtr snapshot;
   std::shared_ptr<const config::RoutingConfiguration> configuration;
-  const config::ServiceConfiguration* service = nullptr;
-  const config::RouteConfiguration* route = nullptr;
+  const config::ServiceConfiguration* service = nullptr;  ///< of `configuration`
+  const config::RouteConfiguration* route = nullptr;      ///< of `configuration`
   base::Request request;
-  std::string host;  // part of a receipt's name when the route is bound to a host
-  TimePoint arrived{0}, deadline{0};
-  std::string entry_node;  // where it entered, and the assignment there
-  uint64_t generation = 0;
-  bool is_retry = false;  // a repeat of something already sent: needs the budget
+  std::string host;  ///< by which purges may name the response; empty when the route takes any
+  TimePoint arrived{0};
+  TimePoint deadline{0};
+  std::string entry_node;   ///< the node where it entered
+  uint64_t generation = 0;  ///< of the assignment there
+  bool is_retry = false;    ///< it was sent by another way before: the first attempt needs the retry budget
+
   Duration time_budget() const { return deadline - arrived; }
-  TimePoint start_deadline() const {
-    return deadline - time_budget() / 2;
-  }                            // no first shot after it: told early, not late
-  bool is_idempotent() const;  // may run more than once
+  /// No first attempt after it, so that clients are rejected early rather than late.
+  TimePoint start_deadline() const { return deadline - time_budget() / 2; }
+  /// Whether it may be executed more than once.
+  bool is_idempotent() const;
 };
 
-// `overtaken`: a newer layout came in force before this shot could be made; the
-// request is to be matched anew under it.
-enum class AttemptOutcome { answered, not_executed, unknown, superseded };
+enum class UpstreamOutcome {
+  responded,
+  not_executed,  ///< no instance executed it
+  unknown,       ///< an instance may have executed it
+  superseded,    ///< a newer configuration came into force: the request is to be routed anew under it
+};
 
 struct UpstreamResult {
-  AttemptOutcome outcome = AttemptOutcome::not_executed;
-  base::Response response;
-  std::string version, reason;
-  bool possibly_sent = false;      // some byte of some shot may have reached a worker
-  bool possibly_executed = false;  // and not every worker that got one said that it did not run it
-  Duration retry_after{0};         // when it makes sense to come back, when turned away
+  UpstreamOutcome outcome = UpstreamOutcome::not_executed;
+  base::Response response;  ///< when it responded
+  std::string version;      ///< of the instance that responded
+  std::string reason;       ///< when it did not respond, for people
+  /// How far attempts got that did not settle the request; not_sent when the last one did, by its response.
+  ExecutionState execution = ExecutionState::not_sent;
+  Duration retry_after{0};  ///< when it makes sense to send a rejected request again
 };
 
+/// Counts of attempts.
 struct VersionOutcomes {
-  uint64_t good = 0, bad = 0;
-  uint64_t slow = 0, total_ms = 0;  // good answers far beyond the usual time; over all answers
+  uint64_t good = 0;
+  uint64_t bad = 0;
+  uint64_t slow = 0;      ///< good ones far beyond the service's usual latency
+  uint64_t total_ms = 0;  ///< latency of all, in milliseconds
 };
 
+/// What attempts are counted by.
 struct OutcomeKey {
-  std::string service, version, route;
+  std::string service;
+  std::string version;
+  std::string route;  ///< by label
   auto operator<=>(const OutcomeKey&) const = default;
 };
 
+/// Failures of a canary as this node saw them.
+struct CanaryFailures {
+  uint64_t canary_number = 0;
+  uint64_t failed_attempts = 0;
+};
+
 class UpstreamClient {
  public:
-  UpstreamClient(base::Ports& ports, const ProtocolAdapter& adapter, std::string node_name, std::string zone,
-                 std::function<bool()> fresh, std::function<RoutingSnapshotPtr()> table);
+  explicit UpstreamClient(NodeContext node);
   ~UpstreamClient();
-  UpstreamResult execute(const RequestContext& context);
-  bool can_reach(const RequestContext& context,
-                 Duration limit);  // whether some worker would take a connection
-  bool try_acquire_retry(const RequestContext& context);
-  void record_request(const std::string& service);  // a first send that earns repeats
+
+  /// Has the request executed, in as many attempts as it may take. Returns by its deadline.
+  [[nodiscard]] UpstreamResult execute(const RequestContext& context);
+
+  /// Whether some instance would accept a connection for the request. No byte is sent.
+  bool can_reach(const RequestContext& context, Duration limit);
+
+  /// Counts a request that was sent for the first time: it earns a part of a retry.
+  void record_request(const std::string& service);
+
+  /// How attempts ended, since the start of the process.
   std::map<OutcomeKey, VersionOutcomes> counts() const;
-  // Bad answers of each version on trial: by service, the trial's number and the count.
-  std::map<std::string, std::pair<uint64_t, uint64_t>> canary_failures() const;
-  std::map<std::string, uint64_t> rate_demand() const;  // of services with a stated rate
+  /// By service.
+  std::map<std::string, CanaryFailures> canary_failures() const;
+  /// Requests of services with a stated rate, since the start of the process.
+  std::map<std::string, uint64_t> rate_demand() const;
   ServiceLoad load(const std::string& service);
+  /// Requests of all services, running or waiting.
   int running_requests();
-  Duration typical_latency(const std::string& service) const;  // what an answer takes here; 0: not known
+  /// The latency that is usual for the service; 0 while nothing is known.
+  Duration typical_latency(const std::string& service) const;
+  /// Retries granted by the budget, since the start of the process.
   uint64_t retries() const;
-  void set_max_instances(int most);  // workers of one service that this relay uses, at most; 0: no bound
+  /// Bounds the instances of one service that this node uses; 0: no bound.
+  void set_max_instances(int max_instances);
+  /// Forgets the latency and health of all other instances.
   void retain_instances(const std::vector<std::string>& instances);
 
  private:
