--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -82,7 +82,7 @@
                                                                               config.tolerate, config.bound)
                                 : nullptr),
         rollout_controller(ports, registers, state_cache, leadership,
-                           {config.name, config.bound, config.scale}),
+                           {config.bound, config.scale}),
         request_handler(ports, *config.protocol_adapter, config.name, config.zone,
                         [this] { return state_cache.has_read_lease(); }),
         heartbeats(config.bound),
--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -175,12 +175,9 @@
 
 // Whether the release has progress, or had it once.
 bool is_known(const pb::RolloutState& state, const config::Release& release) {
-  return std::any_of(state.releases().begin(), state.releases().end(),
-                     [&](auto& progress) {
-                       return progress.kind() == release.kind && progress.release() == release.name;
-                     }) ||
-         std::any_of(state.forgotten().begin(), state.forgotten().end(),
-                     [&](auto& path) { return path == release_path(release.kind, release.name); });
+  if (find_progress(state, release.kind, release.name)) return true;
+  const auto path = release_path(release.kind, release.name);
+  return std::find(state.forgotten().begin(), state.forgotten().end(), path) != state.forgotten().end();
 }
 
 StepResult record_release(const pb::RolloutState& state, const config::Release& release) {
@@ -228,6 +225,20 @@
   return release == assignment->second.releases().end() ? std::string() : release->second;
 }
 
+const pb::ReleaseProgress* find_progress(const pb::RolloutState& state, const std::string& kind,
+                                         const std::string& release) {
+  for (const auto& progress : state.releases())
+    if (progress.kind() == kind && progress.release() == release) return &progress;
+  return nullptr;
+}
+
+bool is_on_active_release(const pb::RolloutState& state, const std::string& node) {
+  return std::any_of(state.releases().begin(), state.releases().end(), [&](auto& progress) {
+    return is_active(progress.phase()) &&
+           assigned_release(state, node, progress.kind()) == progress.release();
+  });
+}
+
 std::string release_path(const std::string& kind, const std::string& name) { return kind + "/" + name; }
 
 StepResult step(const pb::RolloutState& state, const Event& event, const RolloutRules& rules) {
--- a/src/rollout/release_state_machine.hpp
+++ b/src/rollout/release_state_machine.hpp
@@ -16,6 +16,8 @@
 
 namespace dunlinwing::rollout {
 
+inline constexpr int kTicksPerBound = 8;  ///< how often in a bound the leader observes and takes a step
+
 /// One node as the leader sees it. Counts are those since the previous observation.
 struct NodeObservation {
   std::string name;
@@ -97,9 +99,16 @@
 /// Whether the release is in one of its phases: neither waiting nor finished.
 bool is_active(pb::Phase phase);
 
+/// What is known of the release; null: it has no progress here.
+const pb::ReleaseProgress* find_progress(const pb::RolloutState& state, const std::string& kind,
+                                         const std::string& release);
+
 /// The release of the kind that is assigned to the node; empty: none is.
 std::string assigned_release(const pb::RolloutState& state, const std::string& node, const std::string& kind);
 
+/// Whether the node is assigned a release that is in one of its phases.
+bool is_on_active_release(const pb::RolloutState& state, const std::string& node);
+
 /// The name of a release in RolloutState.forgotten: kind/name.
 std::string release_path(const std::string& kind, const std::string& name);
 
--- a/src/rollout/version_initializer.cpp
+++ b/src/rollout/version_initializer.cpp
@@ -1,126 +1,134 @@
-// A version whose workers are all gone for long gives way to another that beats, without
-// a trial: nothing serves otherwise, and nobody has asked for a move. It takes ten
-// seconds beyond the missing of beats, so that a crash of all is not taken for that.
 #include "rollout/version_initializer.hpp"
 
 #include <algorithm>
-#include <optional>
 
 #include "base/log.hpp"
-#include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::rollout {
 namespace {
 constexpr base::Log logger("rollout");
-constexpr int kGoneBounds = 5;
+constexpr int kGoneBounds = 5;  // beyond the missing heartbeats: a crash of all instances may end sooner
+
+InstancesByVersion count_instances(const BackendInstances& instances, const std::string& service) {
+  InstancesByVersion counts;
+  for (const auto& [name, instance] : instances)
+    if (!instance.gone && instance.heartbeat.service() == service) ++counts[instance.heartbeat.version()];
+  return counts;
+}
+
+// The first version with the highest count; empty: there is none.
+std::string most_common(const InstancesByVersion& counts) {
+  auto most = std::max_element(counts.begin(), counts.end(),
+                               [](auto& left, auto& right) { return left.second < right.second; });
+  return most == counts.end() ? std::string() : most->first;
+}
 }  // namespace
 
-std::string most_common_version(const BackendInstances& ws, const std::string& service,
+std::string most_common_version(const BackendInstances& instances, const std::string& service,
                                 const std::string& except) {
-  std::map<std::string, int> n;
-  for (auto& [i, w] : ws)
-    if (!w.gone && w.heartbeat.service() == service) ++n[w.heartbeat.version()];
-  std::string best;
-  for (auto& [v, k] : n)
-    if (v != except && (best.empty() || k > n[best])) best = v;
-  return best.empty() && n.count(except) ? except : best;
+  auto counts = count_instances(instances, service);
+  const bool excepted = counts.erase(except) > 0;
+  auto version = most_common(counts);
+  return version.empty() && excepted ? except : version;
 }
 
-struct VersionInitializer::Impl {
-  base::Ports& ports;
-  consensus::RegisterClient& registers;
-  membership::StateCache& state_cache;
-  Duration bound;
-  std::string settled;  // the layout of which all is known to be in place
-  std::shared_ptr<const config::RoutingConfiguration> now;
-  const membership::LeadershipFence* fence = nullptr;  // of the tick under way
-  std::map<std::string, TimePoint> gone;               // since when no worker of the version in place beats
+VersionInitializer::VersionInitializer(base::Clock& clock, consensus::RegisterClient& registers,
+                                       membership::StateCache& state_cache,
+                                       const membership::LeadershipFence& fence, Duration bound)
+    : clock_(clock), registers_(registers), state_cache_(state_cache), fence_(fence), bound_(bound) {}
 
-  pb::ServiceState state(const std::string& name, uint64_t& version) {
-    pb::ServiceState st;
-    auto h = state_cache.chosen().find(service_key(name));
-    version = h == state_cache.chosen().end() ? 0 : h->second.version;
-    if (version) st.ParseFromString(h->second.data);
-    return st;
-  }
-  bool write(const std::string& name, uint64_t version, pb::ServiceState state) {
-    return fence->write(registers, service_key(name), version, state.term(), state).has_value();
-  }
+void VersionInitializer::reset() {
+  completed_.clear();
+  gone_since_.clear();
+}
 
-  void settle() {
-    auto ws = state_cache.statuses().backend_instances(ports.clock.now());
-    bool all = true;
-    for (auto& [name, s] : now->services) {
-      uint64_t version = 0;
-      auto st = state(name, version);
-      if (!st.current().empty()) continue;
-      auto v = s.versions.empty() ? most_common_version(ws, name, st.canary()) : s.versions.front();
-      if (v.empty() || v == st.canary()) {
-        all = false;  // none beats yet
-        continue;
-      }
-      st.set_current(v);
-      if (!write(name, version, st)) return;  // the next tick looks again
-      if (s.versions.empty()) logger.info("Service {}: version {} is in place, as its workers say.", name, v);
-    }
-    for (auto& [k, h] : membership::ChosenValues(state_cache.chosen())) {
-      pb::ServiceState st;
-      if (!k.starts_with("service/") || now->services.count(k.substr(8)) || !st.ParseFromString(h.data) ||
-          st.current().empty())
-        continue;
-      st.clear_current();
-      st.clear_previous_versions();
-      drop_canary(st);
-      if (!write(k.substr(8), h.version, st)) return;
-    }
-    if (all) settled = now->name;
+void VersionInitializer::tick(std::shared_ptr<const config::RoutingConfiguration> configuration) {
+  if (!configuration) return;
+  configuration_ = std::move(configuration);
+  if (completed_ != configuration_->name) {
+    const auto progress = record_versions();
+    if (progress != Progress::failed && clear_removed_services() && progress == Progress::complete)
+      completed_ = configuration_->name;
   }
+  const auto instances = state_cache_.statuses().backend_instances(clock_.now());
+  for (const auto& [name, service] : configuration_->services)
+    if (service.versions.empty()) replace_if_gone(name, instances);
+}
+
+VersionInitializer::RecordedState VersionInitializer::read(const std::string& service) const {
+  RecordedState recorded;
+  auto found = state_cache_.chosen().find(service_key(service));
+  if (found == state_cache_.chosen().end()) return recorded;
+  recorded.version = found->second.version;
+  if (recorded.version) recorded.state.ParseFromString(found->second.data);
+  return recorded;
+}
+
+bool VersionInitializer::write(const std::string& service, RecordedState recorded) {
+  return fence_
+      .write(registers_, service_key(service), recorded.version, recorded.state.term(), recorded.state)
+      .has_value();
+}
 
-  void replace() {
-    auto ws = state_cache.statuses().backend_instances(ports.clock.now());
-    for (auto& [name, s] : now->services) {
-      if (!s.versions.empty()) continue;
-      uint64_t version = 0;
-      auto st = state(name, version);
-      std::map<std::string, int> n;
-      for (auto& [i, w] : ws)
-        if (!w.gone && w.heartbeat.service() == name && !st.quarantined().count(w.heartbeat.version()))
-          ++n[w.heartbeat.version()];
-      if (st.current().empty() || !st.canary().empty() || n.empty() || n.count(st.current())) {
-        gone.erase(name);
-        continue;
-      }
-      auto [f, fresh] = gone.emplace(name, ports.clock.now());
-      if (fresh)
-        logger.warn("Service {}: no worker of version {} beats any more, and others do.", name, st.current());
-      if (ports.clock.now() - f->second < bound * kGoneBounds) continue;
-      auto to =
-          std::max_element(n.begin(), n.end(), [](auto& a, auto& b) { return a.second < b.second; })->first;
-      logger.warn("Service {}: version {} takes the place of {}, which is gone.", name, to, st.current());
-      st.set_current(to);
-      if (write(name, version, st)) gone.erase(name);
+VersionInitializer::Progress VersionInitializer::record_versions() {
+  const auto instances = state_cache_.statuses().backend_instances(clock_.now());
+  auto progress = Progress::complete;
+  for (const auto& [name, service] : configuration_->services) {
+    auto recorded = read(name);
+    if (!recorded.state.current().empty()) continue;
+    const auto& canary = recorded.state.canary();
+    const bool as_reported = service.versions.empty();
+    const auto version =
+        as_reported ? most_common_version(instances, name, canary) : service.versions.front();
+    if (version.empty() || version == canary) {
+      progress = Progress::incomplete;
+      continue;
     }
+    recorded.state.set_current(version);
+    if (!write(name, std::move(recorded))) return Progress::failed;
+    if (as_reported)
+      logger.info("Service {}: version {} is in place, as its backend instances report.", name, version);
   }
-};
-
-VersionInitializer::VersionInitializer(base::Ports& ports, consensus::RegisterClient& registers,
-                                       membership::StateCache& state_cache, Duration bound)
-    : impl_(new Impl{ports, registers, state_cache, bound, {}, {}, nullptr, {}}) {}
-VersionInitializer::~VersionInitializer() = default;
+  return progress;
+}
 
-void VersionInitializer::reset() {
-  impl_->settled.clear();
-  impl_->gone.clear();
+// A service that the configuration names no more has no version in place when it comes back.
+bool VersionInitializer::clear_removed_services() {
+  const auto prefix = service_key("");
+  const auto chosen = state_cache_.chosen();  // a copy, for it may change while a write waits
+  for (const auto& [key, value] : chosen) {
+    if (!key.starts_with(prefix)) continue;
+    const auto service = key.substr(prefix.size());
+    RecordedState recorded{value.version, {}};
+    if (configuration_->services.count(service) || !recorded.state.ParseFromString(value.data) ||
+        recorded.state.current().empty())
+      continue;
+    recorded.state.clear_current();
+    recorded.state.clear_previous_versions();
+    drop_canary(recorded.state);
+    if (!write(service, std::move(recorded))) return false;
+  }
+  return true;
 }
 
-void VersionInitializer::tick(std::shared_ptr<const config::RoutingConfiguration> layout,
-                              const membership::LeadershipFence& fence) {
-  auto& impl = *impl_;
-  if (!layout) return;
-  impl.fence = &fence;
-  impl.now = std::move(layout);
-  if (impl.settled != impl.now->name) impl.settle();
-  impl.replace();
+void VersionInitializer::replace_if_gone(const std::string& service, const BackendInstances& instances) {
+  auto recorded = read(service);
+  const auto current = recorded.state.current();
+  auto counts = count_instances(instances, service);
+  for (const auto& [version, reason] : recorded.state.quarantined()) counts.erase(version);
+  if (current.empty() || !recorded.state.canary().empty() || counts.empty() || counts.count(current)) {
+    gone_since_.erase(service);
+    return;
+  }
+  auto [since, is_new] = gone_since_.emplace(service, clock_.now());
+  if (is_new)
+    logger.warn("Service {}: no backend instance of version {} sends heartbeats any more, and others do.",
+                service, current);
+  if (clock_.now() - since->second < bound_ * kGoneBounds) return;
+  const auto version = most_common(counts);
+  logger.warn("Service {}: version {} takes the place of {}, which is gone.", service, version, current);
+  recorded.state.set_current(version);
+  if (write(service, std::move(recorded))) gone_since_.erase(service);
 }
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -8,9 +8,8 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kTicksPerBound = 8;  // the leader looks so often
-constexpr int kWriteTicks = 3;     // for a verdict to be recorded and known everywhere
-constexpr int kVerdictTicks = 2;   // in which the verdict may come
+constexpr int kWriteTicks = 3;    // for a verdict to be recorded and known everywhere
+constexpr int kVerdictTicks = 2;  // in which the verdict may come
 
 Duration from_ms(uint64_t ms) { return Duration(static_cast<int64_t>(ms)); }
 
--- /dev/null
+++ b/src/rollout/version_rollout_driver.cpp
@@ -0,0 +1,132 @@
+#include "rollout/version_rollout_driver.hpp"
+
+#include <algorithm>
+
+#include "rollout/effects.hpp"
+
+namespace dunlinwing::rollout {
+namespace {
+constexpr int kRecentBounds = 5;   // ten seconds, in VersionRolloutObservation::recent
+constexpr int kMinuteBounds = 30;  // a minute, in VersionRolloutObservation::minute
+
+bool is_aborted(const std::map<std::string, pb::NodeStatus>& statuses, const std::string& service,
+                const pb::ServiceState& state) {
+  if (state.canary().empty()) return false;
+  for (const auto& [source, status] : statuses)
+    for (const auto& counts : status.canary_counts())
+      if (counts.service() == service && counts.number() == state.canary_number() && counts.aborted())
+        return true;
+  return false;
+}
+
+// How long a write of counts alone may wait; with a deadline a successor needs them sooner.
+Duration flush_interval(const pb::ServiceState& state, Duration bound) {
+  return state.deadline_ms() ? bound / 2 : bound;
+}
+}  // namespace
+
+VersionRolloutDriver::VersionRolloutDriver(consensus::RegisterClient& registers,
+                                           membership::StateCache& state_cache,
+                                           membership::Leadership& leadership,
+                                           const membership::LeadershipFence& fence, Duration bound)
+    : registers_(registers),
+      state_cache_(state_cache),
+      leadership_(leadership),
+      fence_(fence),
+      bound_(bound),
+      observer_(bound) {}
+
+void VersionRolloutDriver::tick(TimePoint now, Duration elapsed, const RolloutRules& rules) {
+  Observations observations;
+  const auto statuses = state_cache_.statuses().latest(now);
+  count_answers(now, statuses, observations);
+  observer_.update(now, state_cache_.chosen(), statuses, state_cache_.statuses().backend_instances(now));
+  if (!leadership_.held()) return;
+  sum_recent(now, observations);
+  count_instances(now, observations);
+  const auto prefix = service_key("");
+  for (const auto& [key, value] : state_cache_.chosen()) {
+    if (!key.starts_with(prefix)) continue;
+    const auto service = key.substr(prefix.size());
+    const auto& state = current_record(service, value).state;
+    if (!fence_.allows(state.term())) continue;
+    auto& observation = observations[service];
+    observation.elapsed = elapsed;
+    observation.aborted = is_aborted(statuses, service, state);
+    observer_.fill_observation(now, service, state, observation);
+    step_service(now, service, rules, observation);
+  }
+}
+
+void VersionRolloutDriver::count_answers(TimePoint now, const Statuses& statuses,
+                                         Observations& observations) {
+  for (const auto& [source, status] : statuses)
+    for (const auto& counts : status.version_counts()) {
+      const auto increase = take_increase(status, counts);
+      if (increase.total() == 0) continue;
+      observations[counts.service()].delta[counts.version()] += increase;
+      recent_.push_back({now, counts.service(), counts.version(), increase});
+    }
+  std::erase_if(recent_, [&](auto& entry) { return now - entry.at > bound_ * kMinuteBounds; });
+}
+
+// What the source counted since its counters were last seen, or since it started anew.
+VersionTotals VersionRolloutDriver::take_increase(const pb::NodeStatus& status,
+                                                  const pb::VersionCounts& counts) {
+  auto& reported =
+      reported_[status.source()][counts.service() + "/" + counts.version() + "/" + counts.route()];
+  const VersionTotals totals{counts.good(), counts.bad()};
+  VersionTotals increase = totals;
+  if (reported.incarnation == status.version().incarnation()) {
+    increase.good -= std::min(increase.good, reported.totals.good);
+    increase.bad -= std::min(increase.bad, reported.totals.bad);
+  }
+  reported = {status.version().incarnation(), totals};
+  return increase;
+}
+
+void VersionRolloutDriver::sum_recent(TimePoint now, Observations& observations) const {
+  for (const auto& entry : recent_) {
+    auto& observation = observations[entry.service];
+    observation.minute[entry.version] += entry.totals;
+    if (now - entry.at <= bound_ * kRecentBounds) observation.recent[entry.version] += entry.totals;
+  }
+}
+
+void VersionRolloutDriver::count_instances(TimePoint now, Observations& observations) const {
+  for (const auto& [name, instance] : state_cache_.statuses().backend_instances(now))
+    if (!instance.gone) ++observations[instance.heartbeat.service()].instances[instance.heartbeat.version()];
+}
+
+VersionRolloutDriver::ServiceRecord& VersionRolloutDriver::current_record(
+    const std::string& service, const consensus::VersionedValue& value) {
+  auto& record = services_[service];
+  if (record.version != value.version) {
+    record.version = value.version;
+    record.state.Clear();
+    record.state.ParseFromString(value.data);
+  }
+  return record;
+}
+
+void VersionRolloutDriver::step_service(TimePoint now, const std::string& service, const RolloutRules& rules,
+                                        const VersionRolloutObservation& observation) {
+  auto& record = services_[service];
+  const auto in_force = record.state.term();
+  auto result = step(service, record.state, observation, rules);
+  const auto required = required_persistence(result.effects);
+  const bool takes_over = in_force < fence_.term();
+  if (required == Persistence::deferrable && !takes_over &&
+      now - record.saved < flush_interval(result.state, bound_)) {
+    record.state = std::move(result.state);
+    return;
+  }
+  if (required != Persistence::none || takes_over) {
+    auto written = fence_.write(registers_, service_key(service), record.version, in_force, result.state);
+    if (!written) return;  // the next pull brings what is in force
+    record = {written->version, std::move(result.state), now};
+  }
+  log_effects(result.effects);
+}
+
+}  // namespace dunlinwing::rollout
--- a/src/rollout/version_rollout_observer.hpp
+++ b/src/rollout/version_rollout_observer.hpp
@@ -1,7 +1,14 @@
-// What a holder, with the leadership or without, sees of moves with a term, so that it can go
-// on with them whenever the leadership comes to it: since when it knows of each, since when
-// its workers are warm, and what came back.
+/// @file
+/// What a node that stands for the leadership sees of version rollouts with a deadline, whether it leads or
+/// not, so that it can go on with them whenever the leadership comes to it: since when it knows of each,
+/// since when the canary's backend instances are warm, and what they answered.
+///
+/// Whatever is not known counts against a rollout. It was requested after the pull before the observation
+/// that first showed it. A node that begins to observe in the midst of it takes the recorded time, and adds
+/// the span of a lease and a bound for what was recorded late. Threads: the fiber of the rollout controller.
+/// Never waits.
 #pragma once
+#include "membership/backend_instance.hpp"
 #include "membership/state_cache.hpp"
 #include "rollout/version_rollout.hpp"
 
@@ -9,23 +16,47 @@
 
 class VersionRolloutObserver {
  public:
+  /// @param bound  of the fleet
   explicit VersionRolloutObserver(Duration bound) : bound_(bound) {}
+
+  /// Observes all services once more.
+  /// @param chosen     the recorded states among others
+  /// @param statuses   by source
+  /// @param instances  by name
   void update(TimePoint now, const membership::ChosenValues& chosen,
               const std::map<std::string, pb::NodeStatus>& statuses,
-              const std::map<std::string, membership::BackendInstanceStatus>& workers);
+              const std::map<std::string, membership::BackendInstanceStatus>& instances);
+
+  /// Fills in what the observation has of a rollout with a deadline; nothing when the state has another
+  /// canary than at the last update.
   void fill_observation(TimePoint now, const std::string& service, const pb::ServiceState& state,
                         VersionRolloutObservation& observation) const;
 
  private:
   struct ObservedRollout {
-    uint64_t number = 0;
-    TimePoint requested{0}, warm_since{0}, switch_seen{0};
-    std::map<std::string, int> warm_instances;
+    uint64_t canary_number = 0;
+    TimePoint requested{0};   ///< at the latest
+    TimePoint warm_since{0};  ///< all instances that the canary uses; 0: some are not warm
+    TimePoint switched{0};    ///< when the switch was first seen; 0: it was not
+    InstancesByVersion warm_instances;
+  };
+  /// The backend instances of all services that are not gone.
+  struct InstanceView {
+    std::map<std::string, std::vector<membership::BackendInstance>> by_service;
+    std::map<std::string, InstancesByVersion> warm_by_service;
+    std::set<std::string> cold;  ///< by name: those that have not warmed up
   };
+
+  static InstanceView view_instances(
+      const std::map<std::string, membership::BackendInstanceStatus>& instances);
+  void observe(TimePoint now, const std::string& service, const pb::ServiceState& state, InstanceView& view);
+  TimePoint request_time(TimePoint now, const pb::ServiceState& state) const;
+  bool is_warm(TimePoint now, const ObservedRollout& rollout) const;
+
   Duration bound_;
-  TimePoint last_{0};
-  std::map<std::string, ObservedRollout> cases_;
-  canary::CanaryStatistics docket_;
+  TimePoint updated_{0};                             ///< the last update; 0: there was none
+  std::map<std::string, ObservedRollout> rollouts_;  ///< by service: those that go on
+  canary::CanaryStatistics statistics_;
 };
 
 }  // namespace dunlinwing::rollout
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -33,7 +33,7 @@
     membership::Leadership none(n.ports(), n.relay().registers(), n.relay().state_cache(), "measured", n.name,
                                 n.zone, f.s.bound);
     rollout::RolloutController c(n.ports(), n.relay().registers(), n.relay().state_cache(), none,
-                                 {n.name, f.s.bound, 600});
+                                 {f.s.bound, 600});
     c.tick();  // reads the releases once
     auto from = cpu_ns();
     for (int i = 0; i < kTicks; ++i) c.tick();
