--- a/src/control_api/api_request.cpp
+++ b/src/control_api/api_request.cpp
@@ -83,9 +83,10 @@
 
 base::Response validation_errors(const std::vector<base::ValidationError>& errors) {
   std::vector<std::string> list;
+  list.reserve(errors.size());
   for (const auto& error : errors)
     list.push_back(
-        fmt::format("{{\"at\":{},\"what\":{}}}", base::quote(error.pointer), base::quote(error.message)));
+        fmt::format(R"({{"at":{},"what":{}}})", base::quote(error.pointer), base::quote(error.message)));
   return json_response(
       422, fmt::format(R"({{"defect":"the document is not valid; nothing was recorded","defects":[{}]}})",
                        fmt::join(list, ",")));
--- a/test/unit/platform/translation_test.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -6,6 +6,7 @@
 #include <sstream>
 
 #include "config/routing_configuration.hpp"
+#include "platform/configuration_translator.hpp"
 #include "platform/control_adapter.hpp"
 #include "platform/page.hpp"
 #include "platform/protocol_adapter.hpp"
