--- a/src/config/numbered_configuration.hpp
+++ b/src/config/numbered_configuration.hpp
@@ -1,29 +1,35 @@
-// The numbered layout: one register that holds the highest number stated and its
-// document. It is in force on every node as soon as the node has heard of it, and
-// while there is one no layout comes by a release.
+/// @file
+/// The numbered configuration: one register that holds the highest number stated and its document. It is in
+/// force on every node as soon as the node has pulled it, and while there is one no routing configuration
+/// comes by a release.
 #pragma once
 #include "config/routing_configuration.hpp"
 #include "membership/state_cache.hpp"
 
 namespace dunlinwing::config {
 
+/// The name of the register.
 inline constexpr const char* kNumberedConfigurationKey = "order";
 
+/// The numbered configuration as a node has it.
 struct ActiveConfiguration {
-  uint64_t number = 0;  // 0: none was ever stated
+  uint64_t number = 0;  ///< 0: none was ever stated
+  /// Null: none was stated, or this program cannot read it, as a newer one wrote it. The node then keeps the
+  /// configuration it has and is not ready.
   std::shared_ptr<const RoutingConfiguration> configuration;
 };
 
-// Reads the register when its version has changed.
+/// Parses the register when its version has changed. Each reader belongs to one thread.
 class NumberedConfigurationReader {
  public:
   const ActiveConfiguration& read(const membership::ChosenValues& chosen);
 
  private:
-  uint64_t register_version_ = 0;
-  ActiveConfiguration active_;
+  uint64_t register_version_ = 0;  ///< as last read
+  ActiveConfiguration active_;     ///< its number never falls
 };
 
-std::string numbered_configuration_name(uint64_t number);  // of its layout, in tallies and carries
+/// The name of the configuration of that number, in counters and forwarded requests.
+std::string numbered_configuration_name(uint64_t number);
 
 }  // namespace dunlinwing::config
--- a/src/config/release.cpp
+++ b/src/config/release.cpp
@@ -1,4 +1,3 @@
-// The envelope of a release and the minimum holds of the source's table.
 #include "config/release.hpp"
 
 #include <fmt/format.h>
@@ -11,7 +10,9 @@
 namespace dunlinwing::config {
 namespace {
 using namespace std::chrono_literals;
-constexpr const char* kSchema = R"({
+using Errors = std::vector<base::ValidationError>;
+
+constexpr const char* kEnvelopeSchema = R"({
   "type":"object","additionalProperties":false,"required":["content"],
   "properties":{
     "content":{"type":"object"},
@@ -20,72 +21,73 @@
     "holds":{"type":"object","additionalProperties":false,"properties":{
       "one_min":{"type":"integer","minimum":1,"maximum":100000},
       "two_min":{"type":"integer","minimum":1,"maximum":100000}}}}})";
-constexpr const char* kSoftware = R"({
+constexpr const char* kSoftwareSchema = R"({
   "type":"object","additionalProperties":false,"required":["version","sha256","bytes"],
   "properties":{
     "version":{"type":"string","minLength":1,"maxLength":64},
     "sha256":{"type":"string","pattern":"^[0-9a-f]{64}$"},
     "bytes":{"type":"integer","minimum":1,"maximum":268435456}}})";
+
+Errors check_content(const std::string& kind, const std::string& name, const base::Json& content) {
+  static const base::Schema software(kSoftwareSchema);
+  if (kind == "system") return check_system_options(content);
+  if (kind != "layout") return software.check(content);
+  auto result = parse_routing_configuration(name, content);
+  auto* errors = std::get_if<Errors>(&result);
+  return errors ? *errors : Errors{};
+}
+
+/// Lengthens a hold to what the document states under `key`; an error when that is shorter.
+void read_hold(const base::Json& holds, const char* key, Duration& hold, Errors& errors) {
+  if (!holds.has(key)) return;
+  Duration stated = std::chrono::minutes(holds.at(key).integer_or());
+  if (stated < hold) {
+    auto minutes = std::chrono::duration_cast<std::chrono::minutes>(hold).count();
+    errors.push_back(
+        {std::string("/holds/") + key, fmt::format("is shorter than the minimum of {} min", minutes)});
+  }
+  hold = std::max(hold, stated);
+}
 }  // namespace
 
-bool is_kind(std::string_view k) {
-  return std::any_of(std::begin(kKinds), std::end(kKinds), [&](auto x) { return k == x; });
+bool is_release_kind(std::string_view kind) {
+  return std::any_of(std::begin(kReleaseKinds), std::end(kReleaseKinds),
+                     [&](auto known) { return kind == known; });
 }
 
-Holds minimum(std::string_view k) {
-  if (k == "layout") return {15min, 20min};
-  if (k == "system") return {30min, 2h};
+Holds minimum_holds(std::string_view kind) {
+  if (kind == "layout") return {15min, 20min};
+  if (kind == "system") return {30min, 2h};
   return {24h, 24h};
 }
 
-bool is_valid_name(std::string_view n) {
-  return !n.empty() && n.size() <= 64 && n[0] != '.' &&
-         n.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == n.npos;
+std::string release_key(std::string_view kind, std::string_view name) {
+  return fmt::format("release/{}/{}", kind, name);
 }
-
-std::string release_key(std::string_view k, std::string_view n) { return fmt::format("release/{}/{}", k, n); }
-std::string operator_action_key(std::string_view k, std::string_view n) {
-  return fmt::format("act/{}/{}", k, n);
+std::string operator_action_key(std::string_view kind, std::string_view name) {
+  return fmt::format("act/{}/{}", kind, name);
 }
 
 ReleaseResult parse_release(const std::string& kind, const std::string& name, std::string_view text) {
-  static const base::Schema env(kSchema), soft(kSoftware);
-  auto p = base::Json::parse(text);
-  if (auto* d = std::get_if<base::ValidationError>(&p)) return std::vector<base::ValidationError>{*d};
-  auto& json = std::get<base::Json>(p);
-  auto ds = env.check(json);
-  auto c = json.at("content");
-  auto under = [&](std::vector<base::ValidationError> more) {
-    for (auto& d : more) ds.push_back({"/content" + d.pointer, d.message});
-  };
-  if (kind == "layout") {
-    auto l = config::parse_routing_configuration(name, c);
-    if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&l)) under(*errors);
-  } else if (kind == "system") {
-    under(config::check_system_options(c));
-  } else {
-    under(soft.check(c));
-  }
-  Release r{kind,
-            name,
-            std::string(text),
-            minimum(kind),
-            json.at("express").string_or(),
-            json.at("supersedes").string_or(),
-            c};
-  auto longer = [&](const char* k, Duration& h) {
-    if (!json.at("holds").has(k)) return;
-    Duration want = std::chrono::minutes(json.at("holds").at(k).integer_or());
-    if (want < h)
-      ds.push_back({std::string("/holds/") + k,
-                    fmt::format("is shorter than the minimum of {} min",
-                                std::chrono::duration_cast<std::chrono::minutes>(h).count())});
-    h = std::max(h, want);
-  };
-  longer("one_min", r.holds.one);
-  longer("two_min", r.holds.two);
-  if (!ds.empty()) return ds;
-  return r;
+  static const base::Schema envelope(kEnvelopeSchema);
+  auto parsed = base::Json::parse(text);
+  if (auto* error = std::get_if<base::ValidationError>(&parsed)) return Errors{*error};
+  auto& json = std::get<base::Json>(parsed);
+  auto errors = envelope.check(json);
+  auto content = json.at("content");
+  for (auto& error : check_content(kind, name, content))
+    errors.push_back({"/content" + error.pointer, error.message});
+  Release release{kind,
+                  name,
+                  std::string(text),
+                  minimum_holds(kind),
+                  json.at("express").string_or(),
+                  json.at("supersedes").string_or(),
+                  content};
+  read_hold(json.at("holds"), "one_min", release.holds.one, errors);
+  read_hold(json.at("holds"), "two_min", release.holds.two, errors);
+  if (!errors.empty()) return errors;
+  return release;
 }
 
 }  // namespace dunlinwing::config
--- a/src/config/release.hpp
+++ b/src/config/release.hpp
@@ -1,31 +1,44 @@
-// A release: a named, immutable resource of one kind. Its document says how
-// long its holds are and what it carries.
+/// @file
+/// A release: a named, immutable resource of one kind. Its document states the holds of its rollout and its
+/// content. Pure.
 #pragma once
 #include "base/json.hpp"
 
 namespace dunlinwing::config {
 
-inline constexpr const char* kKinds[] = {"layout", "system", "software"};
-bool is_kind(std::string_view k);
+/// What a release may be of: a routing configuration ("layout"), system options, or software.
+inline constexpr const char* kReleaseKinds[] = {"layout", "system", "software"};
+[[nodiscard]] bool is_release_kind(std::string_view kind);
 
+/// For how long a release runs on the first nodes before the rollout goes on.
 struct Holds {
-  Duration one{0}, two{0};
+  Duration one{0};  ///< in phase one: one node
+  Duration two{0};  ///< in phase two: one zone
 };
-Holds minimum(std::string_view kind);
 
+/// The shortest holds of a kind.
+Holds minimum_holds(std::string_view kind);
+
+/// A checked release.
 struct Release {
-  std::string kind, name, text;
-  Holds holds;  // never below the minimum of the kind
-  std::string express, supersedes;
+  std::string kind, name;
+  std::string text;        ///< the document as it was recorded
+  Holds holds;             ///< never below the minimum of the kind
+  std::string express;     ///< why it goes to all nodes at once; empty: it does not
+  std::string supersedes;  ///< name of the release that it replaces before that has ended; empty: none
   base::Json content;
 };
 
 using ReleaseResult = std::variant<Release, std::vector<base::ValidationError>>;
-// Checks the envelope and, by kind, the content.
+
+/// Checks the envelope and, by kind, the content.
+/// @return everything that is wrong when the document is not valid
 ReleaseResult parse_release(const std::string& kind, const std::string& name, std::string_view text);
 
-std::string release_key(std::string_view kind, std::string_view name);  // the register's name
+/// The name of the register that holds the release.
+std::string release_key(std::string_view kind, std::string_view name);
+
+/// The name of the register that holds what operators ordered for the release.
 std::string operator_action_key(std::string_view kind, std::string_view name);
-bool is_valid_name(std::string_view n);
 
 }  // namespace dunlinwing::config
--- a/src/config/routing_configuration.cpp
+++ b/src/config/routing_configuration.cpp
@@ -1,5 +1,3 @@
-// The schema checks each value on its own; what follows it checks that the
-// parts of the document name each other rightly.
 #include "config/routing_configuration.hpp"
 
 #include <fmt/format.h>
@@ -7,9 +5,10 @@
 #include <algorithm>
 #include <cmath>
 #include <range/v3/algorithm/any_of.hpp>
-#include <range/v3/algorithm/sort.hpp>
+#include <set>
 
 #include "base/ports.hpp"
+#include "config/names.hpp"
 
 namespace dunlinwing::config {
 
@@ -57,103 +56,162 @@
       "cache_bytes":{"type":"integer","minimum":0,"maximum":4294967296}}}}})";
 }
 
-const RouteConfiguration* RoutingConfiguration::match(std::string_view method, std::string_view host,
-                                                      std::string_view target, bool& other) const {
+RouteMatch RoutingConfiguration::match(std::string_view method, std::string_view host,
+                                       std::string_view target) const {
   auto path = target.substr(0, target.find('?'));
-  host = host.substr(0, host.rfind(':'));
-  other = false;
-  for (auto& route : routes) {
-    if (!route.host.empty() && !base::equals_ignore_case(route.host, host)) continue;
+  auto host_name = host.substr(0, host.rfind(':'));
+  RouteMatch match;
+  for (const auto& route : routes) {
+    if (!route.host.empty() && !base::equals_ignore_case(route.host, host_name)) continue;
     if (path.substr(0, route.prefix.size()) != route.prefix) continue;
-    if (route.methods.empty() || ranges::any_of(route.methods, [&](auto& m) { return m == method; })) {
-      other = false;
-      return &route;
-    }
-    other = true;
+    if (route.methods.empty() || ranges::any_of(route.methods, [&](auto& known) { return known == method; }))
+      return {&route, false};
+    match.other_method = true;
   }
-  return nullptr;
+  return match;
 }
 
-RoutingConfigurationResult parse_routing_configuration(const std::string& name, const base::Json& json) {
-  static const base::Schema schema(routing_configuration_schema());
-  auto defects = schema.check(json);
-  auto names_ok = [](const std::string& s) {
-    return !s.empty() && s.size() <= 64 &&
-           s.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == s.npos;
-  };
-  auto ms_of = [](const base::Json& v) { return Duration(static_cast<int64_t>(std::ceil(v.real_or()))); };
-  auto l = std::make_shared<RoutingConfiguration>();
-  l->name = name;
-  l->text = json.text();
-  for (auto& [k, v] : json.at("services").members()) {
-    if (!names_ok(k))
-      defects.push_back({"/services/" + k, "a service is named by letters, digits, -, _ and ."});
-    ServiceConfiguration s;
-    s.name = k;
-    s.versions = v.at("versions").strings();
-    s.deadline = Duration(v.at("deadline_ms").integer_or(s.deadline.count()));
-    s.max_waiting = static_cast<int>(v.at("waitlist").integer_or(s.max_waiting));
-    s.max_in_flight = static_cast<int>(v.at("inflight").integer_or(s.max_in_flight));
-    s.rate = v.at("rate").real_or(0);
-    s.max_connections = static_cast<int>(v.at("connections").integer_or(0));
-    s.health_check_path = v.at("probe").string_or();
-    s.retry_idempotent = v.at("safe_repeats").bool_or(true);
-    s.cache_lifetime_s = v.at("cache").at("lifetime_s").integer_or(0);
-    l->services[k] = s;
+namespace {
+Duration read_ms(const base::Json& value) {
+  return Duration(static_cast<int64_t>(std::ceil(value.real_or())));
+}
+
+int read_int(const base::Json& value, int fallback) { return static_cast<int>(value.integer_or(fallback)); }
+
+RequestKind read_kind(const base::Json& value) {
+  auto kind = value.string_or();
+  if (kind == "safe") return RequestKind::safe;
+  if (kind == "unsafe") return RequestKind::unsafe;
+  if (kind == "cacheable") return RequestKind::cacheable;
+  return RequestKind::by_method;
+}
+
+ServiceConfiguration read_service(const std::string& name, const base::Json& json) {
+  ServiceConfiguration service;
+  service.name = name;
+  service.versions = json.at("versions").strings();
+  service.deadline = Duration(json.at("deadline_ms").integer_or(service.deadline.count()));
+  service.max_waiting = read_int(json.at("waitlist"), service.max_waiting);
+  service.max_in_flight = read_int(json.at("inflight"), service.max_in_flight);
+  service.rate = json.at("rate").real_or(0);
+  service.max_connections = read_int(json.at("connections"), 0);
+  service.health_check_path = json.at("probe").string_or();
+  service.retry_idempotent = json.at("safe_repeats").bool_or(true);
+  service.cache_lifetime_s = json.at("cache").at("lifetime_s").integer_or(0);
+  return service;
+}
+
+RouteConfiguration read_route(const base::Json& json) {
+  RouteConfiguration route;
+  route.name = json.at("name").string_or();
+  route.host = json.at("host").string_or();
+  route.prefix = json.at("prefix").string_or();
+  route.methods = json.at("methods").strings();
+  route.kind = read_kind(json.at("kind"));
+  route.timeout = read_ms(json.at("timeout_ms"));
+  route.latency_target = read_ms(json.at("aim_ms"));
+  route.priority = read_int(json.at("priority"), 0);
+  route.max_attempts = read_int(json.at("shots"), route.max_attempts);
+  route.cache_lifetime = read_ms(json.at("keep_ms"));
+  if (json.has("service")) route.weighted_services = {{json.at("service").string_or(), 1.0}};
+  for (const auto& part : json.at("split").items())
+    route.weighted_services.push_back({part.at("service").string_or(), part.at("weight").real_or()});
+  return route;
+}
+
+/// Reads one document and collects what is wrong with it.
+class Parser {
+ public:
+  Parser(const std::string& name, const base::Json& json) : json_(json) {
+    static const base::Schema schema(routing_configuration_schema());
+    errors_ = schema.check(json);
+    configuration_.name = name;
+    configuration_.text = json.text();
+  }
+
+  RoutingConfigurationResult parse() {
+    read_services();
+    read_routes();
+    check_services_are_routed();
+    if (!errors_.empty()) return errors_;
+    read_limits();
+    return std::make_shared<const RoutingConfiguration>(std::move(configuration_));
+  }
+
+ private:
+  void add_error(const std::string& pointer, const char* message) { errors_.push_back({pointer, message}); }
+
+  void read_services() {
+    for (const auto& [name, value] : json_.at("services").members()) {
+      if (!is_valid_service_name(name))
+        add_error("/services/" + name, "a service is named by letters, digits, -, _ and .");
+      configuration_.services[name] = read_service(name, value);
+    }
+  }
+
+  void read_routes() {
+    int index = 0;
+    for (const auto& value : json_.at("routes").items()) {
+      auto route = read_route(value);
+      check_route(value, route, fmt::format("/routes/{}/", index));
+      configuration_.routes.push_back(std::move(route));
+      ++index;
+    }
+    std::stable_sort(configuration_.routes.begin(), configuration_.routes.end(),
+                     [](auto& left, auto& right) { return left.prefix.size() > right.prefix.size(); });
+  }
+
+  void check_route(const base::Json& value, const RouteConfiguration& route, const std::string& pointer) {
+    if (value.has("service") == value.has("split"))
+      add_error(pointer + "service", "a route names either a service or a split");
+    for (const auto& part : route.weighted_services)
+      if (!configuration_.services.count(part.service))
+        add_error(pointer + "service", "names no service of this layout");
+    auto methods = route.methods.empty() ? std::vector<std::string>{"*"} : route.methods;
+    for (const auto& method : methods)
+      if (!taken_.insert(route.host + " " + route.prefix + " " + method).second)
+        add_error(pointer + "prefix", "an earlier route has this prefix and method");
   }
-  int i = 0;
-  std::map<std::string, int> once;
-  for (auto& r : json.at("routes").items()) {
-    RouteConfiguration x;
-    x.name = r.at("name").string_or();
-    x.host = r.at("host").string_or();
-    x.prefix = r.at("prefix").string_or();
-    x.methods = r.at("methods").strings();
-    auto kind = r.at("kind").string_or();
-    x.kind = kind == "safe"        ? RequestKind::safe
-             : kind == "unsafe"    ? RequestKind::unsafe
-             : kind == "cacheable" ? RequestKind::cacheable
-                                   : RequestKind::by_method;
-    x.timeout = ms_of(r.at("timeout_ms"));
-    x.latency_target = ms_of(r.at("aim_ms"));
-    x.priority = static_cast<int>(r.at("priority").integer_or(0));
-    x.max_attempts = static_cast<int>(r.at("shots").integer_or(x.max_attempts));
-    x.cache_lifetime = ms_of(r.at("keep_ms"));
-    auto here = [&](const char* k) { return fmt::format("/routes/{}/{}", i, k); };
-    if (r.has("service") == r.has("split"))
-      defects.push_back({here("service"), "a route names either a service or a split"});
-    if (r.has("service")) x.weighted_services = {{r.at("service").string_or(), 1.0}};
-    for (auto& w : r.at("split").items())
-      x.weighted_services.emplace_back(w.at("service").string_or(), w.at("weight").real_or());
-    for (auto& [svc, w] : x.weighted_services)
-      if (!l->services.count(svc)) defects.push_back({here("service"), "names no service of this layout"});
-    auto ms = x.methods.empty() ? std::vector<std::string>{"*"} : x.methods;
-    for (auto& m : ms)
-      if (once[x.host + " " + x.prefix + " " + m]++)
-        defects.push_back({here("prefix"), "an earlier route has this prefix and method"});
-    l->routes.push_back(x);
-    ++i;
+
+  bool is_routed(const std::string& service) const {
+    return ranges::any_of(configuration_.routes, [&](const auto& route) {
+      return ranges::any_of(route.weighted_services,
+                            [&](const auto& part) { return part.service == service; });
+    });
   }
-  for (auto& [k, s] : l->services)
-    if (!s.versions.empty() && !ranges::any_of(l->routes, [&](auto& r) {
-          return ranges::any_of(r.weighted_services, [&](auto& x) { return x.first == k; });
-        }))
-      defects.push_back({"/services/" + k, "no route leads to it"});
-  if (!defects.empty()) return defects;
-  std::stable_sort(l->routes.begin(), l->routes.end(),
-                   [](auto& a, auto& b) { return a.prefix.size() > b.prefix.size(); });
-  l->body_bytes = json.at("limits").at("body_bytes").integer_or(l->body_bytes);
-  l->cache_bytes = json.at("limits").at("cache_bytes").integer_or(l->cache_bytes);
-  l->head_bytes = json.at("limits").at("head_bytes").integer_or(l->head_bytes);
-  l->head_time = Duration(json.at("limits").at("head_ms").integer_or(l->head_time.count()));
-  l->idle_time = Duration(json.at("limits").at("idle_ms").integer_or(l->idle_time.count()));
-  return std::shared_ptr<const RoutingConfiguration>(l);
+
+  void check_services_are_routed() {
+    for (const auto& [name, service] : configuration_.services)
+      if (!service.versions.empty() && !is_routed(name))
+        add_error("/services/" + name, "no route leads to it");
+  }
+
+  void read_limits() {
+    auto limits = json_.at("limits");
+    auto& to = configuration_;
+    to.body_bytes = limits.at("body_bytes").integer_or(to.body_bytes);
+    to.cache_bytes = limits.at("cache_bytes").integer_or(to.cache_bytes);
+    to.head_bytes = limits.at("head_bytes").integer_or(to.head_bytes);
+    to.head_time = Duration(limits.at("head_ms").integer_or(to.head_time.count()));
+    to.idle_time = Duration(limits.at("idle_ms").integer_or(to.idle_time.count()));
+  }
+
+  const base::Json& json_;
+  std::vector<base::ValidationError> errors_;
+  RoutingConfiguration configuration_;  ///< as far as it is read
+  std::set<std::string> taken_;         ///< host, prefix and method of the routes so far
+};
+}  // namespace
+
+RoutingConfigurationResult parse_routing_configuration(const std::string& name, const base::Json& json) {
+  return Parser(name, json).parse();
 }
 
 RoutingConfigurationResult parse_routing_configuration(const std::string& name, std::string_view text) {
-  auto p = base::Json::parse(text);
-  if (auto* d = std::get_if<base::ValidationError>(&p)) return std::vector<base::ValidationError>{*d};
-  return parse_routing_configuration(name, std::get<base::Json>(p));
+  auto parsed = base::Json::parse(text);
+  if (auto* error = std::get_if<base::ValidationError>(&parsed))
+    return std::vector<base::ValidationError>{*error};
+  return parse_routing_configuration(name, std::get<base::Json>(parsed));
 }
 
 }  // namespace dunlinwing::config
--- a/src/config/system_options.cpp
+++ b/src/config/system_options.cpp
@@ -1,4 +1,3 @@
-// Schema and reading of system options. All of them take effect at once.
 #include "config/system_options.hpp"
 
 namespace dunlinwing::config {
@@ -20,43 +19,49 @@
 }
 
 namespace {
-int minute(const base::Json& json, const char* k) {
-  auto s = json.at("quiet_hours").at(k).string_or();
-  return s.size() == 5 ? std::stoi(s.substr(0, 2)) * 60 + std::stoi(s.substr(3)) : 0;
+constexpr int kMinutesPerHour = 60, kMinutesPerDay = 24 * kMinutesPerHour;
+constexpr int64_t kMsPerMinute = 60'000, kMsPerDay = kMinutesPerDay * kMsPerMinute;
+
+/// The minute of the day that "HH:MM" under `key` of the quiet hours states; 0: none is stated.
+int minute_of_day(const base::Json& json, const char* key) {
+  auto text = json.at("quiet_hours").at(key).string_or();
+  if (text.size() != std::string_view("HH:MM").size()) return 0;
+  return std::stoi(text.substr(0, 2)) * kMinutesPerHour + std::stoi(text.substr(3));
 }
 }  // namespace
 
 std::vector<base::ValidationError> check_system_options(const base::Json& json) {
-  static const base::Schema s(system_options_schema());
-  auto ds = s.check(json);
-  if (!ds.empty()) return ds;
-  for (auto* k : {"from", "to"})
-    if (json.has("quiet_hours") && minute(json, k) > 24 * 60)
-      ds.push_back({std::string("/quiet_hours/") + k, "is no time of the day"});
-  return ds;
+  static const base::Schema schema(system_options_schema());
+  auto errors = schema.check(json);
+  if (!errors.empty()) return errors;
+  for (const auto* key : {"from", "to"})
+    if (json.has("quiet_hours") && minute_of_day(json, key) > kMinutesPerDay)
+      errors.push_back({std::string("/quiet_hours/") + key, "is no time of the day"});
+  return errors;
 }
 
 bool QuietHours::contains(int64_t wall_ms) const {
   if (start_minute == end_minute) return true;
-  int64_t day = 86400000, ms = ((wall_ms % day) + day) % day;
-  int m = static_cast<int>(ms / 60000);
-  return start_minute < end_minute ? m >= start_minute && m < end_minute
-                                   : m >= start_minute || m < end_minute;
+  auto of_day = ((wall_ms % kMsPerDay) + kMsPerDay) % kMsPerDay;
+  auto minute = static_cast<int>(of_day / kMsPerMinute);
+  bool over_midnight = start_minute > end_minute;
+  return over_midnight ? minute >= start_minute || minute < end_minute
+                       : minute >= start_minute && minute < end_minute;
 }
 
-SystemOptions parse_system_options(const base::Json& json, const SystemOptions& base) {
-  SystemOptions s = base;
-  s.log_level = json.at("log_level").string_or(s.log_level);
-  auto n = [&](const char* k, int64_t& v) { v = json.at(k).integer_or(v); };
-  n("repeat_allowance", s.retry_allowance);
-  n("trial_share_percent", s.canary_percent);
-  n("bad_answers", s.max_canary_failures);
-  n("promote_requests", s.promote_requests);
-  n("promote_seconds", s.promote_seconds);
-  n("defect_ratio_percent", s.failure_ratio_percent);
-  n("evidence_requests", s.evidence_requests);
-  if (json.has("quiet_hours")) s.quiet_hours = {minute(json, "from"), minute(json, "to")};
-  return s;
+SystemOptions parse_system_options(const base::Json& json, const SystemOptions& defaults) {
+  SystemOptions options = defaults;
+  options.log_level = json.at("log_level").string_or(options.log_level);
+  auto read_integer = [&](const char* key, int64_t& value) { value = json.at(key).integer_or(value); };
+  read_integer("repeat_allowance", options.retry_allowance);
+  read_integer("trial_share_percent", options.canary_percent);
+  read_integer("bad_answers", options.max_canary_failures);
+  read_integer("promote_requests", options.promote_requests);
+  read_integer("promote_seconds", options.promote_seconds);
+  read_integer("defect_ratio_percent", options.failure_ratio_percent);
+  read_integer("evidence_requests", options.evidence_requests);
+  if (json.has("quiet_hours")) options.quiet_hours = {minute_of_day(json, "from"), minute_of_day(json, "to")};
+  return options;
 }
 
 }  // namespace dunlinwing::config
--- a/src/control_api/releases.cpp
+++ b/src/control_api/releases.cpp
@@ -7,6 +7,7 @@
 #include <algorithm>
 
 #include "base/log.hpp"
+#include "config/names.hpp"
 #include "control_api/known_registers.hpp"
 #include "control_api/register_change.hpp"
 #include "control_api/schemas.hpp"
@@ -169,8 +170,8 @@
 
 base::Response put_release(const ApiContext& context, const ApiRequest& request) {
   const ReleaseName release{request.path[2], request.path[3]};
-  if (!config::is_kind(release.kind)) return no_such_kind();
-  if (!config::is_valid_name(release.name))
+  if (!config::is_release_kind(release.kind)) return no_such_kind();
+  if (!config::is_valid_release_name(release.name))
     return error_response(422, "a release is named by letters, digits, '-', '_' and '.'");
   auto parsed = config::parse_release(release.kind, release.name, request.http.body);
   if (auto* errors = std::get_if<std::vector<base::ValidationError>>(&parsed))
@@ -207,12 +208,12 @@
 
 base::Response list_releases_of_kind(const ApiContext& context, const ApiRequest& request) {
   const auto& kind = request.path[2];
-  return config::is_kind(kind) ? list(context.node, kind) : no_such_kind();
+  return config::is_release_kind(kind) ? list(context.node, kind) : no_such_kind();
 }
 
 base::Response get_release(const ApiContext& context, const ApiRequest& request) {
   const ReleaseName release{request.path[2], request.path[3]};
-  if (!config::is_kind(release.kind)) return no_such_kind();
+  if (!config::is_release_kind(release.kind)) return no_such_kind();
   auto held = known_register(context.node, release.key());
   if (held.version == 0) return no_such_release();
   auto rollout = rollout::read_rollout_state(context.node.state_cache().chosen());
--- a/src/limits/rate_quotas.cpp
+++ b/src/limits/rate_quotas.cpp
@@ -1,6 +1,3 @@
-// Each share may be early by one request, so N shares may be early by N in any
-// five seconds. What is handed out, and to how many, leaves room for that within
-// a tenth of the rate; the rest of the margin is for uneven arrival.
 #include "limits/rate_quotas.hpp"
 
 #include <algorithm>
@@ -8,64 +5,102 @@
 
 namespace dunlinwing::limits {
 namespace {
-constexpr double kHandedOut = 0.97;
-constexpr double kFloor = 0.2;    // of the rate, spread evenly, so that no relay starts from nothing
-constexpr double kChange = 0.15;  // smaller wishes are not worth a write
+constexpr double kMaxHandedOut = 0.97, kMinHandedOut = 0.5;  // of the rate
+constexpr double kRateWithMargin = 1.1;                      // of the rate, what any five seconds may hold
+constexpr double kMarginSeconds = 5;                         // in which each node may be early by one request
+constexpr double kMinRatePerNode = 2.5;  // requests a second; with less, fewer nodes get a quota
+constexpr double kEvenShare = 0.2;       // is spread evenly, so that no node starts from nothing
+constexpr double kMinChange = 0.15;      // of a quota; smaller changes are not worth a write
+constexpr uint32_t kMilli = 1000;        // quotas are in thousandths of a request a second
 
-std::map<std::string, uint32_t> wish(const QuotaInput& input) {
-  std::vector<std::pair<double, std::string>> by;
-  for (auto& [n, d] : input.demand) by.emplace_back(d, n);
-  std::stable_sort(by.begin(), by.end(), [](auto& a, auto& b) { return a.first > b.first; });
+using QuotaByNode = std::map<std::string, uint32_t>;
+
+struct NodeRate {
+  std::string node;
+  double rate;
+};
+
+/// The nodes that get a quota: those with most demand.
+std::vector<NodeRate> select_nodes(const QuotaInput& input) {
+  std::vector<NodeRate> nodes;
+  nodes.reserve(input.demand.size());
+  for (const auto& [node, rate] : input.demand) nodes.push_back({node, rate});
+  std::stable_sort(nodes.begin(), nodes.end(),
+                   [](const NodeRate& left, const NodeRate& right) { return left.rate > right.rate; });
+  auto limit = static_cast<size_t>(static_cast<double>(input.rate) / kMinRatePerNode);
+  if (nodes.size() > std::max<size_t>(1, limit)) nodes.resize(std::max<size_t>(1, limit));
+  return nodes;
+}
+
+/// The quotas that the demand asks for.
+QuotaByNode wanted_quotas(const QuotaInput& input) {
+  auto nodes = select_nodes(input);
   auto rate = static_cast<double>(input.rate);
-  auto most = std::max<size_t>(1, static_cast<size_t>(rate / 2.5));
-  if (by.size() > most) by.resize(most);
-  double all = 0, n = static_cast<double>(by.size());
-  for (auto& [d, k] : by) all += d;
-  double out = std::max(rate * 0.5, std::min(rate * kHandedOut, rate * 1.1 - n / 5));
-  std::map<std::string, uint32_t> m;
-  for (auto& [d, k] : by) {
-    double part = all > 0 ? kFloor / n + (1 - kFloor) * d / all : 1 / n;
-    m[k] = static_cast<uint32_t>(std::floor(part * out * 1000));
+  auto count = static_cast<double>(nodes.size());
+  double total = 0;
+  for (const auto& node : nodes) total += node.rate;
+  double handed_out = std::max(
+      rate * kMinHandedOut, std::min(rate * kMaxHandedOut, rate * kRateWithMargin - count / kMarginSeconds));
+  QuotaByNode quotas;
+  for (const auto& node : nodes) {
+    double share = total > 0 ? kEvenShare / count + (1 - kEvenShare) * node.rate / total : 1 / count;
+    quotas[node.node] = static_cast<uint32_t>(std::floor(share * handed_out * kMilli));
   }
-  return m;
+  return quotas;
 }
-}  // namespace
-
-std::string quota_key(const std::string& s) { return "share/" + s; }
 
-QuotaStep step(const pb::RateQuotas& quotas, const QuotaInput& input) {
-  QuotaStep o{quotas, false, false};
-  auto want = wish(input);
-  auto& have = *o.quotas.mutable_milli_requests();
-  uint64_t sum = 0, cap = static_cast<uint64_t>(input.rate) * 1000;
-  bool shrink = quotas.rate() > static_cast<uint32_t>(input.rate);
-  for (auto& [n, m] : quotas.milli_requests()) {
-    auto f = want.find(n);
-    uint32_t w = f == want.end() ? 0 : f->second;
-    if (w < m && (shrink || w == 0 || w < m * (1 - kChange))) {
-      have[n] = w;
-      o.decreased = true;
-    }
-  }
-  if (o.decreased) {
-    for (auto& [n, m] : quotas.milli_requests())
-      if (!have[n]) have.erase(n);
-    o.quotas.set_rate(static_cast<uint32_t>(input.rate));
-    return o;
+/// Lowers what is far above what is wanted, or all of that when the rate itself has fallen.
+bool decrease(const QuotaByNode& wanted, int64_t rate, pb::RateQuotas& quotas) {
+  bool rate_fell = quotas.rate() > static_cast<uint32_t>(rate);
+  bool decreased = false;
+  auto before = quotas.milli_requests();
+  auto& after = *quotas.mutable_milli_requests();
+  for (const auto& [node, quota] : before) {
+    auto found = wanted.find(node);
+    uint32_t want = found == wanted.end() ? 0 : found->second;
+    if (want >= quota || (!rate_fell && want != 0 && want >= quota * (1 - kMinChange))) continue;
+    after[node] = want;
+    decreased = true;
   }
-  if (input.since_decrease < input.bound) return o;
-  for (auto& [n, m] : quotas.milli_requests()) sum += m;
-  for (auto& [n, w] : want) {
-    uint32_t m = have.count(n) ? have[n] : 0;
-    if (w <= m * (1 + kChange)) continue;
-    auto add = std::min<uint64_t>(w - m, cap > sum ? cap - sum : 0);
-    if (!add) continue;
-    have[n] = static_cast<uint32_t>(m + add);
-    sum += add;
-    o.increased = true;
+  if (!decreased) return false;
+  for (const auto& [node, quota] : before)
+    if (!after[node]) after.erase(node);
+  return true;
+}
+
+/// Raises what is far below what is wanted, as far as the rate allows.
+bool increase(const QuotaByNode& wanted, int64_t rate, pb::RateQuotas& quotas) {
+  auto& milli_requests = *quotas.mutable_milli_requests();
+  uint64_t sum = 0, limit = static_cast<uint64_t>(rate) * kMilli;
+  for (const auto& [node, quota] : milli_requests) sum += quota;
+  bool increased = false;
+  for (const auto& [node, want] : wanted) {
+    auto found = milli_requests.find(node);
+    uint32_t quota = found == milli_requests.end() ? 0 : found->second;
+    if (want <= quota * (1 + kMinChange)) continue;
+    auto added = std::min<uint64_t>(want - quota, limit > sum ? limit - sum : 0);
+    if (!added) continue;
+    milli_requests[node] = static_cast<uint32_t>(quota + added);
+    sum += added;
+    increased = true;
   }
-  o.quotas.set_rate(static_cast<uint32_t>(input.rate));
-  return o;
+  return increased;
+}
+}  // namespace
+
+std::string quota_key(const std::string& service) { return "share/" + service; }
+
+QuotaStep next_quotas(const pb::RateQuotas& quotas, const QuotaInput& input) {
+  QuotaStep step{quotas, QuotaChange::none};
+  auto wanted = wanted_quotas(input);
+  if (decrease(wanted, input.rate, step.quotas))
+    step.change = QuotaChange::decreased;
+  else if (input.since_decrease < input.bound)
+    return step;
+  else if (increase(wanted, input.rate, step.quotas))
+    step.change = QuotaChange::increased;
+  step.quotas.set_rate(static_cast<uint32_t>(input.rate));
+  return step;
 }
 
 }  // namespace dunlinwing::limits
--- a/src/limits/rate_quotas.hpp
+++ b/src/limits/rate_quotas.hpp
@@ -1,24 +1,33 @@
-// An origin's stated rate, split into shares by node. A pure step: shares fall
-// at once and rise only when nobody can still be using what has fallen.
+/// @file
+/// An origin's stated rate, split into quotas by node. Pure: quotas fall at once and rise only when no node
+/// can still be using what has fallen. So the quotas that are in use anywhere never exceed the rate together.
+///
+/// Each quota may be early by one request, so N quotas may be early by N in any five seconds. What is handed
+/// out, and to how many nodes, leaves room for that within a tenth of the rate; the rest of the margin is for
+/// uneven arrival.
 #pragma once
-#include "base/common.hpp"
-#include "wire.pb.h"
+#include "limits/demand_estimator.hpp"
 
 namespace dunlinwing::limits {
 
 struct QuotaInput {
-  int64_t rate = 0;                      // requests a second over the fleet
-  Duration since_decrease{0};            // since shares last fell, as the duty's holder knows
-  Duration bound{2000};                  // after this every relay has taken a fall to heart
-  std::map<std::string, double> demand;  // by node present: requests a second asked of late
+  int64_t rate = 0;            ///< requests a second over the fleet
+  Duration since_decrease{0};  ///< since quotas last fell, as the leader knows
+  Duration bound{2000};        ///< after this every node follows a decrease
+  DemandByNode demand;         ///< of the nodes that should have a quota
 };
 
+enum class QuotaChange { none, decreased, increased };
+
 struct QuotaStep {
-  pb::RateQuotas quotas;
-  bool decreased = false, increased = false;
+  pb::RateQuotas quotas;  ///< the next ones
+  QuotaChange change = QuotaChange::none;
 };
 
-QuotaStep step(const pb::RateQuotas& quotas, const QuotaInput& input);
+/// One step towards the quotas that the demand asks for: decreases come first and alone.
+QuotaStep next_quotas(const pb::RateQuotas& quotas, const QuotaInput& input);
+
+/// The name of the register that holds a service's quotas.
 std::string quota_key(const std::string& service);
 
 }  // namespace dunlinwing::limits
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -27,7 +27,7 @@
   std::string text = node.SerializeAsString();
   // In the order of their keys, which a protobuf map does not have.
   std::map<std::string, std::string> running(status.node().running().begin(), status.node().running().end());
-  for (const auto& [kind, release] : running) text += kind + "=" + release + ";";
+  for (const auto& [kind, release] : running) text += fmt::format("{}={};", kind, release);
   for (const auto& counts : status.canary_counts())
     text += fmt::format("{}:{}:{}{};", counts.service(), counts.number(), counts.bad(), counts.aborted());
   for (const auto& heartbeat : status.heartbeats())
@@ -164,6 +164,7 @@
   /// Asks the replicas at the given indices and takes their responses; false when none responded.
   bool ask(Pull& pull, const std::vector<size_t>& indices, Duration limit) {
     std::vector<consensus::Replica> targets;
+    targets.reserve(indices.size());
     for (auto index : indices) targets.push_back(pull.replicas[index]);
     *pull.request.mutable_pull()->mutable_known_versions() = statuses.known_versions();
     auto make_request = [&](size_t target) {
--- a/src/proxy/canary_admission.cpp
+++ b/src/proxy/canary_admission.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "limits/budget.hpp"
+#include "limits/retry_budget.hpp"
 
 namespace dunlinwing::proxy {
 namespace {
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -117,12 +117,12 @@
     const auto& configuration = *current->configuration;
     if (static_cast<int64_t>(request.body.size()) > configuration.body_bytes)
       return outcomes.rejected(413, "the body is longer than the layout allows");
-    bool other_method = false;
-    const auto* route = configuration.match(request.method, base::header(request.headers, "Host"),
-                                            request.target, other_method);
+    const auto match =
+        configuration.match(request.method, base::header(request.headers, "Host"), request.target);
+    const auto* route = match.route;
     if (!route)
-      return other_method ? outcomes.rejected(405, "no route takes this method")
-                          : outcomes.rejected(404, "no route leads there");
+      return match.other_method ? outcomes.rejected(405, "no route takes this method")
+                                : outcomes.rejected(404, "no route leads there");
     const auto* service = select_service(configuration, *route);
     if (!service) return outcomes.rejected(503, "no service of this route has any weight");
     Duration timeout = route->timeout > Duration(0) ? route->timeout : service->deadline;
@@ -189,9 +189,8 @@
     for (const auto& header : forward.headers())
       context.request.headers.emplace_back(header.name(), header.value());
     context.request.id = node.adapter.read_identity(context.request, node.ports.random).id;
-    bool other_method = false;
-    context.route = configuration->second->match("GET", base::header(context.request.headers, "Host"),
-                                                 forward.target(), other_method);
+    const auto host = base::header(context.request.headers, "Host");
+    context.route = configuration->second->match("GET", host, forward.target()).route;
     if (!context.route) return "the layout has no such route";
     context.host = context.route->host;
     return context;
--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -2,7 +2,8 @@
 
 #include <mutex>
 
-#include "limits/budget.hpp"
+#include "limits/rate_limiter.hpp"
+#include "limits/retry_budget.hpp"
 #include "proxy/canary_admission.hpp"
 #include "proxy/load_balancer.hpp"
 
--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -29,7 +29,7 @@
 
   StepResult run() {
     transitions_.add_new_nodes();
-    for (const auto* kind : config::kKinds) run_kind(kind);
+    for (const auto* kind : config::kReleaseKinds) run_kind(kind);
     transitions_.forget_finished();
     return transitions_.finish(before_);
   }
--- /dev/null
+++ b/test/unit/config/config_test.cpp
@@ -0,0 +1,52 @@
+// Routing configurations, system options and releases: every error is named by its place.
+#include "config/release.hpp"
+#include "config/routing_configuration.hpp"
+#include "config/system_options.hpp"
+#include "unit/schema_checks.hpp"
+#include "unit/unit_cases.hpp"
+
+namespace dunlinwing::test {
+namespace {
+std::string bad_release(const std::string& kind, const std::string& text) {
+  auto result = config::parse_release(kind, "x", text);
+  auto* errors = std::get_if<std::vector<base::ValidationError>>(&result);
+  return errors ? error_places(*errors) : "valid";
+}
+}  // namespace
+
+std::vector<Case> config_cases() {
+  return {
+      {"layout: its page holds every key",
+       [] { expect_documented(config::routing_configuration_schema(), "configuration.md"); }},
+      {"system: its page holds every key",
+       [] { expect_documented(config::system_options_schema(), "configuration.md"); }},
+      {"layout: references are checked across the document",
+       [] {
+         same(bad_release("layout",
+                          R"({"content":{"services":{"a":{"versions":["1"]},"b":{"versions":["1","1"]}},
+              "routes":[{"prefix":"/x","service":"a"},{"prefix":"/x","service":"a"},{"prefix":"y","service":"c"}]}})"),
+              std::string("/content/services/b/versions;/content/routes/2/prefix;/content/routes/1/prefix;"
+                          "/content/routes/2/service;/content/services/b;"),
+              "places");
+       }},
+      {"release: a hold may be lengthened, never shortened",
+       [] {
+         auto document = [](int one) {
+           return fmt::format(
+               R"({{"holds":{{"one_min":{}}},"content":{{"services":{{"a":{{"versions":["1"]}}}},
+             "routes":[{{"prefix":"/","service":"a"}}]}}}})",
+               one);
+         };
+         same(bad_release("layout", document(14)), std::string("/holds/one_min;"), "places");
+         same(bad_release("layout", document(16)), std::string("valid"), "places");
+         auto holds = config::minimum_holds("software");
+         expect(holds.one == std::chrono::hours(24) && holds.two == std::chrono::hours(24),
+                "software holds 24 and 24 hours");
+         holds = config::minimum_holds("system");
+         expect(holds.one == std::chrono::minutes(30) && holds.two == std::chrono::hours(2),
+                "system holds 30 min and 2 h");
+       }},
+  };
+}
+
+}  // namespace dunlinwing::test
--- a/test/unit/node/settings_test.cpp
+++ b/test/unit/node/settings_test.cpp
@@ -1,57 +1,15 @@
-// Settings, layouts and releases: every defect is named by its place.
-#include <fstream>
-#include <sstream>
-
-#include "config/release.hpp"
-#include "config/routing_configuration.hpp"
-#include "config/system_options.hpp"
+// Settings: every error is named by its place.
 #include "node/settings_reloader.hpp"
+#include "unit/schema_checks.hpp"
 #include "unit/unit_cases.hpp"
 #include "wire.pb.h"
 
 namespace dunlinwing::test {
 namespace {
-std::string places(const std::vector<base::ValidationError>& ds) {
-  std::string s;
-  for (auto& d : ds) s += d.pointer + ";";
-  return s;
-}
 std::string bad_config(const std::string& t) {
   auto r = node::parse_settings(t);
   auto* errors = std::get_if<std::vector<base::ValidationError>>(&r);
-  return errors ? places(*errors) : "valid";
-}
-std::string bad_release(const std::string& kind, const std::string& t) {
-  auto r = config::parse_release(kind, "x", t);
-  auto* errors = std::get_if<std::vector<base::ValidationError>>(&r);
-  return errors ? places(*errors) : "valid";
-}
-}  // namespace
-
-namespace {
-// Every key that a schema knows stands in its page, as `key`.
-void documented(std::string_view schema, const std::string& page) {
-  std::ifstream f(std::string(DUNLINWING_DOCS) + "/" + page);
-  std::stringstream b;
-  b << f.rdbuf();
-  expect(!b.str().empty(), page + " cannot be read");
-  auto p = base::Json::parse(schema);
-  int n = 0;
-  std::function<void(const base::Json&)> walk = [&](const base::Json& json) {
-    for (auto& [k, v] : json.at("properties").members()) {
-      ++n;
-      bool there = b.str().find("`" + k + "`") != std::string::npos ||
-                   b.str().find("`" + k + ".") != std::string::npos ||
-                   b.str().find("." + k + "`") != std::string::npos ||
-                   b.str().find("\"" + k + "\"") != std::string::npos;
-      expect(there, page + " does not tell of " + k);
-      walk(v);
-    }
-    if (json.has("items")) walk(json.at("items"));
-    if (!json.at("additionalProperties").members().empty()) walk(json.at("additionalProperties"));
-  };
-  walk(std::get<base::Json>(p));
-  expect(n >= 8, "the schema was not walked");
+  return errors ? error_places(*errors) : "valid";
 }
 
 // What a later version adds is ignored; an ask that is not known is told so.
@@ -70,18 +28,14 @@
 }
 }  // namespace
 
-std::vector<Case> config_cases() {
+std::vector<Case> settings_cases() {
   const std::string good =
       R"({"name":"n","zone":"a","listen":{"callers":"127.0.0.1:1","control":"127.0.0.1:2",
     "peers":"127.0.0.1:3"},"holders":{"h":"127.0.0.1:4"},"seeds":["127.0.0.1:2"]})";
   return {
       {"config: a good one is taken", [good] { same(bad_config(good), std::string("valid"), "places"); }},
       {"config: the page of the settings holds every key",
-       [] { documented(node::settings_schema(), "settings.md"); }},
-      {"layout: its page holds every key",
-       [] { documented(config::routing_configuration_schema(), "configuration.md"); }},
-      {"system: its page holds every key",
-       [] { documented(config::system_options_schema(), "configuration.md"); }},
+       [] { expect_documented(node::settings_schema(), "settings.md"); }},
       {"wire: an older reader passes over what is new", older_peer},
       {"config: every defect is named by its place",
        [] {
@@ -123,32 +77,6 @@
          same(s, std::string("seeds;threads;"), "keys");
          expect(node::changed_keys(t, t).empty(), "a key changed by itself");
        }},
-      {"layout: references are checked across the document",
-       [] {
-         same(bad_release("layout",
-                          R"({"content":{"services":{"a":{"versions":["1"]},"b":{"versions":["1","1"]}},
-              "routes":[{"prefix":"/x","service":"a"},{"prefix":"/x","service":"a"},{"prefix":"y","service":"c"}]}})"),
-              std::string("/content/services/b/versions;/content/routes/2/prefix;/content/routes/1/prefix;"
-                          "/content/routes/2/service;/content/services/b;"),
-              "places");
-       }},
-      {"release: a hold may be lengthened, never shortened",
-       [] {
-         auto doc = [](int one) {
-           return fmt::format(
-               R"({{"holds":{{"one_min":{}}},"content":{{"services":{{"a":{{"versions":["1"]}}}},
-             "routes":[{{"prefix":"/","service":"a"}}]}}}})",
-               one);
-         };
-         same(bad_release("layout", doc(14)), std::string("/holds/one_min;"), "places");
-         same(bad_release("layout", doc(16)), std::string("valid"), "places");
-         auto m = config::minimum("software");
-         expect(m.one == std::chrono::hours(24) && m.two == std::chrono::hours(24),
-                "software holds 24 and 24 hours");
-         m = config::minimum("system");
-         expect(m.one == std::chrono::minutes(30) && m.two == std::chrono::hours(2),
-                "system holds 30 min and 2 h");
-       }},
   };
 }
 
--- a/test/unit/platform/translation_test.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -51,21 +51,20 @@
   auto g = read(first_configuration(590));
   auto* l = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&g);
   expect(l, "the first page is valid");
-  bool other = false;
   auto& x = **l;
-  auto* o = x.match("GET", "a.example:80", "/obj/1?q", other);
+  auto* o = x.match("GET", "a.example:80", "/obj/1?q").route;
   expect(o && o->kind == config::RequestKind::cacheable && o->cache_lifetime == Duration(6000) &&
              o->timeout == Duration(1500) && o->latency_target == Duration(200) && o->priority == 2 &&
              o->max_attempts == 2 && o->name == "r-obj",
          "a cacheable route");
-  auto* t = x.match("GET", "B.example", "/get/1", other);
+  auto* t = x.match("GET", "B.example", "/get/1").route;
   expect(t && t->kind == config::RequestKind::safe && t->weighted_services.size() == 2 &&
-             t->weighted_services[0].first == "huvo" && t->weighted_services[0].second == 70,
+             t->weighted_services[0].service == "huvo" && t->weighted_services[0].weight == 70,
          "a split");
-  auto* p = x.match("POST", "a.example", "/post/1", other);
+  auto* p = x.match("POST", "a.example", "/post/1").route;
   expect(p && p->kind == config::RequestKind::unsafe && p->weighted_services.size() == 1,
          "a route that may run once");
-  expect(!x.match("GET", "c.example", "/get/1", other), "another host");
+  expect(!x.match("GET", "c.example", "/get/1").route, "another host");
   expect(x.services.at("huvo").rate == 590 && x.services.at("huvo").max_connections == 130 &&
              x.services.at("huvo").health_check_path == "/health",
          "a service");
--- a/test/unit/proxy/proxy_test.cpp
+++ b/test/unit/proxy/proxy_test.cpp
@@ -1,7 +1,6 @@
-// Budgets, trials, purges, cache lifetimes and headers.
+// Trials, purges, cache lifetimes and headers.
 #include "cache/cacheability.hpp"
 #include "control_api/purge_writer.hpp"
-#include "limits/budget.hpp"
 #include "proxy/canary_admission.hpp"
 #include "proxy/load_balancer.hpp"
 #include "proxy/protocol_adapter.hpp"
@@ -10,13 +9,6 @@
 
 namespace dunlinwing::test {
 namespace {
-struct DiskExecutor final : base::Clock {
-  TimePoint t{1000000};
-  TimePoint now() override { return t; }
-  int64_t wall_ms() override { return 0; }
-  void sleep(Duration) override {}
-};
-
 std::optional<int64_t> life(base::Headers headers) {
   base::Request request{"", "GET", "/x", "", {}};
   auto l = cache::response_lifetime(request, {200, std::move(headers), "b"});
@@ -27,73 +19,6 @@
 
 std::vector<Case> traffic_cases() {
   return {
-      property("budget: repeats stay within a fifth and the allowance in any ten seconds",
-               [] {
-                 DiskExecutor c;
-                 limits::RetryBudget r;
-                 std::vector<std::pair<TimePoint, bool>> all;
-                 for (int m : *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 1000))) {
-                   c.t += Duration(m % 200);
-                   if (m % 3) {
-                     r.record_request("s");
-                     all.push_back({c.t, false});
-                   } else if (r.try_acquire("s", 2)) {
-                     all.push_back({c.t, true});
-                   }
-                   size_t again = 0, sent = 0;
-                   for (auto& [t, a] : all)
-                     if (t > c.t - Duration(10000)) (a ? again : sent)++;
-                   RC_ASSERT(again <= sent / 5 + 2);
-                 }
-               }),
-      property("budget: the parts of all relays together are never more than the allowance",
-               [] {
-                 int allowance = *rc::gen::inRange(0, 200), nodes = *rc::gen::inRange(1, 129), sum = 0;
-                 for (int i = 0; i < nodes; ++i) sum += limits::retry_allowance_of_node(allowance, nodes, i);
-                 RC_ASSERT(sum <= allowance);
-                 RC_ASSERT(sum >= allowance * 3 / 4 - 1);
-               }),
-      {"budget: a process that starts has no repeats saved up",
-       [] {
-         limits::RetryBudget r;
-         for (int i = 0; i < 4; ++i) r.record_request("s");
-         expect(!r.try_acquire("s", 2), "four requests earned a repeat");
-         r.record_request("s");
-         r.record_request("s");
-         expect(r.try_acquire("s", 2) && !r.try_acquire("s", 2), "five requests earn one repeat");
-       }},
-      {"budget: a turn does not stand once it is missed or the share has fallen",
-       [] {
-         DiskExecutor c;
-         limits::RateLimiter p(c);
-         auto turn = [&](double share) {
-           return std::get<limits::RateReservation>(p.reserve("s", share, Duration(60000)));
-         };
-         auto a = turn(10);
-         expect(a.wait == Duration(100), "a new process waits a whole interval");
-         c.t += a.wait;
-         expect(p.is_valid(a, 10) && p.is_valid(a, 20) && !p.is_valid(a, 5), "a fallen share");
-         c.t += Duration(150);
-         expect(!p.is_valid(a, 10), "a missed turn");
-       }},
-      property("budget: a pace never lets a second hold more than its share and one",
-               [] {
-                 DiskExecutor c;
-                 limits::RateLimiter p(c);
-                 double share = *rc::gen::inRange(1, 50);
-                 std::vector<int64_t> at;
-                 for (int m : *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 100))) {
-                   c.t += Duration(m);
-                   auto r = p.reserve("s", share, Duration(500));
-                   if (auto* w = std::get_if<limits::RateReservation>(&r))
-                     at.push_back((c.t + w->wait).count());
-                 }
-                 std::sort(at.begin(), at.end());
-                 for (size_t i = 0, j = 0; i < at.size(); ++i) {
-                   while (at[j] <= at[i] - 1000) ++j;
-                   RC_ASSERT(static_cast<double>(i - j + 1) <= share + 2);
-                 }
-               }),
       property("trial: by count, never over its share, also at the first request",
                [] {
                  proxy::CanaryAdmission t;
--- a/test/unit/rollout/release_state_machine_test.cpp
+++ b/test/unit/rollout/release_state_machine_test.cpp
@@ -1,7 +1,6 @@
 // The rollout reducer on invented fleets: its order, its holds, its checks.
 #include "rollout/release_state_machine.hpp"
 
-#include "limits/rate_quotas.hpp"
 #include "rollout/version_rollout.hpp"
 #include "unit/unit_cases.hpp"
 
@@ -325,43 +324,6 @@
   same(state.current(), std::string("1"), "the version after the new one turned bad");
   expect(state.quarantined().count("2") == 1, "the bad one is in quarantine");
 }
-// Relays take what is written up to a bound late, each in its own time: at no
-// moment may what they use together exceed the rate.
-void shares_never_exceed() {
-  int64_t rate = *rc::gen::inRange(2, 200);
-  pb::RateQuotas quotas;
-  std::vector<std::pair<Duration, pb::RateQuotas>> written;
-  Duration now{0}, fell{0};
-  for (int m : *rc::gen::container<std::vector<int>>(80, rc::gen::inRange(0, 1000))) {
-    now += Duration(200 + m % 900);
-    limits::QuotaInput input;
-    input.rate = rate;
-    input.since_decrease = now - fell;
-    for (int i = 0; i < 6; ++i)
-      if ((m + i) % 7) input.demand[std::string(1, static_cast<char>('a' + i))] = (m * (i + 3)) % 50;
-    auto o = step(quotas, input);
-    if (o.decreased) fell = now;
-    if (o.decreased || o.increased) written.emplace_back(now, o.quotas);
-    quotas = o.quotas;
-    uint64_t sum = 0;
-    for (auto& [n, x] : input.demand) {
-      // Each relay uses some version no older than the bound, at worst for the sum.
-      uint32_t worst = 0;
-      for (size_t k = 0; k < written.size(); ++k) {
-        bool last_before = k + 1 == written.size() || written[k + 1].first > now - Duration(2000);
-        if (!last_before) continue;
-        auto f = written[k].second.milli_requests().find(n);
-        if (f != written[k].second.milli_requests().end()) worst = std::max(worst, f->second);
-      }
-      sum += worst;
-    }
-    RC_ASSERT(sum <= static_cast<uint64_t>(rate) * 1000);
-    auto n = static_cast<double>(quotas.milli_requests_size());
-    double all = 0;
-    for (auto& [k, x] : quotas.milli_requests()) all += x / 1000.0;
-    RC_ASSERT(all * 5 + n <= static_cast<double>(rate) * 5.5 + 1);
-  }
-}
 
 // Hundreds of releases have come and gone; the state of the rollout is no larger for it.
 void history_leaves_little() {
@@ -456,7 +418,6 @@
       {"rollout: a past release is withdrawn for older leaders", withdrawn_stays_past},
       {"moves: forerunners without workers are bounded", forerunners_are_bounded},
       property("rollout: order and holds under any history", any_history),
-      property("shares: relays together never exceed the rate, however late they hear", shares_never_exceed),
       {"moves: fifty bad answers on trial are the end", quarantine},
       {"moves: promotion on evidence, and back when it turns bad", promotion},
   };
--- a/test/unit/rollout/version_rollout_test.cpp
+++ b/test/unit/rollout/version_rollout_test.cpp
@@ -3,8 +3,8 @@
 
 #include <random>
 
-#include "canary/canary_analysis.hpp"
-#include "limits/budget.hpp"
+#include "canary/canary_statistics.hpp"
+#include "limits/retry_budget.hpp"
 #include "proxy/canary_admission.hpp"
 #include "unit/unit_cases.hpp"
 
@@ -111,44 +111,6 @@
     }
 }
 
-// Enough answers of the service don't outweigh a route's own poor ones, however few.
-void rare_route_speaks() {
-  canary::CanarySample seen;
-  seen.baseline = seen.warm_baseline = {{"busy", {1000, 0, 0, 10000}}, {"rare", {5, 0, 0, 50}}};
-  seen.canary = seen.warm_canary = {{"busy", {60, 0, 0, 600}}, {"rare", {3, 0, 0, 30}}};
-  same(canary::promotion_blocker(seen), std::string(), "three good answers on a rare route");
-  seen.canary["rare"] = seen.warm_canary["rare"] = {2, 1, 0, 30};
-  expect(!canary::promotion_blocker(seen).empty(),
-         "one poor answer of three on a rare route was passed over");
-  expect(canary::regression_after_switch(seen).empty(), "one poor answer ends a switch");
-  seen.canary["rare"] = seen.warm_canary["rare"] = {2, 0, 3, 90};
-  expect(!canary::regression_after_switch(seen).empty(),
-         "three slow answers on a rare route don't end a switch");
-  seen.canary["rare"] = {4, 1, 0, 50};
-  seen.warm_canary["rare"] = {3, 0, 0, 30};
-  expect(!canary::promotion_blocker(seen).empty(),
-         "a failure of a cold worker on a rare route was passed over");
-  seen.baseline["rare"] = seen.warm_baseline["rare"] = {300, 0, 0, 3000};
-  seen.canary["rare"] = seen.warm_canary["rare"] = {3, 0, 0, 30};
-  expect(!canary::promotion_blocker(seen).empty(), "a busy route was taken for a rare one");
-}
-
-// A poor answer or two among many are noise, and want some more answers, not thirty at any rate.
-void few_poor_are_noise() {
-  auto against = [](uint64_t good, uint64_t slow) {
-    canary::CanarySample seen;
-    seen.baseline = seen.warm_baseline = {{"r", {1000, 0, 10, 10000}}};
-    seen.canary = seen.warm_canary = {{"r", {good, 0, slow, good * 10}}};
-    return canary::promotion_blocker(seen);
-  };
-  expect(against(12, 0).empty(), "twelve clean answers: " + against(12, 0));
-  expect(!against(11, 0).empty(), "eleven clean answers are enough");
-  expect(!against(17, 1).empty(), "seventeen answers with a poor one are enough");
-  expect(against(18, 1).empty(), "eighteen answers with a poor one: " + against(18, 1));
-  expect(!against(24, 3).empty(), "three poor of twenty-four are taken for noise");
-  expect(against(25, 2).empty(), "twenty-five answers with two poor ones: " + against(25, 2));
-}
-
 // Each warm worker gets its turn once what had been saved is spent; a cold one gets none.
 void workers_in_turn() {
   proxy::RoutingSnapshot table;
@@ -200,36 +162,6 @@
   expect(b.now - from >= Duration(2500), "completed before all permits had turned over");
 }
 
-// In the switch a version that is bad under the whole load is noticed by a relay alone.
-void relay_goes_back() {
-  canary::CanaryAnalysis j;
-  pb::ServiceState state;
-  state.set_current("1");
-  rollout::start_canary(state, "2", Duration(14000), Duration(500));
-  state.set_switching(true);
-  pb::NodeStatus status;
-  status.mutable_version()->set_incarnation(1);
-  auto* x = status.add_version_counts();
-  x->set_service("s");
-  x->set_version("2");
-  auto* o = status.add_version_counts();
-  o->set_service("s");
-  o->set_version("1");
-  o->set_good(1000);
-  j.update({{"s", state}}, {{"r", status}}, 50);
-  expect(!j.is_aborted("s"), "it was given up without answers");
-  x->set_good(12);
-  x->set_bad(8);
-  j.update({{"s", state}}, {{"r", status}}, 50);
-  expect(j.is_aborted("s"), "eight of twenty bad were not plain");
-  proxy::RoutingSnapshot t;
-  t.service_states["s"] = state;
-  t.aborted_canaries = j.aborted();
-  proxy::finalize_snapshot(t);
-  auto v = proxy::eligible_versions({}, &t.service_states["s"]);
-  expect(v.open == std::vector<std::string>{"1"}, "it did not go back");
-}
-
 void any_version() {
   config::ServiceConfiguration svc;
   proxy::RoutingSnapshot t;
@@ -312,11 +244,8 @@
   return {
       {"moves: a good version is completed within its term", good_in_time},
       {"moves: rare routes don't hold a good version back", good_with_rare_routes},
-      {"moves: a rare route's poor answers are heard", rare_route_speaks},
-      {"moves: a few poor answers are noise", few_poor_are_noise},
       {"moves: too few new workers end in a roll-back", few_workers},
       {"moves: the switch lasts until nothing can reach the old version", switch_lasts},
-      {"moves: a relay goes back by itself in the switch", relay_goes_back},
       {"moves: a layout that names no version", any_version},
       property("moves: a version that fails is never promoted", bad([](Bench& b, double x) {
                  b.fails = {{"a", x}, {"b", x}, {"c", x}};
