--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -8,7 +8,7 @@
 #include <array>
 #include <cerrno>
 
-#include "net/peer.hpp"
+#include "net/address.hpp"
 
 namespace dunlinwing::net {
 namespace asio = boost::asio;
@@ -17,6 +17,12 @@
 namespace {
 // A peer behind a cut that acknowledges nothing is given up after this.
 constexpr int kUserTimeoutMs = 5000;
+// Whether nothing has come on a socket, and it is open.
+bool still_idle(int fd) {
+  char byte = 0;
+  return ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+}
+
 constexpr size_t kSpareBuffer = 16 << 10;  // a larger buffer is given back once it is empty
 }  // namespace
 
--- /dev/null
+++ b/src/net/http_server_connection.cpp
@@ -0,0 +1,317 @@
+// Beast does the parsing. What is ours: whole bodies within bounds, framing that Beast would let pass but
+// RFC 9112 forbids, and one write for a response.
+#include "net/http_server_connection.hpp"
+
+#include <fmt/format.h>
+
+#include <boost/beast/http.hpp>
+
+namespace dunlinwing::net {
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using Parser = http::request_parser<http::string_body>;
+
+namespace {
+constexpr Duration kLinger(1000);                // in which a client that was turned away may go on sending
+constexpr size_t kMostLinger = 1 << 20;          // and how many bytes
+constexpr size_t kBodyRoom = 32 << 10;           // bytes of a body read at once
+constexpr const char* kRetryAfterSeconds = "1";  // after which a body that found no room may be sent again
+
+std::atomic<size_t> reserved_body_bytes{0};  // of all requests in this process
+
+/// A request's share of what all bodies together may take.
+class BodyReservation {
+ public:
+  BodyReservation() = default;
+  BodyReservation(const BodyReservation&) = delete;
+  BodyReservation& operator=(const BodyReservation&) = delete;
+  ~BodyReservation() { reserved_body_bytes -= bytes_; }
+
+  /// @return false when all together would exceed `most`; the share stays as it was
+  [[nodiscard]] bool grow_to(size_t bytes, size_t most) {
+    if (bytes <= bytes_) return true;
+    const size_t added = bytes - bytes_;
+    if (reserved_body_bytes.fetch_add(added) + added > most) {
+      reserved_body_bytes -= added;
+      return false;
+    }
+    bytes_ = bytes;
+    return true;
+  }
+
+ private:
+  size_t bytes_ = 0;
+};
+
+/// Why a head is turned away: lengths that could be read in two ways, and a Host that is missing or doubled.
+template <class Head>
+std::optional<std::string> framing_error(const Head& head) {
+  const auto lengths = head.count(http::field::content_length);
+  const auto encodings = head.count(http::field::transfer_encoding);
+  if (lengths > 1) return "more than one Content-Length";
+  if (lengths > 0 && encodings > 0) return "both Content-Length and Transfer-Encoding";
+  if (encodings > 0 && head.version() < 11) return "Transfer-Encoding before HTTP/1.1";
+  if (head.version() >= 11 && head.count(http::field::host) != 1) return "exactly one Host is needed";
+  if (head.target().empty() || (head.target()[0] != '/' && head.target() != "*"))
+    return "the target must be a path";
+  return {};
+}
+
+template <class Head>
+void copy_head(const Head& head, base::Request& request) {
+  constexpr size_t kAddedHeaders = 8;  // that the proxy may add
+  request.method = std::string(head.method_string());
+  request.target = std::string(head.target());
+  request.headers.reserve(std::distance(head.begin(), head.end()) + kAddedHeaders);
+  for (const auto& field : head)
+    request.headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
+}
+
+/// Headers about the connection or the framing, which the server states itself.
+bool is_of_connection(std::string_view name) {
+  for (const char* own : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length"})
+    if (base::equals_ignore_case(name, own)) return true;
+  return false;
+}
+
+int status_of(ErrorCode parse_error) {
+  if (parse_error == http::error::body_limit) return 413;
+  if (parse_error == http::error::header_limit) return 431;
+  return 400;
+}
+
+bool is_without_body(int status) { return status == 204 || status == 304 || status / 100 == 1; }
+
+/// What of a request its response depends on.
+struct ResponseContext {
+  bool to_head = false;   ///< the request's method is HEAD
+  unsigned version = 11;  ///< of HTTP, 10 or 11
+  bool keep_alive = false;
+};
+
+void append_header(std::string& head, std::string_view name, std::string_view value) {
+  head.append(name).append(": ").append(value).append("\r\n");
+}
+
+void append_content_length(std::string& head, const base::Response& response, bool to_head) {
+  const bool without_body = is_without_body(response.status);
+  const auto stated =
+      to_head || response.status == 304 ? base::header(response.headers, "Content-Length") : std::string();
+  if (!stated.empty())
+    append_header(head, "Content-Length", stated);
+  else if (!without_body && !(to_head && response.body.empty()))  // a HEAD's response has no length by itself
+    append_header(head, "Content-Length", fmt::format_int(response.body.size()).c_str());
+}
+
+std::string response_head(const base::Response& response, const ResponseContext& context,
+                          const HttpLimits& limits) {
+  constexpr size_t kOwnHeaders = 128;  // bytes
+  size_t bytes = kOwnHeaders;
+  for (const auto& [name, value] : response.headers) bytes += name.size() + value.size() + 4;
+  std::string head;
+  head.reserve(bytes);
+  const auto reason = http::obsolete_reason(static_cast<http::status>(response.status));
+  fmt::format_to(std::back_inserter(head), "HTTP/1.1 {} {}\r\n", response.status,
+                 std::string_view(reason.data(), reason.size()));
+  for (const auto& [name, value] : response.headers)
+    if (!is_of_connection(name)) append_header(head, name, value);
+  append_content_length(head, response, context.to_head);
+  if (!context.keep_alive)
+    append_header(head, "Connection", "close");
+  else if (context.version < 11)
+    append_header(head, "Connection", "keep-alive");
+  if (context.keep_alive && limits.advertise_idle && limits.idle_timeout >= Duration(1000))
+    append_header(head, "Keep-Alive", fmt::format("timeout={}", limits.idle_timeout.count() / 1000));
+  return head += "\r\n";
+}
+}  // namespace
+
+TimePoint steady_now() {
+  return std::chrono::duration_cast<TimePoint>(std::chrono::steady_clock::now().time_since_epoch());
+}
+
+/// A request while it is read.
+struct HttpServerConnection::IncomingRequest {
+  std::shared_ptr<const HttpLimits> limits;  ///< as they were when it was awaited
+  Parser parser;
+  base::Request request;
+  BodyReservation reservation;
+  bool has_head = false;
+  bool ended_as_idle = false;  ///< but bytes of a request had been read already
+
+  explicit IncomingRequest(std::shared_ptr<const HttpLimits> current) : limits(std::move(current)) {
+    parser.eager(true);
+    parser.header_limit(static_cast<uint32_t>(std::min<size_t>(limits->head_bytes, UINT32_MAX)));
+    parser.body_limit(limits->body_bytes);
+  }
+};
+
+HttpServerConnection::HttpServerConnection(Connection::Socket socket, HttpServerState& server)
+    : connection_(std::make_shared<Connection>(std::move(socket))), server_(server) {}
+
+void HttpServerConnection::enter(State state) {
+  state_ = state;
+  state_since_ = steady_now();
+}
+
+bool HttpServerConnection::is_at_rest() const {
+  return state_ == State::idle && connection_->is_idle_in_system();
+}
+
+Duration HttpServerConnection::time_limit(const HttpLimits& limits) const {
+  switch (state_) {
+    case State::idle:
+      return std::max(limits.idle_timeout, idle_limit_);
+    case State::reading_head:
+      return limits.head_timeout;
+    case State::reading_body:
+      return limits.body_timeout;
+    case State::writing:
+      return limits.write_timeout;
+    case State::lingering:
+      return kLinger;
+    case State::handling:
+      break;
+  }
+  return Duration::max();
+}
+
+void HttpServerConnection::end_if_overdue(const HttpLimits& limits, TimePoint now) {
+  if (now - state_since_ < time_limit(limits) || connection_->is_interrupted()) return;
+  const bool awaits_bytes = state_ != State::writing;
+  if (awaits_bytes && !connection_->is_reading()) return;  // they have come, and count
+  if (state_ == State::idle && !is_at_rest()) return;
+  overdue_ = state_ == State::reading_head || state_ == State::reading_body;
+  connection_->interrupt();
+}
+
+void HttpServerConnection::serve() {
+  while (!server_.closing && serve_request()) {
+  }
+  connection_->close();
+}
+
+// One request and its response; false when the connection is to end.
+bool HttpServerConnection::serve_request() {
+  enter(connection_->buffered().empty() ? State::idle : State::reading_head);
+  IncomingRequest incoming(server_.limits.load());
+  idle_limit_ = incoming.limits->idle_timeout;
+  return read_request(incoming) && respond(incoming);
+}
+
+bool HttpServerConnection::read_request(IncomingRequest& incoming) {
+  for (;;) {
+    if (!parse_buffered(incoming)) return false;
+    if (incoming.has_head &&
+        !incoming.reservation.grow_to(incoming.parser.get().body().size(), incoming.limits->all_bodies_bytes))
+      return refuse(503, "too many bodies at once");
+    if (incoming.parser.is_done()) return true;
+    if (!read_more(incoming)) return false;
+  }
+}
+
+// Parses what has been read so far; false when the connection is to end.
+bool HttpServerConnection::parse_buffered(IncomingRequest& incoming) {
+  Parser& parser = incoming.parser;
+  while (!parser.is_done() && !connection_->buffered().empty()) {
+    const auto bytes = connection_->buffered();
+    if (!incoming.has_head) parser.eager(false);
+    ErrorCode error;
+    connection_->consume(parser.put(asio::buffer(bytes.data(), bytes.size()), error));
+    if (error == http::error::need_more) {
+      if (connection_->buffered().size() == bytes.size()) break;
+    } else if (error) {
+      return refuse(status_of(error), error.message());
+    }
+    if (!incoming.has_head && parser.is_header_done() && !accept_head(incoming)) return false;
+  }
+  return true;
+}
+
+// Checks a head that has just been read; false when the connection is to end.
+bool HttpServerConnection::accept_head(IncomingRequest& incoming) {
+  Parser& parser = incoming.parser;
+  const auto& head = parser.get();
+  incoming.has_head = true;
+  parser.eager(true);
+  enter(State::reading_body);
+  if (const auto error = framing_error(head)) return refuse(400, *error);
+  const auto length = parser.content_length();
+  if (length && *length > incoming.limits->body_bytes) return refuse(413, "body limit exceeded");
+  if (length && !incoming.reservation.grow_to(*length, incoming.limits->all_bodies_bytes))
+    return refuse(503, "too many bodies at once");
+  copy_head(head, incoming.request);  // before any trailer
+  const bool expects_continue =
+      !parser.is_done() && head.version() >= 11 &&
+      base::equals_ignore_case(std::string_view(head[http::field::expect]), "100-continue");
+  return !expects_continue || !connection_->write("HTTP/1.1 100 Continue\r\n\r\n");
+}
+
+// Waits for bytes; false when the connection is to end.
+bool HttpServerConnection::read_more(IncomingRequest& incoming) {
+  const bool awaits_first = connection_->buffered().empty() && !incoming.has_head && state_ == State::idle;
+  const ErrorCode error = connection_->read_more(incoming.has_head ? kBodyRoom : Connection::kReadSize);
+  if (error && overdue_) return refuse(408, "the request did not come in time");
+  if (error) return false;
+  if (awaits_first) {
+    enter(State::reading_head);
+    // The bytes may lie in our own buffer while the reactor has yet to tell that they came.
+    incoming.ended_as_idle = connection_->is_interrupted();
+    connection_->clear_interrupt();
+  }
+  return true;
+}
+
+// Has a request handled and writes the response; false when the connection is to end.
+bool HttpServerConnection::respond(IncomingRequest& incoming) {
+  auto message = incoming.parser.release();
+  incoming.request.body = std::move(message.body());
+  state_ = State::handling;
+  struct Running {
+    std::atomic<int>& count;
+    explicit Running(std::atomic<int>& running) : count(running) { ++count; }
+    ~Running() { --count; }
+  } running(server_.running_requests);
+  const base::Response response = server_.handler(incoming.request);
+  const ResponseContext context{message.method() == http::verb::head, message.version(),
+                                message.keep_alive() && !server_.closing && !server_.draining &&
+                                    !server_.crowded && !incoming.ended_as_idle};
+  const std::string head = response_head(response, context, *server_.limits.load());
+  if (!write_response(response, head, context.to_head)) return false;
+  // Closing with bytes unread would take the response back.
+  if (!context.keep_alive && !connection_->buffered().empty()) linger();
+  return context.keep_alive;
+}
+
+bool HttpServerConnection::write_response(const base::Response& response, const std::string& head,
+                                          bool without_body) {
+  enter(State::writing);
+  const bool no_body = without_body || is_without_body(response.status);
+  return !connection_->write(head, no_body ? std::string_view() : response.body,
+                             [this] { state_since_ = steady_now(); });
+}
+
+// Answers what was not understood. The connection ends, but not before the client could read why: always
+// false.
+bool HttpServerConnection::refuse(int status, const std::string& error) {
+  base::Response response{
+      status, {{"Content-Type", "application/json"}}, fmt::format("{{\"defect\":\"{}\"}}\n", error)};
+  if (status == 503) response.headers.emplace_back("Retry-After", kRetryAfterSeconds);
+  connection_->clear_interrupt();
+  if (write_response(response, response_head(response, {}, *server_.limits.load()), false)) linger();
+  return false;
+}
+
+void HttpServerConnection::linger() {
+  enter(State::lingering);
+  connection_->shutdown_send();
+  size_t dropped = connection_->buffered().size();
+  connection_->consume(dropped);
+  while (dropped < kMostLinger && !connection_->read_more(kBodyRoom)) {
+    const size_t bytes = connection_->buffered().size();
+    dropped += bytes;
+    connection_->consume(bytes);
+  }
+}
+
+}  // namespace dunlinwing::net
--- /dev/null
+++ b/src/net/listen.hpp
@@ -0,0 +1,19 @@
+/// @file
+/// Listening sockets.
+#pragma once
+#include <boost/asio/ip/tcp.hpp>
+#include <memory>
+#include <string>
+#include <variant>
+
+namespace dunlinwing::net {
+
+using Acceptor = boost::asio::ip::tcp::acceptor;
+
+/// Opens a socket that listens on an address; the address may have been in use a moment ago.
+/// @param address  IP:port
+/// @return the socket, or why the address can't be had
+[[nodiscard]] std::variant<std::shared_ptr<Acceptor>, std::string> listen_on(boost::asio::io_context& io,
+                                                                             const std::string& address);
+
+}  // namespace dunlinwing::net
--- /dev/null
+++ b/src/net/peer_client.cpp
@@ -0,0 +1,72 @@
+#include "net/peer_client.hpp"
+
+#include <atomic>
+
+#include "net/peer_connections.hpp"
+#include "net/peer_frame.hpp"
+
+namespace dunlinwing::net {
+namespace {
+using SteadyClock = std::chrono::steady_clock;
+
+// Of the calls of this process: no number is used twice, on whichever connection.
+uint64_t next_request_id() {
+  static std::atomic<uint64_t> last{0};
+  return ++last;
+}
+
+/// How a call went on one connection.
+struct Exchange {
+  pb::PeerResponse response;
+  ErrorCode error;
+  bool sent = false;
+  bool answers_other = false;  ///< the response names another call
+};
+
+Exchange exchange(const std::shared_ptr<Connection>& connection, const pb::PeerRequest& request,
+                  SteadyClock::time_point end) {
+  Timer timeout;
+  timeout.set(end, [connection] { connection->interrupt(); });
+  pb::PeerRequest number;
+  number.set_request_id(next_request_id());
+  Exchange result;
+  result.error = write_frame(*connection, request, &number);
+  result.sent = !result.error;
+  if (result.sent) result.error = read_frame(*connection, result.response);
+  // 0: an older process, which repeats none.
+  result.answers_other =
+      result.response.request_id() != 0 && result.response.request_id() != number.request_id();
+  return result;
+}
+
+base::PeerError error_of(const Exchange& exchange, bool timed_out) {
+  if (!exchange.error) return base::PeerError::malformed;
+  if (exchange.sent && timed_out) return base::PeerError::timed_out;
+  if (exchange.error == boost::system::errc::bad_message) return base::PeerError::malformed;
+  return base::PeerError::broken;
+}
+}  // namespace
+
+std::variant<pb::PeerResponse, base::PeerError> PeerClient::call(const std::string& address,
+                                                                 const pb::PeerRequest& request,
+                                                                 Duration limit) {
+  const auto end = SteadyClock::now() + limit;
+  PeerConnections& connections = peer_connections();
+  auto [connection, reused] = connections.borrow(address, end, max_connections_);
+  if (!connection) return base::PeerError::unreachable;
+  auto result = exchange(connection, request, end);
+  const bool bytes_left = !connection->buffered().empty();
+  if (!result.error && !result.answers_other && !bytes_left) {
+    connections.give_back(address, std::move(connection), max_connections_);
+    return std::move(result.response);
+  }
+  const bool timed_out = connection->is_interrupted();
+  connections.discard(address, connection, max_connections_);
+  // An idle connection may have been ended for room just now. Calls may come twice, but for forwarded
+  // requests.
+  if (result.error && reused && !timed_out && !bytes_left && !request.has_forward())
+    return call(address, request, std::chrono::duration_cast<Duration>(end - SteadyClock::now()));
+  return error_of(result, timed_out);
+}
+
+}  // namespace dunlinwing::net
--- /dev/null
+++ b/src/net/peer_client.hpp
@@ -0,0 +1,28 @@
+/// @file
+/// Calls to other nodes over TCP. A call and its response use one connection at a time; idle connections are
+/// pooled per thread (net/peer_connections.hpp).
+///
+/// Invariants: each call has a number, which its response repeats. A connection whose call did not end well
+/// is reset, so no response can be taken for another call's, and no call is delivered after it was given up.
+/// Threads: call() from any fiber of an event loop.
+#pragma once
+#include "net/event_loop.hpp"
+
+namespace dunlinwing::net {
+
+class PeerClient final : public base::PeerTransport {
+ public:
+  static constexpr size_t kDefaultMaxConnections = 4096;
+
+  /// @param max_connections  to other nodes, open at once for each thread that calls
+  explicit PeerClient(size_t max_connections = kDefaultMaxConnections) : max_connections_(max_connections) {}
+
+  std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
+                                                       const pb::PeerRequest& request,
+                                                       Duration limit) override;
+
+ private:
+  size_t max_connections_;
+};
+
+}  // namespace dunlinwing::net
--- /dev/null
+++ b/src/net/peer_server.hpp
@@ -0,0 +1,23 @@
+/// @file
+/// Answers the calls of other nodes.
+///
+/// Threads: connections are accepted and served on thread 0.
+#pragma once
+#include "net/event_loop.hpp"
+
+namespace dunlinwing::net {
+
+/// Answers a call; may suspend the calling fiber.
+using PeerHandler = std::function<pb::PeerResponse(const pb::PeerRequest&)>;
+
+inline constexpr size_t kDefaultMaxPeerConnections = 4096;
+
+/// Listens for other nodes until the process ends.
+/// @param address          IP:port
+/// @param max_connections  beyond them those that are idle longest end
+/// @return why the address can't be had
+[[nodiscard]] std::optional<std::string> serve_peers(EventLoopPool& pool, const std::string& address,
+                                                     PeerHandler handler,
+                                                     size_t max_connections = kDefaultMaxPeerConnections);
+
+}  // namespace dunlinwing::net
--- a/src/node/application.hpp
+++ b/src/node/application.hpp
@@ -7,7 +7,7 @@
 #pragma once
 #include "control_api/router.hpp"
 #include "net/http.hpp"
-#include "net/peer.hpp"
+#include "net/peer_client.hpp"
 #include "node/listeners.hpp"
 #include "node/settings_reloader.hpp"
 #include "node/shutdown_sequence.hpp"
--- a/src/node/listeners.hpp
+++ b/src/node/listeners.hpp
@@ -5,7 +5,7 @@
 /// Threads: start() before the event loops run; the other functions on the control thread.
 #pragma once
 #include "net/http_server.hpp"
-#include "net/peer.hpp"
+#include "net/peer_server.hpp"
 #include "node/settings.hpp"
 #include "node/socket_budget.hpp"
 
--- a/test/fleet/fleet_test.cpp
+++ b/test/fleet/fleet_test.cpp
@@ -12,7 +12,7 @@
 #include <filesystem>
 
 #include "checker/checker.hpp"
-#include "net/peer.hpp"
+#include "net/address.hpp"
 #include "support/expect.hpp"
 
 DEFINE_string(bin, ".", "where the programs are");
--- a/test/fleet/links.cpp
+++ b/test/fleet/links.cpp
@@ -6,7 +6,7 @@
 #include <boost/asio/write.hpp>
 
 #include "base/log.hpp"
-#include "net/peer.hpp"
+#include "net/address.hpp"
 
 namespace dunlinwing::test {
 namespace asio = boost::asio;
--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -9,7 +9,8 @@
 #include <future>
 #include <thread>
 
-#include "net/peer.hpp"
+#include "net/peer_client.hpp"
+#include "net/peer_server.hpp"
 #include "steady.hpp"
 
 namespace dunlinwing::measure {
--- a/test/net/compatibility_test.cpp
+++ b/test/net/compatibility_test.cpp
@@ -7,7 +7,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "net/peer.hpp"
+#include "net/peer_client.hpp"
+#include "net/peer_server.hpp"
 #include "support/scripted_peer.hpp"
 
 namespace dunlinwing::test {
--- a/test/net/main.cpp
+++ b/test/net/main.cpp
@@ -7,7 +7,7 @@
 #include <csignal>
 
 #include "net/net_cases.hpp"
-#include "net/peer.hpp"
+#include "net/peer_client.hpp"
 
 using namespace dunlinwing;
 using namespace std::chrono_literals;
--- a/test/net/node_under_test.hpp
+++ b/test/net/node_under_test.hpp
@@ -1,7 +1,7 @@
 // One relay's way of a request, over real connections, in the platform's words.
 #pragma once
 #include "net/net_cases.hpp"
-#include "net/peer.hpp"
+#include "net/peer_client.hpp"
 #include "platform/protocol_adapter.hpp"
 #include "proxy/request_handler.hpp"
 
--- a/test/net/peer_test.cpp
+++ b/test/net/peer_test.cpp
@@ -1,8 +1,8 @@
 // Asks between relays when the other side fails at every byte, answers twice, out of
 // turn or late, and when connections are reset under asks that wait.
-#include "net/peer.hpp"
-
+#include "net/peer_client.hpp"
 #include "net/peer_connections.hpp"
+#include "net/peer_server.hpp"
 #include "support/scripted_peer.hpp"
 
 namespace dunlinwing::test {
