--- a/src/simulation/ports.hpp
+++ b/src/simulation/ports.hpp
@@ -79,7 +79,7 @@
   bool replace(const std::string& n, const std::string& b) override;
   bool append(const std::string& n, const std::string& b) override;
   bool sync_folder() override { return !contents_.failing; }
-  std::string place() const override { return "memory"; }
+  std::string location() const override { return "memory"; }
   size_t remaining_bytes = std::string::npos;  // bytes that still reach the platter
 
  private:
--- a/src/storage/artifact_files.cpp
+++ b/src/storage/artifact_files.cpp
@@ -1,4 +1,3 @@
-// A part is a file with ".part" to its name; it loses that when it is whole.
 #include "storage/artifact_files.hpp"
 
 #include <fcntl.h>
@@ -7,113 +6,122 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
+#include <array>
 #include <cstdio>
 
+#include "storage/file_descriptor.hpp"
+
 namespace dunlinwing::storage {
 namespace {
-struct Fd {
-  int n;
-  ~Fd() {
-    if (n >= 0) ::close(n);
-  }
-};
-std::optional<uint64_t> size_of(const std::string& p) {
-  struct stat st {};
-  if (::stat(p.c_str(), &st) != 0) return {};
-  return static_cast<uint64_t>(st.st_size);
+
+constexpr mode_t kFileMode = 0640;
+constexpr size_t kReadBytes = 1 << 16;  // at once
+
+FileDescriptor open_to_read(const std::string& path) {
+  return FileDescriptor(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
 }
 
-// What is there is told by a file's length, so bytes that may not be synced must not stay:
-// the next look would take them for kept.
-std::nullopt_t begin_again(const std::string& path) {
+std::optional<uint64_t> size_of(const std::string& path) {
+  struct stat status {};
+  if (::stat(path.c_str(), &status) != 0) return {};
+  return static_cast<uint64_t>(status.st_size);
+}
+
+// The length of a file tells what is stored, so bytes that may not be synced must not stay: the next look
+// would count them.
+std::nullopt_t discard(const std::string& path) {
   ::unlink(path.c_str());
   return std::nullopt;
 }
+
+bool write_at(const FileDescriptor& file, std::string_view bytes, uint64_t offset) {
+  while (!bytes.empty()) {
+    const auto count = ::pwrite(file.get(), bytes.data(), bytes.size(), static_cast<off_t>(offset));
+    if (count <= 0) return false;
+    bytes.remove_prefix(static_cast<size_t>(count));
+    offset += static_cast<uint64_t>(count);
+  }
+  return true;
+}
+
 }  // namespace
 
-bool sync_dir(const std::string& dir) {
-  Fd d{::open(dir.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
-  return d.n >= 0 && ::fsync(d.n) == 0;
+bool sync_dir(const std::string& folder) {
+  const FileDescriptor opened(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  return opened.is_open() && ::fsync(opened.get()) == 0;
 }
 
-std::optional<std::string> sha256_hex_of(const std::string& p) {
-  Fd f{::open(p.c_str(), O_RDONLY | O_CLOEXEC)};
-  if (f.n < 0) return {};
-  std::unique_ptr<EVP_MD_CTX, void (*)(EVP_MD_CTX*)> c(EVP_MD_CTX_new(), EVP_MD_CTX_free);
-  EVP_DigestInit_ex(c.get(), EVP_sha256(), nullptr);
-  char b[1 << 16];
-  ssize_t n;
-  while ((n = ::read(f.n, b, sizeof b)) > 0) EVP_DigestUpdate(c.get(), b, static_cast<size_t>(n));
-  if (n < 0) return {};
-  unsigned char d[EVP_MAX_MD_SIZE];
-  unsigned int k = 0;
-  EVP_DigestFinal_ex(c.get(), d, &k);
-  std::string out;
-  for (unsigned int i = 0; i < k; ++i) out += fmt::format("{:02x}", d[i]);
-  return out;
+std::optional<std::string> sha256_hex_of(const std::string& path) {
+  const auto file = open_to_read(path);
+  if (!file.is_open()) return {};
+  const std::unique_ptr<EVP_MD_CTX, void (*)(EVP_MD_CTX*)> context(EVP_MD_CTX_new(), EVP_MD_CTX_free);
+  EVP_DigestInit_ex(context.get(), EVP_sha256(), nullptr);
+  std::array<char, kReadBytes> buffer;
+  ssize_t count = 0;
+  while ((count = ::read(file.get(), buffer.data(), buffer.size())) > 0)
+    EVP_DigestUpdate(context.get(), buffer.data(), static_cast<size_t>(count));
+  if (count < 0) return {};
+  std::array<unsigned char, EVP_MAX_MD_SIZE> digest;
+  unsigned int digest_bytes = 0;
+  EVP_DigestFinal_ex(context.get(), digest.data(), &digest_bytes);
+  std::string digits;
+  for (unsigned int i = 0; i < digest_bytes; ++i) digits += fmt::format("{:02x}", digest[i]);
+  return digits;
 }
 
-std::optional<std::string> read_small(const std::string& p) {
-  Fd f{::open(p.c_str(), O_RDONLY | O_CLOEXEC)};
-  if (f.n < 0) return {};
-  std::string out;
-  char b[4096];
-  ssize_t n;
-  while ((n = ::read(f.n, b, sizeof b)) > 0) out.append(b, static_cast<size_t>(n));
-  return out;
+std::optional<std::string> read_small(const std::string& path) {
+  const auto file = open_to_read(path);
+  if (!file.is_open()) return {};
+  std::string bytes;
+  read_all(file, bytes);
+  return bytes;
 }
 
-bool write_synced(const std::string& p, const std::string& bytes) {
-  auto t = p + ".new";
+bool write_synced(const std::string& path, const std::string& bytes) {
+  const auto new_path = path + ".new";
   {
-    Fd f{::open(t.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640)};
-    if (f.n < 0 || ::write(f.n, bytes.data(), bytes.size()) != static_cast<ssize_t>(bytes.size()) ||
-        ::fsync(f.n) != 0)
-      return false;
+    const FileDescriptor file(::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
+    if (!file.is_open() || !write_all(file, bytes) || ::fsync(file.get()) != 0) return false;
   }
-  return ::rename(t.c_str(), p.c_str()) == 0 && sync_dir(p.substr(0, p.rfind('/')));
+  return ::rename(new_path.c_str(), path.c_str()) == 0 && sync_dir(path.substr(0, path.rfind('/')));
 }
 
-std::string ArtifactFiles::path(const std::string& sha) const { return dir_ + "/artifact." + sha; }
+std::string ArtifactFiles::path(const std::string& sha256) const { return folder_ + "/artifact." + sha256; }
+
+std::string ArtifactFiles::incomplete_path(const std::string& sha256) const { return path(sha256) + ".part"; }
 
-ArtifactProgress ArtifactFiles::progress(const std::string& sha) const {
-  if (auto n = size_of(path(sha))) return {*n, true};
-  return {size_of(path(sha) + ".part").value_or(0), false};
+ArtifactProgress ArtifactFiles::progress(const std::string& sha256) const {
+  if (const auto bytes = size_of(path(sha256))) return {*bytes, true};
+  return {size_of(incomplete_path(sha256)).value_or(0), false};
 }
 
-std::optional<ArtifactProgress> ArtifactFiles::append(const std::string& sha, uint64_t offset,
+std::optional<ArtifactProgress> ArtifactFiles::append(const std::string& sha256, uint64_t offset,
                                                       const std::string& data, uint64_t total) {
-  auto k = progress(sha);
-  if (k.complete || offset + data.size() <= k.bytes) return k;
-  if (offset > k.bytes || offset + data.size() > total) return {};
-  auto part = path(sha) + ".part";
+  const auto stored = progress(sha256);
+  const uint64_t end = offset + data.size();
+  if (stored.complete || end <= stored.bytes) return stored;
+  if (offset > stored.bytes || end > total) return {};
+  const auto incomplete = incomplete_path(sha256);
   {
-    Fd f{::open(part.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0640)};
-    if (f.n < 0) return {};
-    size_t skip = k.bytes - offset, at = 0;
-    while (skip + at < data.size()) {
-      auto n =
-          ::pwrite(f.n, data.data() + skip + at, data.size() - skip - at, static_cast<off_t>(k.bytes + at));
-      if (n <= 0) return begin_again(part);
-      at += static_cast<size_t>(n);
-    }
-    if (::fsync(f.n) != 0) return begin_again(part);
+    const FileDescriptor file(::open(incomplete.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, kFileMode));
+    if (!file.is_open()) return {};
+    const auto missing = std::string_view(data).substr(stored.bytes - offset);
+    if (!write_at(file, missing, stored.bytes) || ::fsync(file.get()) != 0) return discard(incomplete);
   }
-  k.bytes = offset + data.size();
-  if (k.bytes < total) return k;
-  if (sha256_hex_of(part) != sha) return begin_again(part);
-  if (::rename(part.c_str(), path(sha).c_str()) != 0) return {};
-  if (!sync_dir(dir_)) return begin_again(path(sha));
-  return ArtifactProgress{k.bytes, true};
+  if (end < total) return ArtifactProgress{end, false};
+  if (sha256_hex_of(incomplete) != sha256) return discard(incomplete);
+  if (::rename(incomplete.c_str(), path(sha256).c_str()) != 0) return {};
+  if (!sync_dir(folder_)) return discard(path(sha256));
+  return ArtifactProgress{end, true};
 }
 
-std::string ArtifactFiles::read(const std::string& sha, uint64_t offset, uint32_t bytes) const {
-  auto k = progress(sha);
-  Fd f{::open((k.complete ? path(sha) : path(sha) + ".part").c_str(), O_RDONLY | O_CLOEXEC)};
-  if (f.n < 0 || offset >= k.bytes) return {};
-  std::string out(std::min<uint64_t>(bytes, k.bytes - offset), '\0');
-  auto n = ::pread(f.n, out.data(), out.size(), static_cast<off_t>(offset));
-  out.resize(n > 0 ? static_cast<size_t>(n) : 0);
+std::string ArtifactFiles::read(const std::string& sha256, uint64_t offset, uint32_t bytes) const {
+  const auto stored = progress(sha256);
+  const auto file = open_to_read(stored.complete ? path(sha256) : incomplete_path(sha256));
+  if (!file.is_open() || offset >= stored.bytes) return {};
+  std::string out(std::min<uint64_t>(bytes, stored.bytes - offset), '\0');
+  const auto count = ::pread(file.get(), out.data(), out.size(), static_cast<off_t>(offset));
+  out.resize(count > 0 ? static_cast<size_t>(count) : 0);
   return out;
 }
 
--- a/src/storage/async_disk.hpp
+++ b/src/storage/async_disk.hpp
@@ -1,4 +1,7 @@
-// A disk behind a hand of its own.
+/// @file
+/// A disk whose writes run on a thread of their own, so that they suspend a fiber and block no event loop.
+///
+/// Threads: as base::Disk; the disk behind it is used by the executor's thread after load().
 #pragma once
 #include "storage/disk_executor.hpp"
 
@@ -6,24 +9,30 @@
 
 class AsyncDisk final : public base::Disk {
  public:
-  AsyncDisk(std::unique_ptr<base::Disk> d, base::Tasks& tasks) : d_(std::move(d)), hand_(tasks) {}
-  base::LoadedSnapshot load() override { return d_->load(); }  // blocks; called before the pool runs
-  // The image is made on the caller's thread, since tables belong to the caller.
+  AsyncDisk(std::unique_ptr<base::Disk> disk, base::Tasks& tasks)
+      : disk_(std::move(disk)), executor_(tasks) {}
+
+  /// Blocks; called before the event loops run.
+  base::LoadedSnapshot load() override { return disk_->load(); }
+
+  /// The snapshot is made on the caller's thread, to which the state belongs.
   std::optional<base::DiskError> save(const std::vector<pb::LogRecord>& records,
-                                      const std::function<pb::Snapshot()>& whole) override {
-    std::optional<base::DiskError> r;
-    hand_.run([&, image = whole()] { r = d_->save(records, [&] { return image; }); });
-    return r;
+                                      const std::function<pb::Snapshot()>& make_snapshot) override {
+    std::optional<base::DiskError> error;
+    executor_.run(
+        [&, snapshot = make_snapshot()] { error = disk_->save(records, [&] { return snapshot; }); });
+    return error;
   }
-  std::optional<base::DiskError> rewrite(const pb::Snapshot& whole) override {
+
+  std::optional<base::DiskError> rewrite(const pb::Snapshot& snapshot) override {
     std::optional<base::DiskError> error;
-    hand_.run([&] { error = d_->rewrite(whole); });
+    executor_.run([&] { error = disk_->rewrite(snapshot); });
     return error;
   }
 
  private:
-  std::unique_ptr<base::Disk> d_;
-  DiskExecutor hand_;
+  std::unique_ptr<base::Disk> disk_;
+  DiskExecutor executor_;
 };
 
 }  // namespace dunlinwing::storage
--- a/src/storage/disk_executor.cpp
+++ b/src/storage/disk_executor.cpp
@@ -1,4 +1,3 @@
-// One thread, one job at a time, in the order in which they came.
 #include "storage/disk_executor.hpp"
 
 #include <condition_variable>
@@ -8,64 +7,70 @@
 
 namespace dunlinwing::storage {
 namespace {
+
+// A wait needs some limit; a job may take longer, and then the next wait begins.
+constexpr Duration kWaitAtOnce = std::chrono::hours(1);
+
 struct Job {
-  std::function<void()> f;
-  std::shared_ptr<base::Condition> condition;
-  bool done = false;
+  std::function<void()> function;
+  std::shared_ptr<base::Condition> condition;  ///< notified when it is done
+  bool done = false;                           ///< under the executor's mutex
 };
+
 }  // namespace
 
 struct DiskExecutor::Impl {
   base::Tasks& tasks;
   std::mutex mutex;
-  std::condition_variable cv;
-  std::deque<std::shared_ptr<Job>> jobs;
-  bool stop = false;
-  std::thread t;
+  std::condition_variable changed;        ///< of `jobs` or `stopping`
+  std::deque<std::shared_ptr<Job>> jobs;  ///< not begun yet; under the mutex
+  bool stopping = false;                  ///< under the mutex
+  std::thread thread;
+
+  explicit Impl(base::Tasks& tasks_port) : tasks(tasks_port) {}
 
-  explicit Impl(base::Tasks& ts) : tasks(ts) {}
   void work() {
     std::unique_lock lock(mutex);
     for (;;) {
-      cv.wait(lock, [&] { return stop || !jobs.empty(); });
-      if (stop) return;
-      auto j = jobs.front();
+      changed.wait(lock, [&] { return stopping || !jobs.empty(); });
+      if (stopping) return;
+      auto job = jobs.front();
       jobs.pop_front();
       lock.unlock();
-      j->f();
+      job->function();
       lock.lock();
-      j->done = true;
-      j->condition->notify();
+      job->done = true;
+      job->condition->notify();
     }
   }
 };
 
 DiskExecutor::DiskExecutor(base::Tasks& tasks) : impl_(std::make_unique<Impl>(tasks)) {
-  impl_->t = std::thread([this] { impl_->work(); });
+  impl_->thread = std::thread([this] { impl_->work(); });
 }
 
 DiskExecutor::~DiskExecutor() {
   {
     std::lock_guard lock(impl_->mutex);
-    impl_->stop = true;
+    impl_->stopping = true;
   }
-  impl_->cv.notify_all();
-  impl_->t.join();
+  impl_->changed.notify_all();
+  impl_->thread.join();
 }
 
-void DiskExecutor::run(std::function<void()> f) {
-  auto j = std::make_shared<Job>();
-  j->f = std::move(f);
-  j->condition = impl_->tasks.condition();
+void DiskExecutor::run(std::function<void()> function) {
+  auto job = std::make_shared<Job>();
+  job->function = std::move(function);
+  job->condition = impl_->tasks.condition();
   {
     std::lock_guard lock(impl_->mutex);
-    impl_->jobs.push_back(j);
+    impl_->jobs.push_back(job);
   }
-  impl_->cv.notify_one();
+  impl_->changed.notify_one();
   for (;;) {
-    j->condition->wait(Duration(3600000));
+    job->condition->wait(kWaitAtOnce);
     std::lock_guard lock(impl_->mutex);
-    if (j->done) return;
+    if (job->done) return;
   }
 }
 
--- a/test/unit/storage/snapshot_store_test.cpp
+++ b/test/unit/storage/snapshot_store_test.cpp
@@ -92,7 +92,7 @@
                  // The log in use is the longer one; rot anywhere before its last record.
                  auto& b =
                      p.files["log.0"].size() > p.files["log.1"].size() ? p.files["log.0"] : p.files["log.1"];
-                 auto parts = storage::unframe(b).first;
+                 auto parts = storage::unframe(b).payloads;
                  size_t last = 16 + parts.back().size();
                  auto at = *rc::gen::inRange<size_t>(0, b.size() - last);
                  b[at] = static_cast<char>(b[at] ^ (1 << *rc::gen::inRange(0, 8)));
--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -70,7 +70,7 @@
     for (auto& [name, file] : medium_.files) file.named = true;
     return fault != Fault::denied;
   }
-  std::string place() const override { return "model"; }
+  std::string location() const override { return "model"; }
 
  private:
   bool write(const std::string& name, const std::string& before, const std::string& bytes) {
@@ -275,7 +275,7 @@
     return files_.append(name, bytes);
   }
   bool sync_folder() override { return files_.sync_folder(); }
-  std::string place() const override { return files_.place(); }
+  std::string location() const override { return files_.location(); }
 
  private:
   FaultyFiles files_;
