--- a/src/canary/canary_analysis.hpp
+++ b/src/canary/canary_analysis.hpp
@@ -1,8 +1,10 @@
-// What a relay itself makes of a version on trial: it adds up the bad answers that
-// all relays tell of, over their restarts, and gives the trial up when they are too
-// many or when any relay says that it has; one with a term also when it is plainly worse. It needs no holder
-// of a leadership for that; the leadership only makes the verdict last.
+/// @file
+/// What each node itself makes of the canaries: it adds up the bad responses that all nodes report, over
+/// their restarts, and aborts a canary when they are too many or when any node reports that it has; a canary
+/// with a deadline also when it is clearly worse. That needs no leader; the leader only makes the verdict
+/// last. Does no I/O; used by the thread that runs control only.
 #pragma once
+#include <compare>
 #include <set>
 
 #include "canary/canary_statistics.hpp"
@@ -11,18 +13,39 @@
 
 class CanaryAnalysis {
  public:
-  // `states` by service; `statuses` by source, this relay's own among them.
+  /// Takes the present states and counters.
+  /// @param states    by service
+  /// @param statuses  by source, this node's own among them
+  /// @param limit     bad responses that abort a canary
   void update(const std::map<std::string, pb::ServiceState>& states,
               const std::map<std::string, pb::NodeStatus>& statuses, uint64_t limit);
-  bool is_aborted(const std::string& service) const { return aborted_.count(service) > 0; }
+
+  /// Whether the present canary of a service is aborted; that stays so until the service has another or none.
+  [[nodiscard]] bool is_aborted(const std::string& service) const { return aborted_.count(service) > 0; }
+
+  /// The services whose present canary is aborted.
   const std::set<std::string>& aborted() const { return aborted_; }
 
  private:
+  /// One process that counts: a restart takes nothing away from what was reported before it.
+  struct Counter {
+    std::string source;
+    uint64_t incarnation = 0;
+    auto operator<=>(const Counter&) const = default;
+  };
   struct Canary {
-    uint64_t number = 0;
-    std::map<std::pair<std::string, uint64_t>, uint64_t> bad;  // by source and incarnation
+    uint64_t number = 0;                        ///< of the service's canaries
+    std::map<Counter, uint64_t> bad_responses;  ///< the most that each counter reported
   };
-  std::map<std::string, Canary> canaries_;
+  /// What all nodes reported of one canary.
+  struct Report {
+    uint64_t bad_responses = 0;
+    bool aborted = false;  ///< by some node
+  };
+  static Report add_reports(const std::string& service, const std::map<std::string, pb::NodeStatus>& statuses,
+                            Canary& canary);
+
+  std::map<std::string, Canary> canaries_;  ///< by service
   CanaryStatistics statistics_;
   std::set<std::string> aborted_;
 };
--- a/src/canary/canary_share.cpp
+++ b/src/canary/canary_share.cpp
@@ -4,27 +4,41 @@
 
 namespace dunlinwing::canary {
 namespace {
-constexpr size_t kAsked = 2;
+using membership::BackendInstance;
+using BackendInstances = std::vector<BackendInstance>;
+
+constexpr size_t kInstancesWithDeadline = 2;
+
+BackendInstances of_version(const BackendInstances& instances, const std::string& version) {
+  BackendInstances found;
+  std::copy_if(instances.begin(), instances.end(), std::back_inserter(found),
+               [&](const BackendInstance& instance) { return instance.version == version; });
+  return found;
+}
+
+void sort_by_name(BackendInstances& instances) {
+  std::sort(instances.begin(), instances.end(),
+            [](const BackendInstance& left, const BackendInstance& right) {
+              return left.instance < right.instance;
+            });
+}
 }  // namespace
 
-std::vector<membership::BackendInstance> canary_instances(
-    const std::vector<membership::BackendInstance>& instances, const std::string& version, bool term) {
-  std::vector<membership::BackendInstance> v;
-  for (auto& instance : instances)
-    if (instance.version == version) v.push_back(instance);
-  if (!term) return v;
-  std::sort(v.begin(), v.end(), [](auto& a, auto& b) { return a.instance < b.instance; });
-  if (v.size() > kAsked) v.resize(kAsked);
-  return v;
+BackendInstances canary_instances(const BackendInstances& instances, const std::string& version,
+                                  bool has_deadline) {
+  auto found = of_version(instances, version);
+  if (!has_deadline) return found;
+  sort_by_name(found);
+  if (found.size() > kInstancesWithDeadline) found.resize(kInstancesWithDeadline);
+  return found;
 }
 
-std::vector<membership::BackendInstance> instance_in_turn(
-    const std::vector<membership::BackendInstance>& workers, const std::string& version, uint64_t turn) {
-  std::vector<membership::BackendInstance> warm;
-  for (auto& worker : workers)
-    if (worker.version == version && worker.cold_until == TimePoint(0)) warm.push_back(worker);
+BackendInstances instance_in_turn(const BackendInstances& instances, const std::string& version,
+                                  uint64_t turn) {
+  auto warm = of_version(instances, version);
+  std::erase_if(warm, [](const BackendInstance& instance) { return instance.cold_until != TimePoint(0); });
   if (warm.empty()) return {};
-  std::sort(warm.begin(), warm.end(), [](auto& a, auto& b) { return a.instance < b.instance; });
+  sort_by_name(warm);
   return {warm[turn % warm.size()]};
 }
 
--- a/src/canary/canary_share.hpp
+++ b/src/canary/canary_share.hpp
@@ -5,19 +5,22 @@
 
 namespace dunlinwing::canary {
 
-// Of the tenth that the rule leaves to a move with a term, and of the fifty beyond it,
-// which may be spent ahead; while its workers are cold and answers say little, less.
-inline constexpr int kDeadlinePercent = 8, kColdPercent = 3;
+/// Percent of the requests for a canary with a deadline: less than the ten that the rule allows.
+inline constexpr int kDeadlinePercent = 8;
+/// The same while its instances are cold and their responses are little evidence.
+inline constexpr int kColdPercent = 3;
+/// Requests of the fleet that may go to a canary with a deadline ahead of its share.
 inline constexpr int64_t kInitialCredit = 20;
 
-// Of a move with a term two workers of the new version are asked first, the first two by
-// name, so that they have something to do. All relays choose alike, from the same statuses.
+/// The instances that a canary's requests go to first. With a deadline these are two of the version, the
+/// first two by name, so that they have something to do: all nodes choose the same ones, from the same
+/// statuses. Without one, all of the version.
 std::vector<membership::BackendInstance> canary_instances(
-    const std::vector<membership::BackendInstance>& instances, const std::string& version, bool term);
+    const std::vector<membership::BackendInstance>& instances, const std::string& version, bool has_deadline);
 
-/// Returns the worker whose turn it is with trial request number `turn`: every warm worker of
-/// the version has its turn, however fast it is and wherever it stands. Empty: all are cold.
+/// The instance whose turn it is with canary request number `turn`: every warm instance of the version has
+/// its turn, however fast it is and in whatever zone. Empty: all are cold.
 std::vector<membership::BackendInstance> instance_in_turn(
-    const std::vector<membership::BackendInstance>& workers, const std::string& version, uint64_t turn);
+    const std::vector<membership::BackendInstance>& instances, const std::string& version, uint64_t turn);
 
 }  // namespace dunlinwing::canary
--- a/src/canary/canary_statistics.cpp
+++ b/src/canary/canary_statistics.cpp
@@ -1,9 +1,3 @@
-// A bad version fails, or is slow, on a third of its requests or more; faults of workers
-// and the way to them spoil a few in a hundred. The bars stand between. Workers differ
-// in speed by more than two, so a mean alone says little until it is far off.
-// A route whose own share can't give enough answers in the time is thin. Thin routes are
-// judged as one, so that none holds a good version back; a few poor answers on one of them
-// are enough to refuse a bad one.
 #include "canary/canary_statistics.hpp"
 
 #include <fmt/format.h>
@@ -14,226 +8,265 @@
 
 namespace dunlinwing::canary {
 namespace {
-constexpr uint64_t kPlain = 8;        // poor answers without which nothing is plain
-constexpr double kPlainRate = 0.2;    // beyond the old version's, and
-constexpr double kPlainTimes = 2;     // so many times it
-constexpr uint64_t kEnough = 30;      // answers on a route that are evidence
-constexpr uint64_t kClean = 12;       // enough where none was poor: a third poor gives that once in a hundred
-constexpr uint64_t kForEachPoor = 6;  // as many more for each poor one leave the same doubt
-constexpr uint64_t kAmple = 40;
-constexpr uint64_t kTraffic = 3;  // answers by the old version that make a route one with traffic
-constexpr uint64_t kSure = 60;    // answers by which a difference beyond the noise stays one
-constexpr double kNoise = 0.08;
-constexpr double kSlower = 2.2, kSlowerMs = 3;
+// Clearly worse: at least so many failed or slow responses, and their rate beyond the baseline's by both.
+constexpr uint64_t kMinClearFailures = 8;
+constexpr double kClearRateExcess = 0.2;
+constexpr double kClearRateFactor = 2;
+
+// Evidence on a route is so many responses; fewer are enough when few of them failed or were slow. None of
+// twelve: a version of which a third fails gives that once in a hundred. Six more for each that failed or was
+// slow leave the same uncertainty.
+constexpr uint64_t kMaxNeeded = 30, kNeededWithoutFailure = 12, kNeededPerFailure = 6;
+constexpr uint64_t kStrongEvidence = 40;
+constexpr uint64_t kCertain = 60;  // responses by which a difference beyond the noise stays one
+
+// Differences that are noise: of the rate; of the mean latency as a factor, and in milliseconds beyond that.
+constexpr double kRateNoise = 0.08;
+constexpr double kLatencyFactor = 2.2, kLatencyNoiseMs = 3;
+
+constexpr uint64_t kMinTraffic = 3;  // responses of the baseline that make a route one with traffic
 constexpr uint64_t kPercent = 100;
-// A route with so many requests in the whole trial gives kClean answers out of its own share.
-constexpr uint64_t kBusy = kClean * kPercent / static_cast<uint64_t>(kDeadlinePercent);
-constexpr uint64_t kDoubt = 2;    // poor answers on a thin route that keep it from being promoted
-constexpr uint64_t kRefuted = 3;  // poor answers on a thin route that end a switch
-
-bool plain(const OutcomeCounts& t, const OutcomeCounts& o) {
-  return t.failed_or_slow() >= kPlain &&
-         t.failure_rate() > std::max(o.failure_rate() * kPlainTimes, o.failure_rate() + kPlainRate);
-}
-OutcomeCounts of(const ByRoute& r, const std::string& k) {
-  auto f = r.find(k);
-  return f == r.end() ? OutcomeCounts{} : f->second;
-}
-std::string differs(const std::string& route, const OutcomeCounts& t, const OutcomeCounts& o) {
-  if (t.failure_rate() > o.failure_rate() + kNoise)
-    return fmt::format("{} poor answers of {} on route '{}', against {} of {}", t.failed_or_slow(), t.total(),
-                       route, o.failed_or_slow(), o.total());
-  if (o.total() && t.mean_ms() > kSlower * o.mean_ms() + kSlowerMs)
-    return fmt::format("{:.1f} ms on route '{}', against {:.1f}", t.mean_ms(), route, o.mean_ms());
-  return {};
+// A route with so many requests since the canary began gives enough evidence out of its own share.
+constexpr uint64_t kFrequentRequests =
+    kNeededWithoutFailure * kPercent / static_cast<uint64_t>(kDeadlinePercent);
+// Failed or slow responses on a rare route that keep a canary from being promoted, and that end a switch.
+constexpr uint64_t kRareFailuresToBlock = 2, kRareFailuresToEndSwitch = 3;
+
+bool is_clearly_worse(const OutcomeCounts& canary, const OutcomeCounts& baseline) {
+  auto usual = baseline.failure_rate();
+  return canary.failed_or_slow() >= kMinClearFailures &&
+         canary.failure_rate() > std::max(usual * kClearRateFactor, usual + kClearRateExcess);
 }
-OutcomeCounts minus(const OutcomeCounts& a, const OutcomeCounts& b) {
-  return {a.good - std::min(a.good, b.good), a.bad - std::min(a.bad, b.bad),
-          a.slow - std::min(a.slow, b.slow), a.total_ms - std::min(a.total_ms, b.total_ms)};
+
+OutcomeCounts counts_of(const ByRoute& routes, const std::string& route) {
+  auto found = routes.find(route);
+  return found == routes.end() ? OutcomeCounts{} : found->second;
+}
+
+OutcomeCounts difference(const OutcomeCounts& left, const OutcomeCounts& right) {
+  return {left.good - std::min(left.good, right.good), left.bad - std::min(left.bad, right.bad),
+          left.slow - std::min(left.slow, right.slow),
+          left.total_ms - std::min(left.total_ms, right.total_ms)};
+}
+
+/// How the canary is worse on a route; empty: it is not.
+std::string route_regression(const std::string& route, const OutcomeCounts& canary,
+                             const OutcomeCounts& baseline) {
+  if (canary.failure_rate() > baseline.failure_rate() + kRateNoise)
+    return fmt::format("{} poor answers of {} on route '{}', against {} of {}", canary.failed_or_slow(),
+                       canary.total(), route, baseline.failed_or_slow(), baseline.total());
+  if (baseline.total() && canary.mean_ms() > kLatencyFactor * baseline.mean_ms() + kLatencyNoiseMs)
+    return fmt::format("{:.1f} ms on route '{}', against {:.1f}", canary.mean_ms(), route,
+                       baseline.mean_ms());
+  return {};
 }
 
-/// Whether the answers are enough for a verdict on what they are of.
-bool enough(const OutcomeCounts& t) {
-  return t.total() >= std::min(kEnough, kClean + kForEachPoor * t.failed_or_slow());
+/// Whether the responses are enough for a verdict.
+bool is_evidence(const OutcomeCounts& counts) {
+  return counts.total() >=
+         std::min(kMaxNeeded, kNeededWithoutFailure + kNeededPerFailure * counts.failed_or_slow());
 }
 
-/// The routes with traffic: the old version answers on them, or the one on trial does.
-std::set<std::string> routes_with_traffic(const CanarySample& s) {
+/// The routes with traffic: the baseline responds on them, or the canary does.
+std::set<std::string> routes_with_traffic(const CanarySample& sample) {
   std::set<std::string> routes;
-  for (auto& [route, old] : s.baseline)
-    if (old.total() >= kTraffic) routes.insert(route);
-  for (auto& [route, trial] : s.canary)
-    if (trial.total()) routes.insert(route);
+  for (const auto& [route, counts] : sample.baseline)
+    if (counts.total() >= kMinTraffic) routes.insert(route);
+  for (const auto& [route, counts] : sample.canary)
+    if (counts.total()) routes.insert(route);
   return routes;
 }
 
-/// What the old version does on a route, since the workers on trial are warm if it was asked since.
-OutcomeCounts usual_on(const CanarySample& s, const std::string& route) {
-  auto warm = of(s.warm_baseline, route);
-  return warm.total() ? warm : of(s.baseline, route);
+/// The baseline on a route: since the canary's instances are warm, if it was asked since.
+OutcomeCounts baseline_on(const CanarySample& sample, const std::string& route) {
+  auto warm = counts_of(sample.warm_baseline, route);
+  return warm.total() ? warm : counts_of(sample.baseline, route);
 }
 
-/// Whether a route can't give evidence of its own: it has few requests, and few of them
-/// were answered by the version on trial.
-bool thin(const CanarySample& s, const std::string& route) {
-  bool busy = of(s.baseline, route).total() + of(s.canary, route).total() >= kBusy;
-  return !busy && !enough(of(s.warm_canary, route));
+/// Whether a route cannot give evidence of its own: it has few requests, and few of them were answered by the
+/// canary.
+bool is_rare(const CanarySample& sample, const std::string& route) {
+  auto requests = counts_of(sample.baseline, route).total() + counts_of(sample.canary, route).total();
+  return requests < kFrequentRequests && !is_evidence(counts_of(sample.warm_canary, route));
 }
 
-/// What counts for a thin route: the answers of warm workers, and the failures of cold ones
-/// too, since every single one says much where there are so few.
-OutcomeCounts thin_tally(const CanarySample& s, const std::string& route) {
-  auto tally = of(s.warm_canary, route);
-  tally.bad += minus(of(s.canary, route), tally).bad;
-  return tally;
+/// What counts on a rare route: the responses of warm instances, and the failures of cold ones too, since
+/// every single one says much where there are so few.
+OutcomeCounts canary_on_rare(const CanarySample& sample, const std::string& route) {
+  auto counts = counts_of(sample.warm_canary, route);
+  counts.bad += difference(counts_of(sample.canary, route), counts).bad;
+  return counts;
 }
 
-/// The thin routes, judged as one: what the version on trial answered on them, and what the
-/// old one would have made of the same requests.
-struct Pool {
-  OutcomeCounts trial;
-  double expected_poor = 0, expected_ms = 0;
+/// The rare routes together: the canary on them, and what the baseline would have made of the same requests.
+struct RareRoutes {
+  OutcomeCounts canary;
+  double expected_failures = 0;  ///< failed or slow responses
+  double expected_ms = 0;        ///< sum of the latencies
 };
 
-Pool pool_of_thin(const CanarySample& s) {
-  Pool pool;
-  for (auto& route : routes_with_traffic(s)) {
-    if (!thin(s, route)) continue;
-    auto trial = thin_tally(s, route), usual = usual_on(s, route);
-    auto requests = static_cast<double>(trial.total());
-    pool.trial += trial;
-    pool.expected_poor += requests * usual.failure_rate();
-    pool.expected_ms += usual.total() ? requests * usual.mean_ms() : static_cast<double>(trial.total_ms);
+RareRoutes sum_rare_routes(const CanarySample& sample) {
+  RareRoutes rare;
+  for (const auto& route : routes_with_traffic(sample)) {
+    if (!is_rare(sample, route)) continue;
+    auto canary = canary_on_rare(sample, route), baseline = baseline_on(sample, route);
+    auto requests = static_cast<double>(canary.total());
+    rare.canary += canary;
+    rare.expected_failures += requests * baseline.failure_rate();
+    rare.expected_ms +=
+        baseline.total() ? requests * baseline.mean_ms() : static_cast<double>(canary.total_ms);
   }
-  return pool;
+  return rare;
 }
 
-std::string differs(const Pool& pool) {
-  auto requests = static_cast<double>(pool.trial.total());
-  if (static_cast<double>(pool.trial.failed_or_slow()) > pool.expected_poor + requests * kNoise)
+/// How the canary is worse on the rare routes together; empty: it is not.
+std::string rare_regression(const RareRoutes& rare) {
+  const auto& canary = rare.canary;
+  auto requests = static_cast<double>(canary.total());
+  if (static_cast<double>(canary.failed_or_slow()) > rare.expected_failures + requests * kRateNoise)
     return fmt::format("{} poor answers of {} on routes with few requests, where {:.1f} are usual",
-                       pool.trial.failed_or_slow(), pool.trial.total(), pool.expected_poor);
-  if (static_cast<double>(pool.trial.total_ms) > kSlower * pool.expected_ms + kSlowerMs * requests)
+                       canary.failed_or_slow(), canary.total(), rare.expected_failures);
+  if (static_cast<double>(canary.total_ms) > kLatencyFactor * rare.expected_ms + kLatencyNoiseMs * requests)
     return fmt::format("{} ms for {} answers on routes with few requests, where {:.0f} are usual",
-                       pool.trial.total_ms, pool.trial.total(), pool.expected_ms);
+                       canary.total_ms, canary.total(), rare.expected_ms);
   return {};
 }
 
-/// A thin route with at least `least` poor answers, far more than is usual there.
-std::string poor_thin_route(const CanarySample& s, uint64_t least) {
-  for (auto& route : routes_with_traffic(s)) {
-    auto trial = thin_tally(s, route), usual = usual_on(s, route);
-    if (!thin(s, route) || trial.failed_or_slow() < least) continue;
-    if (trial.failure_rate() > usual.failure_rate() + kPlainRate)
+/// A rare route on which at least `min_failures` responses failed or were slow, far more than is usual there;
+/// empty: there is none.
+std::string rare_route_regression(const CanarySample& sample, uint64_t min_failures) {
+  for (const auto& route : routes_with_traffic(sample)) {
+    auto canary = canary_on_rare(sample, route), baseline = baseline_on(sample, route);
+    if (!is_rare(sample, route) || canary.failed_or_slow() < min_failures) continue;
+    if (canary.failure_rate() > baseline.failure_rate() + kClearRateExcess)
       return fmt::format("{} poor answers of {} on route '{}', which has few requests",
-                         trial.failed_or_slow(), trial.total(), route);
+                         canary.failed_or_slow(), canary.total(), route);
   }
   return {};
 }
 
-/// What speaks against promotion on the thin routes, taken together.
-std::string objection_of_thin(const CanarySample& s) {
-  auto pool = pool_of_thin(s);
-  if (auto why = poor_thin_route(s, kDoubt); !why.empty()) return why;
-  if (enough(pool.trial)) return differs(pool);
-  // All of them are too few: the service as a whole speaks for them, if none was poor.
-  if (enough(sum(s.warm_canary)) && !pool.trial.failed_or_slow()) return {};
-  return fmt::format("only {} answers on routes with few requests, {} of them poor", pool.trial.total(),
-                     pool.trial.failed_or_slow());
+/// What speaks against promotion on the rare routes; empty: nothing.
+std::string rare_blocker(const CanarySample& sample) {
+  auto rare = sum_rare_routes(sample);
+  if (auto worse = rare_route_regression(sample, kRareFailuresToBlock); !worse.empty()) return worse;
+  if (is_evidence(rare.canary)) return rare_regression(rare);
+  // All of them are too few: the service's other routes speak for them, if none failed or was slow.
+  if (is_evidence(sum(sample.warm_canary)) && !rare.canary.failed_or_slow()) return {};
+  return fmt::format("only {} answers on routes with few requests, {} of them poor", rare.canary.total(),
+                     rare.canary.failed_or_slow());
 }
 }  // namespace
 
-OutcomeCounts& OutcomeCounts::operator+=(const OutcomeCounts& o) {
-  good += o.good;
-  bad += o.bad;
-  slow += o.slow;
-  total_ms += o.total_ms;
+OutcomeCounts& OutcomeCounts::operator+=(const OutcomeCounts& other) {
+  good += other.good;
+  bad += other.bad;
+  slow += other.slow;
+  total_ms += other.total_ms;
   return *this;
 }
 
-OutcomeCounts sum(const ByRoute& r) {
-  OutcomeCounts t;
-  for (auto& [k, x] : r) t += x;
-  return t;
+OutcomeCounts sum(const ByRoute& routes) {
+  OutcomeCounts total;
+  for (const auto& [route, counts] : routes) total += counts;
+  return total;
 }
 
-void CanaryStatistics::update(const States& states, const std::map<std::string, pb::NodeStatus>& statuses,
-                              const std::set<std::string>& warm) {
-  for (auto& [name, s] : states) {
-    if (s.canary().empty()) {
-      cases_.erase(name);
+void CanaryStatistics::update_canaries(const States& states, const std::set<std::string>& warm) {
+  for (const auto& [service, state] : states) {
+    if (state.canary().empty()) {
+      canaries_.erase(service);
       continue;
     }
-    auto& c = cases_[name];
-    if (c.number != s.canary_number()) c = {s.canary_number(), false, {}};
-    c.warm |= warm.count(name) > 0;
+    auto& canary = canaries_[service];
+    if (canary.number != state.canary_number()) canary = {state.canary_number(), false, {}};
+    canary.warm |= warm.count(service) > 0;
+  }
+}
+
+void CanaryStatistics::add(const pb::ServiceState& state, const CounterKey& counter,
+                           const OutcomeCounts& increase, Canary& canary) {
+  auto& sample = canary.sample;
+  const auto& route = counter.route;
+  if (counter.version == state.canary()) {
+    sample.canary[route] += increase;
+    if (state.switching()) sample.after_switch[route] += increase;
+    if (canary.warm) sample.warm_canary[route] += increase;
+  } else if (counter.version == state.current()) {
+    sample.baseline[route] += increase;
+    if (canary.warm) sample.warm_baseline[route] += increase;
   }
-  for (auto& [src, n] : statuses) {
-    auto& [inc, rows] = last_[src];
-    if (inc != n.version().incarnation()) rows.clear();
-    inc = n.version().incarnation();
-    for (auto& b : n.version_counts()) {
-      OutcomeCounts now{b.good(), b.bad(), b.slow(), b.total_ms()};
-      auto& was = rows[{b.service(), b.version(), b.route()}];
-      auto d = minus(now, was);
-      was = now;
-      auto f = cases_.find(b.service());
-      if (!began_ || f == cases_.end()) continue;
-      auto& state = states.at(b.service());
-      auto& x = f->second.sample;
-      bool mine = b.version() == state.canary();
-      if (!mine && b.version() != state.current()) continue;
-      (mine ? x.canary : x.baseline)[b.route()] += d;
-      if (mine && state.switching()) x.after_switch[b.route()] += d;
-      if (f->second.warm) (mine ? x.warm_canary : x.warm_baseline)[b.route()] += d;
+}
+
+void CanaryStatistics::update(const States& states, const std::map<std::string, pb::NodeStatus>& statuses,
+                              const std::set<std::string>& warm) {
+  update_canaries(states, warm);
+  for (const auto& [name, status] : statuses) {
+    auto& source = sources_[name];
+    if (source.incarnation != status.version().incarnation()) source.counters.clear();
+    source.incarnation = status.version().incarnation();
+    for (const auto& reported : status.version_counts()) {
+      CounterKey key{reported.service(), reported.version(), reported.route()};
+      OutcomeCounts counts{reported.good(), reported.bad(), reported.slow(), reported.total_ms()};
+      auto increase = difference(counts, source.counters[key]);
+      source.counters[key] = counts;
+      auto canary = canaries_.find(key.service);
+      if (counters_noted_ && canary != canaries_.end())
+        add(states.at(key.service), key, increase, canary->second);
     }
   }
-  began_ = true;
+  counters_noted_ = true;
 }
 
 const CanarySample& CanaryStatistics::at(const std::string& service) const {
-  static const CanarySample none;
-  auto f = cases_.find(service);
-  return f == cases_.end() ? none : f->second.sample;
+  static const CanarySample kNone;
+  auto canary = canaries_.find(service);
+  return canary == canaries_.end() ? kNone : canary->second.sample;
 }
 
-bool is_clearly_worse(const CanarySample& s) {
-  // What was good before, cold or with little to do, must not hide what comes now.
-  for (auto* t : {&s.canary, &s.warm_canary, &s.after_switch}) {
-    if (plain(sum(*t), sum(s.baseline))) return true;
-    for (auto& [k, x] : *t)
-      if (plain(x, of(s.baseline, k))) return true;
+bool is_clearly_worse(const CanarySample& sample) {
+  // Each by itself: good responses of before, from cold instances or under little load, must not hide what
+  // comes now.
+  for (const auto* routes : {&sample.canary, &sample.warm_canary, &sample.after_switch}) {
+    if (is_clearly_worse(sum(*routes), sum(sample.baseline))) return true;
+    for (const auto& [route, counts] : *routes)
+      if (is_clearly_worse(counts, counts_of(sample.baseline, route))) return true;
   }
   return false;
 }
 
-std::string regression(const CanarySample& s) {
-  for (auto& [k, t] : s.warm_canary)
-    if (t.total() >= kSure)
-      if (auto d = differs(k, t, usual_on(s, k)); !d.empty()) return d;
+std::string regression(const CanarySample& sample) {
+  for (const auto& [route, counts] : sample.warm_canary) {
+    if (counts.total() < kCertain) continue;
+    if (auto worse = route_regression(route, counts, baseline_on(sample, route)); !worse.empty())
+      return worse;
+  }
   return {};
 }
 
-bool has_ample_evidence(const CanarySample& s) {
-  for (auto& route : routes_with_traffic(s))
-    if (!thin(s, route) && of(s.warm_canary, route).total() < kAmple) return false;
-  auto pool = pool_of_thin(s).trial.total();
-  return (pool == 0 || pool >= kAmple) && promotion_blocker(s).empty();
+bool has_strong_evidence(const CanarySample& sample) {
+  for (const auto& route : routes_with_traffic(sample))
+    if (!is_rare(sample, route) && counts_of(sample.warm_canary, route).total() < kStrongEvidence)
+      return false;
+  auto rare = sum_rare_routes(sample).canary.total();
+  return (rare == 0 || rare >= kStrongEvidence) && promotion_blocker(sample).empty();
 }
 
-std::string promotion_blocker(const CanarySample& s) {
-  if (!sum(s.warm_canary).total()) return "no answers since its workers are warm";
-  for (auto& route : routes_with_traffic(s)) {
-    if (thin(s, route)) continue;
-    auto trial = of(s.warm_canary, route);
-    if (!enough(trial))
-      return fmt::format("only {} answers on route '{}', {} of them poor", trial.total(), route,
-                         trial.failed_or_slow());
-    if (auto why = differs(route, trial, usual_on(s, route)); !why.empty()) return why;
+std::string promotion_blocker(const CanarySample& sample) {
+  if (!sum(sample.warm_canary).total()) return "no answers since its workers are warm";
+  for (const auto& route : routes_with_traffic(sample)) {
+    if (is_rare(sample, route)) continue;
+    auto canary = counts_of(sample.warm_canary, route);
+    if (!is_evidence(canary))
+      return fmt::format("only {} answers on route '{}', {} of them poor", canary.total(), route,
+                         canary.failed_or_slow());
+    auto worse = route_regression(route, canary, baseline_on(sample, route));
+    if (!worse.empty()) return worse;
   }
-  return objection_of_thin(s);
+  return rare_blocker(sample);
 }
 
-std::string regression_after_switch(const CanarySample& s) { return poor_thin_route(s, kRefuted); }
+std::string regression_after_switch(const CanarySample& sample) {
+  return rare_route_regression(sample, kRareFailuresToEndSwitch);
+}
 
 }  // namespace dunlinwing::canary
--- a/src/config/routing_configuration.cpp
+++ b/src/config/routing_configuration.cpp
@@ -12,8 +12,8 @@
 
 namespace dunlinwing::config {
 
-std::string_view routing_configuration_schema() {
-  return R"({
+namespace {
+constexpr std::string_view kSchema = R"({
   "type":"object","additionalProperties":false,"required":["services","routes"],
   "properties":{
     "services":{"type":"object","minProperties":1,"maxProperties":256,"additionalProperties":{
@@ -54,7 +54,9 @@
       "head_ms":{"type":"integer","minimum":1,"maximum":3600000},
       "idle_ms":{"type":"integer","minimum":1,"maximum":3600000},
       "cache_bytes":{"type":"integer","minimum":0,"maximum":4294967296}}}}})";
-}
+}  // namespace
+
+std::string_view routing_configuration_schema() { return kSchema; }
 
 RouteMatch RoutingConfiguration::match(std::string_view method, std::string_view host,
                                        std::string_view target) const {
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -129,7 +129,7 @@
 
 // What the verdict does not need is left for the switch, should it have to go back.
 void DeadlineStep::adjust_share() {
-  const uint32_t percent = observation_.all_warm && !canary::has_ample_evidence(observation_.sample)
+  const uint32_t percent = observation_.all_warm && !canary::has_strong_evidence(observation_.sample)
                                ? canary::kDeadlinePercent
                                : canary::kColdPercent;
   if (!observation_.all_warm || state_.percent() == percent) return;
--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -30,6 +30,7 @@
   Sequence random;
   constexpr int kNodes = 200, kWithDisk = 6;
   std::vector<membership::Member> known;
+  known.reserve(kNodes);
   for (int i = 0; i < kNodes; ++i) known.push_back(member(i, i < kWithDisk));
   std::set<std::string> asked;
   for (int look = 0; look < 100; ++look) {
--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -20,7 +20,7 @@
 // The replicas a, b and c vote.
 ClusterView three(int tolerate) {
   ClusterView view{{}, {node("a", "1", true), node("b", "2", true), node("c", "2", true)}, tolerate, kBound};
-  for (auto& n : view.nodes) view.replicas.push_back(replica(n));
+  for (auto& member : view.nodes) view.replicas.push_back(replica(member));
   return view;
 }
 
@@ -36,7 +36,7 @@
 
 std::string names(const std::vector<consensus::Replica>& list) {
   std::string out;
-  for (auto& r : list) out += r.name;
+  for (auto& replica : list) out += replica.name;
   return out;
 }
 
@@ -59,12 +59,12 @@
     }
   }
   RepairNode& at(const std::string& name) {
-    return *std::find_if(view.nodes.begin(), view.nodes.end(), [&](auto& n) { return n.name == name; });
+    return *std::find_if(view.nodes.begin(), view.nodes.end(), [&](auto& node) { return node.name == name; });
   }
   bool member(const std::string& name) const { return consensus::contains_name(view.replicas, name); }
   size_t voting(const std::vector<consensus::Replica>& list) {
-    return static_cast<size_t>(std::count_if(list.begin(), list.end(), [&](auto& r) {
-      return at(r.name).votes && consensus::contains(view.replicas, r);
+    return static_cast<size_t>(std::count_if(list.begin(), list.end(), [&](auto& replica) {
+      return at(replica.name).votes && consensus::contains(view.replicas, replica);
     }));
   }
 
@@ -78,33 +78,35 @@
     if (view.replicas.size() >= 3) RC_ASSERT(voting(to) >= consensus::majority_of(to.size()));
     RC_ASSERT(to.size() >= std::min<size_t>(view.replicas.size(), 3));
     std::set<std::string> once;
-    for (auto& r : to) {
-      RC_ASSERT(once.insert(r.name).second);
-      if (!consensus::contains(view.replicas, r)) RC_ASSERT(at(r.name).present && at(r.name).disk);
+    for (auto& member : to) {
+      RC_ASSERT(once.insert(member.name).second);
+      if (!consensus::contains(view.replicas, member))
+        RC_ASSERT(at(member.name).present && at(member.name).disk);
     }
     // A replica that is well keeps its place.
-    for (auto& r : view.replicas)
-      if (at(r.name).votes && !at(r.name).leaving) RC_ASSERT(consensus::contains(to, r));
+    for (auto& member : view.replicas)
+      if (at(member.name).votes && !at(member.name).leaving) RC_ASSERT(consensus::contains(to, member));
     view.replicas = to;
-    for (auto& r : view.replicas)
-      if (at(r.name).present) at(r.name).votes = true;  // refilled
+    for (auto& member : view.replicas)
+      if (at(member.name).present) at(member.name).votes = true;  // refilled
     return true;
   }
 
   void happens(int draw) {
-    auto& n = view.nodes[static_cast<size_t>(draw) % view.nodes.size()];
+    auto& struck = view.nodes[static_cast<size_t>(draw) % view.nodes.size()];
     switch (draw / 20 % 6) {
       case 0:
-        return end(n);
+        return end(struck);
       case 1:
-        return fall_silent(n, Duration(500));
+        return fall_silent(struck, Duration(500));
       case 2:
-        n = node(n.name, n.zone, member(n.name));
+        struck = node(struck.name, struck.zone, member(struck.name));
         return;
       case 3:
-        return fall_silent(n, membership::non_voting_limit(kBound));
+        return fall_silent(struck, membership::non_voting_limit(kBound));
       case 4:
-        n.leaving = true, n.present = false;
+        struck.leaving = true;
+        struck.present = false;
         return;
       default:
         take();
@@ -118,12 +120,130 @@
   int nodes = *rc::gen::inRange(3, 12), first = *rc::gen::inRange(1, 4);
   Course course(tolerate, nodes, first);
   for (int draw : *rc::gen::container<std::vector<int>>(40, rc::gen::inRange(0, 1000))) course.happens(draw);
-  for (auto& n : course.view.nodes) n = node(n.name, n.zone, course.member(n.name));
+  for (auto& known : course.view.nodes) known = node(known.name, known.zone, course.member(known.name));
   int steps = 0;
   while (course.take()) RC_ASSERT(++steps < 10);
   auto wanted = std::min<size_t>({static_cast<size_t>(nodes), static_cast<size_t>(2 * tolerate + 1), 9});
   RC_ASSERT(course.view.replicas.size() >= wanted);
 }
+
+void grows_by_zones() {
+  auto view = three(2);
+  view.nodes.push_back(node("d", "2", false));
+  view.nodes.push_back(node("e", "1", false));
+  view.nodes.push_back(node("f", "3", false));
+  same(step(view), std::string("abcfe"), "step");
+  view.nodes.back().disk = false;
+  same(step(view), std::string("abced"), "step");
+  same(step(three(2)), std::string("none"), "with nobody fit");
+  view.tolerate = 0;
+  same(step(view), std::string("none"), "operators keep it");
+}
+
+void silent_is_replaced() {
+  auto view = three(1);
+  view.nodes.push_back(node("d", "3", false));
+  same(step(view), std::string("none"), "all is well");
+  fall_silent(view.nodes[1], membership::lost_after(kBound) - Duration(1));
+  same(step(view), std::string("none"), "away for a moment");
+  fall_silent(view.nodes[1], membership::lost_after(kBound));
+  same(step(view), std::string("adc"), "silent");
+  view.nodes[3].present = false;
+  same(step(view), std::string("none"), "nobody at hand");
+  end(view.nodes[1]);
+  same(step(view), std::string("none"), "nor is a set of three made smaller");
+}
+
+void non_voting_is_replaced_later() {
+  auto view = three(1);
+  view.nodes.push_back(node("d", "3", false));
+  fall_silent(view.nodes[1], membership::non_voting_limit(kBound) - Duration(1));
+  view.nodes[1].since_response = Duration(0);
+  same(step(view), std::string("none"), "it may be refilled");
+  view.nodes[1].non_voting = membership::non_voting_limit(kBound);
+  same(step(view), std::string("adc"), "its disk has failed");
+}
+
+void leaving_is_replaced() {
+  auto view = three(1);
+  view.nodes.push_back(node("d", "3", false));
+  view.nodes[2].leaving = true;
+  view.nodes[2].present = false;
+  same(step(view), std::string("abd"), "it leaves");
+}
+
+void moved_is_replaced() {
+  auto view = three(1);
+  view.nodes[1].address = "at:elsewhere";
+  view.nodes[1].votes = false;
+  auto plan = membership::plan_repair(view);
+  expect(plan && plan->replicas[1] == consensus::Replica{"b", "at:elsewhere"}, "the address is old");
+}
+
+void two_are_replaced_at_once() {
+  auto view = three(2);
+  for (auto* name : {"d", "e"}) {
+    view.nodes.push_back(node(name, "3", true));
+    view.replicas.push_back(replica(view.nodes.back()));
+  }
+  for (auto* name : {"f", "g", "h"}) view.nodes.push_back(node(name, "1", false));
+  end(view.nodes[0]);
+  end(view.nodes[3]);
+  same(step(view), std::string("fbcge"), "two");
+  end(view.nodes[4]);
+  same(step(view), std::string("none"), "no majority votes");
+}
+
+void gone_is_dropped() {
+  auto view = three(1);
+  view.nodes.push_back(node("d", "3", true));
+  view.replicas.push_back(replica(view.nodes.back()));
+  end(view.nodes[0]);
+  same(step(view), std::string("bcd"), "step");
+}
+
+void quorums_meet() {
+  consensus::ReplicaSetView set({{"a", "1"}, {"b", "2"}, {"c", "3"}});
+  expect(set.is_quorum({true, true, false}) && !set.is_quorum({true, false, false}), "stable");
+  pb::ReplicaSet joint;
+  joint.set_epoch(1);
+  for (auto* name : {"a", "d", "e"}) joint.add_replicas()->set_name(name);
+  for (auto* name : {"a", "b", "c"}) joint.add_previous()->set_name(name);
+  expect(set.adopt(joint) && set.joint() && set.all().size() == 5, "the joint set");
+  auto flags = [&](const std::string& who) {
+    consensus::MemberFlags out;
+    for (auto& replica : set.all()) out.push_back(who.find(replica.name) != who.npos);
+    return out;
+  };
+  expect(!set.is_quorum(flags("abc")), "only the old majority");
+  expect(!set.is_quorum(flags("ade")), "only the new majority");
+  expect(set.is_quorum(flags("abd")), "both");
+  same(set.sufficient_count(), size_t{4}, "how many always suffice");
+  expect(!set.adopt(joint), "the same epoch again");
+}
+
+void first_set_of_seeds() {
+  membership::NodeIdentity first{"a", "1", "p:a", true, {}}, without_disk{"b", "2", "p:b", false, {}},
+      third{"c", "3", "p:c", true, {}};
+  auto one = membership::first_set({third, without_disk, first}),
+       other = membership::first_set({first, third, without_disk, first});
+  expect(one && other && one->SerializeAsString() == other->SerializeAsString() &&
+             one->replicas_size() == 2 && one->epoch() == 1,
+         "not one set");
+  expect(!membership::first_set({without_disk}), "a set without a disk");
+  membership::NodeIdentity namesake{"a", "1", "p:d", true, {}};
+  expect(!membership::first_set({first, namesake}), "two that go by one name");
+}
+
+void identity_is_read_back() {
+  auto identity = membership::parse_node_identity(
+      R"({"name":"a","zone":"z","peer_address":"p","disk":true,"epoch":3,"holders":[{"name":"h","address":"q"}]})");
+  expect(identity && identity->name == "a" && identity->disk && identity->replica_set.epoch() == 3 &&
+             identity->replica_set.replicas(0).address() == "q",
+         "read wrongly");
+  expect(!membership::parse_node_identity("{}") && !membership::parse_node_identity("x"),
+         "taken without a name");
+}
 }  // namespace
 
 std::vector<Case> keepers_cases() {
@@ -131,123 +251,18 @@
       property(
           "replica_repair: whatever comes and goes, a majority stays and the set comes to what is wanted",
           any_course),
-      {"replica_repair: the zones with fewest replicas give the next ones, in one step",
-       [] {
-         auto view = three(2);
-         view.nodes.push_back(node("d", "2", false));
-         view.nodes.push_back(node("e", "1", false));
-         view.nodes.push_back(node("f", "3", false));
-         same(step(view), std::string("abcfe"), "step");
-         view.nodes.back().disk = false;
-         same(step(view), std::string("abced"), "step");
-         same(step(three(2)), std::string("none"), "with nobody fit");
-         view.tolerate = 0;
-         same(step(view), std::string("none"), "operators keep it");
-       }},
-      {"replica_repair: a silent replica gives its place to a node at hand, in one step",
-       [] {
-         auto view = three(1);
-         view.nodes.push_back(node("d", "3", false));
-         same(step(view), std::string("none"), "all is well");
-         fall_silent(view.nodes[1], membership::lost_after(kBound) - Duration(1));
-         same(step(view), std::string("none"), "away for a moment");
-         fall_silent(view.nodes[1], membership::lost_after(kBound));
-         same(step(view), std::string("adc"), "silent");
-         view.nodes[3].present = false;
-         same(step(view), std::string("none"), "nobody at hand");
-         end(view.nodes[1]);
-         same(step(view), std::string("none"), "nor is a set of three made smaller");
-       }},
-      {"replica_repair: one that answers but cannot vote is waited for longer",
-       [] {
-         auto view = three(1);
-         view.nodes.push_back(node("d", "3", false));
-         fall_silent(view.nodes[1], membership::non_voting_limit(kBound) - Duration(1));
-         view.nodes[1].since_response = Duration(0);
-         same(step(view), std::string("none"), "it may be refilled");
-         view.nodes[1].non_voting = membership::non_voting_limit(kBound);
-         same(step(view), std::string("adc"), "its disk has failed");
-       }},
-      {"replica_repair: one that leaves gives its place while it still votes",
-       [] {
-         auto view = three(1);
-         view.nodes.push_back(node("d", "3", false));
-         view.nodes[2].leaving = true;
-         view.nodes[2].present = false;
-         same(step(view), std::string("abd"), "it leaves");
-       }},
+      {"replica_repair: the zones with fewest replicas give the next ones, in one step", grows_by_zones},
+      {"replica_repair: a silent replica gives its place to a node at hand, in one step", silent_is_replaced},
+      {"replica_repair: one that answers but cannot vote is waited for longer", non_voting_is_replaced_later},
+      {"replica_repair: one that leaves gives its place while it still votes", leaving_is_replaced},
       {"replica_repair: a successor under the same name at another address takes the place",
-       [] {
-         auto view = three(1);
-         view.nodes[1].address = "at:elsewhere";
-         view.nodes[1].votes = false;
-         auto plan = membership::plan_repair(view);
-         expect(plan && plan->replicas[1] == consensus::Replica{"b", "at:elsewhere"}, "the address is old");
-       }},
+       moved_is_replaced},
       {"replica_repair: two that are lost are replaced at once, three of five are not",
-       [] {
-         auto view = three(2);
-         for (auto* name : {"d", "e"}) {
-           view.nodes.push_back(node(name, "3", true));
-           view.replicas.push_back(replica(view.nodes.back()));
-         }
-         for (auto* name : {"f", "g", "h"}) view.nodes.push_back(node(name, "1", false));
-         end(view.nodes[0]);
-         end(view.nodes[3]);
-         same(step(view), std::string("fbcge"), "two");
-         end(view.nodes[4]);
-         same(step(view), std::string("none"), "no majority votes");
-       }},
-      {"replica_repair: one that is gone is dropped where more than wanted are left",
-       [] {
-         auto view = three(1);
-         view.nodes.push_back(node("d", "3", true));
-         view.replicas.push_back(replica(view.nodes.back()));
-         end(view.nodes[0]);
-         same(step(view), std::string("bcd"), "step");
-       }},
-      {"replica set: quorums of neighbouring sets always meet",
-       [] {
-         consensus::ReplicaSetView set({{"a", "1"}, {"b", "2"}, {"c", "3"}});
-         expect(set.is_quorum({true, true, false}) && !set.is_quorum({true, false, false}), "stable");
-         pb::ReplicaSet joint;
-         joint.set_epoch(1);
-         for (auto* name : {"a", "d", "e"}) joint.add_replicas()->set_name(name);
-         for (auto* name : {"a", "b", "c"}) joint.add_previous()->set_name(name);
-         expect(set.adopt(joint) && set.joint() && set.all().size() == 5, "the joint set");
-         auto flags = [&](const std::string& who) {
-           consensus::MemberFlags out;
-           for (auto& r : set.all()) out.push_back(who.find(r.name) != who.npos);
-           return out;
-         };
-         expect(!set.is_quorum(flags("abc")), "only the old majority");
-         expect(!set.is_quorum(flags("ade")), "only the new majority");
-         expect(set.is_quorum(flags("abd")), "both");
-         same(set.sufficient_count(), size_t{4}, "how many always suffice");
-         expect(!set.adopt(joint), "the same epoch again");
-       }},
-      {"discovery: the first set is the seeds with a disk, in one order",
-       [] {
-         membership::NodeIdentity a{"a", "1", "p:a", true, {}}, b{"b", "2", "p:b", false, {}},
-             c{"c", "3", "p:c", true, {}};
-         auto x = membership::first_set({c, b, a}), y = membership::first_set({a, c, b, a});
-         expect(x && y && x->SerializeAsString() == y->SerializeAsString() && x->replicas_size() == 2 &&
-                    x->epoch() == 1,
-                "not one set");
-         expect(!membership::first_set({b}), "a set without a disk");
-         membership::NodeIdentity d{"a", "1", "p:d", true, {}};
-         expect(!membership::first_set({a, d}), "two that go by one name");
-       }},
-      {"discovery: what a relay tells of itself is read back",
-       [] {
-         auto s = membership::parse_node_identity(
-             R"({"name":"a","zone":"z","peer_address":"p","disk":true,"epoch":3,"holders":[{"name":"h","address":"q"}]})");
-         expect(s && s->name == "a" && s->disk && s->replica_set.epoch() == 3 &&
-                    s->replica_set.replicas(0).address() == "q",
-                "read wrongly");
-         expect(!membership::parse_node_identity("{}") && !membership::parse_node_identity("x"),
-                "taken without a name");
-       }},
+       two_are_replaced_at_once},
+      {"replica_repair: one that is gone is dropped where more than wanted are left", gone_is_dropped},
+      {"replica set: quorums of neighbouring sets always meet", quorums_meet},
+      {"discovery: the first set is the seeds with a disk, in one order", first_set_of_seeds},
+      {"discovery: what a relay tells of itself is read back", identity_is_read_back},
   };
 }
 
