--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -20,12 +20,12 @@
   }
 };
 
-MessageKind kind_of(const pb::PeerRequest& ask) {
-  if (ask.has_prepare()) return MessageKind::prepare;
-  if (ask.has_accept()) return MessageKind::accept;
-  if (ask.has_read_register()) return MessageKind::peek;
-  if (ask.has_snapshot()) return MessageKind::dump;
-  if (ask.has_adopt()) return MessageKind::adopt;
+MessageKind kind_of(const pb::PeerRequest& request) {
+  if (request.has_prepare()) return MessageKind::prepare;
+  if (request.has_accept()) return MessageKind::accept;
+  if (request.has_read_register()) return MessageKind::read;
+  if (request.has_snapshot()) return MessageKind::snapshot;
+  if (request.has_adopt()) return MessageKind::adopt;
   return MessageKind::pull;
 }
 
@@ -78,10 +78,11 @@
  public:
   HarnessNet(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
       : harness_(harness), name_(std::move(name)), life_(std::move(life)) {}
-  std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address, const pb::PeerRequest& ask,
+  std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
+                                                       const pb::PeerRequest& request,
                                                        Duration limit) override {
     auto conversation = std::make_shared<Conversation>();
-    harness_.send({name_, address, kind_of(ask), ask, conversation});
+    harness_.send({name_, address, kind_of(request), request, conversation});
     TimePoint end = harness_.world().now() + limit;
     while (!conversation->over()) {
       auto now = harness_.world().now();
@@ -113,20 +114,20 @@
   std::unique_ptr<consensus::RegisterClient> client;
   std::unique_ptr<membership::StateCache> cache;
 
-  HarnessProcess(ConsensusHarness& harness, const std::string& name, simulation::DiskContents& platter,
+  HarnessProcess(ConsensusHarness& harness, const std::string& name, simulation::DiskContents& contents,
                  bool replica, const pb::ReplicaSet& first_set, int64_t* wall)
       : life(std::make_shared<simulation::ProcessRun>()),
         clock(harness.world(), life, wall),
         random(harness.world()),
         tasks(harness, name, life),
         net(harness, name, life),
-        disk(harness.world(), life, platter),
+        disk(harness.world(), life, contents),
         set({}) {
     life->host = name;
     set.adopt(first_set);
     if (replica) acceptor = std::make_unique<consensus::Acceptor>(ports, disk, name, set, kRoundLimit);
     consensus::LocalReplica local;
-    if (replica) local = [this](const pb::PeerRequest& ask) { return acceptor->answer(ask); };
+    if (replica) local = [this](const pb::PeerRequest& request) { return acceptor->answer(request); };
     client = std::make_unique<consensus::RegisterClient>(ports, name, set, kRoundLimit, local);
     membership::StateCacheConfig config{name, kStalenessBound};
     cache = std::make_unique<membership::StateCache>(
@@ -134,8 +135,8 @@
     if (acceptor) acceptor->start({});
   }
 
-  pb::PeerResponse answer(const pb::PeerRequest& ask) {
-    return ask.has_pull() ? cache->handle_pull(ask) : acceptor->answer(ask);
+  pb::PeerResponse answer(const pb::PeerRequest& request) {
+    return request.has_pull() ? cache->handle_pull(request) : acceptor->answer(request);
   }
 };
 
@@ -168,24 +169,24 @@
   }
 }
 
-void ConsensusHarness::add_formed_replica(const std::string& name) {
-  auto& platter = nodes_[name].platter;
+void ConsensusHarness::add_voting_replica(const std::string& name) {
+  auto& contents = nodes_[name].contents;
   pb::Snapshot image;
   image.set_stage(pb::REPLICA_VOTING);
   *image.mutable_replica_set() = first_set_;
   pb::LogRecord stage, set;
   stage.set_stage(pb::REPLICA_VOTING);
   *set.mutable_replica_set() = first_set_;
-  storage::SnapshotStore store(std::make_unique<simulation::MemoryFiles>(platter), kLogBytes);
+  storage::SnapshotStore store(std::make_unique<simulation::MemoryFiles>(contents), kLogBytes);
   store.load();
   store.save({stage, set}, [&] { return image; });
-  add_blank_replica(name);
+  add_empty_replica(name);
 }
 
-void ConsensusHarness::add_blank_replica(const std::string& name) {
+void ConsensusHarness::add_empty_replica(const std::string& name) {
   auto& node = nodes_[name];
   node.replica = true;
-  node.platter.min_latency = node.platter.max_latency = Duration(1);
+  node.contents.min_latency = node.contents.max_latency = Duration(1);
   start_process(name);
 }
 
@@ -197,7 +198,7 @@
 void ConsensusHarness::start_process(const std::string& name) {
   auto& node = nodes_[name];
   node.process =
-      std::make_unique<HarnessProcess>(*this, name, node.platter, node.replica, first_set_, &wall_offset_);
+      std::make_unique<HarnessProcess>(*this, name, node.contents, node.replica, first_set_, &wall_offset_);
 }
 
 consensus::RegisterClient& ConsensusHarness::client(const std::string& name) {
@@ -230,7 +231,7 @@
 void ConsensusHarness::lose_disk(const std::string& name) {
   crash(name);
   sleep(Duration(1));
-  nodes_.at(name).platter.files.clear();
+  nodes_.at(name).contents.files.clear();
   start_process(name);
 }
 
@@ -270,7 +271,7 @@
   if (target == nodes_.end() || !target->second.process || !target->second.replica) return reply(message, {});
   auto* process = target->second.process.get();
   world_.spawn(process->life, [this, process, message, transit] {
-    auto answer = process->answer(message.ask);
+    auto answer = process->answer(message.request);
     if (transit.reply_lost) return;
     world_.after(transit.reply_delay, [this, message, answer] { reply(message, answer); });
   });
--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -1,7 +1,7 @@
 // A scripted environment for the product's consensus.
 //
 // Every node runs the product's own Acceptor, RegisterClient and StateCache on the simulation's
-// invented clock. The network is the test's: each ask is a message that is held until the test
+// invented clock. The network is the test's: each request is a message that is held until the test
 // has it delivered, refused or dropped, or that a rule decides on as soon as it is sent. Disks
 // outlive their processes and can be lost. Nothing happens but what the script and its seed say.
 #pragma once
@@ -16,14 +16,14 @@
 inline constexpr Duration kStalenessBound{2000};
 inline constexpr Duration kRoundLimit = kStalenessBound / 4;  // as the product has it
 
-enum class MessageKind : uint8_t { any, prepare, accept, peek, dump, adopt, pull };
+enum class MessageKind : uint8_t { any, prepare, accept, read, snapshot, adopt, pull };
 
-// An ask on its way, and where its sender waits for the reply.
+// An request on its way, and where its sender waits for the reply.
 struct Conversation;
 struct Message {
   std::string from, to;
   MessageKind kind = MessageKind::any;
-  pb::PeerRequest ask;
+  pb::PeerRequest request;
   std::shared_ptr<Conversation> conversation;
 };
 
@@ -65,10 +65,10 @@
 
   // The set of epoch 1, which every node knows from its settings.
   void first_set(const std::vector<std::string>& names);
-  // A member of the first set whose disk is formed and empty.
-  void add_formed_replica(const std::string& name);
-  // A node with a blank disk.
-  void add_blank_replica(const std::string& name);
+  // A member of the first set whose disk votes and holds no registers.
+  void add_voting_replica(const std::string& name);
+  // A node with an empty disk.
+  void add_empty_replica(const std::string& name);
   // A node without a disk.
   void add_client(const std::string& name);
 
@@ -80,7 +80,7 @@
 
   void crash(const std::string& name);
   void restart(const std::string& name);    // crashes it when it runs
-  void lose_disk(const std::string& name);  // crashes it, and starts it again on a blank disk
+  void lose_disk(const std::string& name);  // crashes it, and starts it again on an empty disk
   // Timers of the node's conditions fire only after `wake`, as on a host that stood still and
   // then handles what it received before its timers.
   void stall(const std::string& name);
@@ -118,7 +118,7 @@
   struct Node {
     bool replica = false;
     bool stalled = false;
-    simulation::DiskContents platter;
+    simulation::DiskContents contents;
     std::unique_ptr<HarnessProcess> process;
   };
   void start_process(const std::string& name);
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -78,9 +78,9 @@
     std::vector<std::string> first(disk_names_.begin(),
                                    disk_names_.begin() + static_cast<long>(schedule_.replicas));
     harness_.first_set(first);
-    for (auto& name : first) harness_.add_formed_replica(name);
+    for (auto& name : first) harness_.add_voting_replica(name);
     for (size_t i = schedule_.replicas; i < disk_names_.size(); ++i)
-      harness_.add_blank_replica(disk_names_[i]);
+      harness_.add_empty_replica(disk_names_[i]);
     for (auto& name : kWriters) harness_.add_client(name);
     for (auto& name : node_names_) begin_tasks(name);
   }
--- a/test/unit/consensus/trace_test.cpp
+++ b/test/unit/consensus/trace_test.cpp
@@ -28,7 +28,7 @@
 // The proposers P1 and P2, the readers R and S, and the replicas A, B and C.
 void three_replicas(ConsensusHarness& harness) {
   harness.first_set({"A", "B", "C"});
-  for (auto* name : {"A", "B", "C"}) harness.add_formed_replica(name);
+  for (auto* name : {"A", "B", "C"}) harness.add_voting_replica(name);
   for (auto* name : {"P1", "P2", "R", "S"}) harness.add_client(name);
 }
 
@@ -96,8 +96,8 @@
   harness.crash("P1");
   harness.crash("P2");
   harness.lose_disk("A");
-  harness.deliver({"A", "B", FaultKind::dump});
-  harness.deliver({"A", "C", FaultKind::dump});
+  harness.deliver({"A", "B", FaultKind::snapshot});
+  harness.deliver({"A", "C", FaultKind::snapshot});
   await_voting(harness, "A");
   harness.deliver({"P2", "C", FaultKind::accept});
 }
@@ -107,9 +107,9 @@
     three_replicas(harness);
     copy_an_unchosen_value(harness);
     auto read = start_read(harness, "R");
-    harness.deliver({"R", "B", FaultKind::peek});
+    harness.deliver({"R", "B", FaultKind::read});
     harness.deliver({"P2", "B", FaultKind::accept});  // with C a quorum: "two" is chosen
-    harness.deliver({"R", "A", FaultKind::peek});
+    harness.deliver({"R", "A", FaultKind::read});
     harness.rule({"R"}, Fate::deliver);
     auto found = value_of(harness.result(read, "the read"), "the read of R");
     same(found.data, std::string("two"), "what the read returned");
@@ -125,9 +125,9 @@
     harness.rule({"R", "", FaultKind::pull}, Fate::deliver);
     harness.rule({"R", "C", FaultKind::pull}, Fate::refuse);
     auto pull = start_pull(harness, "R");
-    harness.wait_until([&] { return pull->result || harness.held({"R", "", FaultKind::peek}); }, "the pull");
+    harness.wait_until([&] { return pull->result || harness.held({"R", "", FaultKind::read}); }, "the pull");
     harness.deliver({"P2", "B", FaultKind::accept});
-    harness.rule({"R", "", FaultKind::peek}, Fate::deliver);
+    harness.rule({"R", "", FaultKind::read}, Fate::deliver);
     harness.rule({"R", "", FaultKind::prepare}, Fate::deliver);
     harness.rule({"R", "", FaultKind::accept}, Fate::deliver);
     expect(harness.result(pull, "the pull"), "the pull is good");
@@ -144,12 +144,12 @@
   harness.crash("P1");
 }
 
-// Steps 7 to 11: C loses the accepted value with its disk, and A accepts it after its dump.
+// Steps 7 to 11: C loses the accepted value with its disk, and A accepts it after its snapshot.
 void lose_the_one_and_accept_at_another(ConsensusHarness& harness) {
   harness.lose_disk("C");
-  harness.deliver({"C", "A", FaultKind::dump});
+  harness.deliver({"C", "A", FaultKind::snapshot});
   harness.deliver({"P1", "A", FaultKind::accept});
-  harness.deliver({"C", "B", FaultKind::dump});
+  harness.deliver({"C", "B", FaultKind::snapshot});
   await_voting(harness, "C");
 }
 
@@ -158,10 +158,10 @@
     three_replicas(harness);
     accept_at_one(harness);
     auto read = start_read(harness, "R");
-    harness.deliver({"R", "C", FaultKind::peek});
+    harness.deliver({"R", "C", FaultKind::read});
     harness.stall("R");
     lose_the_one_and_accept_at_another(harness);
-    harness.deliver({"R", "A", FaultKind::peek});
+    harness.deliver({"R", "A", FaultKind::read});
     harness.wake("R");
     harness.rule({"R"}, Fate::deliver);
     auto found = value_of(harness.result(read, "the read"), "the read of R");
@@ -176,7 +176,7 @@
   accept_at_one(harness);
   harness.rule({"R", "", FaultKind::pull}, Fate::deliver);
   harness.rule({"R", "A", FaultKind::pull}, silence);
-  for (auto kind : {FaultKind::peek, FaultKind::prepare, FaultKind::accept})
+  for (auto kind : {FaultKind::read, FaultKind::prepare, FaultKind::accept})
     harness.rule({"R", "", kind}, Fate::refuse);
   auto early = start_pull(harness, "R");
   harness.sleep(kPullSpan / 4 + Duration(4));  // all but A have answered, whoever was asked first
@@ -223,7 +223,7 @@
 void vote_for_joint_set(ConsensusHarness& harness) {
   harness.rule({"P1", "", FaultKind::adopt}, Fate::refuse);
   harness.rule({"P1", "C"}, Fate::refuse);
-  for (auto kind : {FaultKind::peek, FaultKind::prepare, FaultKind::accept}) {
+  for (auto kind : {FaultKind::read, FaultKind::prepare, FaultKind::accept}) {
     harness.rule({"P1", "A", kind}, Fate::deliver);
     harness.rule({"P1", "B", kind}, Fate::deliver);
   }
@@ -249,10 +249,10 @@
 // C does not adopt the joint set, and B does not answer the pull of names.
 void let_change_go_on(ConsensusHarness& harness) {
   harness.rule({"P1", "C", FaultKind::adopt}, Fate::refuse);  // also the one that is held
-  for (auto kind : {FaultKind::pull, FaultKind::peek, FaultKind::prepare, FaultKind::accept})
+  for (auto kind : {FaultKind::pull, FaultKind::read, FaultKind::prepare, FaultKind::accept})
     harness.rule({"P1", "", kind}, Fate::deliver);
   harness.rule({"P1", "B", FaultKind::pull}, Fate::refuse);
-  harness.rule({"P1", "C", FaultKind::peek}, Fate::refuse);
+  harness.rule({"P1", "C", FaultKind::read}, Fate::refuse);
 }
 
 // The trace "without names_from_adopters". C, which has not adopted the joint set, answers the
@@ -260,9 +260,9 @@
 void names_come_from_adopters() {
   play_day([](ConsensusHarness& harness) {
     three_replicas(harness);
-    harness.add_blank_replica("D");
+    harness.add_empty_replica("D");
     warm_up(harness, "P1");
-    harness.sleep(kRoundLimit * 2);  // D, being blank, has waited
+    harness.sleep(kRoundLimit * 2);  // D, being empty, has waited
     vote_for_joint_set(harness);
     auto finish = start_finish(harness);
     harness.deliver({"P1", "A", FaultKind::adopt});
@@ -272,9 +272,9 @@
     harness.deliver({"P2", "C", FaultKind::prepare});
     harness.deliver({"P2", "B", FaultKind::accept});
     harness.deliver({"P1", "B", FaultKind::adopt});
-    harness.rule({"D", "B", FaultKind::dump}, Fate::refuse);
-    harness.deliver({"D", "A", FaultKind::dump});
-    harness.deliver({"D", "C", FaultKind::dump});
+    harness.rule({"D", "B", FaultKind::snapshot}, Fate::refuse);
+    harness.deliver({"D", "A", FaultKind::snapshot});
+    harness.deliver({"D", "C", FaultKind::snapshot});
     await_voting(harness, "D");
     let_change_go_on(harness);
     auto finished = harness.result(finish, "the end of the change");
@@ -300,7 +300,7 @@
       {"consensus trace: a pull counts no reply older than the round limit", pull_counts_no_old_reply},
       {"consensus trace: a pull counts no reply to an earlier one that is older than the round limit",
        pull_counts_no_reply_of_an_earlier_one},
-      {"consensus trace: the age of a reply runs from its ask", age_of_a_reply_runs_from_the_ask},
+      {"consensus trace: the age of a reply runs from its request", age_of_a_reply_runs_from_the_ask},
       {"consensus trace: the names of registers come from adopters of the joint set",
        names_come_from_adopters},
   };
--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -89,7 +89,7 @@
   ConsensusHarness harness(1);
   harness.run([&] {
     harness.first_set({"A", "B", "C"});
-    for (auto* name : {"A", "B", "C"}) harness.add_formed_replica(name);
+    for (auto* name : {"A", "B", "C"}) harness.add_voting_replica(name);
     for (auto* name : {"P1", "R"}) {
       harness.add_client(name);
       harness.rule({name}, Fate::deliver);
@@ -143,7 +143,7 @@
   ConsensusHarness harness(1);
   harness.run([&] {
     harness.first_set({"A", "B", "C"});
-    for (auto* name : {"A", "B", "C"}) harness.add_formed_replica(name);
+    for (auto* name : {"A", "B", "C"}) harness.add_voting_replica(name);
     harness.add_client("R");
     harness.rule({"R"}, Fate::deliver);
     pb::NodeStatus late;
--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -1,6 +1,6 @@
 // The store on a disk whose calls fail. A model of the system's cache and of the medium below
 // it says what a restart of the process, or a power cut, may find; whatever is then
-// loaded holds all that was acknowledged, or is doubted.
+// loaded holds all that was acknowledged, or is reported as possibly lost.
 #include <random>
 
 #include "storage/snapshot_store.hpp"
@@ -53,7 +53,7 @@
 
 class FaultyFiles final : public storage::Files {
  public:
-  FaultyFiles(Medium& m, Plan plan) : medium_(m), plan_(std::move(plan)) {}
+  FaultyFiles(Medium& medium, Plan plan) : medium_(medium), plan_(std::move(plan)) {}
   std::variant<std::string, storage::ReadError> read(const std::string& name) override {
     auto f = medium_.files.find(name);
     if (f == medium_.files.end()) return storage::ReadError::missing;
@@ -99,47 +99,47 @@
 
 using Versions = std::map<std::string, uint64_t>;
 
-// A replica as far as its disk goes: it acknowledges what the store says is synced, and is mute
-// from a failed save until a rewrite succeeds.
+// A replica as far as its disk goes: it acknowledges what the store says is synced, and does
+// not vote from a failed save until a rewrite succeeds.
 class Replica {
  public:
-  Replica(Medium& m, size_t log_bytes, Plan plan)
-      : store_(std::make_unique<FaultyFiles>(m, std::move(plan)), log_bytes) {}
+  Replica(Medium& medium, size_t log_bytes, Plan plan)
+      : store_(std::make_unique<FaultyFiles>(medium, std::move(plan)), log_bytes) {}
 
   // Empty when all is well, or else what was lost.
   std::string start(const Versions& acknowledged) {
     auto loaded = store_.load();
-    mute_ = loaded.unwritten;
-    doubted_ = loaded.possibly_lost;
-    if (doubted_ && acknowledged.empty()) return "";  // a first image that was never whole
-    if (doubted_) return "doubted, though no byte that was synced is bad";
+    non_voting_ = loaded.unwritten;
+    possibly_lost_ = loaded.possibly_lost;
+    if (possibly_lost_ && acknowledged.empty()) return "";  // a first snapshot that was never complete
+    if (possibly_lost_) return "reported as possibly lost, though no byte that was synced is damaged";
     for (auto& slot : loaded.snapshot.registers()) memory_[slot.name()] = slot;
     for (auto& [name, version] : acknowledged)
       if (memory_[name].value().version() < version)
         return fmt::format("{} has version {} of {}", name, memory_[name].value().version(), version);
     return "";
   }
-  bool doubted() const { return doubted_; }
-  bool mute() const { return mute_; }
+  bool possibly_lost() const { return possibly_lost_; }
+  bool non_voting() const { return non_voting_; }
 
   void vote(const std::string& name, uint64_t version, Versions& acknowledged) {
-    pb::LogRecord r;
-    r.mutable_register_state()->set_name(name);
-    r.mutable_register_state()->mutable_value()->set_version(version);
-    r.mutable_register_state()->mutable_value()->set_data(std::string(version % 40, 'd'));
-    memory_[name] = r.register_state();
-    mute_ = store_.save({r}, [this] { return image(); }).has_value();
-    if (!mute_) acknowledged[name] = version;
+    pb::LogRecord record;
+    record.mutable_register_state()->set_name(name);
+    record.mutable_register_state()->mutable_value()->set_version(version);
+    record.mutable_register_state()->mutable_value()->set_data(std::string(version % 40, 'd'));
+    memory_[name] = record.register_state();
+    non_voting_ = store_.save({record}, [this] { return snapshot(); }).has_value();
+    if (!non_voting_) acknowledged[name] = version;
   }
   void recover(Versions& acknowledged) {
-    mute_ = store_.rewrite(image()).has_value();
-    if (mute_) return;
+    non_voting_ = store_.rewrite(snapshot()).has_value();
+    if (non_voting_) return;
     // What is published is what is on the disk.
     for (auto& [name, slot] : memory_) acknowledged[name] = slot.value().version();
   }
 
  private:
-  pb::Snapshot image() const {
+  pb::Snapshot snapshot() const {
     pb::Snapshot out;
     out.set_stage(pb::REPLICA_VOTING);
     for (auto& [name, slot] : memory_) *out.add_registers() = slot;
@@ -147,7 +147,7 @@
   }
   storage::SnapshotStore store_;
   std::map<std::string, pb::RegisterState> memory_;
-  bool mute_ = false, doubted_ = false;
+  bool non_voting_ = false, possibly_lost_ = false;
 };
 
 constexpr size_t kSmallLog = 300;
@@ -170,7 +170,7 @@
     Replica replica(medium, kSmallLog, plan);
     replica.start({});
     for (uint64_t i = 1; i <= kVotes;) {
-      if (replica.mute())
+      if (replica.non_voting())
         replica.recover(acknowledged);
       else
         replica.vote("r" + std::to_string(i % 5), i, acknowledged), ++i;
@@ -196,8 +196,8 @@
           }
 }
 
-// Several lives, each of which may end in any call, on a disk that fails now and then.
-void many_lives() {
+// Several runs of the process, each of which may end in any call, on a disk that fails now and then.
+void many_runs() {
   Medium medium;
   medium.random.seed(*rc::gen::arbitrary<uint64_t>());
   auto log_bytes = *rc::gen::inRange<size_t>(60, 2000);
@@ -219,7 +219,7 @@
       auto lost = replica.start(acknowledged);
       RC_ASSERT(lost == "");
       for (int i = 0; i < 100; ++i) {
-        if (replica.mute()) {
+        if (replica.non_voting()) {
           replica.recover(acknowledged);
           continue;
         }
@@ -234,8 +234,8 @@
   RC_ASSERT(last.start(acknowledged) == "");
 }
 
-// A disk that says it wrote a whole image, and did not, is found out by reading it back.
-void lies_are_read_back() {
+// A disk that says it wrote a complete snapshot, and did not, is found out by reading it back.
+void rewrite_reads_back() {
   for (uint64_t seed = 1; seed < 200; ++seed) {
     Medium medium;
     medium.random.seed(seed);
@@ -246,20 +246,21 @@
     replica.vote("a", 1, acknowledged);
     fault = Fault::refused;
     replica.vote("a", 2, acknowledged);
-    expect(replica.mute(), "a refused write was taken for done");
+    expect(replica.non_voting(), "a refused write was taken for done");
     fault = Fault::lied;
     replica.recover(acknowledged);
-    expect(replica.mute(), "an image that is not there was taken for written");
+    expect(replica.non_voting(), "a snapshot that is not there was taken for written");
     fault = Fault::none;
     replica.recover(acknowledged);
-    expect(!replica.mute(), "a whole disk did not come back");
+    expect(!replica.non_voting(), "a working disk did not come back");
     medium.lose_cache();
     Replica next(medium, kSmallLog, [] { return Fault::none; });
-    expect(next.start(acknowledged).empty() && !next.doubted(), "the image written last was not loaded");
+    expect(next.start(acknowledged).empty() && !next.possibly_lost(),
+           "the snapshot written last was not loaded");
   }
 }
 
-// A slot that the disk will not give may be the newest.
+// A snapshot that the disk will not give may be the newest.
 class UnreadFiles final : public storage::Files {
  public:
   UnreadFiles(Medium& m, std::string unread)
@@ -282,7 +283,7 @@
   std::string unread_;
 };
 
-void unread_slots_are_doubted() {
+void unread_snapshots_are_reported() {
   for (uint64_t votes = 1; votes <= kVotes; ++votes)
     for (std::string slot : {"slot.0", "slot.1"}) {
       Medium medium;
@@ -294,16 +295,17 @@
       storage::SnapshotStore next(std::make_unique<UnreadFiles>(medium, slot), kSmallLog);
       auto loaded = next.load();
       expect(loaded.possibly_lost && loaded.snapshot.registers().empty(),
-             "a slot that could not be read was left out unsaid");
+             "a snapshot that could not be read was left out unreported");
     }
 }
 }  // namespace
 
 std::vector<Case> disk_fault_cases() {
-  return {{"disk: any call fails, and what was acknowledged is loaded or doubted", every_single_call},
-          property("disk: many lives on a failing disk lose nothing unsaid", many_lives),
-          {"disk: an image that was not written is not believed", lies_are_read_back},
-          {"disk: a slot that cannot be read is doubted", unread_slots_are_doubted}};
+  return {
+      {"storage: any call fails, and what was acknowledged is loaded or reported lost", every_single_call},
+      property("storage: many runs on a failing disk lose nothing unreported", many_runs),
+      {"storage: rewrite finds out a snapshot that was not written", rewrite_reads_back},
+      {"storage: a snapshot that cannot be read is reported lost", unread_snapshots_are_reported}};
 }
 
 }  // namespace dunlinwing::test
