--- a/src/console/main.cpp
+++ b/src/console/main.cpp
@@ -8,8 +8,8 @@
 
 #include "base/log.hpp"
 #include "console/commands.hpp"
-#include "net/http.hpp"
 #include "net/address.hpp"
+#include "net/http.hpp"
 
 DEFINE_string(seeds, "", "control addresses of relays, with commas; else DUNLINWING_SEEDS");
 DEFINE_bool(json, false, "give the relay's own JSON");
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,7 +1,10 @@
-// One TCP connection as fibers use it: bytes are read into a buffer of its own,
-// written gathered, and whatever waits on it can be stopped from beside. A read
-// may be left pending while nobody waits, so that a kept connection learns of
-// its end without being asked.
+/// @file
+/// One TCP connection as fibers use it: bytes are read into a buffer of its own and written gathered, and
+/// whatever waits on it can be interrupted. A read may be left pending while nobody waits, so that an idle
+/// connection learns of its end without being asked.
+///
+/// Invariants: at most one read is pending, and at most one fiber waits for it.
+/// Threads: used by the event loop that its socket belongs to.
 #pragma once
 #include <boost/asio/ip/tcp.hpp>
 
@@ -9,52 +12,83 @@
 
 namespace dunlinwing::net {
 
-// What each of our connections is set to: no delay, and not stuck behind a cut.
-void configure_socket(boost::asio::ip::tcp::socket& s);
+/// Sets a socket to what all of ours are: no delay, and given up when a cut lasts.
+void configure_socket(boost::asio::ip::tcp::socket& socket);
 
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using Socket = boost::asio::ip::tcp::socket;
-  explicit Connection(Socket s) : socket_(std::move(s)) {}
+  static constexpr size_t kReadSize = 2048;  ///< bytes read at once unless stated
 
-  // A connection to IP:port, or why there is none by `end`.
-  static std::pair<std::shared_ptr<Connection>, ErrorCode> connect(const std::string& address,
-                                                                   std::chrono::steady_clock::time_point end);
+  explicit Connection(Socket socket) : socket_(std::move(socket)) {}
 
+  /// Opens a connection; suspends the calling fiber.
+  /// @param address  IP:port
+  /// @return null when there is none by `end`
+  [[nodiscard]] static std::shared_ptr<Connection> connect(const std::string& address,
+                                                           std::chrono::steady_clock::time_point end);
+
+  /// What has been read and not consumed.
   std::string_view buffered() const { return {buffer_.data() + begin_, end_ - begin_}; }
-  void consume(size_t n) { begin_ += n; }
-  ErrorCode read_more(size_t room = kReadSize);  // parks until more bytes are here, at most `room`
-  // Sends both parts as one; `moved` is called as bytes go, if they do not go at once.
-  ErrorCode write(std::string_view a, std::string_view b = {}, const std::function<void()>& moved = {});
-  size_t bytes_written() const { return bytes_written_; }  // bytes of the last `send` that left
-  // Whether bytes, or the end, were there before the last `send` was whole.
+  void consume(size_t bytes) { begin_ += bytes; }
+
+  /// Suspends the calling fiber until more bytes are buffered, at most `room`.
+  /// @return operation_aborted when interrupted
+  [[nodiscard]] ErrorCode read_more(size_t room = kReadSize);
+
+  /// Sends both parts as one; suspends the calling fiber unless they go at once.
+  /// @param on_progress  called as bytes go, if they do not go at once
+  /// @return operation_aborted when interrupted
+  ErrorCode write(std::string_view first, std::string_view second = {},
+                  const std::function<void()>& on_progress = {});
+
+  /// Bytes of the last write() that were handed to the system.
+  size_t bytes_written() const { return bytes_written_; }
+
+  /// Whether bytes, or the end, were there before the last write() was complete.
   bool received_during_write() const { return received_during_write_; }
 
-  void start_read(size_t room = kReadSize);     // leaves a read pending
-  bool is_reading() const { return reading_; }  // for bytes, or their end
-  bool is_idle() const;                         // armed, and nothing came: no byte, no end
-  bool is_idle_in_system() const;               // the same, asked of the system now
-  void on_read_done(std::function<void()> f) {
-    on_read_done_ = std::move(f);
-  }  // runs when a pending read ends unawaited
+  /// Leaves a read pending, unless one is.
+  void start_read(size_t room = kReadSize);
+  bool is_reading() const { return reading_; }
+
+  /// Called when a pending read ends for which no fiber waits; null: nobody is.
+  void on_read_done(std::function<void()> callback) { on_read_done_ = std::move(callback); }
+
+  /// Whether a read is pending and nothing came: no byte, no end.
+  bool is_idle() const;
 
-  void interrupt();  // whoever waits on it, now or next, gets `operation_aborted`
+  /// The same, and the system has nothing either: one system call.
+  bool is_idle_in_system() const;
+
+  /// Whoever waits on it, now or next, gets operation_aborted.
+  void interrupt();
   bool is_interrupted() const { return interrupted_; }
   void clear_interrupt() { interrupted_ = false; }
+
   void close();
-  void reset();  // closes at once: what was not delivered is dropped, the other side sees a reset
+
+  /// Closes at once: what was not delivered is dropped, and the other side sees a reset.
+  void reset();
   void shutdown_send();
-  Socket& socket() { return socket_; }
 
-  static constexpr size_t kReadSize = 2048;
+  Socket& socket() { return socket_; }
 
  private:
+  void make_room(size_t room);
+  void on_read(ErrorCode error, size_t bytes);
+  ErrorCode write_at_once(std::string_view first, std::string_view second);
+
   Socket socket_;
   std::string buffer_;
-  size_t begin_ = 0, end_ = 0, bytes_written_ = 0;
-  bool reading_ = false, interrupted_ = false, received_during_write_ = false;
-  ErrorCode error_;
-  boost::fibers::context* waiter_ = nullptr;
+  size_t begin_ = 0;  ///< of what is buffered, within the buffer
+  size_t end_ = 0;    ///< likewise
+  size_t bytes_written_ = 0;
+  bool reading_ = false;
+  bool interrupted_ = false;
+  bool received_during_write_ = false;
+  ErrorCode error_;                           ///< of the last read
+  boost::fibers::context* waiter_ = nullptr;  ///< the fiber that waits for the pending read
   std::function<void()> on_read_done_;
 };
 
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -1,6 +1,5 @@
-// An idle connection has a read pending, so its end is noticed at once and the
-// descriptor given back. Those that only grew old go when any other is sought:
-// no timer watches over them.
+// An idle connection has a read pending, so its end is noticed at once and the descriptor given back. Those
+// that have only grown old are closed when any other is acquired: no timer watches over them.
 #include "net/connection_pool.hpp"
 
 #include <boost/asio/post.hpp>
@@ -9,101 +8,106 @@
 namespace asio = boost::asio;
 
 namespace {
-// Of the time after which the worker closes an idle connection, the part in
-// which we use it: for what must not be sent twice, and for the rest.
-constexpr double kSurePart = 1.0 / 3, kPart = 0.7;
-constexpr Duration kSureUnstated(1000), kUnstated(4000);
-constexpr size_t kMostIdleEach = 64;
+// Of the Keep-Alive time after which a backend instance closes an idle connection, the part in which it is
+// used for what must not be sent twice, and for the rest.
+constexpr double kUnsafePart = 1.0 / 3;
+constexpr double kIdempotentPart = 0.7;
+// The same where it states no such time.
+constexpr Duration kUnsafeDefault(1000);
+constexpr Duration kIdempotentDefault(4000);
+constexpr size_t kMostIdleEach = 64;  // for one address
 constexpr Duration kPruneEvery(1000);
 
 std::chrono::steady_clock::time_point now() { return std::chrono::steady_clock::now(); }
 
+Duration part_of(Duration duration, double part) {
+  return std::chrono::duration_cast<Duration>(duration * part);
+}
+
 // Closes it on its own thread, which may be waiting on it.
-void end(const std::shared_ptr<Connection>& connection, asio::io_context* io) {
+void close_on_thread(const std::shared_ptr<Connection>& connection, asio::io_context* io) {
   if (io == &EventLoopPool::here()) return connection->close();
   asio::post(*io, [connection] { connection->close(); });
 }
 }  // namespace
 
-// The lock is held for all that is private here, and never while parked.
-std::shared_ptr<Connection> ConnectionPool::take(Backend& h, bool safe) {
-  auto t = now();
-  auto* here = &EventLoopPool::here();
-  for (size_t i = h.idle.size(); i-- > 0;) {
-    auto& o = h.idle[i];
-    if (t >= o.idempotent_until) {
-      drop(h, i);
+std::shared_ptr<Connection> ConnectionPool::take_idle(Backend& backend, bool idempotent) {
+  const auto time = now();
+  const auto* here = &EventLoopPool::here();
+  for (size_t i = backend.idle.size(); i-- > 0;) {
+    auto& idle = backend.idle[i];
+    if (time >= idle.idempotent_until) {
+      drop(backend, i);
       continue;
     }
-    if (o.io_context != here) continue;
-    if (!o.connection->is_idle() || (!safe && t < o.unsafe_until && !o.connection->is_idle_in_system())) {
-      drop(h, i);
+    if (idle.io_context != here) continue;
+    const bool may_be_unsafe = !idempotent && time < idle.unsafe_until;
+    if (!idle.connection->is_idle() || (may_be_unsafe && !idle.connection->is_idle_in_system())) {
+      drop(backend, i);
       continue;
     }
-    if (!safe && t >= o.unsafe_until) continue;
-    auto connection = std::move(o.connection);
+    if (!idempotent && time >= idle.unsafe_until) continue;
+    auto connection = std::move(idle.connection);
     connection->on_read_done(nullptr);
-    h.idle.erase(h.idle.begin() + i);
+    backend.idle.erase(backend.idle.begin() + static_cast<std::ptrdiff_t>(i));
     --idle_;
     return connection;
   }
   return nullptr;
 }
 
-void ConnectionPool::drop(Backend& h, size_t i) {
-  end(h.idle[i].connection, h.idle[i].io_context);
-  h.idle.erase(h.idle.begin() + i);
+void ConnectionPool::drop(Backend& backend, size_t index) {
+  close_on_thread(backend.idle[index].connection, backend.idle[index].io_context);
+  backend.idle.erase(backend.idle.begin() + static_cast<std::ptrdiff_t>(index));
   --idle_;
-  notify_waiter(h);
+  --backend.open;
+  notify_waiter(backend);
 }
 
-void ConnectionPool::notify_waiter(Backend& h) {
-  --h.open;
-  if (h.waiting.empty()) return;
-  h.waiting.front()->notify();
-  h.waiting.pop_front();
+void ConnectionPool::notify_waiter(Backend& backend) {
+  if (backend.waiting.empty()) return;
+  backend.waiting.front()->notify();
+  backend.waiting.pop_front();
 }
 
-void ConnectionPool::prune(TimePoint t) {
-  if (t - pruned_ < kPruneEvery) return;
-  pruned_ = t;
-  for (auto it = hosts_.begin(); it != hosts_.end();) {
-    auto& h = it->second;
-    for (size_t i = h.idle.size(); i-- > 0;)
-      if (t >= h.idle[i].idempotent_until) drop(h, i);
-    it = h.open == 0 && h.waiting.empty() ? hosts_.erase(it) : std::next(it);
+void ConnectionPool::prune(TimePoint time) {
+  if (time - pruned_ < kPruneEvery) return;
+  pruned_ = time;
+  for (auto it = backends_.begin(); it != backends_.end();) {
+    auto& backend = it->second;
+    for (size_t i = backend.idle.size(); i-- > 0;)
+      if (time >= backend.idle[i].idempotent_until) drop(backend, i);
+    it = backend.open == 0 && backend.waiting.empty() ? backends_.erase(it) : std::next(it);
   }
 }
 
-std::unique_ptr<ConnectionPool::Lease> ConnectionPool::acquire(const std::string& address, bool safe,
+std::unique_ptr<ConnectionPool::Lease> ConnectionPool::acquire(const std::string& address, bool idempotent,
                                                                int most, TimePoint end) {
   std::shared_ptr<Connection> connection;
-  bool used = false;
   for (std::shared_ptr<base::Condition> condition;;) {
     std::unique_lock lock(mutex_);
-    auto t = now();
-    prune(t);
-    auto& h = hosts_[address];
-    if (condition) std::erase(h.waiting, condition);
-    connection = take(h, safe);
-    if (!connection && most > 0 && h.open >= most && !h.idle.empty())
-      drop(h, 0);  // unfit for this one, or another thread's
-    used = connection != nullptr;
-    if (used || most <= 0 || h.open < most) {
-      h.open += !used;
+    const auto time = now();
+    prune(time);
+    auto& backend = backends_[address];
+    if (condition) std::erase(backend.waiting, condition);
+    connection = take_idle(backend, idempotent);
+    if (connection) break;
+    if (most > 0 && backend.open >= most && !backend.idle.empty())
+      drop(backend, 0);  // unfit for this request, or another thread's
+    if (most <= 0 || backend.open < most) {
+      ++backend.open;
       break;
     }
-    if (t >= end) return nullptr;
+    if (time >= end) return nullptr;
     if (!condition) condition = make_condition();
-    h.waiting.push_back(condition);
+    backend.waiting.push_back(condition);
     lock.unlock();
-    condition->wait(std::chrono::ceil<Duration>(end - t));
+    condition->wait(std::chrono::ceil<Duration>(end - time));
   }
-  auto loan = std::make_unique<Lease>(shared_from_this(), address);
-  loan->reused = used;
-  loan->connection = used ? std::move(connection) : Connection::connect(address, end).first;
-  if (!loan->connection) return nullptr;
-  return loan;
+  auto lease = std::make_unique<Lease>(shared_from_this(), address, connection != nullptr);
+  lease->connection = connection ? std::move(connection) : Connection::connect(address, end);
+  if (!lease->connection) return nullptr;
+  return lease;
 }
 
 ConnectionPool::Lease::~Lease() {
@@ -111,8 +115,8 @@
   if (pool_) pool_->connection_closed(address_);
 }
 
-void ConnectionPool::Lease::give_back(std::optional<Duration> stated, bool only_safe) {
-  std::exchange(pool_, nullptr)->give_back(address_, std::move(connection), stated, only_safe);
+void ConnectionPool::Lease::give_back(std::optional<Duration> keep_alive, bool only_idempotent) {
+  std::exchange(pool_, nullptr)->give_back(address_, std::move(connection), keep_alive, only_idempotent);
 }
 
 void ConnectionPool::Lease::abandon() {
@@ -121,62 +125,66 @@
 }
 
 void ConnectionPool::connection_closed(const std::string& address) {
-  std::lock_guard g(mutex_);
-  notify_waiter(hosts_[address]);
+  const std::lock_guard lock(mutex_);
+  auto& backend = backends_[address];
+  --backend.open;
+  notify_waiter(backend);
 }
 
 void ConnectionPool::give_back(const std::string& address, std::shared_ptr<Connection> connection,
-                               std::optional<Duration> stated, bool only_safe) {
-  auto t = now();
+                               std::optional<Duration> keep_alive, bool only_idempotent) {
+  const auto time = now();
   connection->start_read(kResponseReadSize);
-  connection->on_read_done([k = weak_from_this(), address, raw = connection.get()] {
-    if (auto me = k.lock()) me->connection_ended(address, raw);
+  connection->on_read_done([pool = weak_from_this(), address, ended = connection.get()] {
+    if (const auto self = pool.lock()) self->connection_ended(address, ended);
   });
-  std::lock_guard g(mutex_);
-  auto& h = hosts_[address];
-  auto part = [&](double p) { return std::chrono::duration_cast<Duration>(*stated * p); };
-  auto sure = only_safe ? Duration(0) : stated ? part(kSurePart) : kSureUnstated;
-  h.idle.push_back(
-      {std::move(connection), &EventLoopPool::here(), t, t + sure, t + (stated ? part(kPart) : kUnstated)});
+  const auto unsafe = only_idempotent ? Duration(0)
+                      : keep_alive    ? part_of(*keep_alive, kUnsafePart)
+                                      : kUnsafeDefault;
+  const auto idempotent = keep_alive ? part_of(*keep_alive, kIdempotentPart) : kIdempotentDefault;
+  const std::lock_guard lock(mutex_);
+  auto& backend = backends_[address];
+  backend.idle.push_back(
+      {std::move(connection), &EventLoopPool::here(), time, time + unsafe, time + idempotent});
   ++idle_;
-  if (h.idle.size() > kMostIdleEach) drop(h, 0);
-  if (idle_ > max_idle_) {
-    Backend* old = nullptr;
-    for (auto& [a, x] : hosts_)
-      if (!x.idle.empty() && (!old || x.idle[0].since < old->idle[0].since)) old = &x;
-    drop(*old, 0);
-  }
-  if (!h.waiting.empty()) {
-    h.waiting.front()->notify();
-    h.waiting.pop_front();
-  }
+  if (backend.idle.size() > kMostIdleEach) drop(backend, 0);
+  if (idle_ > max_idle_) drop_longest_idle();
+  notify_waiter(backend);
+}
+
+void ConnectionPool::drop_longest_idle() {
+  Backend* oldest = nullptr;
+  for (auto& [address, backend] : backends_)
+    if (!backend.idle.empty() && (!oldest || backend.idle[0].since < oldest->idle[0].since))
+      oldest = &backend;
+  drop(*oldest, 0);
 }
 
-// Its end came, or bytes nobody asked for.
-void ConnectionPool::connection_ended(const std::string& address, Connection* l) {
-  std::lock_guard g(mutex_);
-  auto f = hosts_.find(address);
-  if (f == hosts_.end()) return;
-  auto& v = f->second.idle;
-  for (size_t i = 0; i < v.size(); ++i)
-    if (v[i].connection.get() == l) return drop(f->second, i);
+// Its end came, or bytes that nobody asked for.
+void ConnectionPool::connection_ended(const std::string& address, const Connection* ended) {
+  const std::lock_guard lock(mutex_);
+  const auto found = backends_.find(address);
+  if (found == backends_.end()) return;
+  auto& idle = found->second.idle;
+  for (size_t i = 0; i < idle.size(); ++i)
+    if (idle[i].connection.get() == ended) return drop(found->second, i);
 }
 
 void ConnectionPool::clear() {
-  std::lock_guard g(mutex_);
-  for (auto& [a, h] : hosts_)
-    while (!h.idle.empty()) drop(h, h.idle.size() - 1);
+  const std::lock_guard lock(mutex_);
+  for (auto& [address, backend] : backends_)
+    while (!backend.idle.empty()) drop(backend, backend.idle.size() - 1);
 }
 
 int ConnectionPool::idle() const {
-  std::lock_guard g(mutex_);
+  const std::lock_guard lock(mutex_);
   return static_cast<int>(idle_);
 }
 
 int ConnectionPool::connections_to(const std::string& address) const {
-  std::lock_guard g(mutex_);
-  auto f = hosts_.find(address);
-  return f == hosts_.end() ? 0 : f->second.open;
+  const std::lock_guard lock(mutex_);
+  const auto found = backends_.find(address);
+  return found == backends_.end() ? 0 : found->second.open;
 }
 
 }  // namespace dunlinwing::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,7 +1,5 @@
-// An attempt: a connection, one gathered write, and answers read until one is ours.
-// Beast does the parsing. Whatever leaves a doubt about where an answer ends,
-// or whose it is, costs the connection, and the answer too. A connection that was
-// given up is reset, so that what lies in its buffer is not delivered later.
+// An attempt: a connection, one gathered write, and responses read until one is this request's. Beast does
+// the parsing.
 #include "net/http_client.hpp"
 
 #include <boost/beast/http.hpp>
@@ -16,147 +14,206 @@
 using Parser = http::response_parser<http::string_body>;
 
 namespace {
-constexpr int kMostSkipped = 2;  // answers to earlier requests
-constexpr int kMostInterim = 8;  // 1xx before an answer
-constexpr uint32_t kMostHead = 64 << 10;
-constexpr size_t kBodyRoom = 32 << 10;
+constexpr int kMostSkipped = 2;  // responses to earlier requests
+constexpr int kMostInterim = 8;  // 1xx before a response
+constexpr uint32_t kMostHeadBytes = 64 << 10;
+constexpr size_t kBodyRoom = 32 << 10;  // bytes of a body read at once
+constexpr int64_t kMostKeepAliveSeconds = 3600;
 
-struct Answer {
+struct ReceivedResponse {
   base::Response response;
-  bool keep = false;
-  std::optional<Duration> stated;
+  bool keep_alive = false;
+  std::optional<Duration> keep_alive_time;  ///< as the Keep-Alive header states it
 };
 
-std::string head_of(const base::Request& request, const std::string& address) {
-  std::string o;
-  size_t n = 128 + request.method.size() + request.target.size() + address.size();
-  for (auto& [k, v] : request.headers) n += k.size() + v.size() + 4;
-  o.reserve(n);
-  o.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
-  bool host = false;
-  for (auto& [k, v] : request.headers) {
-    if (base::equals_ignore_case(k, "Content-Length") || base::equals_ignore_case(k, "Transfer-Encoding"))
-      continue;  // ours to say
-    host |= base::equals_ignore_case(k, "Host");
-    o.append(k).append(": ").append(v).append("\r\n");
+bool needs_content_length(const base::Request& request) {
+  return !request.body.empty() || request.method == "POST" || request.method == "PUT" ||
+         request.method == "PATCH";
+}
+
+std::string request_head(const base::Request& request, const std::string& address) {
+  constexpr size_t kOwnBytes = 128;
+  size_t bytes = kOwnBytes + request.method.size() + request.target.size() + address.size();
+  for (const auto& [name, value] : request.headers) bytes += name.size() + value.size() + 4;
+  std::string head;
+  head.reserve(bytes);
+  head.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
+  bool has_host = false;
+  for (const auto& [name, value] : request.headers) {
+    if (base::equals_ignore_case(name, "Content-Length") ||
+        base::equals_ignore_case(name, "Transfer-Encoding"))
+      continue;  // the client states them itself
+    has_host |= base::equals_ignore_case(name, "Host");
+    head.append(name).append(": ").append(value).append("\r\n");
   }
-  if (!host) o.append("Host: ").append(address).append("\r\n");
-  if (!request.body.empty() || request.method == "POST" || request.method == "PUT" ||
-      request.method == "PATCH")
-    o.append("Content-Length: ").append(std::to_string(request.body.size())).append("\r\n");
-  return o.append("\r\n");
+  if (!has_host) head.append("Host: ").append(address).append("\r\n");
+  if (needs_content_length(request))
+    head.append("Content-Length: ").append(std::to_string(request.body.size())).append("\r\n");
+  return head.append("\r\n");
 }
 
-std::optional<Duration> stated(std::string_view v) {
-  for (auto& w : base::split_list(v, ',')) {
-    auto e = w.find('=');
-    if (e == w.npos || !base::equals_ignore_case(std::string_view(w).substr(0, e), "timeout")) continue;
-    int64_t n = 0;
-    std::from_chars(w.data() + e + 1, w.data() + w.size(), n);
-    return Duration(std::clamp<int64_t>(n, 0, 3600) * 1000);
+/// The time-out of a Keep-Alive header.
+std::optional<Duration> keep_alive_time(std::string_view header) {
+  for (const auto& parameter : base::split_list(header, ',')) {
+    const auto equals = parameter.find('=');
+    if (equals == std::string::npos ||
+        !base::equals_ignore_case(std::string_view(parameter).substr(0, equals), "timeout"))
+      continue;
+    int64_t seconds = 0;
+    std::from_chars(parameter.data() + equals + 1, parameter.data() + parameter.size(), seconds);
+    return Duration(std::clamp<int64_t>(seconds, 0, kMostKeepAliveSeconds) * 1000);
   }
   return {};
 }
 
-template <class M>
-void take_head(const M& m, Answer& a) {
-  a.response.status = static_cast<int>(m.result_int());
-  a.keep = m.keep_alive();
-  a.response.headers.reserve(std::distance(m.begin(), m.end()));
-  for (auto& f : m) a.response.headers.emplace_back(std::string(f.name_string()), std::string(f.value()));
-  if (auto f = m.find(http::field::keep_alive); f != m.end()) a.stated = stated(std::string_view(f->value()));
+template <class Head>
+void copy_head(const Head& head, ReceivedResponse& received) {
+  received.response.status = static_cast<int>(head.result_int());
+  received.keep_alive = head.keep_alive();
+  received.response.headers.reserve(std::distance(head.begin(), head.end()));
+  for (const auto& field : head)
+    received.response.headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
+  if (const auto found = head.find(http::field::keep_alive); found != head.end())
+    received.keep_alive_time = keep_alive_time(std::string_view(found->value()));
 }
 
-// The next whole answer on the line; none when it was cut, garbled or of no known length.
-std::optional<Answer> read_answer(Connection& connection, bool head, size_t most) {
-  for (int interim = 0; interim <= kMostInterim; ++interim) {
-    Parser par;
-    Answer a;
-    par.header_limit(kMostHead);
-    par.body_limit(most);
-    if (head) par.skip(true);
-    for (bool headed = false; !par.is_done();) {
-      if (connection.buffered().empty() && connection.read_more(headed ? kBodyRoom : kResponseReadSize))
-        return {};
-      while (!par.is_done() && !connection.buffered().empty()) {
-        par.eager(headed);
-        ErrorCode ec;
-        size_t before = connection.buffered().size();
-        connection.consume(par.put(asio::buffer(connection.buffered().data(), before), ec));
-        if (ec && ec != http::error::need_more) return {};
-        if (!headed && par.is_header_done()) {
-          headed = true;
-          // A body that runs until the connection closes cannot be told from one cut short.
-          if (!par.is_done() && par.need_eof()) return {};
-          take_head(par.get(), a);  // before any trailer
-        }
-        if (ec && connection.buffered().size() == before) {
-          if (connection.read_more(headed ? kBodyRoom : kResponseReadSize)) return {};
-        }
+/// Reads one response of any status; nothing when it was cut, garbled or of no known length.
+class ResponseReader {
+ public:
+  ResponseReader(Connection& connection, bool to_head, size_t max_body_bytes) : connection_(connection) {
+    parser_.header_limit(kMostHeadBytes);
+    parser_.body_limit(max_body_bytes);
+    if (to_head) parser_.skip(true);
+  }
+
+  std::optional<ReceivedResponse> read() {
+    while (!parser_.is_done()) {
+      if (connection_.buffered().empty() && !read_more()) return {};
+      if (!parse_buffered()) return {};
+    }
+    received_.response.body = std::move(parser_.get().body());
+    return std::move(received_);
+  }
+
+ private:
+  bool read_more() { return !connection_.read_more(has_head_ ? kBodyRoom : kResponseReadSize); }
+
+  bool parse_buffered() {
+    while (!parser_.is_done() && !connection_.buffered().empty()) {
+      parser_.eager(has_head_);
+      ErrorCode error;
+      const auto bytes = connection_.buffered();
+      connection_.consume(parser_.put(asio::buffer(bytes.data(), bytes.size()), error));
+      if (error && error != http::error::need_more) return false;
+      if (!has_head_ && parser_.is_header_done()) {
+        has_head_ = true;
+        // A body that runs until the connection closes cannot be told from one cut short.
+        if (!parser_.is_done() && parser_.need_eof()) return false;
+        copy_head(parser_.get(), received_);  // before any trailer
       }
+      if (error && connection_.buffered().size() == bytes.size() && !read_more()) return false;
     }
-    if (a.response.status == 101) return {};
-    if (a.response.status / 100 == 1) continue;
-    a.response.body = std::move(par.get().body());
-    return a;
+    return true;
+  }
+
+  Connection& connection_;
+  Parser parser_;
+  ReceivedResponse received_;
+  bool has_head_ = false;
+};
+
+/// The next response that is not an interim one.
+std::optional<ReceivedResponse> read_response(Connection& connection, bool to_head, size_t max_body_bytes) {
+  for (int interim = 0; interim <= kMostInterim; ++interim) {
+    auto received = ResponseReader(connection, to_head, max_body_bytes).read();
+    if (!received || received->response.status == 101) return {};
+    if (received->response.status / 100 != 1) return received;
   }
   return {};
 }
-}  // namespace
 
-struct HttpClient::Impl : ConnectionPool {
-  using ConnectionPool::ConnectionPool;
+/// Reads responses on a connection until one is the request's.
+class ResponseMatcher {
+ public:
+  ResponseMatcher(ConnectionPool::Lease& lease, const base::Request& request, const base::AttemptRules& rules)
+      : lease_(lease), rules_(rules), to_head_(request.method == "HEAD") {}
+
+  /// @return nothing when it can't be told whether one is; the connection has to be abandoned
+  std::optional<base::Response> read(size_t max_body_bytes) {
+    const Connection& connection = *lease_.connection;
+    const bool early = connection.received_during_write();
+    for (int skipped = 0; skipped <= kMostSkipped; ++skipped) {
+      auto received = read_response(*lease_.connection, to_head_, max_body_bytes);
+      if (!received) return {};
+      if (rules_.is_own_response && !rules_.is_own_response(received->response)) {
+        // It may answer an earlier request; whether that one's response has a body is not known to a HEAD.
+        if (!lease_.reused || to_head_ || !received->keep_alive) return {};
+        continue;
+      }
+      const bool anonymous = rules_.is_anonymous && rules_.is_anonymous(received->response);
+      // Beside another's response, or ahead of the request, one that names no request may be anybody's.
+      if (anonymous && lease_.reused && (skipped > 0 || early)) return {};
+      const bool alone = !skipped && !early && connection.buffered().empty();
+      may_reuse_ =
+          alone && received->keep_alive && received->keep_alive_time.value_or(Duration(1)) > Duration(0);
+      only_idempotent_ = anonymous;
+      keep_alive_time_ = received->keep_alive_time;
+      return std::move(received->response);
+    }
+    return {};
+  }
+
+  /// After a response was read: returns the connection to the pool, if it may be used again.
+  void give_back() {
+    if (may_reuse_) lease_.give_back(keep_alive_time_, only_idempotent_);
+  }
+
+ private:
+  ConnectionPool::Lease& lease_;
+  const base::AttemptRules& rules_;
+  bool to_head_;
+  bool may_reuse_ = false;
+  bool only_idempotent_ = false;
+  std::optional<Duration> keep_alive_time_;
 };
+}  // namespace
 
-HttpClient::HttpClient(size_t body_bytes, size_t kept)
-    : max_body_bytes_(body_bytes), impl_(std::make_shared<Impl>(kept)) {}
-HttpClient::~HttpClient() { impl_->clear(); }
-int HttpClient::idle() const { return impl_->idle(); }
-int HttpClient::connections_to(const std::string& address) const { return impl_->connections_to(address); }
+HttpClient::HttpClient(size_t max_body_bytes, size_t max_idle)
+    : max_body_bytes_(max_body_bytes), pool_(std::make_shared<ConnectionPool>(max_idle)) {}
+HttpClient::~HttpClient() { pool_->clear(); }
+int HttpClient::idle() const { return pool_->idle(); }
+int HttpClient::connections_to(const std::string& address) const { return pool_->connections_to(address); }
 
 bool HttpClient::can_connect(const std::string& address, Duration limit) {
-  auto [l, ec] = Connection::connect(address, std::chrono::steady_clock::now() + limit);
-  return l != nullptr;
+  return Connection::connect(address, std::chrono::steady_clock::now() + limit) != nullptr;
 }
 
 std::variant<base::Response, AttemptError> HttpClient::send(const std::string& address,
                                                             const base::Request& request,
                                                             const base::AttemptRules& rules) {
-  auto from = std::chrono::steady_clock::now();
-  auto end = from + rules.timeout;
-  auto by = rules.connect_timeout > Duration(0) ? std::min(end, from + rules.connect_timeout) : end;
-  auto loan = impl_->acquire(address, rules.idempotent, rules.max_connections, by);
-  if (!loan) return AttemptError::unsent;
-  auto& connection = *loan->connection;
-  Timer late;
-  late.set(end, [&connection] { connection.interrupt(); });
-  auto head = head_of(request, address);
-  auto given_up = [&](AttemptError how) {
-    loan->abandon();
-    return how;
-  };
-  if (connection.write(head, request.body))
-    return given_up(connection.bytes_written() ? AttemptError::unknown : AttemptError::unsent);
-  bool early = connection.received_during_write();
-  bool bare = request.method == "HEAD";
-  for (int skipped = 0; skipped <= kMostSkipped; ++skipped) {
-    auto a = read_answer(connection, bare, max_body_bytes_);
-    if (!a) return given_up(AttemptError::unknown);
-    if (rules.is_own_response && !rules.is_own_response(a->response)) {
-      // It may answer an earlier request; whether that one's answer has a body is not known to a HEAD.
-      if (!loan->reused || bare || !a->keep) return given_up(AttemptError::unknown);
-      continue;
-    }
-    bool nameless = rules.is_anonymous && rules.is_anonymous(a->response);
-    // Beside another's answer, or ahead of the request, one without a name may be anybody's.
-    if (nameless && loan->reused && (skipped || early)) return given_up(AttemptError::unknown);
-    late.clear();
-    bool alone = !skipped && !early && connection.buffered().empty();
-    if (alone && a->keep && a->stated.value_or(Duration(1)) > Duration(0))
-      loan->give_back(a->stated, nameless);
-    return std::move(a->response);
+  const auto begin = std::chrono::steady_clock::now();
+  const auto end = begin + rules.timeout;
+  const auto connect_end =
+      rules.connect_timeout > Duration(0) ? std::min(end, begin + rules.connect_timeout) : end;
+  const auto lease = pool_->acquire(address, rules.idempotent, rules.max_connections, connect_end);
+  if (!lease) return AttemptError::unsent;
+  auto& connection = *lease->connection;
+  Timer timeout;
+  timeout.set(end, [&connection] { connection.interrupt(); });
+  if (connection.write(request_head(request, address), request.body)) {
+    const auto error = connection.bytes_written() > 0 ? AttemptError::unknown : AttemptError::unsent;
+    lease->abandon();
+    return error;
+  }
+  ResponseMatcher matcher(*lease, request, rules);
+  auto response = matcher.read(max_body_bytes_);
+  if (!response) {
+    lease->abandon();
+    return AttemptError::unknown;
   }
-  return given_up(AttemptError::unknown);
+  timeout.clear();
+  matcher.give_back();
+  return std::move(*response);
 }
 
 }  // namespace dunlinwing::net
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,27 +1,39 @@
-// An HTTP/1.1 client that fires one request at a worker and says honestly how
-// far it got. Connections that ended well are kept for the next.
+/// @file
+/// An HTTP/1.1 client that sends one request to a backend instance and says truthfully how far it got.
+/// Connections that ended well are used again (net/connection_pool.hpp).
+///
+/// Invariants: whatever leaves a doubt about where a response ends, or whose it is, costs the connection, and
+/// the response too. A connection that was given up is reset, so that what lies in its buffer is not
+/// delivered later. Threads: from any fiber of an event loop.
 #pragma once
 #include "net/event_loop.hpp"
 
 namespace dunlinwing::net {
 
+class ConnectionPool;
+
 class HttpClient final : public base::Origin {
  public:
-  // Answers' bodies beyond `body_bytes` are not taken; `kept` idle connections at most.
-  explicit HttpClient(size_t body_bytes, size_t kept = 512);
+  static constexpr size_t kDefaultMaxIdle = 512;
+
+  /// @param max_body_bytes  responses with longer bodies are not taken
+  /// @param max_idle        idle connections
+  explicit HttpClient(size_t max_body_bytes, size_t max_idle = kDefaultMaxIdle);
+  HttpClient(const HttpClient&) = delete;
+  HttpClient& operator=(const HttpClient&) = delete;
   ~HttpClient() override;
+
   bool can_connect(const std::string& address, Duration limit) override;
   std::variant<base::Response, base::AttemptError> send(const std::string& address,
                                                         const base::Request& request,
-                                                        const base::AttemptRules& r) override;
-  int idle() const;                                      // connections kept
-  int connections_to(const std::string& address) const;  // connections to it, in use or kept
+                                                        const base::AttemptRules& rules) override;
 
-  struct Impl;
+  int idle() const;                                      ///< connections
+  int connections_to(const std::string& address) const;  ///< in use or idle
 
  private:
   size_t max_body_bytes_;
-  std::shared_ptr<Impl> impl_;
+  std::shared_ptr<ConnectionPool> pool_;
 };
 
 }  // namespace dunlinwing::net
--- a/src/net/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -4,7 +4,7 @@
 
 namespace dunlinwing::net {
 namespace {
-constexpr std::chrono::seconds kKeptIdle(20);  // well before the other side closes it
+constexpr std::chrono::seconds kIdleTimeout(20);  // well before the other side closes it
 constexpr std::chrono::seconds kPruneEvery(5);
 constexpr size_t kMostIdleEach = 8;
 constexpr size_t kLentShare = 3;  // one address may borrow a third of all
@@ -19,36 +19,36 @@
 
 size_t PeerConnections::idle_count() const {
   size_t count = 0;
-  for (auto& [address, relay] : relays_) count += relay.idle.size();
+  for (auto& [address, peer] : peers_) count += peer.idle.size();
   return count;
 }
 
-std::shared_ptr<Connection> PeerConnections::take_idle(Relay& relay) {
+std::shared_ptr<Connection> PeerConnections::take_idle(Peer& peer) {
   auto now = Clock::now();
-  while (!relay.idle.empty()) {
-    auto latest = std::move(relay.idle.back());
-    relay.idle.pop_back();
-    if (now - latest.since < kKeptIdle && latest.connection->is_idle_in_system()) return latest.connection;
+  while (!peer.idle.empty()) {
+    auto latest = std::move(peer.idle.back());
+    peer.idle.pop_back();
+    if (now - latest.since < kIdleTimeout && latest.connection->is_idle_in_system()) return latest.connection;
     latest.connection->close();
   }
   return nullptr;
 }
 
-PeerConnections::Relay* PeerConnections::longest_idle() {
-  Relay* oldest = nullptr;
-  for (auto& [address, relay] : relays_)
-    if (!relay.idle.empty() && (!oldest || relay.idle.front().since < oldest->idle.front().since))
-      oldest = &relay;
+PeerConnections::Peer* PeerConnections::longest_idle() {
+  Peer* oldest = nullptr;
+  for (auto& [address, peer] : peers_)
+    if (!peer.idle.empty() && (!oldest || peer.idle.front().since < oldest->idle.front().since))
+      oldest = &peer;
   return oldest;
 }
 
 // True when a new connection may be opened; closes those that are idle longest for it.
 bool PeerConnections::make_room(size_t most) {
   while (open() >= most) {
-    auto* relay = longest_idle();
-    if (!relay) return false;
-    relay->idle.front().connection->close();
-    relay->idle.erase(relay->idle.begin());
+    auto* peer = longest_idle();
+    if (!peer) return false;
+    peer->idle.front().connection->close();
+    peer->idle.erase(peer->idle.begin());
   }
   return true;
 }
@@ -57,10 +57,10 @@
                                                size_t most) {
   prune(Clock::now());
   for (;;) {
-    auto& relay = relays_[address];
-    if (relay.lent < most_lent(most)) {
-      if (auto connection = take_idle(relay)) {
-        ++relay.lent;
+    auto& peer = peers_[address];
+    if (peer.lent < most_lent(most)) {
+      if (auto connection = take_idle(peer)) {
+        ++peer.lent;
         ++lent_;
         return {connection, true};
       }
@@ -76,9 +76,9 @@
       return {};
     }
   }
-  ++relays_[address].lent;
+  ++peers_[address].lent;
   ++lent_;
-  auto connection = Connection::connect(address, end).first;
+  auto connection = Connection::connect(address, end);
   if (!connection) returned(address, most);
   return {connection, false};
 }
@@ -86,7 +86,7 @@
 void PeerConnections::give_back(const std::string& address, std::shared_ptr<Connection> connection,
                                 size_t most) {
   connection->start_read();  // so that its end is noticed
-  auto& idle = relays_[address].idle;
+  auto& idle = peers_[address].idle;
   idle.push_back({std::move(connection), Clock::now()});
   if (idle.size() > kMostIdleEach) {
     idle.front().connection->close();
@@ -102,14 +102,14 @@
 }
 
 void PeerConnections::returned(const std::string& address, size_t most) {
-  --relays_[address].lent;
+  --peers_[address].lent;
   --lent_;
   wake_next(most);
 }
 
 void PeerConnections::wake_next(size_t most) {
   for (auto& waiter : waiters_) {
-    if (waiter.woken || relays_[waiter.address].lent >= most_lent(most)) continue;
+    if (waiter.woken || peers_[waiter.address].lent >= most_lent(most)) continue;
     waiter.woken = true;
     return waiter.condition->notify();
   }
@@ -118,14 +118,14 @@
 void PeerConnections::prune(Clock::time_point now) {
   if (now - pruned_ < kPruneEvery) return;
   pruned_ = now;
-  for (auto it = relays_.begin(); it != relays_.end();) {
-    auto& relay = it->second;
-    std::erase_if(relay.idle, [&](Idle& idle) {
-      bool unfit = now - idle.since >= kKeptIdle || !idle.connection->is_idle();
+  for (auto it = peers_.begin(); it != peers_.end();) {
+    auto& peer = it->second;
+    std::erase_if(peer.idle, [&](Idle& idle) {
+      bool unfit = now - idle.since >= kIdleTimeout || !idle.connection->is_idle();
       if (unfit) idle.connection->close();
       return unfit;
     });
-    it = relay.idle.empty() && relay.lent == 0 ? relays_.erase(it) : std::next(it);
+    it = peer.idle.empty() && peer.lent == 0 ? peers_.erase(it) : std::next(it);
   }
 }
 
--- a/src/net/peer_connections.hpp
+++ b/src/net/peer_connections.hpp
@@ -1,6 +1,9 @@
-// The connections from one thread of this process to other relays: those that are lent for an
-// ask, and the idle ones that may be used again. Their number is bounded, for a process that
-// runs out of descriptors takes nobody's connections any more. Used by its own thread only.
+/// @file
+/// The connections from one thread of this process to other nodes: those that are lent for a call, and the
+/// idle ones that may be used again.
+///
+/// Invariant: their number is bounded, because a process that runs out of descriptors accepts no connections.
+/// Threads: used by its own thread only.
 #pragma once
 #include <list>
 #include <map>
@@ -15,19 +18,23 @@
   using Clock = std::chrono::steady_clock;
 
   struct Lease {
-    std::shared_ptr<Connection> connection;  // null: none could be had in time
-    bool reused = false;                     // it has carried an ask before
+    std::shared_ptr<Connection> connection;  ///< null: none could be had in time
+    bool reused = false;                     ///< a call went over it before
   };
 
-  // Waits until `end` for an idle connection to `address`, or for room for a new one. At most
-  // `most` are open in all, and so many of them lent to one address that a silent relay leaves
-  // room for the others.
+  /// Waits until `end` for an idle connection, or for room for a new one.
+  /// @param address  IP:port
+  /// @param most     connections that are open in all; only a part of them is lent to one address, so that a
+  ///                 silent node leaves room for the others
   Lease borrow(const std::string& address, Clock::time_point end, size_t most);
-  // After a whole reply, with nothing left to read.
+
+  /// After a complete response, with nothing left to read.
   void give_back(const std::string& address, std::shared_ptr<Connection> connection, size_t most);
-  // Resets it: what was not delivered never will be.
+
+  /// Resets it: what was not delivered never will be.
   void discard(const std::string& address, const std::shared_ptr<Connection>& connection, size_t most);
 
+  /// Idle and lent ones.
   size_t open() const { return lent_ + idle_count(); }
 
  private:
@@ -35,8 +42,8 @@
     std::shared_ptr<Connection> connection;
     Clock::time_point since;
   };
-  struct Relay {
-    std::vector<Idle> idle;  // the latest used last
+  struct Peer {
+    std::vector<Idle> idle;  ///< the latest used last
     size_t lent = 0;
   };
   struct Waiter {
@@ -46,21 +53,21 @@
   };
 
   static size_t most_lent(size_t most);
-  std::shared_ptr<Connection> take_idle(Relay& relay);
-  Relay* longest_idle();
+  std::shared_ptr<Connection> take_idle(Peer& peer);
+  Peer* longest_idle();
   bool make_room(size_t most);
   void returned(const std::string& address, size_t most);
   void wake_next(size_t most);
   void prune(Clock::time_point now);
   size_t idle_count() const;
 
-  std::map<std::string, Relay> relays_;
-  std::list<Waiter> waiters_;  // the first to come first
+  std::map<std::string, Peer> peers_;
+  std::list<Waiter> waiters_;  ///< the first to come first
   size_t lent_ = 0;
   Clock::time_point pruned_{};
 };
 
-// Those of the calling thread.
+/// Those of the calling thread.
 PeerConnections& peer_connections();
 
 }  // namespace dunlinwing::net
--- a/test/net/http_client_test.cpp
+++ b/test/net/http_client_test.cpp
@@ -217,7 +217,7 @@
   auto address = fmt::format("127.0.0.1:{}", a.local_endpoint().port());
   auto soon = [] { return std::chrono::steady_clock::now() + 50ms; };
   std::vector<std::shared_ptr<net::Connection>> full;
-  while (auto connection = net::Connection::connect(address, soon()).first) {
+  while (auto connection = net::Connection::connect(address, soon())) {
     full.push_back(connection);
     expect(full.size() < 20, "the queue has no end");
   }
--- a/test/net/net_cases.hpp
+++ b/test/net/net_cases.hpp
@@ -25,7 +25,7 @@
   std::shared_ptr<net::Connection> connection;
   bool ended = false;
   explicit Raw(const std::string& address)
-      : connection(net::Connection::connect(address, std::chrono::steady_clock::now() + 10s).first) {
+      : connection(net::Connection::connect(address, std::chrono::steady_clock::now() + 10s)) {
     expect(connection != nullptr, "no connection to " + address);
   }
   ~Raw() { connection->close(); }
