--- a/test/scenarios/control_api_scenarios.cpp
+++ b/test/scenarios/control_api_scenarios.cpp
@@ -1,20 +1,22 @@
-// What operators are told, and when: by a relay that is cut off, by two relays that are asked
-// at once under one number, and by another relay after an answer was lost.
+/// @file
+/// The responses that operators get, and when: from a node that is cut off, from two nodes that get requests
+/// under one number at once, and from another node after a response was lost.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
 
-constexpr Duration kPatience{1000};  // of a client, before it goes on to another node
-// Numbers of configurations are above 1000 here, since the checker takes them and the
-// generations of releases for one count.
+constexpr Duration kClientTimeout{1000};  // of a client, before it goes on to another node
+// Numbers of configurations are above 1000 here, since the checker compares them with the
+// generations of releases.
 
-struct Order {
+struct OperatorRequest {
   std::string method, target, body;
   base::Headers headers = {};
 };
 
-// A numbered configuration as it is stated; `more` adds a service of the name "fresh".
+/// The document of a numbered configuration.
+/// @param more  adds a service of the name "fresh"
 std::string numbered(int lifetime = 4, bool more = false) {
   constexpr auto kForm = R"({{"content":{{"services":{{
 "content":{{"versions":[],"deadline_ms":2000,"cache":{{"lifetime_s":{0}}}}},
@@ -32,34 +34,34 @@
   return json ? *json : base::Json();
 }
 
-// One try at one host: status 0 when it was silent for as long as a client waits.
-base::Response ask(Scene& scene, simulation::Host& host, const Order& order) {
-  base::Request request{"", order.method, order.target, order.body, order.headers};
-  auto exchange = scene.fleet.exchange(host, request, true, kPatience);
+/// One attempt at one host: status 0 when it was silent for as long as a client waits.
+base::Response ask(Scene& scene, simulation::Host& host, const OperatorRequest& request) {
+  base::Request http{"", request.method, request.target, request.body, request.headers};
+  auto exchange = scene.fleet.exchange(host, http, true, kClientTimeout);
   if (!exchange.complete) return {0, {}, {}};
   return exchange.response;
 }
 
-// As an operator goes on: to another host after silence or a 5xx, until the answer is clear.
-base::Response order_until_clear(Scene& scene, const Order& order, Duration longest) {
+/// Retries as an operator does: at another host after silence or a 5xx, until the response is clear.
+base::Response request_until_clear(Scene& scene, const OperatorRequest& request, Duration longest) {
   base::Response response;
   scene.fleet.wait_until(longest, [&] {
     auto& hosts = scene.fleet.hosts();
     auto& host = *hosts[scene.world.below(hosts.size())];
-    if (host.up()) response = ask(scene, host, order);
+    if (host.up()) response = ask(scene, host, request);
     return response.status / 100 == 2 || response.status / 100 == 4;
   });
   return response;
 }
 
-bool acknowledged(Scene& scene, const Order& order) {
-  auto response = order_until_clear(scene, order, Duration(6000));
-  scene.require(response.status / 100 == 2,
-                fmt::format("{} {} got {} {}", order.method, order.target, response.status, response.body));
+bool acknowledged(Scene& scene, const OperatorRequest& request) {
+  auto response = request_until_clear(scene, request, Duration(6000));
+  scene.require(response.status / 100 == 2, fmt::format("{} {} got {} {}", request.method, request.target,
+                                                        response.status, response.body));
   return response.status / 100 == 2;
 }
 
-Order put_numbered(uint64_t number, const std::string& document) {
+OperatorRequest put_numbered(uint64_t number, const std::string& document) {
   return {"PUT", fmt::format("/v1/layouts/{}", number), document};
 }
 
@@ -67,7 +69,7 @@
   return start_traffic(scene) && acknowledged(scene, put_numbered(number, numbered()));
 }
 
-Order leaving(const std::string& instance) {
+OperatorRequest leaving(const std::string& instance) {
   constexpr auto kForm =
       R"({{"service":"app","version":"1","instance":"{}","zone":"a","address":"10.9.9.9:80","leaving":true,"number":1,"period_ms":1000}})";
   return {"POST", "/v1/beats", fmt::format(kForm, instance)};
@@ -83,9 +85,9 @@
   }
 }
 
-// Each is answered otherwise by who knows what was acknowledged since the cut, or needs a
-// majority in any case.
-std::vector<Order> orders_about_state() {
+/// Each has another response at a node that knows what was acknowledged since the cut, or needs a
+/// majority in any case.
+std::vector<OperatorRequest> requests_about_state() {
   return {
       {"GET", "/v1/layouts/current", ""},
       {"GET", "/v1/moves/app", ""},
@@ -111,75 +113,93 @@
   };
 }
 
-// A relay is cut off for twenty seconds and asked all the while: it shows no state, neither
-// confirms nor rejects, and says so before the client goes away; what is invalid in itself it
-// may reject.
+/// The requests to a node that is cut off: each needs a majority, so each gets a 503 that says when to come
+/// back.
+struct CutOffNode {
+  Scene& scene;
+  simulation::Host& host;
+  std::shared_ptr<int> sent = std::make_shared<int>(0);
+  std::shared_ptr<int> unanswered = std::make_shared<int>(0);
+
+  void send(const OperatorRequest& request) const {
+    ++*unanswered;
+    scene.fleet.spawn_outside([node = *this, request] {
+      auto from = node.scene.world.now();
+      auto response = ask(node.scene, node.host, request);
+      ++*node.sent;
+      --*node.unanswered;
+      auto summary =
+          fmt::format("{} {} at a relay cut off got {} after {} ms: {}", request.method, request.target,
+                      response.status, (node.scene.world.now() - from).count(), response.body);
+      node.scene.require(response.status == 503 && !base::header(response.headers, "Retry-After").empty(),
+                         summary);
+    });
+  }
+
+  /// What is invalid in itself may be rejected.
+  void send_invalid(const char* document) const {
+    auto status = ask(scene, host, put_numbered(1030, document)).status;
+    scene.require(status == 422 || status == 503, fmt::format("an invalid configuration got {}", status));
+  }
+
+  bool has_configuration(int64_t number) const {
+    auto response = ask(scene, host, {"GET", "/v1/layouts/current", ""});
+    return response.status == 200 && parsed(response.body).at("number").integer_or() == number;
+  }
+};
+
+/// The others go on meanwhile, and what they acknowledge is unknown to the one cut off.
+void change_configuration_elsewhere(Scene& scene, const simulation::Host& cut_off) {
+  scene.fleet.spawn_outside([&scene, &cut_off] {
+    for (auto& other : scene.fleet.hosts())
+      if (other->name != cut_off.name &&
+          ask(scene, *other, put_numbered(1020, numbered(4, true))).status == 200)
+        return;
+    scene.require(false, "nobody else took a configuration");
+  });
+}
+
+/// A node is cut off for twenty seconds and gets requests all the while: it shows no state, neither confirms
+/// nor rejects, and says so before the client goes away.
 void control_cut(Scene& scene, Cut how) {
   scene.duration = Duration(60000);
   scene.required_faults = {"cut"};
   scene.script = [&scene, how] {
     if (!begin_numbered(scene, 1010)) return;
     if (!purge(scene, "known", "path", "/c/1")) scene.require(false, "a purge was not taken");
-    scene.fleet.sleep(Duration(1000));  // every relay has heard of it
-    auto* host = &scene.fleet.at(scene.world.below(2) ? "h2" : "e1");
-    cut(scene, host->name, how);
-    auto asked = std::make_shared<int>(0), left = std::make_shared<int>(0);
-    auto ask_cut_off = [&scene, host, asked, left](const Order& order) {
-      ++*left;
-      scene.fleet.spawn_outside([&scene, host, asked, left, order] {
-        auto from = scene.world.now();
-        auto response = ask(scene, *host, order);
-        ++*asked;
-        --*left;
-        auto said = fmt::format("{} {} at a relay cut off got {} after {} ms: {}", order.method, order.target,
-                                response.status, (scene.world.now() - from).count(), response.body);
-        scene.require(response.status == 503 && !base::header(response.headers, "Retry-After").empty(), said);
-      });
-    };
-    // The others go on meanwhile, and what they acknowledge is news to the one cut off.
-    scene.fleet.spawn_outside([&scene, host] {
-      for (auto& other : scene.fleet.hosts())
-        if (other->name != host->name &&
-            ask(scene, *other, put_numbered(1020, numbered(4, true))).status == 200)
-          return;
-      scene.require(false, "nobody else took a configuration");
-    });
+    scene.fleet.sleep(Duration(1000));  // every node has it
+    CutOffNode node{scene, scene.fleet.at(scene.world.below(2) ? "h2" : "e1")};
+    cut(scene, node.host.name, how);
+    change_configuration_elsewhere(scene, node.host);
     for (auto end = scene.world.now() + Duration(20000); scene.world.now() < end;) {
-      for (auto& order : orders_about_state()) ask_cut_off(order);
-      for (auto* invalid : {"{", R"({"content":{"services":{},"routes":[{"prefix":"x"}]}})"}) {
-        auto status = ask(scene, *host, put_numbered(1030, invalid)).status;
-        scene.require(status == 422 || status == 503, fmt::format("an invalid configuration got {}", status));
-      }
+      for (auto& request : requests_about_state()) node.send(request);
+      for (const auto* invalid : {"{", R"({"content":{"services":{},"routes":[{"prefix":"x"}]}})"})
+        node.send_invalid(invalid);
       scene.fleet.sleep(Duration(50 + scene.world.below(900)));
     }
-    scene.require(scene.fleet.wait_until(Duration(2000), [&] { return *left == 0; }),
+    scene.require(scene.fleet.wait_until(Duration(2000), [&] { return *node.unanswered == 0; }),
                   "a call was never answered");
     scene.world.heal_all();
-    scene.require(
-        scene.fleet.wait_until(Duration(3000),
-                               [&] {
-                                 auto response = ask(scene, *host, {"GET", "/v1/layouts/current", ""});
-                                 return response.status == 200 &&
-                                        parsed(response.body).at("number").integer_or() == 1020;
-                               }),
-        "the newest configuration does not come from a relay that is joined again");
-    scene.figures["asked"] = static_cast<uint64_t>(*asked);
+    scene.require(scene.fleet.wait_until(Duration(3000), [&] { return node.has_configuration(1020); }),
+                  "the newest configuration does not come from a relay that is joined again");
+    scene.figures["asked"] = static_cast<uint64_t>(*node.sent);
   };
 }
 
-// Two operators state another content under one number at once, at two relays: exactly one
-// is confirmed, and that is the content held; the other is told so for good.
+/// Two operators send another content under one number at once, at two nodes: exactly one is
+/// acknowledged, and that is the content in force; the other gets a conflict, now and later.
 void same_number(Scene& scene) {
   scene.duration = Duration(60000);
   scene.script = [&scene] {
     if (!begin_numbered(scene, 1010)) return;
     for (uint64_t number = 1011; number < 1023; ++number) {
-      std::vector<Order> orders{put_numbered(number, numbered(2)), put_numbered(number, numbered(3))};
+      std::vector<OperatorRequest> requests{put_numbered(number, numbered(2)),
+                                            put_numbered(number, numbered(3))};
       std::vector<int> statuses(2, 0);
       int left = 2;
       for (size_t k = 0; k < 2; ++k)
         scene.fleet.spawn_outside([&, k] {
-          statuses[k] = order_until_clear(scene, orders[k], Duration(8000)).status;
+          statuses[k] = request_until_clear(scene, requests[k], Duration(8000)).status;
           --left;
         });
       scene.require(scene.fleet.wait_until(Duration(9000), [&] { return left == 0; }),
@@ -188,39 +208,39 @@
       scene.require(one && statuses[0] + statuses[1] == 200 + 409,
                     fmt::format("under one number {} and {} were answered", statuses[0], statuses[1]));
       size_t won = statuses[0] == 200 ? 0 : 1;
-      auto held = order_until_clear(scene, {"GET", "/v1/layouts/current", ""}, Duration(4000));
+      auto held = request_until_clear(scene, {"GET", "/v1/layouts/current", ""}, Duration(4000));
       scene.require(
-          parsed(held.body).at("stated").string_or() == parsed(orders[won].body).at("stated").string_or(),
+          parsed(held.body).at("stated").string_or() == parsed(requests[won].body).at("stated").string_or(),
           "what is held is not what was confirmed: " + held.body);
-      auto again = order_until_clear(scene, orders[won], Duration(4000));
+      auto again = request_until_clear(scene, requests[won], Duration(4000));
       scene.require(again.status == 200 && !parsed(again.body).at("changed").bool_or(),
                     "the same again under its number got " + again.body);
-      auto older = order_until_clear(scene, put_numbered(number - 1, numbered(8)), Duration(4000));
+      auto older = request_until_clear(scene, put_numbered(number - 1, numbered(8)), Duration(4000));
       scene.require(older.status == 200 && !parsed(older.body).at("changed").bool_or(),
                     "an older number got " + older.body);
     }
   };
 }
 
-// One whose answer is lost is sent again, here to a relay drawn anew, by as many at once.
-void again_at_once(Scene& scene, const Order& order, int copies) {
+/// A request whose response was lost is sent again, here to a node drawn anew, by several at once.
+void again_at_once(Scene& scene, const OperatorRequest& request, int copies) {
   int left = copies;
   for (int k = 0; k < copies; ++k)
     scene.fleet.spawn_outside([&] {
-      acknowledged(scene, order);
+      acknowledged(scene, request);
       --left;
     });
   scene.require(scene.fleet.wait_until(Duration(8000), [&] { return left == 0; }),
-                "an order sent again got no clear answer");
+                "a request sent again got no clear response");
 }
 
-// Each kind of order is sent again after it was taken, after a newer one and eight times at
-// once: it is acknowledged again, and done once.
+/// Each kind of request is sent again after it was acknowledged, after a newer one and eight times at
+/// once: it is acknowledged again, and done once.
 void orders_again(Scene& scene) {
   scene.duration = Duration(90000);
   scene.script = [&scene] {
     if (!begin_numbered(scene, 1010)) return;
-    std::vector<std::pair<Order, Order>> pairs{
+    std::vector<std::pair<OperatorRequest, OperatorRequest>> pairs{
         {put_numbered(1011, numbered(2)), put_numbered(1013, numbered(3))},
         {{"POST", "/v1/purges", R"({"kind":"path","path":"/c/1"})"},
          {"POST", "/v1/purges", R"({"kind":"path","path":"/c/2"})"}},
@@ -239,30 +259,31 @@
       if (!acknowledged(scene, newer)) return;
       acknowledged(scene, older);
     }
-    auto held = order_until_clear(scene, {"GET", "/v1/layouts/current", ""}, Duration(4000));
+    auto held = request_until_clear(scene, {"GET", "/v1/layouts/current", ""}, Duration(4000));
     scene.require(parsed(held.body).at("number").integer_or() == 1013,
                   "an older configuration came back: " + held.body);
-    auto known = order_until_clear(scene, pairs[2].first, Duration(4000));
+    auto known = request_until_clear(scene, pairs[2].first, Duration(4000));
     scene.require(parsed(known.body).at("was_known").bool_or(),
                   "a named purge was done twice: " + known.body);
   };
 }
 
-// A move is asked for again while it runs, after a newer one took its place, and after that one
-// has ended; the newer one is not disturbed.
+/// A version rollout is requested again while it runs, after a newer one replaced it, and after that
+/// one has ended; the newer one is not disturbed.
 void moves_again(Scene& scene) {
   scene.duration = Duration(90000);
   scene.script = [&scene] {
     if (!begin_numbered(scene, 1010)) return;
     auto move_to = [](const char* version) {
-      return Order{"PUT", "/v1/moves/app", fmt::format(R"({{"version":"{}","within_ms":12000}})", version)};
+      return OperatorRequest{"PUT", "/v1/moves/app",
+                             fmt::format(R"({{"version":"{}","within_ms":12000}})", version)};
     };
     auto latest = [&scene] {
-      return parsed(order_until_clear(scene, {"GET", "/v1/moves/app", ""}, Duration(4000)).body);
+      return parsed(request_until_clear(scene, {"GET", "/v1/moves/app", ""}, Duration(4000)).body);
     };
     again_at_once(scene, move_to("2"), 8);
     auto trial = [&scene] {
-      auto state = order_until_clear(scene, {"GET", "/v1/services/app", ""}, Duration(4000));
+      auto state = request_until_clear(scene, {"GET", "/v1/services/app", ""}, Duration(4000));
       return parsed(state.body).at("trial_number").string_or();
     };
     scene.require(trial() == "1", "one move asked for eight times at once opened several trials");
@@ -272,7 +293,7 @@
     scene.require(latest().at("version").string_or() == "1",
                   "a move sent again took the place of a newer one");
     if (!acknowledged(scene, move_to("1"))) return;
-    // After a while the same words are a new order.
+    // After a while the same words are a new request.
     scene.fleet.sleep(Duration(31000));
     if (!acknowledged(scene, move_to("2"))) return;
     scene.require(trial() == "2" && latest().at("version").string_or() == "2",
