--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -247,9 +247,9 @@
 }
 
 void ConsensusHarness::send(const Message& message) {
-  for (auto rule = rules_.rbegin(); rule != rules_.rend(); ++rule)
-    if (rule->first.matches(message)) return carry(message, {rule->second});
-  carry(message, decide_(message));
+  auto rule = std::find_if(rules_.rbegin(), rules_.rend(),
+                           [&](const auto& entry) { return entry.first.matches(message); });
+  carry(message, rule == rules_.rend() ? decide_(message) : Transit{rule->second});
 }
 
 void ConsensusHarness::carry(const Message& message, const Transit& transit) {
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -311,8 +311,8 @@
       if (!harness_.running(name)) restart(name);
     harness_.sleep(kHealing);
     for (auto& name : node_names_)
-      for (auto& [register_name, pause] : kRegisters)
-        harness_.spawn(name, [this, name, register_name] {
+      for (auto& written : kRegisters)
+        harness_.spawn(name, [this, name, register_name = written.name] {
           read(name, register_name);
           cached_read(name, register_name);
         });
--- a/test/unit/storage/snapshot_store_test.cpp
+++ b/test/unit/storage/snapshot_store_test.cpp
@@ -51,93 +51,97 @@
 base::LoadedSnapshot load(simulation::DiskContents& contents) {
   return storage::SnapshotStore(std::make_unique<simulation::MemoryFiles>(contents), 2000).load();
 }
+
+void load_returns_what_was_saved() {
+  simulation::DiskContents contents;
+  auto records = *rc::gen::inRange(0, 200);
+  auto written = fill(contents, records, static_cast<size_t>(*rc::gen::inRange(100, 4000)));
+  auto loaded = load(contents);
+  RC_ASSERT(!loaded.possibly_lost);
+  RC_ASSERT(versions(loaded) == written);
+  RC_ASSERT(versions(load(contents)) == written);
+}
+
+void torn_last_write() {
+  simulation::DiskContents contents;
+  auto records = *rc::gen::inRange(1, 60);
+  fill(contents, records - 1, 1 << 20);
+  auto before = versions(load(contents));
+  storage::SnapshotStore store(std::make_unique<simulation::MemoryFiles>(contents), 1 << 20);
+  store.load();
+  auto before_save = contents.files;
+  store.save({record("last", 999, "x")}, [] { return pb::Snapshot(); });
+  for (auto& [name, bytes] : contents.files)
+    if (bytes.size() > before_save[name].size()) {
+      auto cut = *rc::gen::inRange<size_t>(before_save[name].size(), bytes.size());
+      bytes.resize(cut);
+    }
+  auto loaded = load(contents);
+  RC_ASSERT(!loaded.possibly_lost);
+  RC_ASSERT(versions(loaded) == before);
+}
+
+void damaged_log() {
+  simulation::DiskContents contents;
+  auto written = fill(contents, *rc::gen::inRange(5, 40), 1 << 20);
+  // The log in use is the longer one; damage anywhere before its last record.
+  auto& bytes = contents.files["log.0"].size() > contents.files["log.1"].size() ? contents.files["log.0"]
+                                                                                : contents.files["log.1"];
+  auto parts = storage::unframe(bytes).payloads;
+  size_t last = storage::kFrameHeadBytes + parts.back().size();
+  auto at = *rc::gen::inRange<size_t>(0, bytes.size() - last);
+  bytes[at] = static_cast<char>(bytes[at] ^ (1 << *rc::gen::inRange(0, 8)));
+  auto loaded = load(contents);
+  RC_ASSERT(loaded.possibly_lost || versions(loaded) == written);
+  if (loaded.possibly_lost) RC_ASSERT(loaded.snapshot.stage() == pb::REPLICA_EMPTY);
+}
+
+void damaged_snapshot() {
+  simulation::DiskContents contents;
+  fill(contents, *rc::gen::inRange(5, 40), 1 << 20);
+  auto name = contents.files["log.0"].size() > contents.files["log.1"].size() ? "slot.0" : "slot.1";
+  auto& bytes = contents.files[name];
+  auto at = *rc::gen::inRange<size_t>(0, bytes.size());
+  bytes[at] = static_cast<char>(bytes[at] ^ (1 << *rc::gen::inRange(0, 8)));
+  RC_ASSERT(load(contents).possibly_lost);
+}
+
+void failed_save() {
+  simulation::DiskContents contents;
+  storage::SnapshotStore store(std::make_unique<simulation::MemoryFiles>(contents), 1000);
+  store.load();
+  contents.failing = true;
+  expect(store.save({record("a", 1, "")}, [] { return pb::Snapshot(); }).has_value(),
+         "a failed write was hidden");
+  contents.failing = false;
+  expect(store.save({record("a", 1, "")}, [] { return pb::Snapshot(); }).has_value(),
+         "a failed disk takes records");
+  contents.failing = true;
+  expect(store.rewrite(pb::Snapshot()).has_value(), "a failed rewrite was hidden");
+  contents.failing = false;
+  expect(store.save({record("a", 1, "")}, [] { return pb::Snapshot(); }).has_value(),
+         "a failed rewrite brought the disk back");
+  pb::Snapshot snapshot;
+  snapshot.set_stage(pb::REPLICA_VOTING);
+  *snapshot.add_registers() = record("a", 7, "").register_state();
+  expect(!store.rewrite(snapshot), "the disk works again, and could not be rewritten");
+  expect(!store.save({record("b", 8, "")}, [] { return pb::Snapshot(); }),
+         "a disk that was rewritten takes no records");
+  auto loaded = load(contents);
+  expect(!loaded.possibly_lost && versions(loaded) == std::map<std::string, uint64_t>{{"a", 7}, {"b", 8}},
+         "the rewritten snapshot was not loaded");
+}
+
 }  // namespace
 
 std::vector<Case> disk_cases() {
   return {
       property("storage: what was saved is loaded, over any number of snapshots",
-               [] {
-                 simulation::DiskContents contents;
-                 auto records = *rc::gen::inRange(0, 200);
-                 auto written = fill(contents, records, static_cast<size_t>(*rc::gen::inRange(100, 4000)));
-                 auto loaded = load(contents);
-                 RC_ASSERT(!loaded.possibly_lost);
-                 RC_ASSERT(versions(loaded) == written);
-                 RC_ASSERT(versions(load(contents)) == written);
-               }),
-      property("storage: a torn last write loses that write only",
-               [] {
-                 simulation::DiskContents contents;
-                 auto records = *rc::gen::inRange(1, 60);
-                 fill(contents, records - 1, 1 << 20);
-                 auto before = versions(load(contents));
-                 storage::SnapshotStore store(std::make_unique<simulation::MemoryFiles>(contents), 1 << 20);
-                 store.load();
-                 auto before_save = contents.files;
-                 store.save({record("last", 999, "x")}, [] { return pb::Snapshot(); });
-                 for (auto& [name, bytes] : contents.files)
-                   if (bytes.size() > before_save[name].size()) {
-                     auto cut = *rc::gen::inRange<size_t>(before_save[name].size(), bytes.size());
-                     bytes.resize(cut);
-                   }
-                 auto loaded = load(contents);
-                 RC_ASSERT(!loaded.possibly_lost);
-                 RC_ASSERT(versions(loaded) == before);
-               }),
-      property("storage: a damaged byte inside the log is never trusted",
-               [] {
-                 simulation::DiskContents contents;
-                 auto written = fill(contents, *rc::gen::inRange(5, 40), 1 << 20);
-                 // The log in use is the longer one; damage anywhere before its last record.
-                 auto& bytes = contents.files["log.0"].size() > contents.files["log.1"].size()
-                                   ? contents.files["log.0"]
-                                   : contents.files["log.1"];
-                 auto parts = storage::unframe(bytes).payloads;
-                 size_t last = storage::kFrameHeadBytes + parts.back().size();
-                 auto at = *rc::gen::inRange<size_t>(0, bytes.size() - last);
-                 bytes[at] = static_cast<char>(bytes[at] ^ (1 << *rc::gen::inRange(0, 8)));
-                 auto loaded = load(contents);
-                 RC_ASSERT(loaded.possibly_lost || versions(loaded) == written);
-                 if (loaded.possibly_lost) RC_ASSERT(loaded.snapshot.stage() == pb::REPLICA_EMPTY);
-               }),
-      property("storage: a damaged snapshot in use is never trusted",
-               [] {
-                 simulation::DiskContents contents;
-                 fill(contents, *rc::gen::inRange(5, 40), 1 << 20);
-                 auto name =
-                     contents.files["log.0"].size() > contents.files["log.1"].size() ? "slot.0" : "slot.1";
-                 auto& bytes = contents.files[name];
-                 auto at = *rc::gen::inRange<size_t>(0, bytes.size());
-                 bytes[at] = static_cast<char>(bytes[at] ^ (1 << *rc::gen::inRange(0, 8)));
-                 RC_ASSERT(load(contents).possibly_lost);
-               }),
-      {"storage: a failed save is reported, and save fails until rewrite succeeds",
-       [] {
-         simulation::DiskContents contents;
-         storage::SnapshotStore store(std::make_unique<simulation::MemoryFiles>(contents), 1000);
-         store.load();
-         contents.failing = true;
-         expect(store.save({record("a", 1, "")}, [] { return pb::Snapshot(); }).has_value(),
-                "a failed write was hidden");
-         contents.failing = false;
-         expect(store.save({record("a", 1, "")}, [] { return pb::Snapshot(); }).has_value(),
-                "a failed disk takes records");
-         contents.failing = true;
-         expect(store.rewrite(pb::Snapshot()).has_value(), "a failed rewrite was hidden");
-         contents.failing = false;
-         expect(store.save({record("a", 1, "")}, [] { return pb::Snapshot(); }).has_value(),
-                "a failed rewrite brought the disk back");
-         pb::Snapshot snapshot;
-         snapshot.set_stage(pb::REPLICA_VOTING);
-         *snapshot.add_registers() = record("a", 7, "").register_state();
-         expect(!store.rewrite(snapshot), "the disk works again, and could not be rewritten");
-         expect(!store.save({record("b", 8, "")}, [] { return pb::Snapshot(); }),
-                "a disk that was rewritten takes no records");
-         auto loaded = load(contents);
-         expect(
-             !loaded.possibly_lost && versions(loaded) == std::map<std::string, uint64_t>{{"a", 7}, {"b", 8}},
-             "the rewritten snapshot was not loaded");
-       }},
+               load_returns_what_was_saved),
+      property("storage: a torn last write loses that write only", torn_last_write),
+      property("storage: a damaged byte inside the log is never trusted", damaged_log),
+      property("storage: a damaged snapshot in use is never trusted", damaged_snapshot),
+      {"storage: a failed save is reported, and save fails until rewrite succeeds", failed_save},
   };
 }
 
--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -25,13 +25,12 @@
 struct MediumFile {
   std::string cached, synced;
   bool named = false;  // the folder was synced since the file was made
-  bool exists_on_medium = false;
 };
 
 struct Medium {
   std::map<std::string, MediumFile> files;
   std::mt19937_64 random{1};
-  size_t below(size_t n) { return n ? random() % n : 0; }
+  size_t below(size_t bound) { return bound ? random() % bound : 0; }
 
   // What may be found of bytes that were written over `old` and never synced.
   std::string unsynced(const std::string& old, const std::string& now) {
@@ -39,11 +38,11 @@
     return below(2) ? old : now.substr(0, below(now.size() + 1));
   }
   void lose_cache() {
-    for (auto f = files.begin(); f != files.end();) {
-      auto& [name, file] = *f;
+    for (auto it = files.begin(); it != files.end();) {
+      auto& [name, file] = *it;
       if (file.cached != file.synced) file.cached = file.synced = unsynced(file.synced, file.cached);
       bool gone = !file.named && below(2);
-      f = gone ? files.erase(f) : std::next(f);
+      it = gone ? files.erase(it) : std::next(it);
     }
   }
 };
@@ -55,9 +54,9 @@
  public:
   FaultyFiles(Medium& medium, Plan plan) : medium_(medium), plan_(std::move(plan)) {}
   std::variant<std::string, storage::ReadError> read(const std::string& name) override {
-    auto f = medium_.files.find(name);
-    if (f == medium_.files.end()) return storage::ReadError::missing;
-    return f->second.cached;
+    auto found = medium_.files.find(name);
+    if (found == medium_.files.end()) return storage::ReadError::missing;
+    return found->second.cached;
   }
   bool replace(const std::string& name, const std::string& bytes) override { return write(name, "", bytes); }
   bool append(const std::string& name, const std::string& bytes) override {
@@ -196,6 +195,25 @@
           }
 }
 
+// One run of the process, which may end in any call.
+void run_process(Medium& medium, size_t log_bytes, const Plan& plan, uint64_t& version,
+                 Versions& acknowledged) {
+  try {
+    Replica replica(medium, log_bytes, plan);
+    auto lost = replica.start(acknowledged);
+    RC_ASSERT(lost == "");
+    for (int i = 0; i < 100; ++i) {
+      if (replica.non_voting()) {
+        replica.recover(acknowledged);
+        continue;
+      }
+      ++version;
+      replica.vote("r" + std::to_string(medium.below(5)), version, acknowledged);
+    }
+  } catch (const ProcessEnds&) {
+  }
+}
+
 // Several runs of the process, each of which may end in any call, on a disk that fails now and then.
 void many_runs() {
   Medium medium;
@@ -214,20 +232,7 @@
         last = medium.below(100) < percent ? kHonest[medium.below(std::size(kHonest))] : Fault::none;
       return last;
     };
-    try {
-      Replica replica(medium, log_bytes, plan);
-      auto lost = replica.start(acknowledged);
-      RC_ASSERT(lost == "");
-      for (int i = 0; i < 100; ++i) {
-        if (replica.non_voting()) {
-          replica.recover(acknowledged);
-          continue;
-        }
-        ++version;
-        replica.vote("r" + std::to_string(medium.below(5)), version, acknowledged);
-      }
-    } catch (const ProcessEnds&) {
-    }
+    run_process(medium, log_bytes, plan, version, acknowledged);
     if (medium.below(2)) medium.lose_cache();
   }
   Replica last(medium, log_bytes, [] { return Fault::none; });
@@ -263,8 +268,8 @@
 // A snapshot that the disk will not give may be the newest.
 class UnreadFiles final : public storage::Files {
  public:
-  UnreadFiles(Medium& m, std::string unread)
-      : files_(m, [] { return Fault::none; }), unread_(std::move(unread)) {}
+  UnreadFiles(Medium& medium, std::string unread)
+      : files_(medium, [] { return Fault::none; }), unread_(std::move(unread)) {}
   std::variant<std::string, storage::ReadError> read(const std::string& name) override {
     if (name == unread_) return storage::ReadError::failed;
     return files_.read(name);
