--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -81,8 +81,7 @@
                                                                               *acceptor, config.name,
                                                                               config.tolerate, config.bound)
                                 : nullptr),
-        rollout_controller(ports, registers, state_cache, leadership,
-                           {config.bound, config.scale}),
+        rollout_controller(ports, registers, state_cache, leadership, {config.bound, config.scale}),
         request_handler(ports, *config.protocol_adapter, config.name, config.zone,
                         [this] { return state_cache.has_read_lease(); }),
         heartbeats(config.bound),
