--- a/src/canary/canary_analysis.hpp
+++ b/src/canary/canary_analysis.hpp
@@ -4,13 +4,14 @@
 /// with a deadline also when it is clearly worse. That needs no leader; the leader only makes the verdict
 /// last. Does no I/O; used by the thread that runs control only.
 #pragma once
-#include <compare>
 #include <set>
+#include <tuple>
 
 #include "canary/canary_statistics.hpp"
 
 namespace dunlinwing::canary {
 
+/// This node's own verdicts on the canaries.
 class CanaryAnalysis {
  public:
   /// Takes the present states and counters.
@@ -31,7 +32,9 @@
   struct Counter {
     std::string source;
     uint64_t incarnation = 0;
-    auto operator<=>(const Counter&) const = default;
+    bool operator<(const Counter& other) const {
+      return std::tie(source, incarnation) < std::tie(other.source, other.incarnation);
+    }
   };
   struct Canary {
     uint64_t number = 0;                        ///< of the service's canaries
--- a/src/canary/canary_statistics.cpp
+++ b/src/canary/canary_statistics.cpp
@@ -218,9 +218,9 @@
 }
 
 const CanarySample& CanaryStatistics::at(const std::string& service) const {
-  static const CanarySample kNone;
+  static const CanarySample none;
   auto canary = canaries_.find(service);
-  return canary == canaries_.end() ? kNone : canary->second.sample;
+  return canary == canaries_.end() ? none : canary->second.sample;
 }
 
 bool is_clearly_worse(const CanarySample& sample) {
--- a/src/canary/canary_statistics.hpp
+++ b/src/canary/canary_statistics.hpp
@@ -10,8 +10,8 @@
 /// the time is a rare route. Rare routes are judged together, so that none holds a good version back; a few
 /// failed or slow responses on one of them are enough to reject a bad one.
 #pragma once
-#include <compare>
 #include <set>
+#include <tuple>
 
 #include "base/common.hpp"
 #include "wire.pb.h"
@@ -51,7 +51,7 @@
   ByRoute after_switch;                ///< by the canary, since it has all the load
 };
 
-/// Adds the counters up.
+/// Adds the counters up. Does no I/O; used by the thread that runs control only.
 class CanaryStatistics {
  public:
   /// By service.
@@ -74,7 +74,9 @@
   };
   struct CounterKey {
     std::string service, version, route;
-    auto operator<=>(const CounterKey&) const = default;
+    bool operator<(const CounterKey& other) const {
+      return std::tie(service, version, route) < std::tie(other.service, other.version, other.route);
+    }
   };
   /// The counters of one source as they were last reported.
   struct SourceCounters {
--- a/src/config/routing_configuration.hpp
+++ b/src/config/routing_configuration.hpp
@@ -36,6 +36,7 @@
   double weight = 0;  ///< against the weights of the others; 0: it gets none
 };
 
+/// A route: which requests it takes, and how they are treated.
 struct RouteConfiguration {
   std::string name, host, prefix;                  ///< no name: the prefix is used; no host: any
   std::vector<WeightedService> weighted_services;  ///< at least one
@@ -57,6 +58,7 @@
   bool other_method = false;                  ///< there is no route, and only for the request's method
 };
 
+/// The checked document.
 struct RoutingConfiguration {
   std::string name;
   std::string text;  ///< the document, as JSON without white space
@@ -68,6 +70,7 @@
   Duration head_time{10000};               ///< in which the head of a request has to come
   Duration idle_time{60000};               ///< after which an idle client connection is closed
 
+  /// The route of a request: the first one that takes it.
   /// @param host    with or without a port
   /// @param target  with or without a query
   RouteMatch match(std::string_view method, std::string_view host, std::string_view target) const;
--- a/src/limits/demand_estimator.hpp
+++ b/src/limits/demand_estimator.hpp
@@ -17,6 +17,7 @@
   TimePoint now{0};
 };
 
+/// Smooths what the nodes count into demand.
 class DemandEstimator {
  public:
   /// By source.
--- a/src/limits/rate_allocator.hpp
+++ b/src/limits/rate_allocator.hpp
@@ -12,6 +12,7 @@
 
 namespace dunlinwing::limits {
 
+/// The leader's part in the quotas.
 class RateAllocator {
  public:
   /// The references have to outlive the allocator.
--- a/src/limits/rate_limiter.hpp
+++ b/src/limits/rate_limiter.hpp
@@ -15,7 +15,7 @@
   double quota = 0;   ///< under which it was computed, in requests a second
 };
 
-/// From any thread.
+/// The moments that are reserved so far. From any thread.
 class RateLimiter {
  public:
   /// @param clock  has to outlive the limiter
--- a/src/limits/rate_quotas.hpp
+++ b/src/limits/rate_quotas.hpp
@@ -10,6 +10,7 @@
 
 namespace dunlinwing::limits {
 
+/// What the next quotas depend on, beside the present ones.
 struct QuotaInput {
   int64_t rate = 0;            ///< requests a second over the fleet
   Duration since_decrease{0};  ///< since quotas last fell, as the leader knows
@@ -17,8 +18,10 @@
   DemandByNode demand;         ///< of the nodes that should have a quota
 };
 
+/// What a step does; a step never does both.
 enum class QuotaChange { none, decreased, increased };
 
+/// The outcome of a step.
 struct QuotaStep {
   pb::RateQuotas quotas;  ///< the next ones
   QuotaChange change = QuotaChange::none;
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -8,6 +8,7 @@
 
 namespace dunlinwing::membership {
 
+/// Where and how often a node searches.
 struct DiscoveryConfig {
   std::string node_name;
   Duration bound{2000};            ///< all periods here are ratios of it
--- a/src/membership/pull_schedule.hpp
+++ b/src/membership/pull_schedule.hpp
@@ -10,12 +10,14 @@
 
 namespace dunlinwing::membership {
 
+/// How a pull ended.
 enum class PullResult {
   good,     ///< a quorum answered with everything it has
   partial,  ///< there is more to ask for at once
   failed,
 };
 
+/// Turns the results of pulls into waits.
 class PullSchedule {
  public:
   /// How long to wait for the next pull.
--- a/src/membership/replica_responses.hpp
+++ b/src/membership/replica_responses.hpp
@@ -15,6 +15,7 @@
   Duration since_response{0}, since_vote{0};
 };
 
+/// The latest reports of all replicas.
 class ReplicaResponses {
  public:
   /// @param lifetime  how long a response counts, from the moment its request was sent. An older one may
--- a/src/membership/state_cache.hpp
+++ b/src/membership/state_cache.hpp
@@ -27,6 +27,7 @@
 /// The values of the registers, by name.
 using ChosenValues = std::map<std::string, consensus::VersionedValue>;
 
+/// What a node's own view depends on.
 struct StateCacheConfig {
   std::string node_name;
   Duration bound{2000};  ///< after which all nodes follow a change; every other span here is a ratio of it
@@ -38,6 +39,7 @@
   Duration response_lifetime() const { return bound / 4; }
 };
 
+/// A node's own view of the fleet's state.
 class StateCache {
  public:
   /// The references have to outlive the task that start() begins.
@@ -62,7 +64,9 @@
   /// From any thread.
   TimePoint read_lease_end() const;
 
+  /// The values as of the last good pull.
   const ChosenValues& chosen() const;
+  /// The statuses of all nodes, as far as pulls and those who pull here have reported them.
   StatusTable& statuses();
 
   /// A replica's side of a pull. A node without a replica responds as one that does not vote.
