--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -1,5 +1,6 @@
 #include "proxy/upstream_client.hpp"
 
+#include <atomic>
 #include <mutex>
 
 #include "limits/rate_limiter.hpp"
--- a/src/proxy/upstream_client.hpp
+++ b/src/proxy/upstream_client.hpp
@@ -9,7 +9,7 @@
 /// Threads: every function may be called from any fiber; execute() and can_reach() may suspend it. No lock is
 /// held while another is taken, nor while a fiber is suspended.
 #pragma once
-#include <atomic>
+#include <tuple>
 
 #include "proxy/admission_queue.hpp"
 #include "proxy/attempt_decision.hpp"
@@ -78,7 +78,9 @@
   std::string service;
   std::string version;
   std::string route;  ///< by label
-  auto operator<=>(const OutcomeKey&) const = default;
+  bool operator<(const OutcomeKey& other) const {
+    return std::tie(service, version, route) < std::tie(other.service, other.version, other.route);
+  }
 };
 
 /// Failures of a canary as this node saw them.
--- a/test/unit/main.cpp
+++ b/test/unit/main.cpp
@@ -22,7 +22,11 @@
                      &control_state_cases,
                      &contact_cases,
                      &move_cases,
-                     &traffic_cases,
+
+                     &attempt_decision_cases,
+                     &canary_admission_cases,
+                     &routing_snapshot_cases,
+                     &protocol_adapter_cases,
                      &checker_cases,
                      &config_cases,
                      &settings_cases,
--- /dev/null
+++ b/test/unit/proxy/canary_admission_test.cpp
@@ -0,0 +1,24 @@
+// The share of requests that a canary gets.
+#include "proxy/canary_admission.hpp"
+
+#include "unit/unit_cases.hpp"
+
+namespace dunlinwing::test {
+namespace {
+void never_over_its_share() {
+  proxy::CanaryAdmission admission;
+  auto percent = *rc::gen::inRange(1, 11);
+  int admitted = 0;
+  for (int i = 1; i <= 500; ++i) {
+    admitted += admission.admit("s", 1, "2", "", {percent, percent, 0});
+    RC_ASSERT(admitted * 100 <= i * percent);
+  }
+  RC_ASSERT(admitted >= 500 * percent / 100 - 1);
+}
+}  // namespace
+
+std::vector<Case> canary_admission_cases() {
+  return {property("trial: by count, never over its share, also at the first request", never_over_its_share)};
+}
+
+}  // namespace dunlinwing::test
