--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -100,15 +100,17 @@
       auto* attempt = asked(a.id);
       if (!a.executed || !attempt) continue;
       bool ever = std::any_of(journal.configurations.begin(), journal.configurations.end(), [&](auto& s) {
-        return s.valid && s.sent <= a.at && s.configuration.routes_to(attempt->host, attempt->target, a.service);
+        return s.valid && s.sent <= a.at &&
+               s.configuration.routes_to(attempt->host, attempt->target, a.service);
       });
       if (!ever)
         say("ROUTE",
             fmt::format("{} {} ran at {} of {}", attempt->host, attempt->target, a.instance, a.service));
       if (!ever || !in_touch(journal, attempt->relay, a.at)) continue;
       auto v = may_hold(attempt->sent, a.at);
-      if (std::none_of(v.begin(), v.end(),
-                       [&](auto* s) { return s->configuration.routes_to(attempt->host, attempt->target, a.service); }))
+      if (std::none_of(v.begin(), v.end(), [&](auto* s) {
+            return s->configuration.routes_to(attempt->host, attempt->target, a.service);
+          }))
         say("CONFIG",
             fmt::format("late at {}: {} {} ran at {} after {}", attempt->relay, attempt->host,
                         attempt->target, a.service, v.empty() ? 0 : v.front()->configuration.revision));
@@ -121,8 +123,9 @@
           !in_touch(journal, t.relay, t.ended))
         continue;
       auto v = may_hold(t.sent, t.ended);
-      bool there = !v.empty() &&
-                   std::all_of(v.begin(), v.end(), [&](auto* s) { return s->configuration.match(t.host, t.target); });
+      bool there = !v.empty() && std::all_of(v.begin(), v.end(), [&](auto* s) {
+        return s->configuration.match(t.host, t.target);
+      });
       if (!there) continue;
       ++denied;
       which = fmt::format("{} to {} {} at {}", st, t.host, t.target, t.relay);
