--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -8,7 +8,7 @@
 namespace dunlinwing::consensus {
 namespace {
 constexpr base::Log logger("consensus");
-// The pause between two surveys of a refill, as a part of the round's timeout.
+// The pause between two surveys of a refill is the round timeout divided by this.
 constexpr int kSurveyPauseShare = 4;
 
 using Registers = std::map<std::string, pb::RegisterState>;
@@ -26,7 +26,7 @@
 }
 }  // namespace
 
-/// The replica's memory and its refill. Kept alive by the fibers that it starts.
+/// The replica's state in memory, and its refill. The fibers that it starts keep it alive.
 struct Acceptor::Impl : std::enable_shared_from_this<Acceptor::Impl> {
   base::Ports& ports;
   base::Disk& disk;
@@ -35,17 +35,17 @@
   const Duration round_timeout;
   RecordWriter writer;
 
-  uint64_t epoch = 0;         ///< of the set under which requests are answered; only rises
-  uint64_t synced_epoch = 0;  ///< of the set that is durable here; never above `epoch`
+  uint64_t epoch = 0;         ///< of the set in memory; requests below it are rejected; never decreases
+  uint64_t synced_epoch = 0;  ///< of the replica set that is on the disk; never above `epoch`
   pb::ReplicaStage stage = pb::REPLICA_EMPTY;
   std::optional<pb::InitialBoot> initial_boot;
-  bool refilling = false;  ///< a fiber is in run_refill(); there is one at most
+  bool refilling = false;  ///< a fiber executes run_refill(); at most one does
 
-  Registers registers;                             ///< what is voted on; may be ahead of the disk
-  Registers synced;                                ///< what is on the disk: all that others may see
-  std::map<std::string, uint64_t> change_numbers;  ///< of each synced register's latest accepted value
+  Registers registers;  ///< used for votes; may be ahead of the disk
+  Registers synced;     ///< the states on the disk; only these are sent to other nodes
+  std::map<std::string, uint64_t> change_numbers;  ///< by register: the last change of its accepted value
   uint64_t change_count = 0;                       ///< the highest number in `change_numbers`
-  uint64_t boot_id = 0;                            ///< of this start; never 0
+  uint64_t boot_id = 0;                            ///< identifies this start of the process; never 0
 
   Impl(base::Ports& ports, base::Disk& disk, std::string node_name, ReplicaSetView& set, Duration timeout)
       : ports(ports),
@@ -97,7 +97,7 @@
     return !initial_boot && stage == pb::REPLICA_EMPTY && registers.empty() && epoch == 0;
   }
 
-  // Shows others what a record says, now that it is on the disk.
+  // Makes a record that is on the disk visible to other nodes.
   void publish(const pb::LogRecord& record) {
     if (record.has_replica_set()) synced_epoch = std::max(synced_epoch, record.replica_set().epoch());
     if (record.has_register_state()) publish_register(record.register_state());
@@ -145,7 +145,7 @@
     return response;
   }
 
-  // Takes the step and syncs it; only then the vote may be counted.
+  // Applies the vote and syncs it before it responds: only a synced vote may be counted.
   pb::PeerResponse answer_vote(const VoteStep& step) {
     if (step.granted) {
       registers[step.state.name()] = step.state;
@@ -157,14 +157,14 @@
     return response;
   }
 
-  // True once the set, or a newer one, is durable here. Requests of lower epochs are rejected from the first
-  // moment on.
+  // Returns true once the set, or a newer one, is on the disk. Requests with lower epochs are rejected as
+  // soon as the set is in memory.
   bool adopt(const pb::ReplicaSet& newer) {
     if (newer.epoch() <= synced_epoch) return true;
     set.adopt(newer);
     epoch = std::max(epoch, newer.epoch());
     pb::LogRecord record;
-    *record.mutable_replica_set() = set.message();  // this one, or a newer one that memory has already
+    *record.mutable_replica_set() = set.message();  // this set, or a newer one already in memory
     return writer.sync({record}) && synced_epoch >= newer.epoch();
   }
 
@@ -185,7 +185,7 @@
       logger.info("The disk of replica {} is now {}.", node_name, pb::ReplicaStage_Name(next));
   }
 
-  // Asks all others for what they hold, waiting for each of them as long as a round may take.
+  // Requests a snapshot from every other replica and waits for all of them, at most one round timeout.
   RefillSurvey survey() {
     const auto others = other_replicas();
     pb::PeerRequest request;
@@ -200,7 +200,8 @@
     return survey;
   }
 
-  // Takes the registers that the others hold, in one sync. They were not accepted here, so they are no votes.
+  // Stores the registers that the other replicas reported, in one sync. They are marked as refilled: this
+  // replica did not accept them, so they do not count as votes.
   bool take_registers(Registers& reported) {
     std::vector<pb::LogRecord> records;
     for (auto& [name, state] : reported) {
@@ -212,16 +213,16 @@
     return writer.sync(records);
   }
 
-  // Takes all that the others hold, under the present set; false when the disk fails.
+  // Stores the current replica set and the reported registers, then votes. Returns false when the disk fails.
   bool adopt_state(RefillSurvey& survey) {
     if (!adopt(set.message()) || !take_registers(survey.registers)) return false;
-    logger.info("Replica {} is refilled with {} registers from {} replicas.", node_name,
+    logger.info("Replica {} was refilled with {} registers from {} voting replicas.", node_name,
                 survey.registers.size(), survey.voting);
     enter_stage(pb::REPLICA_VOTING);
     return true;
   }
 
-  // A joining disk knows its set; false when the disk fails.
+  // Stores the replica set first: a joining disk always has one. Returns false when the disk fails.
   bool become_joining() {
     if (!adopt(set.message())) return false;
     enter_stage(pb::REPLICA_JOINING);
@@ -234,8 +235,8 @@
     return writer.sync({record});
   }
 
-  // Refills until the disk votes, over failures of it. One fiber at a time: a second one could take what was
-  // reported to it over a vote given since.
+  // Refills until the disk votes; a failed sync restarts it, at once or when the disk has recovered. Only one
+  // fiber may do so: a second one could overwrite a newer vote with registers from an older survey.
   void run_refill(bool is_initial_boot) {
     refilling = true;
     do refill(is_initial_boot);
@@ -243,14 +244,14 @@
     refilling = false;
   }
 
-  // Returns once the disk votes, or fails. The seeds of the first start are recorded before anything else,
-  // for a restart amid it.
+  // Returns once the disk votes or fails. The seeds of the initial boot are recorded first, so that they
+  // survive a restart during the refill.
   void refill(bool is_initial_boot) {
     if (is_initial_boot && !initial_boot->seeds().empty() && !record_initial_boot()) return;
     if (stage == pb::REPLICA_EMPTY) ports.clock.sleep(round_timeout);
     bool reported_undecidable = false;
     while (stage != pb::REPLICA_VOTING && !writer.failed()) {
-      if (!set.has(node_name)) {  // no replica yet, or the set is not known
+      if (!set.has(node_name)) {  // not a replica yet, or the replica set is unknown
         pause_between_surveys();
         continue;
       }
@@ -258,14 +259,14 @@
       const auto step = next_step(result, stage, set, node_name, initial_boot.has_value());
       if (step == RefillStep::undecidable && !std::exchange(reported_undecidable, true))
         logger.warn(
-            "Replica {} cannot vote: its disk is empty, and the others cannot tell whether anything was "
-            "ever recorded.",
+            "Replica {} cannot vote: its disk is empty, and the other replicas cannot tell whether "
+            "anything was ever recorded.",
             node_name);
       if (!take(step, result)) return;
     }
   }
 
-  // False when the disk fails.
+  // Executes the step. Returns false when the disk fails.
   bool take(RefillStep step, RefillSurvey& result) {
     switch (step) {
       case RefillStep::adopt_state:
@@ -343,7 +344,7 @@
   response.set_non_voting(non_voting());
   if (impl.epoch) *response.mutable_replica_set() = impl.set.message();
   response.set_adopted_epoch(impl.synced_epoch);
-  response.set_position(0);  // of what is not sent yet nothing was seen
+  response.set_position(0);  // no change is included yet
   if (non_voting()) return;
   const uint64_t position = seen.boot_id == impl.boot_id ? seen.position : 0;
   std::map<uint64_t, const std::string*> names_by_change;
--- a/src/consensus/quorum_call.cpp
+++ b/src/consensus/quorum_call.cpp
@@ -3,15 +3,15 @@
 namespace dunlinwing::consensus {
 namespace {
 
-/// Shared by the caller and the fibers of its requests, so that a response that comes after the call has
-/// returned still has a place.
+/// Shared by the caller and the fibers of its requests, so that a response that arrives after the call has
+/// returned can still be stored.
 struct Call {
   PeerResponses responses;
   size_t pending = 0;  ///< requests without an outcome
   std::shared_ptr<base::Condition> condition;
 };
 
-// Sends one request in a fiber of its own.
+// Sends one request in a separate fiber.
 void send(base::Ports& ports, const std::shared_ptr<Call>& call, size_t index,
           std::function<std::optional<pb::PeerResponse>()> request) {
   ports.tasks.spawn([call, index, request = std::move(request)] {
--- a/src/consensus/quorum_call.hpp
+++ b/src/consensus/quorum_call.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Requests to many replicas at once: each is sent by a fiber of its own, and the caller goes on as soon as
-/// it has enough responses.
+/// Sends requests to many replicas in parallel: each is sent by a separate fiber, and the caller continues as
+/// soon as it has enough responses.
 ///
-/// Threads: called by a fiber, which is suspended meanwhile. Fibers of requests that are still under way may
-/// outlive the call; what they receive is then dropped.
+/// Threads: called by a fiber, which is suspended meanwhile. Fibers of requests that are still in progress
+/// may outlive the call; their responses are then dropped.
 #pragma once
 #include "base/ports.hpp"
 
@@ -15,24 +15,25 @@
   bool operator==(const Replica&) const = default;
 };
 
-/// One entry for each replica called, in their order; empty while nothing came, and when the call failed.
+/// One entry for each replica, in the same order; empty until a response arrives, and when the request
+/// failed.
 using PeerResponses = std::vector<std::optional<pb::PeerResponse>>;
-/// Whether the responses so far suffice.
+/// Whether the responses received so far are enough.
 using StopCondition = std::function<bool(const PeerResponses&)>;
-/// Answers a request to the replica of this very process.
+/// Handles a request to the replica in this process.
 using LocalReplica = std::function<pb::PeerResponse(const pb::PeerRequest&)>;
-/// This node among the replicas.
+/// This node, as one of the replicas.
 struct LocalMember {
   std::string node_name;
-  LocalReplica answer;  ///< in place of the network; null on a node that is no replica
+  LocalReplica answer;  ///< used instead of the network; null on a node that is not a replica
 };
-/// The request to the replica at an index.
+/// Makes the request for the replica at an index.
 using RequestFactory = std::function<pb::PeerRequest(size_t index)>;
 
-/// Sends a request to each replica and waits until `enough`, until all have answered or failed, or until the
-/// time is up.
+/// Sends a request to each replica and waits until `enough` returns true, all requests have completed or
+/// failed, or the timeout is over.
 /// @param timeout  of each request and of the call as a whole
-/// @return the responses that are here by then
+/// @return the responses received by then
 PeerResponses call_replicas(base::Ports& ports, const std::vector<Replica>& replicas,
                             const RequestFactory& make_request, Duration timeout, const StopCondition& enough,
                             const LocalMember& local = {});
--- a/src/consensus/record_writer.cpp
+++ b/src/consensus/record_writer.cpp
@@ -7,8 +7,8 @@
 namespace dunlinwing::consensus {
 namespace {
 constexpr base::Log logger("consensus");
-// Pauses between two tries to write a failed disk anew, as parts of the timeout: the first, and the longest,
-// to which it doubles.
+// The first and the longest pause between two attempts to rewrite a failed disk: the timeout divided by
+// these. The pause doubles up to the longest.
 constexpr int kFirstPauseShare = 16;
 constexpr int kLongestPauseShare = 2;
 constexpr Duration kShortestPause{1};
@@ -57,7 +57,7 @@
   for (const auto& waiter : std::exchange(waiters_, {})) waiter->notify();
 }
 
-// What comes while a batch is being written goes into the next.
+// Records that arrive while a batch is being written go into the next one.
 void RecordWriter::write_batches() {
   while (!batch_.empty()) {
     const auto batch = std::exchange(batch_, {});
@@ -74,7 +74,7 @@
   writing_ = false;
 }
 
-// Returns once a snapshot of all that memory holds is on the disk.
+// Returns once a snapshot of the complete state in memory is on the disk.
 void RecordWriter::recover() {
   failed_ = true;
   ++failures_;
@@ -85,7 +85,7 @@
   const Duration longest_pause = std::max(kShortestPause, timeout_ / kLongestPauseShare);
   for (;;) {
     refused_while_failed_ = false;
-    batch_.clear();  // all of it is in the snapshot
+    batch_.clear();  // the snapshot includes all its records
     const auto snapshot = owner_.make_snapshot();
     if (!disk_.rewrite(snapshot)) {
       if (refused_while_failed_) continue;
--- a/src/consensus/record_writer.hpp
+++ b/src/consensus/record_writer.hpp
@@ -1,25 +1,25 @@
 /// @file
 /// Writes the log records of one replica to its disk: records that arrive together are synced together, and
-/// a disk that failed is written anew from the replica's memory before anything is answered again.
+/// a failed disk is rewritten from the replica's memory before any request is granted again.
 ///
 /// Invariants:
 /// - sync() returns true only when the record and all before it are on the disk.
-/// - No caller that was refused by a failure is granted later, whatever then becomes of its write.
+/// - A caller whose sync failed is never granted later, even if its write completes.
 ///
-/// After a failed write nobody knows what of it is on the disk. The replica does not vote until a snapshot of
-/// its memory is written beside what was there, synced and read back. Why that is safe: let M be the memory
-/// when the snapshot is made, and A all that this replica ever answered for: promises, accepts, its set and
-/// its stage.
-/// - A is in M, or superseded there: every answer is given from memory after its record is synced, and memory
-///   only rises in ballots and epochs. So no promise or accept that somebody counted is forgotten.
-/// - M holds besides what was never answered for, since each such caller got a non-voting response. A promise
-///   that nobody counted only turns lower ballots away. An accept that nobody counted is a value proposed at
-///   a ballot above every promise here, just as if the answer had been lost on its way: Paxos holds whether
-///   or not such an answer arrives. A later reader who counts it finds it on the disk.
-/// - Nothing of M is sent before the snapshot is synced: a replica that does not vote answers no vote, read,
-///   snapshot request or pull. What is published then is what is in the snapshot.
-/// - What changed in memory while the snapshot was being written had its sync refused, so another snapshot
-///   follows before anything is answered.
+/// After a failed write it is unknown which part of it is on the disk. The replica does not vote until a
+/// snapshot of its memory is written beside the old files, synced and read back. Why that is safe: let M be
+/// the memory when the snapshot is made, and A all state that this replica has ever acknowledged: promises,
+/// accepts, its replica set and its stage.
+/// - A is in M, or superseded there: every response is made from memory after its record is synced, and
+///   ballots and epochs in memory never decrease. So no promise or accept that was counted is forgotten.
+/// - M also contains state that was never acknowledged, since each such caller got a non-voting response. An
+///   uncounted promise only rejects lower ballots. An uncounted accept is a value proposed at a ballot not
+///   below any promise here, as if the response had been lost on the network: Paxos is safe whether or not
+///   such a response arrives. A later read that counts the accept finds it on the disk.
+/// - No part of M is sent before the snapshot is synced: a non-voting replica grants no vote, read, snapshot
+///   request or pull. After the sync, exactly the contents of the snapshot are published.
+/// - A change of memory while the snapshot was being written had its sync refused, so another snapshot is
+///   written before any request is granted.
 ///
 /// Threads: used by the fibers of the thread that runs control only. sync() suspends its fiber.
 #pragma once
@@ -27,36 +27,36 @@
 
 namespace dunlinwing::consensus {
 
-/// What the owner of the replica's memory provides. All are called on the control thread.
+/// Callbacks to the owner of the replica's memory. All are called on the control thread.
 struct RecordWriterOwner {
-  /// All of memory, as it is now.
+  /// Returns a snapshot of the complete memory.
   std::function<pb::Snapshot()> make_snapshot;
-  /// A record is on the disk: what it says may be published.
+  /// A record is on the disk and may be published.
   std::function<void(const pb::LogRecord&)> on_record_synced;
-  /// A snapshot is on the disk after a failure: what it says may be published.
+  /// After a failure, a snapshot is on the disk and may be published.
   std::function<void(const pb::Snapshot&)> on_snapshot_synced;
-  /// The disk takes records again.
+  /// The disk accepts records again after a failure.
   std::function<void()> on_recovered;
-  /// Runs the task in a fiber that keeps the owner, and with it the writer, alive.
+  /// Runs the task in a fiber that keeps the owner, and thus the writer, alive.
   std::function<void(std::function<void()>)> spawn;
 };
 
 /// The one writer of a replica's disk.
 class RecordWriter {
  public:
-  /// @param timeout  of one sync; the unit of the pauses between two tries to write a failed disk anew
+  /// @param timeout  of one sync; the pauses between attempts to rewrite a failed disk are parts of it
   RecordWriter(base::Ports& ports, base::Disk& disk, std::string node_name, Duration timeout,
                RecordWriterOwner owner);
 
   /// Writes the records in one sync, with those of other callers.
   /// @return true once they and all before them are on the disk, and at once when there are none; false when
-  ///     the disk fails, or does not answer within the timeout. The write may then still complete.
+  ///     the disk fails or does not complete the write within the timeout. The write may then still complete.
   [[nodiscard]] bool sync(const std::vector<pb::LogRecord>& records);
 
-  /// Writes the disk anew, as after a failed write: for a disk whose loaded snapshot could not be rewritten.
+  /// Rewrites the disk as after a failed write: for a disk whose loaded snapshot could not be written back.
   void start_recovery();
 
-  /// Whether the disk failed and was not yet written anew.
+  /// Whether the disk failed and has not been rewritten yet.
   bool failed() const { return failed_; }
   /// Whether a write takes longer than the timeout: nothing more should be queued behind it.
   bool stalled() const { return writing_ && ports_.clock.now() - write_began_ > timeout_; }
@@ -72,14 +72,14 @@
   const Duration timeout_;
   const RecordWriterOwner owner_;
 
-  std::vector<pb::LogRecord> batch_;  ///< what the next write takes
+  std::vector<pb::LogRecord> batch_;  ///< the records of the next write
   uint64_t queued_ = 0;               ///< records ever put into a batch
-  uint64_t synced_ = 0;       ///< of these, how many are on the disk; those before a failure may be less
-  bool writing_ = false;      ///< a fiber is in write_batches() or recover(); there is one at most
-  TimePoint write_began_{0};  ///< of the write under way; meaningful while `writing_`
+  uint64_t synced_ = 0;               ///< how many of these are on the disk; may be too low after a failure
+  bool writing_ = false;              ///< a fiber executes write_batches() or recover(); at most one does
+  TimePoint write_began_{0};          ///< start of the current write; meaningful while `writing_`
   bool failed_ = false;
   bool refused_while_failed_ = false;  ///< memory changed since the snapshot being written was made
-  uint64_t failures_ = 0;              ///< rises with each failure: who waited then is refused
+  uint64_t failures_ = 0;              ///< incremented by each failure; waiting callers are then refused
   std::vector<std::shared_ptr<base::Condition>> waiters_;
 };
 
--- a/src/consensus/refill.cpp
+++ b/src/consensus/refill.cpp
@@ -5,25 +5,25 @@
 namespace dunlinwing::consensus {
 namespace {
 
-// The epoch of the set that the settings name, before any change of it.
+// The epoch of the replica set from the settings, before any change of it.
 constexpr uint64_t kInitialEpoch = 1;
 
-// Whether a majority may ever have voted, seen from an empty disk when every other replica has answered.
-// A disk that is joining knows that it never has.
+// Whether a majority may ever have voted, as far as an empty disk can tell once every other replica has
+// responded. A joining disk knows that it has never voted.
 bool may_have_voted(const ReplicaSetView& set, size_t joining) {
   const auto replicas = set.all().size();
   return replicas - joining >= majority_of(replicas);
 }
 
-// How many others of the complete list have to report what they hold before this disk may vote: so many
-// that each quorum in which its former self may have voted has a member among them.
+// How many other replicas of the complete list have to report their registers before this disk may vote:
+// enough that they include a member of each quorum in which the lost disk of this node may have voted.
 size_t refill_quorum(const ReplicaSetView& set, const std::string& node_name) {
   const auto& list = set.complete_list();
   return majority_of(list.size() - (contains_name(list, node_name) ? 1 : 0));
 }
 
-// Whether a set after the present one was written at one of those asked. It may be in force already, and
-// then there are quorums with replicas that were not asked.
+// Whether one of the surveyed replicas has accepted a newer set than the current one. It may be in force
+// already; then some quorums include replicas that were not surveyed.
 bool shows_later_set(const RefillSurvey& survey, const ReplicaSetView& set) {
   auto found = survey.registers.find(kReplicaSetKey);
   if (found == survey.registers.end()) return false;
--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -1,6 +1,6 @@
-// Every change is one Paxos round: prepare, look at the highest accepted value, accept either that value
-// again or the next one. A value carries the identifier of its write and those of the writes before it, so
-// that a writer whose round was cut short can find out whether another proposer finished it.
+// Every change is one Paxos round: prepare, read the highest accepted value, then propose either that value
+// again or its successor. A value carries the identifiers of its write and of the writes before it, so that a
+// writer whose round was interrupted can find out whether another proposer completed it.
 #include "consensus/register_client.hpp"
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 
 namespace dunlinwing::consensus {
 namespace {
-constexpr int kEarlierWriteIds = 8;          // of the writes before it that a value carries
-constexpr int kOperationRounds = 5;          // round timeouts for which an operation tries
-constexpr int kTriesWithoutQuorum = 3;       // rounds without votes of a quorum before an operation gives up
-constexpr int kRewriteTries = 10;            // rounds for each register that is rewritten
-constexpr size_t kConcurrentRewrites = 16;   // replicas sync votes that come together in one write
-constexpr size_t kMinReplicas = 3;           // the fewest that can bear a loss
-constexpr int kSetAnnouncementShare = 4;     // of a round timeout: how long members are told of a new set
-constexpr uint64_t kFirstBackOffShare = 32;  // of a round timeout: the longest pause after the first round
+constexpr int kEarlierWriteIds = 8;          // write identifiers of earlier writes in a value
+constexpr int kOperationRounds = 5;          // time limit of an operation, in round timeouts
+constexpr int kTriesWithoutQuorum = 3;       // rounds without a voting quorum before an operation gives up
+constexpr int kRewriteTries = 10;            // rounds for each register to rewrite
+constexpr size_t kConcurrentRewrites = 16;   // replicas sync concurrent votes in one write
+constexpr size_t kMinReplicas = 3;           // the fewest that tolerate the loss of one
+constexpr int kSetAnnouncementShare = 4;     // round timeout / this: time limit for announcing a new set
+constexpr uint64_t kFirstBackOffShare = 32;  // round timeout / this: the longest pause after the first round
 constexpr int kMaxBackOffDoublings = 6;
 
 using Response = std::optional<pb::PeerResponse>;
@@ -41,31 +41,31 @@
 
 VersionedValue versioned(const pb::Value& value) { return {value.version(), value.data()}; }
 
-/// What the members answered to one request.
+/// The responses of the members to one request.
 struct Votes {
   PeerResponses responses;
-  /// They came later than a round's timeout after the request: they count no longer, for a vote so old may
-  /// come from a disk that was lost since.
+  /// More than a round timeout has passed since the request: the votes must not be counted, since one this
+  /// old may come from a disk that has been lost since.
   bool expired = false;
 };
 
 enum class ProposalOutcome {
-  no_quorum,  ///< no quorum of voting replicas answered; nothing was proposed
+  no_quorum,  ///< no quorum of voting replicas responded; nothing was proposed
   undecided,  ///< promises were refused, or the value may or may not have been accepted
   chosen,
 };
 
 struct ProposalResult {
   ProposalOutcome outcome = ProposalOutcome::no_quorum;
-  pb::Value value;  ///< in force; meaningful when it was chosen
+  pb::Value value;  ///< the chosen value; meaningful when `outcome` is chosen
 };
 
-/// The value to be accepted where the given one is in force: the next one, or that one again.
+/// Returns the value to propose when the given one is in force: its successor, or the same value again.
 using NextValue = std::function<pb::Value(const pb::Value& current)>;
 
 pb::Value same_value(const pb::Value& current) { return current; }
 
-/// One compare-and-set, over as many rounds as it takes.
+/// One compare-and-set, which may take several rounds.
 class CompareAndSet {
  public:
   CompareAndSet(uint64_t expected_version, const std::string& data, std::string write_id)
@@ -89,11 +89,11 @@
     return next;
   }
 
-  /// What a value in force says of this write; nothing while it is still the one to be replaced.
+  /// The result of this write, given the value in force; nothing while that is still the value to replace.
   std::optional<WriteResult> result_under(const pb::Value& current) const {
     if (contains_own(current)) return VersionedValue{expected_version_ + 1, data_};
     if (current.version() == expected_version_) return {};
-    // Past this many later writes the identifiers no longer tell whether ours was among them.
+    // After this many later writes, the identifiers no longer show whether this write was one of them.
     if (proposed_ && current.version() > expected_version_ + kEarlierWriteIds)
       return RegisterError::fate_unknown;
     return VersionConflict{versioned(current)};
@@ -123,8 +123,8 @@
 
   // ---- Votes ----
 
-  // The set must not change while a round counts: responses are counted by the quorum of the set that was
-  // asked, and a newer set that somebody names voids the round.
+  // The replica set must not change during a round: responses are counted by the quorum of the set that the
+  // request was sent to, and a response with a newer set voids the round.
   Votes collect_votes(pb::PeerRequest request, const StopCondition& enough) {
     const auto epoch = set.epoch();
     request.set_epoch(epoch);
@@ -143,7 +143,7 @@
     return set.is_quorum(flags(responses, is_granted));
   }
 
-  // Voting is over when a quorum has granted, or so many have refused that none can.
+  // Voting is over when a quorum has granted, or when too many have refused for any quorum to grant.
   bool is_settled(const PeerResponses& responses) const {
     return quorum_granted(responses) || !set.is_quorum(flags(responses, may_be_granted));
   }
@@ -157,7 +157,7 @@
     return votes;
   }
 
-  // Proposers that met each other wait a random while, longer each time.
+  // Randomized exponential backoff between competing proposers.
   void back_off(int tries) {
     const uint64_t first = static_cast<uint64_t>(round_timeout.count()) / kFirstBackOffShare;
     const uint64_t longest = first * (uint64_t{1} << std::min(tries, kMaxBackOffDoublings));
@@ -166,7 +166,7 @@
 
   // ---- Reads ----
 
-  // The state that a quorum has accepted at one ballot, none higher being seen.
+  // The state that a quorum has accepted at the same ballot, unless a response has a higher ballot.
   const pb::RegisterState* agreed_state(const PeerResponses& responses) const {
     const pb::RegisterState* best = nullptr;
     for (const auto& response : responses)
@@ -182,7 +182,7 @@
     return set.is_quorum(flags(responses, has_accepted_best)) ? best : nullptr;
   }
 
-  // The value in force when a quorum shows it without a proposal.
+  // The value in force, if the responses of a quorum agree on it without a proposal.
   std::optional<pb::Value> read_agreed(const std::string& name) {
     pb::PeerRequest request;
     request.mutable_read_register()->set_name(name);
@@ -210,7 +210,7 @@
     return collect_until_settled(request);
   }
 
-  // Of those that promised, the value accepted at the highest ballot.
+  // The value accepted at the highest ballot among the promises.
   static pb::Value highest_value(const PeerResponses& promises) {
     pb::RegisterState highest;
     for (const auto& response : promises)
@@ -219,7 +219,7 @@
     return highest.value();
   }
 
-  // One round. Undecided: the accepts may or may not hold.
+  // One Paxos round. If the outcome is undecided, the value may still be chosen.
   ProposalResult propose(const std::string& name, const NextValue& next_value) {
     ProposalResult result;
     pb::Ballot ballot;
@@ -254,7 +254,7 @@
     CompareAndSet operation(expected_version, data, base::random_token(ports.random));
     const TimePoint end = ports.clock.now() + round_timeout * kOperationRounds;
     for (int i = 0, without_quorum = 0; i == 0 || ports.clock.now() < end; ++i) {
-      // After a round that was cut short, a read first: the race may be over.
+      // After an undecided round, read first: another proposer may have completed the write.
       if (i > 0)
         if (const auto value = read_agreed(name))
           if (auto written = operation.result_under(*value)) return *written;
@@ -271,9 +271,9 @@
   /// Shared by the fibers that rewrite a list of registers.
   struct Rewrite {
     std::vector<std::string> names;
-    size_t next = 0;      ///< the first name that no fiber has taken
+    size_t next = 0;      ///< the index of the first name not yet processed by a fiber
     size_t fibers = 0;    ///< still running
-    bool failed = false;  ///< some register could not be rewritten: the others are left
+    bool failed = false;  ///< a register could not be rewritten; the remaining ones are skipped
     std::shared_ptr<base::Condition> condition;
   };
 
@@ -305,7 +305,7 @@
 
   // ---- Changes of the replica set ----
 
-  // Makes the present set durable at its members; which of them answered that it is.
+  // Makes the current set durable at its members; returns which of them confirmed it.
   MemberFlags announce_set(Duration timeout) {
     pb::PeerRequest request;
     *request.mutable_adopt()->mutable_replica_set() = set.message();
@@ -318,7 +318,7 @@
     return flags(responses, is_granted);
   }
 
-  // Writes `next` over the set of `from_epoch`, under the quorum of the present set.
+  // Replaces the set of `from_epoch` by `next`, with a quorum of the current set.
   ReplicaSetResult write_set(const pb::ReplicaSet& next, uint64_t from_epoch) {
     const auto read_result = read(kReplicaSetKey);
     const auto* recorded = as<VersionedValue>(read_result);
@@ -376,9 +376,9 @@
   return impl_->write_set(next, present.epoch());
 }
 
-// The order of the steps matters: nobody can win under the set before the joint one any longer (a quorum of
-// it has adopted the joint set), then all names are read, then every register stands at a quorum of the joint
-// set and so at a majority of the new list, and only then does the old list stop counting.
+// The order of the steps matters. First a quorum adopts the joint set, so that no proposal can be chosen
+// under the previous set any longer. Then all names are read, and every register is rewritten at a quorum of
+// the joint set, which includes a majority of the new list. Only then may the old list stop counting.
 ReplicaSetResult RegisterClient::finish_change(const RegisterNames& names) {
   auto& impl = *impl_;
   if (!impl.set.joint()) return ReplicaSetError::no_change;
--- a/src/consensus/register_client.hpp
+++ b/src/consensus/register_client.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// The proposing half of the registers: read and compare-and-set by name, over a quorum of the replicas. Any
-/// node can do it; none leads.
+/// The Paxos proposer: reads and compare-and-sets registers by name, with a quorum of the replicas. Any node
+/// can propose; there is no leader.
 ///
-/// Invariants: a version of a register has one value for ever; a read returns no version older than one that
-/// any call returned before it began.
+/// Invariants: a version of a register never has two values; a read returns no version older than one that
+/// any call returned before the read began.
 /// Threads: used by the fibers of the thread that runs control only. Every call waits for the network, at
-/// most five times the timeout of a round.
+/// most five round timeouts.
 #pragma once
 #include "base/ports.hpp"
 #include "consensus/replica_set.hpp"
@@ -17,7 +17,7 @@
   std::string data;
 };
 
-/// Another write came first.
+/// Another write replaced the expected version.
 struct VersionConflict {
   VersionedValue current;
 };
@@ -30,34 +30,34 @@
 using ReadResult = std::variant<VersionedValue, RegisterError>;
 using WriteResult = std::variant<VersionedValue, VersionConflict, RegisterError>;
 using ReplicaSetResult = std::variant<pb::ReplicaSet, ReplicaSetError>;
-/// The names of all registers, read after the call began; nothing when no quorum answers.
+/// Returns the names of all registers, read after the call began; nothing when no quorum responds.
 using RegisterNames = std::function<std::optional<std::vector<std::string>>()>;
 
 class RegisterClient {
  public:
-  /// @param round_timeout  of one round, after which its votes count no longer
-  /// @param local          the replica of this process; null on a node that is none
+  /// @param round_timeout  of one round; later votes are not counted
+  /// @param local          the replica in this process; null on a node that is not a replica
   RegisterClient(base::Ports& ports, std::string node_name, ReplicaSetView& set, Duration round_timeout,
                  LocalReplica local);
   ~RegisterClient();
 
   [[nodiscard]] ReadResult read(const std::string& name);
-  /// Compare-and-set. The result may be ignored where the next write tries again.
+  /// Compare-and-set. The result may be ignored where a later write retries.
   /// @param expected_version  the version that the data replaces
-  /// @return the value as written, of the version after the expected one; or why it was not
+  /// @return the value as written, with the version after the expected one; or why it was not written
   WriteResult write(const std::string& name, uint64_t expected_version, const std::string& data);
 
-  /// Writes the value in force of each register anew, at the same version, so that a quorum of the present
-  /// set has accepted it.
-  /// @return false when some could not be written
+  /// Rewrites the value in force of each register, at the same version, so that a quorum of the current set
+  /// has accepted it.
+  /// @return false when a register could not be rewritten
   bool rewrite(const std::vector<std::string>& names);
 
-  /// Starts a change of the replica set: from now on a majority of both lists counts.
+  /// Starts a change of the replica set: from now on a quorum is a majority of each list.
   ReplicaSetResult begin_change(const std::vector<Replica>& wanted);
-  /// Ends the change under way, whoever began it: every register comes to stand at a majority of the new
-  /// list, and then the old one counts no longer.
+  /// Completes a change begun by any node: rewrites every register at a majority of the new list, then
+  /// removes the old list.
   ReplicaSetResult finish_change(const RegisterNames& names);
-  /// Both, after finishing a change that was under way.
+  /// Begins and finishes a change, after finishing one that was already begun.
   ReplicaSetResult change(const std::vector<Replica>& wanted, const RegisterNames& names);
 
   /// See ReplicaSetView.
--- a/src/consensus/vote.cpp
+++ b/src/consensus/vote.cpp
@@ -27,7 +27,7 @@
   *step.state.mutable_promised() = request.ballot();
   *step.state.mutable_accepted() = request.ballot();
   *step.state.mutable_value() = request.value();
-  step.state.clear_refilled();  // accepted here: from now on it is a vote
+  step.state.clear_refilled();  // accepted here, so from now on it counts as a vote
   return step;
 }
 
