--- a/src/storage/artifact_files.cpp
+++ b/src/storage/artifact_files.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr mode_t kFileMode = 0640;
-constexpr size_t kReadBytes = 1 << 16;  // at once
+constexpr size_t kReadBytes = 1 << 16;  // of one read
 
 FileDescriptor open_to_read(const std::string& path) {
   return FileDescriptor(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
@@ -27,8 +27,8 @@
   return static_cast<uint64_t>(status.st_size);
 }
 
-// The length of a file tells what is stored, so bytes that may not be synced must not stay: the next look
-// would count them.
+// The length of a file determines how much counts as stored, so a file whose last bytes may not be synced is
+// removed: progress() would count them.
 std::nullopt_t discard(const std::string& path) {
   ::unlink(path.c_str());
   return std::nullopt;
--- a/src/storage/artifact_files.hpp
+++ b/src/storage/artifact_files.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// Files by digest: the artifacts of software releases that a replica stores. A file grows by chunks in order
-/// and counts as complete only once its digest is right.
+/// Files named by their digest: the software release artifacts that a replica stores. A file is written in
+/// consecutive chunks and is complete only once its digest matches.
 ///
-/// Invariants: every write is synced before it returns; bytes that may not be synced are removed, since the
-/// length of an incomplete file tells what is stored.
-/// Threads: every call blocks, and is made through the DiskExecutor; the path alone may be asked anywhere.
+/// Invariants: every write is synced before the call returns; a file with bytes that may not be synced is
+/// removed, since the length of an incomplete file determines how much counts as stored.
+/// Threads: every call blocks and is made through the DiskExecutor; only path() may be called on any thread.
 #pragma once
 #include "base/common.hpp"
 
@@ -21,16 +21,16 @@
   explicit ArtifactFiles(std::string folder) : folder_(std::move(folder)) {}
 
   ArtifactProgress progress(const std::string& sha256) const;
-  /// Stores a chunk; what of it is stored already is passed over.
+  /// Stores a chunk; the part of it that is already stored is skipped.
   /// @param sha256  of the complete file, in hexadecimal digits
   /// @param total   length of the complete file, in bytes
-  /// @return what is stored then; nothing when the chunk does not follow what is there, cannot be written, or
-  ///     completes a file of another digest
+  /// @return what is stored afterwards; nothing when the chunk leaves a gap or exceeds `total`, cannot be
+  ///     written, or completes a file with a wrong digest
   [[nodiscard]] std::optional<ArtifactProgress> append(const std::string& sha256, uint64_t offset,
                                                        const std::string& data, uint64_t total);
-  /// At most so many bytes from the offset on; fewer where fewer are stored.
+  /// At most `bytes` bytes from the offset on; fewer when fewer are stored.
   std::string read(const std::string& sha256, uint64_t offset, uint32_t bytes) const;
-  /// Of the complete file.
+  /// The path of the complete file.
   std::string path(const std::string& sha256) const;
 
  private:
@@ -43,10 +43,10 @@
 std::optional<std::string> sha256_hex_of(const std::string& path);
 /// The contents of a small file; nothing when it cannot be opened.
 std::optional<std::string> read_small(const std::string& path);
-/// Replaces a file by a new one and a rename, all synced.
-/// @return false when any step fails; the file is then the old one or the new one
+/// Replaces a file atomically: writes a new file, syncs it, renames it and syncs the folder.
+/// @return false when any step fails; the file then has its old or its new contents
 [[nodiscard]] bool write_synced(const std::string& path, const std::string& bytes);
-/// Makes the names in a folder durable.
+/// Makes the file names in a folder durable.
 bool sync_dir(const std::string& folder);
 
 }  // namespace dunlinwing::storage
--- a/src/storage/async_disk.hpp
+++ b/src/storage/async_disk.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// A disk whose writes run on a thread of their own, so that they suspend a fiber and block no event loop.
+/// A disk whose writes run on a separate thread, so that they suspend only the calling fiber and block no
+/// event loop.
 ///
-/// Threads: as base::Disk; the disk behind it is used by the executor's thread after load().
+/// Threads: as base::Disk; after load(), the wrapped disk is used by the executor's thread.
 #pragma once
 #include "storage/disk_executor.hpp"
 
@@ -15,7 +16,7 @@
   /// Blocks; called before the event loops run.
   base::LoadedSnapshot load() override { return disk_->load(); }
 
-  /// The snapshot is made on the caller's thread, to which the state belongs.
+  /// The snapshot is made on the caller's thread, which owns the state.
   std::optional<base::DiskError> save(const std::vector<pb::LogRecord>& records,
                                       const std::function<pb::Snapshot()>& make_snapshot) override {
     std::optional<base::DiskError> error;
--- a/src/storage/disk_executor.cpp
+++ b/src/storage/disk_executor.cpp
@@ -8,13 +8,13 @@
 namespace dunlinwing::storage {
 namespace {
 
-// A wait needs some limit; a job may take longer, and then the next wait begins.
+// Condition::wait() requires a time limit; a longer job is waited for again.
 constexpr Duration kWaitAtOnce = std::chrono::hours(1);
 
 struct Job {
   std::function<void()> function;
-  std::shared_ptr<base::Condition> condition;  ///< notified when it is done
-  bool done = false;                           ///< under the executor's mutex
+  std::shared_ptr<base::Condition> condition;  ///< notified when the job is done
+  bool done = false;                           ///< guarded by the executor's mutex
 };
 
 }  // namespace
@@ -22,9 +22,9 @@
 struct DiskExecutor::Impl {
   base::Tasks& tasks;
   std::mutex mutex;
-  std::condition_variable changed;        ///< of `jobs` or `stopping`
-  std::deque<std::shared_ptr<Job>> jobs;  ///< not begun yet; under the mutex
-  bool stopping = false;                  ///< under the mutex
+  std::condition_variable changed;        ///< notified when `jobs` or `stopping` changes
+  std::deque<std::shared_ptr<Job>> jobs;  ///< not started yet; guarded by `mutex`
+  bool stopping = false;                  ///< guarded by `mutex`
   std::thread thread;
 
   explicit Impl(base::Tasks& tasks_port) : tasks(tasks_port) {}
--- a/src/storage/disk_executor.hpp
+++ b/src/storage/disk_executor.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// A thread of its own for blocking work on files: the calling fiber is suspended until its job is done, so
-/// no thread of the event loops ever waits for a disk.
+/// A separate thread for blocking file operations: the calling fiber is suspended until its job is done, so
+/// that no event loop thread waits for a disk.
 ///
-/// Invariant: jobs run one at a time, in the order in which they came.
+/// Invariant: jobs run one at a time, in the order of submission.
 /// Threads: run() may be called from any fiber.
 #pragma once
 #include "base/ports.hpp"
@@ -12,7 +12,7 @@
 class DiskExecutor {
  public:
   explicit DiskExecutor(base::Tasks& tasks);
-  /// Waits for the job that runs; those behind it are never run.
+  /// Waits for the job that is running; queued jobs are discarded.
   ~DiskExecutor();
 
   /// Runs the job and returns when it is done.
--- a/src/storage/file_descriptor.cpp
+++ b/src/storage/file_descriptor.cpp
@@ -7,7 +7,7 @@
 
 namespace dunlinwing::storage {
 namespace {
-constexpr size_t kReadBytes = 1 << 16;  // at once
+constexpr size_t kReadBytes = 1 << 16;  // of one read
 }  // namespace
 
 FileDescriptor& FileDescriptor::operator=(FileDescriptor&& other) noexcept {
--- a/src/storage/file_descriptor.hpp
+++ b/src/storage/file_descriptor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An open file, and the reads and writes of whole contents that POSIX leaves to loops.
+/// An owned file descriptor, and functions that repeat read() and write() until all bytes are transferred.
 ///
 /// Threads: a FileDescriptor belongs to one thread at a time; the functions block.
 #pragma once
@@ -27,11 +27,11 @@
 };
 
 /// Appends the rest of the file to `bytes`.
-/// @return false when a read fails; `bytes` then holds what came before
+/// @return false when a read fails; `bytes` then contains what was read before
 bool read_all(const FileDescriptor& file, std::string& bytes);
 
-/// Writes all of the bytes at the file's position, which syncs nothing.
-/// @return false when a write fails; any part of the bytes may be in the file then
+/// Writes all of the bytes at the file's position, without a sync.
+/// @return false when a write fails; any part of the bytes may then be in the file
 [[nodiscard]] bool write_all(const FileDescriptor& file, std::string_view bytes);
 
 }  // namespace dunlinwing::storage
--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -17,16 +17,16 @@
 constexpr mode_t kFileMode = 0640;
 constexpr mode_t kFolderMode = 0750;
 
-/// Plain POSIX files.
+/// Files of a POSIX folder.
 class Folder final : public Files {
  public:
-  /// @param folder  open and locked; the lock is held until it is closed
+  /// @param folder  open and locked; closing it releases the lock
   Folder(std::string path, FileDescriptor folder) : path_(std::move(path)), folder_(std::move(folder)) {}
 
   std::variant<std::string, ReadError> read(const std::string& name) override {
     const FileDescriptor file(::openat(folder_.get(), name.c_str(), O_RDONLY | O_CLOEXEC));
     if (!file.is_open()) return errno == ENOENT ? ReadError::missing : ReadError::failed;
-    // Advice only: what was synced is read from the disk where the system can drop its cache.
+    // Best effort: if the system drops its cached pages, the read returns the bytes on the disk.
     (void)::posix_fadvise(file.get(), 0, 0, POSIX_FADV_DONTNEED);
     std::string bytes;
     if (!read_all(file, bytes)) return ReadError::failed;
@@ -61,7 +61,7 @@
 
   const std::string path_;
   const FileDescriptor folder_;
-  // The file appended to last stays open, for it is most often the next one.
+  // The file of the last append stays open, since the next append is usually to the same file.
   std::string log_name_;  ///< empty: none
   FileDescriptor log_;
 };
--- a/src/storage/framing.cpp
+++ b/src/storage/framing.cpp
@@ -30,8 +30,8 @@
          uint32_at(bytes, at + kHeadChecksumAt) == checksum(bytes.substr(at, kHeadChecksumAt));
 }
 
-// A torn write may leave zeros or part of one head; a complete head further on means that records once synced
-// stand behind the damage.
+// A torn write may leave zeros or part of one head; a complete head further on means that records that were
+// synced follow the damage.
 bool has_later_head(std::string_view bytes) {
   for (size_t at = 1; at + kFrameHeadBytes <= bytes.size(); ++at)
     if (is_head_at(bytes, at)) return true;
--- a/src/storage/snapshot_store.cpp
+++ b/src/storage/snapshot_store.cpp
@@ -1,17 +1,18 @@
-// Files: slot.0, slot.1, log.0 and log.1. slot.k holds a snapshot with its serial number; log.k holds the
-// records since then and names the same serial. A new snapshot goes into the pair that is not in use: its log
-// is made empty and synced with the folder, then the snapshot is synced with the folder; both files are read
-// back, and last a commit record is appended to the log. Only then is the old pair out of use.
+// Files: slot.0, slot.1, log.0 and log.1. slot.k contains a snapshot with its serial number; log.k contains
+// the same serial and the records since the snapshot. A new snapshot is written to the pair that is not in
+// use: an empty log is written and synced with the folder, then the snapshot is written and synced with the
+// folder; both files are read back, and last a commit record is appended to the log. Only then the new pair
+// is in use.
 //
-// A pair without its commit record was never in use, and loading passes it over, though it may look complete:
-// after a failed sync, what is read may be the system's cache and not the disk. The pair in use is never
-// written but at the end of its log. The commit record itself may have been read from the cache, and behind a
-// torn record it cannot be written again; so what was loaded is first confirmed, in proof.k by its serial,
-// and only then is the other pair written over.
+// A pair without its commit record was never in use. Loading skips it even if it looks complete: after a
+// failed sync, a read may return the system's cache and not the contents of the disk. The pair in use is only
+// ever appended to, at the end of its log. The commit record itself may have been read from the cache, and it
+// cannot be written again after a torn record. Therefore the loaded pair is first confirmed by a synced
+// proof.k with its serial, and only then the other pair is overwritten.
 //
-// So whatever step fails, and however often the process starts anew on the failing disk, the pair that holds
-// all that was acknowledged stands until another one is known to be on the disk. Nothing is acknowledged
-// between a failed step and the next complete snapshot.
+// So whichever step fails, and however often the process restarts on the failing disk, the pair with all
+// acknowledged records is kept until another one is known to be on the disk. Nothing is acknowledged between
+// a failed step and the next complete snapshot.
 #include "storage/snapshot_store.hpp"
 
 #include "base/log.hpp"
@@ -20,8 +21,8 @@
 namespace {
 constexpr base::Log logger("storage");
 constexpr int kPairs = 2;
-// Behind the serial in a log: a record must follow before the pair is in use. Disks written by programs that
-// made no commit record have none behind their serial either.
+// Follows the serial in a log whose pair is in use only after a commit record. Logs written by versions
+// without commit records do not have it.
 constexpr char kCommitFollows = '+';
 constexpr int kDecimal = 10;
 
@@ -35,27 +36,27 @@
 struct LoadedPair {
   uint64_t serial = 0;
   pb::Snapshot snapshot;
-  bool possibly_lost = false;  ///< the log cannot be trusted: records may be missing
+  bool possibly_lost = false;  ///< the log is damaged or does not match: records may be missing
 };
 
-/// What the log of a pair adds to its snapshot.
+/// Whether the log of a pair can be replayed on its snapshot.
 enum class LogState {
   complete,
-  untrusted,     ///< damaged, or of another snapshot
-  never_in_use,  ///< the pair was being written
+  untrusted,     ///< damaged, or it belongs to another snapshot
+  never_in_use,  ///< the pair was not written completely
 };
 
-/// Reads the two pairs at a start.
+/// Reads the two pairs at startup.
 class PairLoader {
  public:
   explicit PairLoader(Files& files) : files_(files) {}
 
-  /// Some snapshot is damaged, most often one that was being written.
+  /// A snapshot is damaged, usually because it was being written.
   bool damaged() const { return damaged_; }
-  /// Some snapshot was not given by the disk, so it may be the newest.
+  /// A snapshot could not be read, and it may be the newest.
   bool unread() const { return unread_; }
 
-  /// The pair, when its snapshot can be trusted and it was in use.
+  /// Loads the pair; nothing when its snapshot is missing or damaged, or the pair was never in use.
   std::optional<LoadedPair> load(int pair) {
     auto loaded = load_snapshot(pair);
     if (!loaded) return {};
@@ -96,7 +97,7 @@
     const auto* bytes = as<std::string>(read);
     if (!bytes) return LogState::untrusted;
     const auto [payloads, tail] = unframe(*bytes);
-    // Not even the serial is complete: the log was being replaced, which the one in use never is.
+    // The serial is incomplete: the log was being replaced, which never happens to the log in use.
     if (tail != Tail::corrupt && payloads.empty()) return LogState::never_in_use;
     if (tail == Tail::corrupt || serial_in(payloads[0]) != loaded.serial) return LogState::untrusted;
     if (payloads[0].back() == kCommitFollows && !was_in_use(pair, payloads)) return LogState::never_in_use;
@@ -112,7 +113,7 @@
     return proof.size() == 1 && serial_in(proof[0]) == serial_in(log[0]);
   }
 
-  // The first payload is the serial, the others are records. False when one is no record.
+  // The first payload is the serial, the others are records. False when one cannot be parsed.
   static bool apply_records(const std::vector<std::string>& payloads, pb::Snapshot& snapshot) {
     std::map<std::string, pb::RegisterState> registers;
     for (const auto& state : snapshot.registers()) registers[state.name()] = state;
@@ -145,9 +146,9 @@
   const size_t max_log_bytes;
   size_t log_bytes = 0;   ///< of the records appended to the log in use
   int pair_in_use = 0;    ///< 0 or 1
-  uint64_t serial = 0;    ///< of the snapshot in use; rises by one with each
+  uint64_t serial = 0;    ///< of the snapshot in use; incremented by each new one
   bool failed = false;    ///< the end of the log is unknown: nothing may be appended
-  bool confirmed = true;  ///< the pair in use is known to be on the disk, or there is none
+  bool confirmed = true;  ///< the pair in use is known to be on the disk, or none was loaded
 
   Impl(std::unique_ptr<Files> opened, size_t max_bytes)
       : files(std::move(opened)), max_log_bytes(max_bytes) {}
@@ -158,7 +159,7 @@
     return present && *present == bytes;
   }
 
-  // Before the pair that is not in use is written over, the loaded one has to be known to be on the disk.
+  // The loaded pair has to be known to be on the disk before the other pair is overwritten.
   bool confirm_pair_in_use() {
     if (confirmed) return true;
     const auto name = proof_file(pair_in_use);
@@ -167,8 +168,8 @@
     return confirmed;
   }
 
-  // Writes the snapshot into the pair that is not in use, reads it back and brings that pair into use. The
-  // order of the steps is what the comment at the top relies on.
+  // Writes the snapshot to the pair that is not in use, reads it back and switches to that pair. The order of
+  // the steps matters, see the top of this file.
   bool switch_pairs(const pb::Snapshot& snapshot) {
     if (!confirm_pair_in_use()) return false;
     const int next = 1 - pair_in_use;
@@ -176,11 +177,11 @@
     const auto log = frame(serial_text + kCommitFollows);
     const auto framed_snapshot = frame(serial_text) + frame(snapshot.SerializeAsString());
     if (!files->replace(log_file(next), log)) return false;
-    if (!files->sync_folder()) return false;  // so that no snapshot is found without its log
+    if (!files->sync_folder()) return false;  // no snapshot may exist without its log
     if (!files->replace(snapshot_file(next), framed_snapshot)) return false;
     if (!files->sync_folder()) return false;
     if (!holds(log_file(next), log) || !holds(snapshot_file(next), framed_snapshot)) return false;
-    pb::LogRecord commit;  // what it says the snapshot says already
+    pb::LogRecord commit;  // repeats the stage from the snapshot
     commit.set_stage(snapshot.stage());
     const auto framed_commit = frame(commit.SerializeAsString());
     if (!files->append(log_file(next), framed_commit)) return false;
@@ -210,9 +211,8 @@
     result.snapshot = newest->snapshot;
     serial = newest->serial;
     confirmed = false;
-    // A snapshot that was being written when the machine died is damaged without loss, for the other pair is
-    // complete and its log went on. Had the damaged one been in use, its log would hold the commit record at
-    // least.
+    // A snapshot that was being written during a crash is damaged without loss, since the other pair is still
+    // complete and in use. A damaged pair that was in use has at least the commit record in its log.
     const bool lost_newer = loader.damaged() && loader.was_in_use(1 - pair_in_use);
     if (newest->possibly_lost || lost_newer) result.possibly_lost = true;
     return result;
@@ -238,7 +238,7 @@
                  impl.files->location());
     loaded.snapshot = pb::Snapshot();
   }
-  // A damaged pair left behind would be reported again at the next start: both are made anew.
+  // A remaining damaged pair would be reported again at the next start, so both are rewritten.
   const bool written =
       impl.switch_pairs(loaded.snapshot) && (!loaded.possibly_lost || impl.switch_pairs(loaded.snapshot));
   if (!written) {
@@ -266,7 +266,7 @@
 
 std::optional<base::DiskError> SnapshotStore::rewrite(const pb::Snapshot& snapshot) {
   auto& impl = *impl_;
-  impl.failed = true;  // a pair half written may be loaded already, so the old log may not grow
+  impl.failed = true;  // a partly written pair might be loaded, so the old log must not grow
   if (!impl.switch_pairs(snapshot)) return base::DiskError::failed;
   impl.failed = false;
   return {};
--- a/src/storage/snapshot_store.hpp
+++ b/src/storage/snapshot_store.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// A replica's disk: two pairs of a snapshot and a log, of which one is in use. Records are appended to its
-/// log; a new snapshot goes into the other pair. Every record and snapshot carries checksums; what cannot be
-/// trusted is reported, never guessed.
+/// A replica's disk: two pairs of a snapshot and a log, one of which is in use. Records are appended to its
+/// log; a new snapshot is written to the other pair. Every record and snapshot has checksums; damage is
+/// reported as possible loss.
 ///
-/// Invariants: the pair that holds all that was acknowledged stands until another one is known to be on the
-/// disk. A failed write or sync leaves the end of the log unknown, and nothing is appended behind it: save()
-/// fails until rewrite() has put a complete snapshot into the other pair and has read it back.
+/// Invariants: the pair with all acknowledged records is kept until another one is known to be on the disk.
+/// A failed write or sync leaves the end of the log undefined, and nothing is appended after it: save() fails
+/// until rewrite() has written a complete snapshot to the other pair and has read it back.
 /// Threads: used by one thread at a time; every call blocks.
 #pragma once
 #include "base/ports.hpp"
@@ -16,7 +16,7 @@
 
 class SnapshotStore final : public base::Disk {
  public:
-  /// @param max_log_bytes  how long a log grows before a new snapshot is written
+  /// @param max_log_bytes  size of a log at which a new snapshot is written
   SnapshotStore(std::unique_ptr<Files> files, size_t max_log_bytes);
   ~SnapshotStore() override;
 
