--- a/test/unit/consensus/acceptor_test.cpp
+++ b/test/unit/consensus/acceptor_test.cpp
@@ -1,4 +1,4 @@
-// One acceptor on a simulated disk that fails or stalls: what it answers meanwhile, and after.
+// One acceptor on a simulated disk that fails or stalls: its responses during the fault and after it.
 #include "consensus/acceptor.hpp"
 
 #include "simulation/ports.hpp"
@@ -9,7 +9,7 @@
 
 constexpr Duration kRoundTimeout{500};
 
-// An acceptor whose disk votes, in a world of its own.
+// An acceptor with a voting disk, in a separate simulated world.
 struct Bench {
   struct NoOrigin final : base::Origin {
     bool can_connect(const std::string&, Duration) override { return false; }
@@ -42,7 +42,7 @@
     expect(!store.rewrite(snapshot), "the first snapshot was not written");
   }
 
-  // Runs the script to its end, within a minute of simulated time.
+  // Runs the script, for at most one minute of simulated time.
   void play(const std::function<void()>& script) {
     bool done = false;
     std::string failure;
@@ -60,7 +60,7 @@
     world.kill(process);
     world.run(world.now() + Duration(1000), nullptr, nullptr);
     expect(failure.empty(), failure);
-    expect(done, "the script did not come to its end");
+    expect(done, "the script did not finish within a minute of simulated time");
   }
 
   pb::Vote prepare(uint64_t round) {
@@ -92,32 +92,34 @@
 void failed_write_is_not_acknowledged() {
   Bench bench;
   bench.play([&] {
-    expect(bench.prepare(1).granted() && bench.accept(1, 1).granted(), "a sound disk does not vote");
+    expect(bench.prepare(1).granted() && bench.accept(1, 1).granted(),
+           "a replica with a working disk does not vote");
     bench.contents.failing = true;
     auto vote = bench.accept(2, 2);
     expect(vote.non_voting() && !vote.granted(), "a write that failed was acknowledged");
-    expect(bench.acceptor.non_voting(), "the replica votes on a disk that failed");
+    expect(bench.acceptor.non_voting(), "the replica votes although its disk failed");
     expect(bench.prepare(3).non_voting(), "a non-voting replica gave a promise");
     pb::PeerRequest snapshot_request;
     snapshot_request.mutable_snapshot();
     expect(bench.acceptor.answer(snapshot_request).has_snapshot() == false,
-           "a non-voting replica reported what it holds");
+           "a non-voting replica returned a snapshot");
     pb::PullResponse pull;
     bench.acceptor.append_changes({}, 0, pull);
     expect(pull.non_voting() && !pull.registers_size(), "a non-voting replica reported changes");
     bench.clock.sleep(Duration(3000));
-    expect(bench.acceptor.non_voting(), "the replica came back on a disk that still fails");
+    expect(bench.acceptor.non_voting(), "the replica votes again although its disk still fails");
     bench.contents.failing = false;
     bench.clock.sleep(Duration(1000));
     expect(!bench.acceptor.non_voting(), "the replica does not vote a second after its disk works again");
-    expect(bench.read_version() == bench.version_on_disk(), "what is published is not what is on the disk");
+    expect(bench.read_version() == bench.version_on_disk(),
+           "the published version differs from the one on the disk");
     expect(bench.prepare(4).granted() && bench.accept(4, 5).granted() && bench.version_on_disk() == 5,
            "a vote did not reach the disk");
   });
 }
 
-// However large the state is, each response is small, and one after the other they report everything once;
-// what changes meanwhile is reported too, and to a position of another boot everything.
+// Each response is small however large the state is, and successive responses report every register once. A
+// change in between is reported too, and a position from another boot gets everything.
 void append_changes_in_small_responses() {
   constexpr int kRegisters = 200;
   constexpr uint64_t kMaxBytes = 2000;
@@ -139,24 +141,24 @@
     for (bool more = true; more; ++responses) {
       pb::PullResponse response;
       bench.acceptor.append_changes(seen, kMaxBytes, response);
-      expect(response.ByteSizeLong() < kMaxBytes + 200, "a response is larger than was requested");
+      expect(response.ByteSizeLong() < kMaxBytes + 200, "a response exceeds the requested size");
       expect(response.position() > seen.position, "a response reports nothing new");
       seen = {response.boot_id(), response.position()};
       more = response.more();
       for (auto& state : response.registers()) reported[state.name()] = state.value().version();
       if (responses == 3) accept_named("r0", 2, 2);
     }
-    expect(responses > 10, "all was reported at once");
+    expect(responses > 10, "everything was reported in few responses");
     same(reported.size(), size_t(kRegisters), "registers reported");
-    same(reported["r0"], uint64_t(2), "what changed meanwhile");
+    same(reported["r0"], uint64_t(2), "version of the register that changed in between");
     pb::PullResponse complete;
     bench.acceptor.append_changes({0, seen.position}, 0, complete);
     expect(complete.registers_size() == kRegisters && !complete.more(),
-           "without a bound all is reported at once");
+           "a response without a limit is incomplete");
   });
 }
 
-// Callers that came while the failing write was under way all get a non-voting response, though what they
+// All callers that arrive during a failing write get a non-voting response, although the state that they
 // requested is on the disk in the end.
 void callers_in_a_failing_write() {
   Bench bench;
@@ -184,23 +186,24 @@
     bench.contents.full = false;
     bench.clock.sleep(Duration(3000));
     expect(counts->granted == 0 && counts->non_voting == 9,
-           fmt::format("of the callers of a failed write {} were granted, {} refused", counts->granted,
-                       counts->non_voting));
+           fmt::format("of 9 callers of a failed write, {} were granted and {} got a non-voting response",
+                       counts->granted, counts->non_voting));
     expect(!bench.acceptor.non_voting(), "the replica still does not vote");
     expect(bench.prepare(9).granted() == false && bench.prepare(10).granted(),
-           "a promise in the snapshot does not bind");
+           "a promise from the rewritten snapshot was not kept");
   });
 }
 
 void stalled_write_is_refused_after_a_round() {
   Bench bench;
   bench.play([&] {
-    expect(bench.prepare(1).granted(), "a sound disk does not vote");
+    expect(bench.prepare(1).granted(), "a replica with a working disk does not vote");
     bench.contents.stalled_until = bench.world.now() + Duration(4000);
     auto from = bench.world.now();
-    expect(bench.accept(1, 1).non_voting(), "a write that stalls was acknowledged");
+    expect(bench.accept(1, 1).non_voting(), "a stalled write was acknowledged");
     auto took = bench.world.now() - from;
-    expect(took <= kRoundTimeout + Duration(20), fmt::format("its caller waited {} ms", took.count()));
+    expect(took <= kRoundTimeout + Duration(20),
+           fmt::format("the caller of a stalled write waited {} ms", took.count()));
     bench.clock.sleep(Duration(10));
     from = bench.world.now();
     expect(bench.prepare(2).non_voting() && bench.world.now() == from,
@@ -211,13 +214,13 @@
   });
 }
 
-// The process starts on a disk that takes no write: what it read may stand in caches only.
+// The process starts on a disk that fails every write: the loaded data may exist only in the system's cache.
 void started_on_a_failing_disk() {
   Bench bench;
   bench.contents.failing = true;
   bench.play([&] {
     expect(bench.acceptor.non_voting() && bench.prepare(1).non_voting(),
-           "a replica votes on a disk that it cannot write");
+           "a replica votes although it cannot write its disk");
     bench.clock.sleep(Duration(2000));
     bench.contents.failing = false;
     bench.clock.sleep(Duration(1000));
--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -1,5 +1,5 @@
-// Processes, messages and time of the scripted environment. A process that has ended is kept
-// until the harness goes, for its fibers unwind only when they are next resumed.
+// Processes, messages and time of the scripted environment. An ended process is kept until the
+// harness is destroyed, since its fibers unwind only when they are next resumed.
 #include "unit/consensus/consensus_harness.hpp"
 
 #include <algorithm>
@@ -224,7 +224,7 @@
 
 void ConsensusHarness::restart(const std::string& name) {
   crash(name);
-  sleep(Duration(1));  // its fibers unwind; a write under way reaches the disk, or not
+  sleep(Duration(1));  // its fibers unwind; a write in progress may or may not reach the disk
   start_process(name);
 }
 
@@ -325,7 +325,7 @@
 void ConsensusHarness::wait_until(const std::function<bool()>& condition, const std::string& what) {
   TimePoint end = world_.now() + kLongestWait;
   while (!condition()) {
-    expect(world_.now() < end, "waited in vain for " + what);
+    expect(world_.now() < end, "timed out waiting for " + what);
     sleep(Duration(1));
   }
 }
--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -1,9 +1,9 @@
 // A scripted environment for the product's consensus.
 //
-// Every node runs the product's own Acceptor, RegisterClient and StateCache on the simulation's
-// invented clock. The network is the test's: each request is a message that is held until the test
-// has it delivered, refused or dropped, or that a rule decides on as soon as it is sent. Disks
-// outlive their processes and can be lost. Nothing happens but what the script and its seed say.
+// Every node runs the production Acceptor, RegisterClient and StateCache on a simulated clock. The
+// test controls the network: each request is a message that is held until the test delivers,
+// refuses or drops it, unless a rule decides as soon as it is sent. Disks outlive their processes
+// and can be lost. A run is determined by the script and its seed.
 #pragma once
 #include <optional>
 
@@ -14,11 +14,11 @@
 namespace dunlinwing::test {
 
 inline constexpr Duration kStalenessBound{2000};
-inline constexpr Duration kRoundLimit = kStalenessBound / 4;  // as the product has it
+inline constexpr Duration kRoundLimit = kStalenessBound / 4;  // as in production
 
 enum class MessageKind : uint8_t { any, prepare, accept, read, snapshot, adopt, pull };
 
-// An request on its way, and where its sender waits for the reply.
+// A request in transit, and the state in which its sender waits for the reply.
 struct Conversation;
 struct Message {
   std::string from, to;
@@ -27,7 +27,7 @@
   std::shared_ptr<Conversation> conversation;
 };
 
-// Matches messages; what is left empty matches everything.
+// Matches messages; an empty field matches every message.
 struct MessageFilter {
   std::string from, to;
   MessageKind kind = MessageKind::any;
@@ -36,19 +36,19 @@
 
 enum class Fate : uint8_t {
   hold,     // until the test decides
-  deliver,  // the request and, when it is answered, the reply
-  refuse,   // the sender hears at once that nobody is there
-  drop,     // the sender hears nothing
+  deliver,  // the request and then its reply
+  refuse,   // the sender gets an error at once: the target is unreachable
+  drop,     // the sender gets no response and times out
 };
 
-// What becomes of a message that has just been sent.
+// How a message that has just been sent is delivered.
 struct Transit {
   Fate fate = Fate::hold;
   Duration request_delay{1}, reply_delay{0};
   bool reply_lost = false;
 };
 
-// Something a node does, in a fiber of its process.
+// The result of a call that a node makes in a fiber of its process.
 template <class Result>
 struct Operation {
   std::optional<Result> result;
@@ -60,16 +60,16 @@
  public:
   explicit ConsensusHarness(uint64_t seed);
   ~ConsensusHarness();
-  // Runs the script in a fiber, then ends all processes; rethrows what the script throws.
+  // Runs the script in a fiber, then ends all processes; rethrows an exception of the script.
   void run(std::function<void()> script);
 
-  // The set of epoch 1, which every node knows from its settings.
+  // Defines the replica set of epoch 1, which every node has from its settings.
   void first_set(const std::vector<std::string>& names);
-  // A member of the first set whose disk votes and holds no registers.
+  // Adds a member of the first set with a voting disk and no registers.
   void add_voting_replica(const std::string& name);
-  // A node with an empty disk.
+  // Adds a node with an empty disk.
   void add_empty_replica(const std::string& name);
-  // A node without a disk.
+  // Adds a node without a disk.
   void add_client(const std::string& name);
 
   consensus::RegisterClient& client(const std::string& name);
@@ -79,19 +79,19 @@
   bool running(const std::string& name) const;
 
   void crash(const std::string& name);
-  void restart(const std::string& name);    // crashes it when it runs
-  void lose_disk(const std::string& name);  // crashes it, and starts it again on an empty disk
-  // Timers of the node's conditions fire only after `wake`, as on a host that stood still and
-  // then handles what it received before its timers.
+  void restart(const std::string& name);    // crashes it first if it is running
+  void lose_disk(const std::string& name);  // crashes it and restarts it with an empty disk
+  // Timers of the node's conditions fire only after `wake`, as on a host that was suspended and
+  // then handles received messages before its timers.
   void stall(const std::string& name);
   void wake(const std::string& name);
 
-  // From now on matching messages meet this fate, those that are held included. Later rules go first.
+  // Applies the fate to all matching messages from now on, including held ones. Later rules win.
   void rule(const MessageFilter& filter, Fate fate);
-  // Asked for messages that no rule matches.
+  // Called for messages that no rule matches.
   void default_transit(std::function<Transit(const Message&)> decide) { decide_ = std::move(decide); }
-  // Delivers the oldest held message that matches, waiting until one is sent, and waits until
-  // the reply has reached its sender.
+  // Waits for a matching message, delivers the oldest held one, and waits until its sender has
+  // received the reply.
   void deliver(const MessageFilter& filter);
   void await_sent(const MessageFilter& filter);
   bool held(const MessageFilter& filter) const;
@@ -135,7 +135,7 @@
   int64_t wall_offset_ = 0;
   pb::ReplicaSet first_set_;
   std::map<std::string, Node> nodes_;
-  std::vector<std::unique_ptr<HarnessProcess>> ended_;  // whose fibers may still have to unwind
+  std::vector<std::unique_ptr<HarnessProcess>> ended_;  // their fibers may still have to unwind
   std::vector<Message> held_;
   std::vector<std::pair<MessageFilter, Fate>> rules_;
   std::function<Transit(const Message&)> decide_;
--- a/test/unit/consensus/consensus_history.cpp
+++ b/test/unit/consensus/consensus_history.cpp
@@ -1,4 +1,4 @@
-// The checks of a history, each made as soon as a call returns.
+// Checks of a history. Each is made as soon as a call returns.
 #include "unit/consensus/consensus_history.hpp"
 
 #include <fmt/format.h>
@@ -6,7 +6,7 @@
 namespace dunlinwing::test {
 namespace {
 
-constexpr char kOver = '<';  // between a value's own name and that of the value it was written over
+constexpr char kOver = '<';  // separates a value's name from the name of the previous value
 
 std::string own_name(const std::string& data) { return data.substr(0, data.find(kOver)); }
 std::string previous_name(const std::string& data) {
@@ -27,20 +27,20 @@
 
 void History::observe(TimePoint now, const Observation& observation, const consensus::VersionedValue& value) {
   auto& observed = registers_[observation.register_name];
-  auto what = fmt::format("{}: {} of {} shows version {}, {}", observation.node, observation.call,
+  auto what = fmt::format("{}: {} of {} returned version {}, {}", observation.node, observation.call,
                           observation.register_name, value.version, value.data);
   note(now, what);
   if (value.version < observation.floor)
-    violated(fmt::format("{}, but version {} was told before it began", what, observation.floor));
+    violated(fmt::format("{}, but version {} was returned before the call began", what, observation.floor));
   auto [known, first] = observed.values.emplace(value.version, value.data);
   if (!first && known->second != value.data)
-    violated(fmt::format("{}, but that version was told as {}", what, known->second));
+    violated(fmt::format("{}, but an earlier call returned that version as {}", what, known->second));
   check_chain(observed, value.version);
   check_chain(observed, value.version + 1);
   observed.floor = std::max(observed.floor, value.version);
 }
 
-// Whether the value of a version names that of the version before, where both were told.
+// Checks that the value of a version names the value of the previous version, if both were returned.
 void History::check_chain(const Register& observed, uint64_t version) {
   if (version == 0) return;
   auto value = observed.values.find(version), previous = observed.values.find(version - 1);
@@ -48,7 +48,7 @@
   bool told = version == 1 || previous != observed.values.end();
   auto name = version == 1 ? "" : told ? own_name(previous->second) : "";
   if (told && previous_name(value->second) != name)
-    violated(fmt::format("version {} is {}, but the version before is {}", version, value->second, name));
+    violated(fmt::format("version {} is {}, but the previous version is {}", version, value->second, name));
 }
 
 void History::note(TimePoint now, const std::string& line) {
--- a/test/unit/consensus/consensus_history.hpp
+++ b/test/unit/consensus/consensus_history.hpp
@@ -1,12 +1,12 @@
-// What clients of the registers were told, and whether one linear history explains it: no version
-// has two values, each value was written over the one before it, and nobody is shown a version
-// older than one that anybody was shown before the call began.
+// Records the results that register clients received and checks that they are linearizable: no
+// version has two values, each value replaced the previous one, and no call returns a version
+// older than one that any call had returned before it began.
 #pragma once
 #include "consensus/register_client.hpp"
 
 namespace dunlinwing::test {
 
-// Who was told something by which call; `floor`: the latest version told when the call began.
+// The call of a node. `floor`: the latest version that any call had returned when it began.
 struct Observation {
   std::string node, call, register_name;
   uint64_t floor = 0;
@@ -14,16 +14,16 @@
 
 class History {
  public:
-  // The latest version of a register that anybody was told.
+  // The latest version of a register that any call has returned.
   uint64_t floor(const std::string& register_name) const;
-  // A new value to be written over `previous`, which it names.
+  // A new value to replace `previous`; it contains the name of `previous`.
   std::string successor(const std::string& writer, const consensus::VersionedValue& previous);
-  // The value that a call acknowledged or returned.
+  // Records the value that a call acknowledged or returned, and checks it.
   void observe(TimePoint now, const Observation& observation, const consensus::VersionedValue& value);
   void note(TimePoint now, const std::string& line);
   void violated(const std::string& what);
   const std::vector<std::string>& violations() const { return violations_; }
-  // The violations after all that was noted.
+  // All noted lines, then the violations.
   std::string report() const;
 
  private:
--- a/test/unit/consensus/consensus_schedule.hpp
+++ b/test/unit/consensus/consensus_schedule.hpp
@@ -1,5 +1,5 @@
-// What a random schedule of the consensus property consists of, and how RapidCheck draws one.
-// Steps can be left out one by one, so that a schedule that fails shrinks to the few that matter.
+// The random schedules of the consensus property, and their RapidCheck generator. Any step can be
+// left out, so that a failing schedule shrinks to the relevant steps.
 #pragma once
 #include <rapidcheck.h>
 
@@ -13,19 +13,19 @@
 inline constexpr int kMostDroppedPermille = 100, kMostSlowPermille = 150;
 
 enum class StepKind : uint8_t {
-  change,         // one node begins a change, or finishes the one under way
-  rival_changes,  // two nodes do so at once, each with a list of its own
+  change,         // one node begins a change of the replica set, or finishes the current one
+  rival_changes,  // two nodes do so concurrently, each with a different list
   crash,
   restart,
   lose_disk,
-  cut_off,  // one node at a time, until the next such step
+  cut_off,  // isolates one node until the next step of this kind
   read,
   cached_read,
 };
 inline constexpr const char* kStepNames[] = {"change",    "rival_changes", "crash", "restart",
                                              "lose_disk", "cut_off",       "read",  "cached_read"};
 
-// `node` and `choice` are taken modulo the number of what there is to choose from.
+// `node` and `choice` are taken modulo the number of options.
 struct Step {
   StepKind kind = StepKind::change;
   size_t node = 0, choice = 0;
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -1,9 +1,9 @@
-// Random schedules of the product's consensus objects: writers that go on all the while, rival and
+// Random schedules of the production consensus classes: continuous writers, concurrent and
 // successive changes of the replica set, one lost disk at a time, crashes and restarts, and a
-// network that drops and delays. Whatever happens, the registers stay linearizable.
+// network that drops and delays messages. The registers have to stay linearizable.
 //
-// The schedule's steps run in the script; what a node does runs in fibers of its process, and so
-// ends with it.
+// The schedule's steps run in the script; the calls of a node run in fibers of its process and end
+// with it.
 #include <algorithm>
 
 #include "unit/consensus/consensus_harness.hpp"
@@ -19,19 +19,20 @@
 using ReplicaList = std::vector<Replica>;
 
 constexpr size_t kFewestChangesOfAllSchedules = 20, kFewestLossesOfAllSchedules = 20;
-constexpr uint64_t kSlowMs = kRoundLimit.count() * 3 / 2, kUsualMs = 4;  // some outlast their round
+constexpr uint64_t kSlowMs = kRoundLimit.count() * 3 / 2,
+                   kUsualMs = 4;  // some are slower than the round limit
 constexpr Duration kCatchUpPause = kStalenessBound / 8;
 constexpr Duration kWarmUp = kStalenessBound / 4, kHealing = kStalenessBound;
 struct WrittenRegister {
   std::string name;
-  uint64_t longest_pause_ms;  // of each writer; what is seldom written stays for long where it is
+  uint64_t longest_pause_ms;  // of each writer; a rarely written register stays at its replicas for long
 };
 const std::vector<WrittenRegister> kRegisters{{"r", 240}, {"s", 2000}};
 const std::vector<std::string> kWriters{"W1", "W2"};
 const std::vector<std::string> kDiskNames{"A", "B", "C", "D", "E", "F", "G"};
 constexpr size_t kChangers = 2;  // nodes that begin and finish changes
 
-// What schedules came to, so that a property which exercises nothing is found out.
+// Counts what the schedules exercised, to detect a property that tests nothing.
 struct Tally {
   size_t acknowledged = 0, reads = 0, cached_reads = 0, begun = 0, finished = 0, losses = 0, refills = 0;
   void add(const Tally& other) {
@@ -98,7 +99,7 @@
 
   void note(const std::string& line) { history_.note(harness_.world().now(), line); }
 
-  // A pause in a task of a node, which ends when the node crashes.
+  // Suspends a task of a node; ends early when the node crashes.
   void nap(const simulation::ProcessRunPtr& pauses, Duration span) {
     simulation::Wait wait;
     harness_.world().wait(pauses, span, wait);
@@ -128,12 +129,13 @@
     begin_tasks(name);
   }
 
-  // As ReplicaRepair does it.
+  // As ReplicaRepair does.
   void keep_copies_rewritten(const std::string& name, const simulation::ProcessRunPtr& pauses) {
     for (;; nap(pauses, kCatchUpPause)) {
       if (harness_.acceptor(name).non_voting()) continue;
       auto copied = harness_.acceptor(name).refilled_registers();
-      if (!copied.empty() && harness_.client(name).rewrite(copied)) note(name + " has its copies rewritten");
+      if (!copied.empty() && harness_.client(name).rewrite(copied))
+        note(name + " rewrote its refilled registers");
     }
   }
 
@@ -167,7 +169,7 @@
     history_.observe(harness_.world().now(), {name, "read", register_name, began}, *value);
   }
 
-  // A good pull that began after now shows all that was acknowledged before.
+  // A successful pull that starts after this call began returns everything acknowledged before.
   void cached_read(const std::string& name, const std::string& register_name) {
     auto began = history_.floor(register_name);
     if (!harness_.cache(name).await_pull(kStalenessBound)) return;
@@ -178,7 +180,7 @@
                      found == chosen.end() ? VersionedValue{} : found->second);
   }
 
-  // The list that `name` would change to: one replica replaced, added or dropped.
+  // The list that `name` proposes: one replica replaced, added or removed.
   ReplicaList wanted_list(const std::string& name, size_t choice) {
     auto list = harness_.set(name).current();
     ReplicaList outsiders;
@@ -198,7 +200,7 @@
     return list;
   }
 
-  // As ReplicaRepair has it: a majority of the list votes already, seen from `name`.
+  // As ReplicaRepair requires: in the view of `name`, a majority of the list already votes.
   bool majority_votes(const std::string& name, const ReplicaList& list) {
     auto& present = harness_.set(name).current();
     auto voting = std::count_if(list.begin(), list.end(), [&](auto& replica) {
@@ -219,7 +221,7 @@
   }
 
   void finish_change(const std::string& name) {
-    note(name + " finishes the change under way");
+    note(name + " finishes the current change");
     auto result = harness_.client(name).finish_change(
         [this, name] { return harness_.cache(name).register_names(kStalenessBound); });
     auto* finished = std::get_if<pb::ReplicaSet>(&result);
@@ -228,7 +230,7 @@
     note(fmt::format("{} finished, epoch {}", name, finished->epoch()));
   }
 
-  // The first nodes by name that run and vote.
+  // The first nodes by name that are running and voting.
   std::vector<std::string> changers() {
     std::vector<std::string> names;
     for (auto& name : disk_names_)
@@ -248,7 +250,7 @@
     });
   }
 
-  // One disk at a time: the one lost before votes again, and none of its state is a copy.
+  // One disk at a time: the previous one has to vote again, without refilled registers.
   bool may_lose_disk() {
     if (lost_.empty()) return true;
     if (!harness_.running(lost_) || harness_.acceptor(lost_).non_voting()) return false;
@@ -296,7 +298,7 @@
         return lose_disk(disk_names_[step.node % disk_names_.size()]);
       case StepKind::cut_off:
         cut_off_ = cut_off_.empty() ? node : "";
-        return note(cut_off_.empty() ? "nobody is cut off" : cut_off_ + " is cut off");
+        return note(cut_off_.empty() ? "no node is isolated" : cut_off_ + " is isolated");
       case StepKind::read:
       case StepKind::cached_read:
         return read_somewhere(step);
@@ -304,7 +306,7 @@
   }
 
   void heal_and_read() {
-    note("the network heals, and all run");
+    note("the network heals and all nodes run");
     cut_off_.clear();
     harness_.default_transit([](const Message&) { return Transit{Fate::deliver}; });
     for (auto& name : node_names_)
@@ -323,7 +325,7 @@
   ConsensusHarness harness_;
   std::vector<std::string> disk_names_, node_names_;
   std::map<std::string, simulation::ProcessRunPtr> pauses_;  // of each node's tasks
-  std::set<std::string> changing_;                           // nodes with a change under way
+  std::set<std::string> changing_;                           // nodes with a change in progress
   std::string lost_, cut_off_;
   History history_;
   Tally tally_;
@@ -348,8 +350,8 @@
                 name, all.acknowledged, all.reads, all.cached_reads, all.begun, all.finished, all.losses,
                 all.refills);
             expect(holds, "the property does not hold; RapidCheck's report is above");
-            expect(all.finished >= kFewestChangesOfAllSchedules, "the schedules finish changes");
-            expect(all.losses >= kFewestLossesOfAllSchedules, "the schedules lose disks");
+            expect(all.finished >= kFewestChangesOfAllSchedules, "the schedules finished too few changes");
+            expect(all.losses >= kFewestLossesOfAllSchedules, "the schedules lost too few disks");
           }};
 }
 
--- a/test/unit/consensus/register_test.cpp
+++ b/test/unit/consensus/register_test.cpp
@@ -1,4 +1,4 @@
-// Votes on one register: in whatever order messages arrive, two different values are never both chosen.
+// Votes on one register: two different values are never both chosen, in any order of messages.
 #include "consensus/vote.hpp"
 #include "unit/unit_cases.hpp"
 
@@ -10,7 +10,7 @@
 constexpr size_t kProposers = 3;
 constexpr int kSteps = 200;
 constexpr int kDrawsPerStep = 1000;
-constexpr int kLastDrawOfVotes = 970;  // above it a proposer gives up and starts again
+constexpr int kLastDrawOfVotes = 970;  // above it, a proposer abandons its proposal and starts a new one
 
 pb::Ballot ballot(uint64_t round, const std::string& node) {
   pb::Ballot result;
@@ -19,7 +19,7 @@
   return result;
 }
 
-// One proposal of a proposer: a ballot, and how far it has come.
+// One proposal of a proposer: a ballot and its progress.
 struct Proposal {
   pb::Ballot ballot;
   size_t promises = 0, accepts = 0;
@@ -29,7 +29,7 @@
   std::vector<bool> prepare_sent = std::vector<bool>(kReplicas), accept_sent = std::vector<bool>(kReplicas);
 };
 
-// Proposers that race for version 1 of one register, each message arriving when the test says so.
+// Proposers that compete for version 1 of one register; the test decides when each message arrives.
 class Race {
  public:
   Race() {
@@ -73,7 +73,7 @@
     if (proposal.promises >= kMajority) fix_value(proposal, proposer);
   }
 
-  // A compare-and-set at version 0; else what is there is finished.
+  // A compare-and-set of version 0. If a promise contains a value, that value is proposed again.
   static void fix_value(Proposal& proposal, size_t proposer) {
     proposal.accepting = true;
     proposal.value = proposal.highest.value();
@@ -113,11 +113,11 @@
   *request.mutable_ballot() = ballot(3, "a");
   const auto promised = consensus::prepare(empty, request);
   expect(promised.granted && consensus::is_equal(promised.state.promised(), request.ballot()),
-         "the first promise");
-  expect(!consensus::prepare(promised.state, request).granted, "the same ballot twice");
+         "the first promise was not granted");
+  expect(!consensus::prepare(promised.state, request).granted, "the same ballot was promised twice");
   pb::Accept lower;
   *lower.mutable_ballot() = ballot(2, "z");
-  expect(!consensus::accept(promised.state, lower).granted, "an accept below the promise");
+  expect(!consensus::accept(promised.state, lower).granted, "an accept below the promise was granted");
 }
 
 }  // namespace
--- a/test/unit/consensus/trace_test.cpp
+++ b/test/unit/consensus/trace_test.cpp
@@ -1,7 +1,8 @@
-// The traces that the exhaustive model (docs/model.md) gives for three of its guards, played to
-// the letter by the product's own objects. Each test says what must not come about.
+// Replays the counterexample traces that the exhaustive model (docs/model.md) finds without three
+// of its guards, step by step with the production classes. Each test checks that the violation of
+// its trace does not occur.
 //
-// Where a trace lets a round stand longer than the product's round limit, its proposer crashes
+// Where a round in a trace lasts longer than the production round limit, the proposer crashes
 // after it has sent its requests: those may still arrive at any time.
 #include "unit/consensus/consensus_harness.hpp"
 #include "unit/unit_cases.hpp"
@@ -15,7 +16,7 @@
 constexpr const char* kRegister = "r";
 constexpr Duration kPullSpan = kStalenessBound / 8;
 
-// The seed decides which replica a pull asks first, alone.
+// The seed only decides which replica a pull contacts first.
 constexpr uint64_t kSeeds = 8;
 
 void play_day(const std::function<void(ConsensusHarness&)>& script) {
@@ -59,7 +60,7 @@
   return value_of(harness.result(start_read(harness, node), "a read"), "the read of " + node);
 }
 
-// The first pull that a quorum answers only gives the node its incarnation.
+// The first pull with a quorum of responses only gives the node its incarnation.
 void warm_up(ConsensusHarness& harness, const std::string& node) {
   harness.rule({node}, Fate::deliver);
   for (int i = 0; i < 2; ++i) harness.result(start_pull(harness, node), "a first pull");
@@ -70,7 +71,7 @@
   harness.wait_until([&] { return !harness.acceptor(replica).non_voting(); }, "the refill of " + replica);
 }
 
-// What a pull settled for the register.
+// The value of the register that a pull determined.
 VersionedValue pulled(ConsensusHarness& harness, const std::string& node) {
   auto& chosen = harness.cache(node).chosen();
   auto found = chosen.find(kRegister);
@@ -78,12 +79,12 @@
 }
 
 void same_value(const VersionedValue& first, const VersionedValue& second) {
-  same(first.version, second.version, "the version read first and the one read later");
-  same(first.data, second.data, "the value read first and the one read later");
+  same(first.version, second.version, "the versions of the earlier and the later read");
+  same(first.data, second.data, "the values of the earlier and the later read");
 }
 
 // Steps 1 to 12 of the trace "without copies_are_no_votes": B accepts a value that is never
-// chosen, and A copies it in a refill, below a promise of its own.
+// chosen, and A copies it in a refill, at a ballot below the promise of A.
 void copy_an_unchosen_value(ConsensusHarness& harness) {
   auto first = start_write(harness, "P1", "one");
   harness.deliver({"P1", "A", FaultKind::prepare});
@@ -108,7 +109,7 @@
     copy_an_unchosen_value(harness);
     auto read = start_read(harness, "R");
     harness.deliver({"R", "B", FaultKind::read});
-    harness.deliver({"P2", "B", FaultKind::accept});  // with C a quorum: "two" is chosen
+    harness.deliver({"P2", "B", FaultKind::accept});  // a quorum with C: "two" is chosen
     harness.deliver({"R", "A", FaultKind::read});
     harness.rule({"R"}, Fate::deliver);
     auto found = value_of(harness.result(read, "the read"), "the read of R");
@@ -130,7 +131,7 @@
     harness.rule({"R", "", FaultKind::read}, Fate::deliver);
     harness.rule({"R", "", FaultKind::prepare}, Fate::deliver);
     harness.rule({"R", "", FaultKind::accept}, Fate::deliver);
-    expect(harness.result(pull, "the pull"), "the pull is good");
+    expect(harness.result(pull, "the pull"), "the pull failed");
     same_value(pulled(harness, "R"), read_now(harness, "S", ""));
   });
 }
@@ -144,7 +145,7 @@
   harness.crash("P1");
 }
 
-// Steps 7 to 11: C loses the accepted value with its disk, and A accepts it after its snapshot.
+// Steps 7 to 11: C loses its disk with the accepted value, and A accepts it after sending its snapshot.
 void lose_the_one_and_accept_at_another(ConsensusHarness& harness) {
   harness.lose_disk("C");
   harness.deliver({"C", "A", FaultKind::snapshot});
@@ -169,7 +170,7 @@
   });
 }
 
-// C answers a pull of R before its loss, A a later one; S then reads from B and C.
+// C answers a pull of R before C loses its disk, A answers a later one; S then reads from B and C.
 void pull_of_a_lost_vote(ConsensusHarness& harness, Fate silence) {
   three_replicas(harness);
   warm_up(harness, "R");
@@ -179,12 +180,12 @@
   for (auto kind : {FaultKind::read, FaultKind::prepare, FaultKind::accept})
     harness.rule({"R", "", kind}, Fate::refuse);
   auto early = start_pull(harness, "R");
-  harness.sleep(kPullSpan / 4 + Duration(4));  // all but A have answered, whoever was asked first
+  harness.sleep(kPullSpan / 4 + Duration(4));  // all but A have answered, whichever was contacted first
   lose_the_one_and_accept_at_another(harness);
-  expect(!harness.result(early, "the first pull"), "the first pull settles nothing");
+  expect(!harness.result(early, "the first pull"), "the first pull succeeded without a quorum");
   harness.rule({"R"}, Fate::deliver);
   harness.rule({"R", "C", FaultKind::pull}, Fate::refuse);
-  expect(harness.result(start_pull(harness, "R"), "the second pull"), "the second pull is good");
+  expect(harness.result(start_pull(harness, "R"), "the second pull"), "the second pull failed");
   same_value(pulled(harness, "R"), read_now(harness, "S", "A"));
 }
 
@@ -192,12 +193,12 @@
   play_day([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::refuse); });
 }
 
-// The early pull waits for A until its time is up, long after C answered.
+// The early pull waits for A until its timeout, long after C answered.
 void age_of_a_reply_runs_from_the_ask() {
   play_day([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::drop); });
 }
 
-// The pull's node stands still between the replies of C and A to one pull.
+// The pulling node is suspended between the replies of C and A to one pull.
 void pull_counts_no_old_reply() {
   play_day([](ConsensusHarness& harness) {
     three_replicas(harness);
@@ -218,8 +219,8 @@
   });
 }
 
-// Has P1 begin the change from A, B, C to A, B, D; A and B have voted for the joint set, and
-// nobody has adopted it.
+// P1 begins the change from A, B, C to A, B, D; A and B have voted for the joint set, and no
+// replica has adopted it.
 void vote_for_joint_set(ConsensusHarness& harness) {
   harness.rule({"P1", "", FaultKind::adopt}, Fate::refuse);
   harness.rule({"P1", "C"}, Fate::refuse);
@@ -231,7 +232,7 @@
     return harness.client("P1").begin_change({replica_named("A"), replica_named("B"), replica_named("D")});
   });
   auto begun = harness.result(begin, "the joint set");
-  expect(std::holds_alternative<pb::ReplicaSet>(begun), "the joint set is written");
+  expect(std::holds_alternative<pb::ReplicaSet>(begun), "the joint set was not written");
   harness.rule({"P1", "", FaultKind::adopt}, Fate::hold);
 }
 
@@ -248,7 +249,7 @@
 
 // C does not adopt the joint set, and B does not answer the pull of names.
 void let_change_go_on(ConsensusHarness& harness) {
-  harness.rule({"P1", "C", FaultKind::adopt}, Fate::refuse);  // also the one that is held
+  harness.rule({"P1", "C", FaultKind::adopt}, Fate::refuse);  // including the held one
   for (auto kind : {FaultKind::pull, FaultKind::read, FaultKind::prepare, FaultKind::accept})
     harness.rule({"P1", "", kind}, Fate::deliver);
   harness.rule({"P1", "B", FaultKind::pull}, Fate::refuse);
@@ -262,7 +263,7 @@
     three_replicas(harness);
     harness.add_empty_replica("D");
     warm_up(harness, "P1");
-    harness.sleep(kRoundLimit * 2);  // D, being empty, has waited
+    harness.sleep(kRoundLimit * 2);  // D has completed the wait of an empty disk
     vote_for_joint_set(harness);
     auto finish = start_finish(harness);
     harness.deliver({"P1", "A", FaultKind::adopt});
@@ -280,13 +281,13 @@
     auto finished = harness.result(finish, "the end of the change");
     harness.deliver({"P2", "C", FaultKind::accept});
     auto written = harness.result(write, "the write");
-    expect(std::holds_alternative<VersionedValue>(written), "the write is acknowledged");
+    expect(std::holds_alternative<VersionedValue>(written), "the write was not acknowledged");
     if (!std::holds_alternative<pb::ReplicaSet>(finished)) {
       harness.rule({"P1"}, Fate::deliver);
       finished = harness.result(start_finish(harness), "the end of the change, again");
     }
-    expect(std::holds_alternative<pb::ReplicaSet>(finished), "the joint set is left");
-    same(read_now(harness, "P1", "B").data, std::string("one"), "what stands in the second set");
+    expect(std::holds_alternative<pb::ReplicaSet>(finished), "the change was not finished");
+    same(read_now(harness, "P1", "B").data, std::string("one"), "the value read from the second set");
   });
 }
 
