--- a/test/unit/storage/snapshot_store_test.cpp
+++ b/test/unit/storage/snapshot_store_test.cpp
@@ -1,4 +1,4 @@
-// The disk format under torn and damaged bytes, and the store over restarts.
+// The disk format with torn and damaged bytes, and the store across restarts.
 #include "storage/snapshot_store.hpp"
 
 #include "simulation/ports.hpp"
@@ -16,7 +16,7 @@
   return result;
 }
 
-// Writes a run of records, as a replica would, and returns what it then knows.
+// Writes a series of records, as a replica does, and returns the resulting versions.
 std::map<std::string, uint64_t> fill(simulation::DiskContents& contents, int records, size_t max_log_bytes) {
   storage::SnapshotStore store(std::make_unique<simulation::MemoryFiles>(contents), max_log_bytes);
   std::map<std::string, pb::RegisterState> registers;
@@ -112,21 +112,21 @@
   store.load();
   contents.failing = true;
   expect(store.save({record("a", 1, "")}, [] { return pb::Snapshot(); }).has_value(),
-         "a failed write was hidden");
+         "a failed write was not reported");
   contents.failing = false;
   expect(store.save({record("a", 1, "")}, [] { return pb::Snapshot(); }).has_value(),
-         "a failed disk takes records");
+         "a failed disk accepts records");
   contents.failing = true;
-  expect(store.rewrite(pb::Snapshot()).has_value(), "a failed rewrite was hidden");
+  expect(store.rewrite(pb::Snapshot()).has_value(), "a failed rewrite was not reported");
   contents.failing = false;
   expect(store.save({record("a", 1, "")}, [] { return pb::Snapshot(); }).has_value(),
-         "a failed rewrite brought the disk back");
+         "a failed disk accepts records after a failed rewrite");
   pb::Snapshot snapshot;
   snapshot.set_stage(pb::REPLICA_VOTING);
   *snapshot.add_registers() = record("a", 7, "").register_state();
-  expect(!store.rewrite(snapshot), "the disk works again, and could not be rewritten");
+  expect(!store.rewrite(snapshot), "a working disk could not be rewritten");
   expect(!store.save({record("b", 8, "")}, [] { return pb::Snapshot(); }),
-         "a disk that was rewritten takes no records");
+         "a rewritten disk accepts no records");
   auto loaded = load(contents);
   expect(!loaded.possibly_lost && versions(loaded) == std::map<std::string, uint64_t>{{"a", 7}, {"b", 8}},
          "the rewritten snapshot was not loaded");
--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -1,6 +1,6 @@
-// The store on a disk whose calls fail. A model of the system's cache and of the medium below
-// it says what a restart of the process, or a power cut, may find; whatever is then
-// loaded holds all that was acknowledged, or is reported as possibly lost.
+// The store on a disk whose calls fail. A model of the system's cache and of the medium below it
+// determines what a process restart or a power cut may find. The loaded state has to contain
+// everything acknowledged, or the store has to report a possible loss.
 #include <random>
 
 #include "storage/snapshot_store.hpp"
@@ -9,18 +9,18 @@
 namespace dunlinwing::test {
 namespace {
 
-// How one call goes wrong.
+// How a call fails.
 enum class Fault {
   none,
-  refused,   // nothing happens
-  partial,   // a part of the bytes reaches the cache: the disk is full
+  refused,   // nothing is written
+  partial,   // some of the bytes reach the cache: the disk is full
   unsynced,  // all bytes reach the cache, and the sync fails
-  denied,    // all bytes reach the medium, and an error is returned all the same
-  lied,      // success is returned, and a part of the bytes is gone
+  denied,    // all bytes reach the medium, but the call returns an error
+  lied,      // the call returns success, but some of the bytes are lost
 };
 constexpr Fault kHonest[] = {Fault::refused, Fault::partial, Fault::unsynced, Fault::denied};
 
-struct ProcessEnds {};  // thrown in the call in which it ends
+struct ProcessEnds {};  // thrown in the call during which the process ends
 
 struct MediumFile {
   std::string cached, synced;
@@ -32,7 +32,7 @@
   std::mt19937_64 random{1};
   size_t below(size_t bound) { return bound ? random() % bound : 0; }
 
-  // What may be found of bytes that were written over `old` and never synced.
+  // What a power cut may leave of `now`, written over `old` and never synced.
   std::string unsynced(const std::string& old, const std::string& now) {
     if (now.starts_with(old)) return now.substr(0, old.size() + below(now.size() - old.size() + 1));
     return below(2) ? old : now.substr(0, below(now.size() + 1));
@@ -47,7 +47,7 @@
   }
 };
 
-// Draws the fault of each call; may end the process in it.
+// Returns the fault of each call; throws to end the process in it.
 using Plan = std::function<Fault()>;
 
 class FaultyFiles final : public storage::Files {
@@ -98,14 +98,14 @@
 
 using Versions = std::map<std::string, uint64_t>;
 
-// A replica as far as its disk goes: it acknowledges what the store says is synced, and does
-// not vote from a failed save until a rewrite succeeds.
+// The disk handling of a replica: it acknowledges what the store reports as synced, and does not
+// vote after a failed save until a rewrite succeeds.
 class Replica {
  public:
   Replica(Medium& medium, size_t log_bytes, Plan plan)
       : store_(std::make_unique<FaultyFiles>(medium, std::move(plan)), log_bytes) {}
 
-  // Empty when all is well, or else what was lost.
+  // Loads the disk. Returns a description of the loss; empty when nothing was lost.
   std::string start(const Versions& acknowledged) {
     auto loaded = store_.load();
     non_voting_ = loaded.unwritten;
@@ -133,7 +133,7 @@
   void recover(Versions& acknowledged) {
     non_voting_ = store_.rewrite(snapshot()).has_value();
     if (non_voting_) return;
-    // What is published is what is on the disk.
+    // The contents of the snapshot on the disk are published.
     for (auto& [name, slot] : memory_) acknowledged[name] = slot.value().version();
   }
 
@@ -153,8 +153,8 @@
 constexpr uint64_t kVotes = 24;
 constexpr int kNever = 1 << 20;
 
-// Votes through calls of which those from `first` on, `count` of them, fail, and ends the
-// process in call `end`. Returns what was lost then, if anything.
+// Votes while `count` disk calls from call `first` on fail, and ends the process in call `end`.
+// Returns a description of the loss, if any.
 std::string one_failure(Fault kind, int first, int count, int end, bool power_cut, uint64_t seed) {
   Medium medium;
   medium.random.seed(seed);
@@ -181,7 +181,7 @@
 }
 
 void every_single_call() {
-  constexpr int kCalls = 60;  // more than the votes make
+  constexpr int kCalls = 60;  // more than the votes need
   int runs = 0;
   for (auto kind : kHonest)
     for (int first = 0; first < kCalls; ++first)
@@ -195,7 +195,7 @@
           }
 }
 
-// One run of the process, which may end in any call.
+// One run of the process, which may end in any disk call.
 void run_process(Medium& medium, size_t log_bytes, const Plan& plan, uint64_t& version,
                  Versions& acknowledged) {
   try {
@@ -214,7 +214,7 @@
   }
 }
 
-// Several runs of the process, each of which may end in any call, on a disk that fails now and then.
+// Several runs of the process on a disk that fails at random; each run may end in any disk call.
 void many_runs() {
   Medium medium;
   medium.random.seed(*rc::gen::arbitrary<uint64_t>());
@@ -239,7 +239,7 @@
   RC_ASSERT(last.start(acknowledged) == "");
 }
 
-// A disk that says it wrote a complete snapshot, and did not, is found out by reading it back.
+// Reading back detects a disk that reports a complete snapshot as written although it is not.
 void rewrite_reads_back() {
   for (uint64_t seed = 1; seed < 200; ++seed) {
     Medium medium;
@@ -251,13 +251,13 @@
     replica.vote("a", 1, acknowledged);
     fault = Fault::refused;
     replica.vote("a", 2, acknowledged);
-    expect(replica.non_voting(), "a refused write was taken for done");
+    expect(replica.non_voting(), "a refused write was acknowledged");
     fault = Fault::lied;
     replica.recover(acknowledged);
-    expect(replica.non_voting(), "a snapshot that is not there was taken for written");
+    expect(replica.non_voting(), "an incomplete snapshot was accepted as written");
     fault = Fault::none;
     replica.recover(acknowledged);
-    expect(!replica.non_voting(), "a working disk did not come back");
+    expect(!replica.non_voting(), "the replica does not vote after a successful rewrite");
     medium.lose_cache();
     Replica next(medium, kSmallLog, [] { return Fault::none; });
     expect(next.start(acknowledged).empty() && !next.possibly_lost(),
@@ -265,7 +265,7 @@
   }
 }
 
-// A snapshot that the disk will not give may be the newest.
+// Files of which one cannot be read; it may contain the newest snapshot.
 class UnreadFiles final : public storage::Files {
  public:
   UnreadFiles(Medium& medium, std::string unread)
@@ -300,7 +300,7 @@
       storage::SnapshotStore next(std::make_unique<UnreadFiles>(medium, slot), kSmallLog);
       auto loaded = next.load();
       expect(loaded.possibly_lost && loaded.snapshot.registers().empty(),
-             "a snapshot that could not be read was left out unreported");
+             "an unreadable snapshot was skipped without a report");
     }
 }
 }  // namespace
