--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -95,7 +95,7 @@
     if (current.version() == expected_version_) return {};
     // After this many later writes, the identifiers no longer show whether this write was one of them.
     if (proposed_ && current.version() > expected_version_ + kEarlierWriteIds)
-      return RegisterError::fate_unknown;
+      return RegisterError::outcome_unknown;
     return VersionConflict{versioned(current)};
   }
 
@@ -265,7 +265,7 @@
       if (result.outcome == ProposalOutcome::no_quorum && ++without_quorum >= kTriesWithoutQuorum) break;
       back_off(i);
     }
-    return operation.proposed() ? RegisterError::fate_unknown : RegisterError::no_majority;
+    return operation.proposed() ? RegisterError::outcome_unknown : RegisterError::no_majority;
   }
 
   /// Shared by the fibers that rewrite a list of registers.
@@ -330,7 +330,7 @@
     if (as<VersionConflict>(written)) return ReplicaSetError::raced;
     if (const auto* error = as<RegisterError>(written))
       return *error == RegisterError::no_majority ? ReplicaSetError::no_majority
-                                                  : ReplicaSetError::fate_unknown;
+                                                  : ReplicaSetError::outcome_unknown;
     set.adopt(next);
     announce_set(round_timeout / kSetAnnouncementShare);
     return next;
--- a/src/consensus/register_client.hpp
+++ b/src/consensus/register_client.hpp
@@ -23,8 +23,8 @@
 };
 
 enum class RegisterError {
-  no_majority,   ///< nothing was written
-  fate_unknown,  ///< the value may or may not have been written
+  no_majority,      ///< nothing was written
+  outcome_unknown,  ///< the value may or may not have been written
 };
 
 using ReadResult = std::variant<VersionedValue, RegisterError>;
--- a/src/consensus/replica_set.hpp
+++ b/src/consensus/replica_set.hpp
@@ -60,11 +60,11 @@
 
 /// Why a change of the set failed.
 enum class ReplicaSetError {
-  no_change,     ///< the wanted list is the current one, or a change is already in progress
-  too_few,       ///< too few replicas to tolerate the loss of one
-  no_majority,   ///< nothing was changed
-  fate_unknown,  ///< the change may or may not have been written
-  raced,         ///< another change was written first
+  no_change,        ///< the wanted list is the current one, or a change is already in progress
+  too_few,          ///< too few replicas to tolerate the loss of one
+  no_majority,      ///< nothing was changed
+  outcome_unknown,  ///< the change may or may not have been written
+  raced,            ///< another change was written first
 };
 
 }  // namespace dunlinwing::consensus
--- a/src/control_api/purges.cpp
+++ b/src/control_api/purges.cpp
@@ -58,7 +58,7 @@
 
 base::Response purge_error(PurgeError error) {
   return register_error(error == PurgeError::no_majority ? consensus::RegisterError::no_majority
-                                                         : consensus::RegisterError::fate_unknown);
+                                                         : consensus::RegisterError::outcome_unknown);
 }
 }  // namespace
 
