--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -325,9 +325,9 @@
     if (!recorded) return ReplicaSetError::no_majority;
     pb::ReplicaSet recorded_set;
     recorded_set.ParseFromString(recorded->data);
-    if (set.epoch() != from_epoch || recorded_set.epoch() > from_epoch) return ReplicaSetError::raced;
+    if (set.epoch() != from_epoch || recorded_set.epoch() > from_epoch) return ReplicaSetError::conflict;
     const auto written = write(kReplicaSetKey, recorded->version, next.SerializeAsString());
-    if (as<VersionConflict>(written)) return ReplicaSetError::raced;
+    if (as<VersionConflict>(written)) return ReplicaSetError::conflict;
     if (const auto* error = as<RegisterError>(written))
       return *error == RegisterError::no_majority ? ReplicaSetError::no_majority
                                                   : ReplicaSetError::outcome_unknown;
@@ -387,7 +387,7 @@
     return ReplicaSetError::no_majority;
   const auto all_names = names();
   if (!all_names || !impl.rewrite_registers(*all_names)) return ReplicaSetError::no_majority;
-  if (impl.set.epoch() != present.epoch()) return ReplicaSetError::raced;
+  if (impl.set.epoch() != present.epoch()) return ReplicaSetError::conflict;
   pb::ReplicaSet next;
   next.set_epoch(present.epoch() + 1);
   *next.mutable_replicas() = present.replicas();
--- a/src/consensus/replica_set.hpp
+++ b/src/consensus/replica_set.hpp
@@ -64,7 +64,7 @@
   too_few,          ///< too few replicas to tolerate the loss of one
   no_majority,      ///< nothing was changed
   outcome_unknown,  ///< the change may or may not have been written
-  raced,            ///< another change was written first
+  conflict,         ///< another change was written first
 };
 
 }  // namespace dunlinwing::consensus
--- a/src/control_api/replicas.cpp
+++ b/src/control_api/replicas.cpp
@@ -16,7 +16,7 @@
       return error_response(409, "fewer than three holders could not bear a loss");
     case consensus::ReplicaSetError::no_majority:
       return register_error(consensus::RegisterError::no_majority);
-    case consensus::ReplicaSetError::raced:
+    case consensus::ReplicaSetError::conflict:
       return error_response(503, "another change of the set came first; read before trying again");
     default:
       return outcome_unknown();
