--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -81,7 +81,7 @@
     return all;
   }
 
-  void take_loaded(const pb::Snapshot& snapshot) {
+  void restore(const pb::Snapshot& snapshot) {
     stage = snapshot.stage();
     set.adopt(snapshot.replica_set());
     epoch = synced_epoch = snapshot.replica_set().epoch();
@@ -297,7 +297,7 @@
   auto& impl = *impl_;
   const auto loaded = impl.disk.load();
   impl.boot_id = impl.ports.random.draw() | 1;
-  impl.take_loaded(loaded.snapshot);
+  impl.restore(loaded.snapshot);
   logger.info("The disk of replica {} is {} and holds {} registers.", impl.node_name,
               pb::ReplicaStage_Name(impl.stage), impl.registers.size());
   const bool is_initial_boot = initial_boot && impl.is_new();
