--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -202,7 +202,7 @@
 
   // Stores the registers that the other replicas reported, in one sync. They are marked as refilled: this
   // replica did not accept them, so they do not count as votes.
-  bool take_registers(Registers& reported) {
+  bool store_registers(Registers& reported) {
     std::vector<pb::LogRecord> records;
     for (auto& [name, state] : reported) {
       state.set_name(name);
@@ -215,7 +215,7 @@
 
   // Stores the current replica set and the reported registers, then votes. Returns false when the disk fails.
   bool adopt_state(RefillSurvey& survey) {
-    if (!adopt(set.message()) || !take_registers(survey.registers)) return false;
+    if (!adopt(set.message()) || !store_registers(survey.registers)) return false;
     logger.info("Replica {} was refilled with {} registers from {} voting replicas.", node_name,
                 survey.registers.size(), survey.voting);
     enter_stage(pb::REPLICA_VOTING);
