--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -262,12 +262,12 @@
             "Replica {} cannot vote: its disk is empty, and the other replicas cannot tell whether "
             "anything was ever recorded.",
             node_name);
-      if (!take(step, result)) return;
+      if (!execute_step(step, result)) return;
     }
   }
 
   // Executes the step. Returns false when the disk fails.
-  bool take(RefillStep step, RefillSurvey& result) {
+  bool execute_step(RefillStep step, RefillSurvey& result) {
     switch (step) {
       case RefillStep::adopt_state:
         return adopt_state(result);
