--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr base::Log logger("consensus");
 // The pause between two surveys of a refill is the round timeout divided by this.
-constexpr int kSurveyPauseShare = 4;
+constexpr int kSurveyPauseDivisor = 4;
 
 using Registers = std::map<std::string, pb::RegisterState>;
 
@@ -284,7 +284,7 @@
     return true;
   }
 
-  void pause_between_surveys() { ports.clock.sleep(round_timeout / kSurveyPauseShare); }
+  void pause_between_surveys() { ports.clock.sleep(round_timeout / kSurveyPauseDivisor); }
 };
 
 Acceptor::Acceptor(base::Ports& ports, base::Disk& disk, std::string node_name, ReplicaSetView& set,
