--- a/src/consensus/record_writer.cpp
+++ b/src/consensus/record_writer.cpp
@@ -9,7 +9,7 @@
 constexpr base::Log logger("consensus");
 // The first and the longest pause between two attempts to rewrite a failed disk: the timeout divided by
 // these. The pause doubles up to the longest.
-constexpr int kFirstPauseShare = 16;
+constexpr int kFirstPauseDivisor = 16;
 constexpr int kLongestPauseShare = 2;
 constexpr Duration kShortestPause{1};
 }  // namespace
@@ -81,7 +81,7 @@
   wake_waiters();
   logger.error("Replica {} cannot vote: its disk failed. It votes again once its snapshot is rewritten.",
                node_name_);
-  Duration pause = std::max(kShortestPause, timeout_ / kFirstPauseShare);
+  Duration pause = std::max(kShortestPause, timeout_ / kFirstPauseDivisor);
   const Duration longest_pause = std::max(kShortestPause, timeout_ / kLongestPauseShare);
   for (;;) {
     refused_while_failed_ = false;
