--- a/src/consensus/record_writer.cpp
+++ b/src/consensus/record_writer.cpp
@@ -10,7 +10,7 @@
 // The first and the longest pause between two attempts to rewrite a failed disk: the timeout divided by
 // these. The pause doubles up to the longest.
 constexpr int kFirstPauseDivisor = 16;
-constexpr int kLongestPauseShare = 2;
+constexpr int kLongestPauseDivisor = 2;
 constexpr Duration kShortestPause{1};
 }  // namespace
 
@@ -82,7 +82,7 @@
   logger.error("Replica {} cannot vote: its disk failed. It votes again once its snapshot is rewritten.",
                node_name_);
   Duration pause = std::max(kShortestPause, timeout_ / kFirstPauseDivisor);
-  const Duration longest_pause = std::max(kShortestPause, timeout_ / kLongestPauseShare);
+  const Duration longest_pause = std::max(kShortestPause, timeout_ / kLongestPauseDivisor);
   for (;;) {
     refused_while_failed_ = false;
     batch_.clear();  // the snapshot includes all its records
