--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -16,7 +16,7 @@
 constexpr int kRewriteTries = 10;            // rounds for each register to rewrite
 constexpr size_t kConcurrentRewrites = 16;   // replicas sync concurrent votes in one write
 constexpr size_t kMinReplicas = 3;           // the fewest that tolerate the loss of one
-constexpr int kSetAnnouncementShare = 4;     // round timeout / this: time limit for announcing a new set
+constexpr int kSetAnnouncementDivisor = 4;   // round timeout / this: time limit for announcing a new set
 constexpr uint64_t kFirstBackOffShare = 32;  // round timeout / this: the longest pause after the first round
 constexpr int kMaxBackOffDoublings = 6;
 
@@ -332,7 +332,7 @@
       return *error == RegisterError::no_majority ? ReplicaSetError::no_majority
                                                   : ReplicaSetError::outcome_unknown;
     set.adopt(next);
-    announce_set(round_timeout / kSetAnnouncementShare);
+    announce_set(round_timeout / kSetAnnouncementDivisor);
     return next;
   }
 };
