--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -10,14 +10,15 @@
 
 namespace dunlinwing::consensus {
 namespace {
-constexpr int kEarlierWriteIds = 8;          // write identifiers of earlier writes in a value
-constexpr int kOperationRounds = 5;          // time limit of an operation, in round timeouts
-constexpr int kTriesWithoutQuorum = 3;       // rounds without a voting quorum before an operation gives up
-constexpr int kRewriteTries = 10;            // rounds for each register to rewrite
-constexpr size_t kConcurrentRewrites = 16;   // replicas sync concurrent votes in one write
-constexpr size_t kMinReplicas = 3;           // the fewest that tolerate the loss of one
-constexpr int kSetAnnouncementDivisor = 4;   // round timeout / this: time limit for announcing a new set
-constexpr uint64_t kFirstBackOffShare = 32;  // round timeout / this: the longest pause after the first round
+constexpr int kEarlierWriteIds = 8;         // write identifiers of earlier writes in a value
+constexpr int kOperationRounds = 5;         // time limit of an operation, in round timeouts
+constexpr int kTriesWithoutQuorum = 3;      // rounds without a voting quorum before an operation gives up
+constexpr int kRewriteTries = 10;           // rounds for each register to rewrite
+constexpr size_t kConcurrentRewrites = 16;  // replicas sync concurrent votes in one write
+constexpr size_t kMinReplicas = 3;          // the fewest that tolerate the loss of one
+constexpr int kSetAnnouncementDivisor = 4;  // round timeout / this: time limit for announcing a new set
+constexpr uint64_t kFirstBackOffDivisor =
+    32;  // round timeout / this: the longest pause after the first round
 constexpr int kMaxBackOffDoublings = 6;
 
 using Response = std::optional<pb::PeerResponse>;
@@ -159,7 +160,7 @@
 
   // Randomized exponential backoff between competing proposers.
   void back_off(int tries) {
-    const uint64_t first = static_cast<uint64_t>(round_timeout.count()) / kFirstBackOffShare;
+    const uint64_t first = static_cast<uint64_t>(round_timeout.count()) / kFirstBackOffDivisor;
     const uint64_t longest = first * (uint64_t{1} << std::min(tries, kMaxBackOffDoublings));
     ports.clock.sleep(Duration(1 + ports.random.below(longest + 1)));
   }
