--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -12,7 +12,7 @@
 namespace {
 constexpr int kEarlierWriteIds = 8;         // write identifiers of earlier writes in a value
 constexpr int kOperationRounds = 5;         // time limit of an operation, in round timeouts
-constexpr int kTriesWithoutQuorum = 3;      // rounds without a voting quorum before an operation gives up
+constexpr int kMaxRoundsWithoutQuorum = 3;  // rounds without a voting quorum before an operation gives up
 constexpr int kRewriteTries = 10;           // rounds for each register to rewrite
 constexpr size_t kConcurrentRewrites = 16;  // replicas sync concurrent votes in one write
 constexpr size_t kMinReplicas = 3;          // the fewest that tolerate the loss of one
@@ -245,7 +245,7 @@
       if (const auto value = read_agreed(name)) return versioned(*value);
       const auto result = propose(name, same_value);
       if (result.outcome == ProposalOutcome::chosen) return versioned(result.value);
-      if (result.outcome == ProposalOutcome::no_quorum && ++without_quorum >= kTriesWithoutQuorum) break;
+      if (result.outcome == ProposalOutcome::no_quorum && ++without_quorum >= kMaxRoundsWithoutQuorum) break;
       back_off(i);
     }
     return RegisterError::no_majority;
@@ -263,7 +263,7 @@
           propose(name, [&](const pb::Value& current) { return operation.next_value(current); });
       if (result.outcome == ProposalOutcome::chosen)
         if (auto written = operation.result_under(result.value)) return *written;
-      if (result.outcome == ProposalOutcome::no_quorum && ++without_quorum >= kTriesWithoutQuorum) break;
+      if (result.outcome == ProposalOutcome::no_quorum && ++without_quorum >= kMaxRoundsWithoutQuorum) break;
       back_off(i);
     }
     return operation.proposed() ? RegisterError::outcome_unknown : RegisterError::no_majority;
