--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -13,7 +13,7 @@
 constexpr int kEarlierWriteIds = 8;         // write identifiers of earlier writes in a value
 constexpr int kOperationRounds = 5;         // time limit of an operation, in round timeouts
 constexpr int kMaxRoundsWithoutQuorum = 3;  // rounds without a voting quorum before an operation gives up
-constexpr int kRewriteTries = 10;           // rounds for each register to rewrite
+constexpr int kMaxRewriteRounds = 10;       // rounds for each register to rewrite
 constexpr size_t kConcurrentRewrites = 16;  // replicas sync concurrent votes in one write
 constexpr size_t kMinReplicas = 3;          // the fewest that tolerate the loss of one
 constexpr int kSetAnnouncementDivisor = 4;  // round timeout / this: time limit for announcing a new set
@@ -279,7 +279,7 @@
   };
 
   bool rewrite_register(const std::string& name, const Rewrite& rewrite) {
-    for (int i = 0; i < kRewriteTries && !rewrite.failed; ++i) {
+    for (int i = 0; i < kMaxRewriteRounds && !rewrite.failed; ++i) {
       if (propose(name, same_value).outcome == ProposalOutcome::chosen) return true;
       back_off(i);
     }
