--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -11,7 +11,7 @@
 namespace dunlinwing::consensus {
 namespace {
 constexpr int kEarlierWriteIds = 8;         // write identifiers of earlier writes in a value
-constexpr int kOperationRounds = 5;         // time limit of an operation, in round timeouts
+constexpr int kOperationTimeoutRounds = 5;  // time limit of an operation, in round timeouts
 constexpr int kMaxRoundsWithoutQuorum = 3;  // rounds without a voting quorum before an operation gives up
 constexpr int kMaxRewriteRounds = 10;       // rounds for each register to rewrite
 constexpr size_t kConcurrentRewrites = 16;  // replicas sync concurrent votes in one write
@@ -240,7 +240,7 @@
   // ---- Operations ----
 
   ReadResult read(const std::string& name) {
-    const TimePoint end = ports.clock.now() + round_timeout * kOperationRounds;
+    const TimePoint end = ports.clock.now() + round_timeout * kOperationTimeoutRounds;
     for (int i = 0, without_quorum = 0; i == 0 || ports.clock.now() < end; ++i) {
       if (const auto value = read_agreed(name)) return versioned(*value);
       const auto result = propose(name, same_value);
@@ -253,7 +253,7 @@
 
   WriteResult write(const std::string& name, uint64_t expected_version, const std::string& data) {
     CompareAndSet operation(expected_version, data, base::random_token(ports.random));
-    const TimePoint end = ports.clock.now() + round_timeout * kOperationRounds;
+    const TimePoint end = ports.clock.now() + round_timeout * kOperationTimeoutRounds;
     for (int i = 0, without_quorum = 0; i == 0 || ports.clock.now() < end; ++i) {
       // After an undecided round, read first: another proposer may have completed the write.
       if (i > 0)
