--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -76,7 +76,7 @@
   bool proposed() const { return proposed_; }
 
   pb::Value next_value(const pb::Value& current) {
-    if (contains_own(current) || current.version() != expected_version_) return current;
+    if (contains_this_write(current) || current.version() != expected_version_) return current;
     proposed_ = true;
     pb::Value next;
     next.set_version(expected_version_ + 1);
@@ -92,7 +92,7 @@
 
   /// The result of this write, given the value in force; nothing while that is still the value to replace.
   std::optional<WriteResult> result_under(const pb::Value& current) const {
-    if (contains_own(current)) return VersionedValue{expected_version_ + 1, data_};
+    if (contains_this_write(current)) return VersionedValue{expected_version_ + 1, data_};
     if (current.version() == expected_version_) return {};
     // After this many later writes, the identifiers no longer show whether this write was one of them.
     if (proposed_ && current.version() > expected_version_ + kEarlierWriteIds)
@@ -101,7 +101,7 @@
   }
 
  private:
-  bool contains_own(const pb::Value& value) const {
+  bool contains_this_write(const pb::Value& value) const {
     const auto& earlier = value.earlier_write_ids();
     return value.write_id() == write_id_ ||
            std::find(earlier.begin(), earlier.end(), write_id_) != earlier.end();
