--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -91,7 +91,7 @@
   }
 
   /// The result of this write, given the value in force; nothing while that is still the value to replace.
-  std::optional<WriteResult> result_under(const pb::Value& current) const {
+  std::optional<WriteResult> result_for(const pb::Value& current) const {
     if (contains_this_write(current)) return VersionedValue{expected_version_ + 1, data_};
     if (current.version() == expected_version_) return {};
     // After this many later writes, the identifiers no longer show whether this write was one of them.
@@ -258,11 +258,11 @@
       // After an undecided round, read first: another proposer may have completed the write.
       if (i > 0)
         if (const auto value = read_agreed(name))
-          if (auto written = operation.result_under(*value)) return *written;
+          if (auto written = operation.result_for(*value)) return *written;
       const auto result =
           propose(name, [&](const pb::Value& current) { return operation.next_value(current); });
       if (result.outcome == ProposalOutcome::chosen)
-        if (auto written = operation.result_under(result.value)) return *written;
+        if (auto written = operation.result_for(result.value)) return *written;
       if (result.outcome == ProposalOutcome::no_quorum && ++without_quorum >= kMaxRoundsWithoutQuorum) break;
       back_off(i);
     }
