--- a/src/consensus/refill.cpp
+++ b/src/consensus/refill.cpp
@@ -24,7 +24,7 @@
 
 // Whether one of the surveyed replicas has accepted a newer set than the current one. It may be in force
 // already; then some quorums include replicas that were not surveyed.
-bool shows_later_set(const RefillSurvey& survey, const ReplicaSetView& set) {
+bool reports_newer_set(const RefillSurvey& survey, const ReplicaSetView& set) {
   auto found = survey.registers.find(kReplicaSetKey);
   if (found == survey.registers.end()) return false;
   pb::ReplicaSet later;
@@ -56,7 +56,7 @@
 
 RefillStep next_step(const RefillSurvey& survey, pb::ReplicaStage stage, const ReplicaSetView& set,
                      const std::string& node_name, bool first_start) {
-  if (survey.newer_set || !set.has(node_name) || shows_later_set(survey, set))
+  if (survey.newer_set || !set.has(node_name) || reports_newer_set(survey, set))
     return RefillStep::survey_again;
   if (stage == pb::REPLICA_JOINING) {
     const bool all_joining = survey.all_responded() && survey.joining == survey.requested;
