--- a/src/consensus/refill.cpp
+++ b/src/consensus/refill.cpp
@@ -47,7 +47,7 @@
   if (snapshot.registers_size() > 0) ++survey.with_registers;
   if (snapshot.stage() != pb::REPLICA_VOTING) return;
   ++survey.voting;
-  if (contains(set.complete_list(), replica)) ++survey.voting_complete;
+  if (contains(set.complete_list(), replica)) ++survey.voting_on_complete_list;
   for (const auto& state : snapshot.registers()) {
     auto& highest = survey.registers[state.name()];
     highest = merge_highest(highest, state);
@@ -62,7 +62,7 @@
     const bool all_joining = survey.all_responded() && survey.joining == survey.requested;
     return survey.voting > 0 || all_joining ? RefillStep::become_voting : RefillStep::survey_again;
   }
-  if (survey.voting_complete >= refill_quorum(set, node_name)) return RefillStep::adopt_state;
+  if (survey.voting_on_complete_list >= refill_quorum(set, node_name)) return RefillStep::adopt_state;
   if (nothing_was_recorded(survey, set, first_start)) return RefillStep::become_joining;
   return survey.all_responded() && !survey.voting ? RefillStep::undecidable : RefillStep::survey_again;
 }
--- a/src/consensus/refill.hpp
+++ b/src/consensus/refill.hpp
@@ -19,13 +19,13 @@
 
 /// Summary of the snapshots that the other replicas reported.
 struct RefillSurvey {
-  size_t requested = 0;        ///< replicas that a snapshot was requested from: all others of the set
-  size_t responded = 0;        ///< of these, the ones that responded
-  size_t joining = 0;          ///< disks that are joining or voting
-  size_t voting = 0;           ///< disks that are voting
-  size_t voting_complete = 0;  ///< of these, the ones on the list that holds everything ever chosen
-  size_t with_registers = 0;   ///< replicas that have at least one register
-  bool newer_set = false;      ///< a response contained a newer replica set than this node had
+  size_t requested = 0;                ///< replicas that a snapshot was requested from: all others of the set
+  size_t responded = 0;                ///< of these, the ones that responded
+  size_t joining = 0;                  ///< disks that are joining or voting
+  size_t voting = 0;                   ///< disks that are voting
+  size_t voting_on_complete_list = 0;  ///< of these, the ones on the list that holds everything ever chosen
+  size_t with_registers = 0;           ///< replicas that have at least one register
+  bool newer_set = false;              ///< a response contained a newer replica set than this node had
   std::map<std::string, pb::RegisterState> registers;  ///< the highest state of each, from voting disks
 
   bool all_responded() const { return responded == requested; }
