--- a/src/storage/disk_executor.cpp
+++ b/src/storage/disk_executor.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Condition::wait() requires a time limit; a longer job is waited for again.
-constexpr Duration kWaitAtOnce = std::chrono::hours(1);
+constexpr Duration kMaxWait = std::chrono::hours(1);
 
 struct Job {
   std::function<void()> function;
@@ -68,7 +68,7 @@
   }
   impl_->changed.notify_one();
   for (;;) {
-    job->condition->wait(kWaitAtOnce);
+    job->condition->wait(kMaxWait);
     std::lock_guard lock(impl_->mutex);
     if (job->done) return;
   }
