--- a/src/storage/disk_executor.cpp
+++ b/src/storage/disk_executor.cpp
@@ -29,7 +29,7 @@
 
   explicit Impl(base::Tasks& tasks_port) : tasks(tasks_port) {}
 
-  void work() {
+  void run_jobs() {
     std::unique_lock lock(mutex);
     for (;;) {
       changed.wait(lock, [&] { return stopping || !jobs.empty(); });
@@ -46,7 +46,7 @@
 };
 
 DiskExecutor::DiskExecutor(base::Tasks& tasks) : impl_(std::make_unique<Impl>(tasks)) {
-  impl_->thread = std::thread([this] { impl_->work(); });
+  impl_->thread = std::thread([this] { impl_->run_jobs(); });
 }
 
 DiskExecutor::~DiskExecutor() {
