--- a/src/storage/snapshot_store.cpp
+++ b/src/storage/snapshot_store.cpp
@@ -153,7 +153,7 @@
   Impl(std::unique_ptr<Files> opened, size_t max_bytes)
       : files(std::move(opened)), max_log_bytes(max_bytes) {}
 
-  bool holds(const std::string& name, const std::string& bytes) {
+  bool has_contents(const std::string& name, const std::string& bytes) {
     const auto read = files->read(name);
     const auto* present = as<std::string>(read);
     return present && *present == bytes;
@@ -164,7 +164,7 @@
     if (confirmed) return true;
     const auto name = proof_file(pair_in_use);
     const auto proof = frame(std::to_string(serial));
-    confirmed = files->replace(name, proof) && files->sync_folder() && holds(name, proof);
+    confirmed = files->replace(name, proof) && files->sync_folder() && has_contents(name, proof);
     return confirmed;
   }
 
@@ -180,7 +180,8 @@
     if (!files->sync_folder()) return false;  // no snapshot may exist without its log
     if (!files->replace(snapshot_file(next), framed_snapshot)) return false;
     if (!files->sync_folder()) return false;
-    if (!holds(log_file(next), log) || !holds(snapshot_file(next), framed_snapshot)) return false;
+    if (!has_contents(log_file(next), log) || !has_contents(snapshot_file(next), framed_snapshot))
+      return false;
     pb::LogRecord commit;  // repeats the stage from the snapshot
     commit.set_stage(snapshot.stage());
     const auto framed_commit = frame(commit.SerializeAsString());
