--- a/src/storage/snapshot_store.cpp
+++ b/src/storage/snapshot_store.cpp
@@ -54,7 +54,7 @@
   /// A snapshot is damaged, usually because it was being written.
   bool damaged() const { return damaged_; }
   /// A snapshot could not be read, and it may be the newest.
-  bool unread() const { return unread_; }
+  bool found_unreadable() const { return found_unreadable_; }
 
   /// Loads the pair; nothing when its snapshot is missing or damaged, or the pair was never in use.
   std::optional<LoadedPair> load(int pair) {
@@ -77,7 +77,7 @@
   std::optional<LoadedPair> load_snapshot(int pair) {
     const auto read = files_.read(snapshot_file(pair));
     const auto* error = as<ReadError>(read);
-    if (error && *error == ReadError::failed) unread_ = true;
+    if (error && *error == ReadError::failed) found_unreadable_ = true;
     if (error || as<std::string>(read)->empty()) {
       if (was_in_use(pair)) damaged_ = true;
       return {};
@@ -135,7 +135,7 @@
 
   Files& files_;
   bool damaged_ = false;
-  bool unread_ = false;
+  bool found_unreadable_ = false;
 };
 
 }  // namespace
@@ -204,7 +204,7 @@
       pair_in_use = pair;
     }
     base::LoadedSnapshot result;
-    result.possibly_lost = loader.unread();
+    result.possibly_lost = loader.found_unreadable();
     if (!newest) {
       if (loader.damaged()) result.possibly_lost = true;
       return result;
