--- a/src/storage/snapshot_store.cpp
+++ b/src/storage/snapshot_store.cpp
@@ -52,7 +52,7 @@
   explicit PairLoader(Files& files) : files_(files) {}
 
   /// A snapshot is damaged, usually because it was being written.
-  bool damaged() const { return damaged_; }
+  bool found_damaged() const { return found_damaged_; }
   /// A snapshot could not be read, and it may be the newest.
   bool found_unreadable() const { return found_unreadable_; }
 
@@ -79,13 +79,13 @@
     const auto* error = as<ReadError>(read);
     if (error && *error == ReadError::failed) found_unreadable_ = true;
     if (error || as<std::string>(read)->empty()) {
-      if (was_in_use(pair)) damaged_ = true;
+      if (was_in_use(pair)) found_damaged_ = true;
       return {};
     }
     const auto [payloads, tail] = unframe(*as<std::string>(read));
     LoadedPair loaded;
     if (tail != Tail::clean || payloads.size() != 2 || !loaded.snapshot.ParseFromString(payloads[1])) {
-      damaged_ = true;
+      found_damaged_ = true;
       return {};
     }
     loaded.serial = serial_in(payloads[0]);
@@ -134,7 +134,7 @@
   }
 
   Files& files_;
-  bool damaged_ = false;
+  bool found_damaged_ = false;
   bool found_unreadable_ = false;
 };
 
@@ -206,7 +206,7 @@
     base::LoadedSnapshot result;
     result.possibly_lost = loader.found_unreadable();
     if (!newest) {
-      if (loader.damaged()) result.possibly_lost = true;
+      if (loader.found_damaged()) result.possibly_lost = true;
       return result;
     }
     result.snapshot = newest->snapshot;
@@ -214,7 +214,7 @@
     confirmed = false;
     // A snapshot that was being written during a crash is damaged without loss, since the other pair is still
     // complete and in use. A damaged pair that was in use has at least the commit record in its log.
-    const bool lost_newer = loader.damaged() && loader.was_in_use(1 - pair_in_use);
+    const bool lost_newer = loader.found_damaged() && loader.was_in_use(1 - pair_in_use);
     if (newest->possibly_lost || lost_newer) result.possibly_lost = true;
     return result;
   }
