--- a/src/storage/snapshot_store.cpp
+++ b/src/storage/snapshot_store.cpp
@@ -23,7 +23,7 @@
 constexpr int kPairs = 2;
 // Follows the serial in a log whose pair is in use only after a commit record. Logs written by versions
 // without commit records do not have it.
-constexpr char kCommitFollows = '+';
+constexpr char kNeedsCommitRecord = '+';
 constexpr int kDecimal = 10;
 
 std::string snapshot_file(int pair) { return fmt::format("slot.{}", pair); }
@@ -100,7 +100,8 @@
     // The serial is incomplete: the log was being replaced, which never happens to the log in use.
     if (tail != Tail::corrupt && payloads.empty()) return LogState::never_in_use;
     if (tail == Tail::corrupt || serial_in(payloads[0]) != loaded.serial) return LogState::untrusted;
-    if (payloads[0].back() == kCommitFollows && !was_in_use(pair, payloads)) return LogState::never_in_use;
+    if (payloads[0].back() == kNeedsCommitRecord && !was_in_use(pair, payloads))
+      return LogState::never_in_use;
     return apply_records(payloads, loaded.snapshot) ? LogState::complete : LogState::untrusted;
   }
 
@@ -174,7 +175,7 @@
     if (!confirm_pair_in_use()) return false;
     const int next = 1 - pair_in_use;
     const auto serial_text = std::to_string(serial + 1);
-    const auto log = frame(serial_text + kCommitFollows);
+    const auto log = frame(serial_text + kNeedsCommitRecord);
     const auto framed_snapshot = frame(serial_text) + frame(snapshot.SerializeAsString());
     if (!files->replace(log_file(next), log)) return false;
     if (!files->sync_folder()) return false;  // no snapshot may exist without its log
