--- a/src/storage/framing.cpp
+++ b/src/storage/framing.cpp
@@ -5,7 +5,7 @@
 namespace dunlinwing::storage {
 namespace {
 constexpr uint32_t kFrameMark = 0x64774c31;
-constexpr size_t kLengthOffset = 4, kPayloadChecksumAt = 8, kHeadChecksumAt = 12;
+constexpr size_t kLengthOffset = 4, kPayloadChecksumOffset = 8, kHeadChecksumAt = 12;
 
 // CRC-32C.
 uint32_t checksum(std::string_view bytes) {
@@ -61,7 +61,7 @@
     const size_t end = kFrameHeadBytes + uint32_at(bytes, kLengthOffset);
     if (bytes.size() < end) return result;
     const auto payload = bytes.substr(kFrameHeadBytes, end - kFrameHeadBytes);
-    if (checksum(payload) != uint32_at(bytes, kPayloadChecksumAt)) {
+    if (checksum(payload) != uint32_at(bytes, kPayloadChecksumOffset)) {
       if (bytes.size() != end) result.tail = Tail::corrupt;
       return result;
     }
