--- a/src/storage/framing.cpp
+++ b/src/storage/framing.cpp
@@ -5,7 +5,7 @@
 namespace dunlinwing::storage {
 namespace {
 constexpr uint32_t kFrameMark = 0x64774c31;
-constexpr size_t kLengthOffset = 4, kPayloadChecksumOffset = 8, kHeadChecksumAt = 12;
+constexpr size_t kLengthOffset = 4, kPayloadChecksumOffset = 8, kHeadChecksumOffset = 12;
 
 // CRC-32C.
 uint32_t checksum(std::string_view bytes) {
@@ -27,7 +27,7 @@
 
 bool is_head_at(std::string_view bytes, size_t at) {
   return uint32_at(bytes, at) == kFrameMark &&
-         uint32_at(bytes, at + kHeadChecksumAt) == checksum(bytes.substr(at, kHeadChecksumAt));
+         uint32_at(bytes, at + kHeadChecksumOffset) == checksum(bytes.substr(at, kHeadChecksumOffset));
 }
 
 // A torn write may leave zeros or part of one head; a complete head further on means that records that were
