--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -34,7 +34,7 @@
   /// What a file says, without the line ends at its end; empty when it cannot be read.
   std::string read(const char* file) {
     std::string text;
-    executor.run([&] { text = storage::read_small(path(file)).value_or(""); });
+    executor.run([&] { text = storage::read_small_file(path(file)).value_or(""); });
     while (!text.empty() && text.back() == '\n') text.pop_back();
     return text;
   }
--- a/src/storage/artifact_files.cpp
+++ b/src/storage/artifact_files.cpp
@@ -69,7 +69,7 @@
   return digits;
 }
 
-std::optional<std::string> read_small(const std::string& path) {
+std::optional<std::string> read_small_file(const std::string& path) {
   const auto file = open_to_read(path);
   if (!file.is_open()) return {};
   std::string bytes;
--- a/src/storage/artifact_files.hpp
+++ b/src/storage/artifact_files.hpp
@@ -42,7 +42,7 @@
 /// The SHA-256 of a file in hexadecimal digits; nothing when it cannot be read.
 std::optional<std::string> sha256_hex_of(const std::string& path);
 /// The contents of a small file; nothing when it cannot be opened.
-std::optional<std::string> read_small(const std::string& path);
+std::optional<std::string> read_small_file(const std::string& path);
 /// Replaces a file atomically: writes a new file, syncs it, renames it and syncs the folder.
 /// @return false when any step fails; the file then has its old or its new contents
 [[nodiscard]] bool write_synced(const std::string& path, const std::string& bytes);
