--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -41,7 +41,7 @@
 
   bool write(const char* file, const std::string& text) {
     bool written = false;
-    executor.run([&] { written = storage::write_synced(path(file), text + "\n"); });
+    executor.run([&] { written = storage::replace_file(path(file), text + "\n"); });
     return written;
   }
 
--- a/src/storage/artifact_files.cpp
+++ b/src/storage/artifact_files.cpp
@@ -77,7 +77,7 @@
   return bytes;
 }
 
-bool write_synced(const std::string& path, const std::string& bytes) {
+bool replace_file(const std::string& path, const std::string& bytes) {
   const auto new_path = path + ".new";
   {
     const FileDescriptor file(::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
--- a/src/storage/artifact_files.hpp
+++ b/src/storage/artifact_files.hpp
@@ -45,7 +45,7 @@
 std::optional<std::string> read_small_file(const std::string& path);
 /// Replaces a file atomically: writes a new file, syncs it, renames it and syncs the folder.
 /// @return false when any step fails; the file then has its old or its new contents
-[[nodiscard]] bool write_synced(const std::string& path, const std::string& bytes);
+[[nodiscard]] bool replace_file(const std::string& path, const std::string& bytes);
 /// Makes the file names in a folder durable.
 bool sync_dir(const std::string& folder);
 
