--- a/test/unit/consensus/acceptor_test.cpp
+++ b/test/unit/consensus/acceptor_test.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kRoundTimeout{500};
 
 // An acceptor with a voting disk, in a separate simulated world.
-struct Bench {
+struct AcceptorFixture {
   struct NoOrigin final : base::Origin {
     bool can_connect(const std::string&, Duration) override { return false; }
     std::variant<base::Response, base::AttemptError> send(const std::string&, const base::Request&,
@@ -34,7 +34,7 @@
   consensus::ReplicaSetView set{{{"a", "peer:a"}}};
   consensus::Acceptor acceptor{ports, disk, "a", set, kRoundTimeout};
 
-  Bench() {
+  AcceptorFixture() {
     process->host = "a";
     storage::SnapshotStore store(std::make_unique<simulation::MemoryFiles>(contents), 1000);
     pb::Snapshot snapshot;
@@ -90,7 +90,7 @@
 };
 
 void failed_write_is_not_acknowledged() {
-  Bench bench;
+  AcceptorFixture bench;
   bench.play([&] {
     expect(bench.prepare(1).granted() && bench.accept(1, 1).granted(),
            "a replica with a working disk does not vote");
@@ -123,7 +123,7 @@
 void append_changes_in_small_responses() {
   constexpr int kRegisters = 200;
   constexpr uint64_t kMaxBytes = 2000;
-  Bench bench;
+  AcceptorFixture bench;
   auto accept_named = [&](const std::string& name, uint64_t round, uint64_t version) {
     pb::PeerRequest request;
     request.mutable_accept()->set_name(name);
@@ -161,7 +161,7 @@
 // All callers that arrive during a failing write get a non-voting response, although the state that they
 // requested is on the disk in the end.
 void callers_in_a_failing_write() {
-  Bench bench;
+  AcceptorFixture bench;
   bench.play([&] {
     bench.contents.min_latency = bench.contents.max_latency = Duration(200);
     struct Counts {
@@ -195,7 +195,7 @@
 }
 
 void stalled_write_is_refused_after_a_round() {
-  Bench bench;
+  AcceptorFixture bench;
   bench.play([&] {
     expect(bench.prepare(1).granted(), "a replica with a working disk does not vote");
     bench.contents.stalled_until = bench.world.now() + Duration(4000);
@@ -216,7 +216,7 @@
 
 // The process starts on a disk that fails every write: the loaded data may exist only in the system's cache.
 void started_on_a_failing_disk() {
-  Bench bench;
+  AcceptorFixture bench;
   bench.contents.failing = true;
   bench.play([&] {
     expect(bench.acceptor.non_voting() && bench.prepare(1).non_voting(),
