--- a/test/unit/consensus/acceptor_test.cpp
+++ b/test/unit/consensus/acceptor_test.cpp
@@ -90,30 +90,30 @@
 };
 
 void failed_write_is_not_acknowledged() {
-  AcceptorFixture bench;
-  bench.play([&] {
-    expect(bench.prepare(1).granted() && bench.accept(1, 1).granted(),
+  AcceptorFixture fixture;
+  fixture.play([&] {
+    expect(fixture.prepare(1).granted() && fixture.accept(1, 1).granted(),
            "a replica with a working disk does not vote");
-    bench.contents.failing = true;
-    auto vote = bench.accept(2, 2);
+    fixture.contents.failing = true;
+    auto vote = fixture.accept(2, 2);
     expect(vote.non_voting() && !vote.granted(), "a write that failed was acknowledged");
-    expect(bench.acceptor.non_voting(), "the replica votes although its disk failed");
-    expect(bench.prepare(3).non_voting(), "a non-voting replica gave a promise");
+    expect(fixture.acceptor.non_voting(), "the replica votes although its disk failed");
+    expect(fixture.prepare(3).non_voting(), "a non-voting replica gave a promise");
     pb::PeerRequest snapshot_request;
     snapshot_request.mutable_snapshot();
-    expect(bench.acceptor.answer(snapshot_request).has_snapshot() == false,
+    expect(fixture.acceptor.answer(snapshot_request).has_snapshot() == false,
            "a non-voting replica returned a snapshot");
     pb::PullResponse pull;
-    bench.acceptor.append_changes({}, 0, pull);
+    fixture.acceptor.append_changes({}, 0, pull);
     expect(pull.non_voting() && !pull.registers_size(), "a non-voting replica reported changes");
-    bench.clock.sleep(Duration(3000));
-    expect(bench.acceptor.non_voting(), "the replica votes again although its disk still fails");
-    bench.contents.failing = false;
-    bench.clock.sleep(Duration(1000));
-    expect(!bench.acceptor.non_voting(), "the replica does not vote a second after its disk works again");
-    expect(bench.read_version() == bench.version_on_disk(),
+    fixture.clock.sleep(Duration(3000));
+    expect(fixture.acceptor.non_voting(), "the replica votes again although its disk still fails");
+    fixture.contents.failing = false;
+    fixture.clock.sleep(Duration(1000));
+    expect(!fixture.acceptor.non_voting(), "the replica does not vote a second after its disk works again");
+    expect(fixture.read_version() == fixture.version_on_disk(),
            "the published version differs from the one on the disk");
-    expect(bench.prepare(4).granted() && bench.accept(4, 5).granted() && bench.version_on_disk() == 5,
+    expect(fixture.prepare(4).granted() && fixture.accept(4, 5).granted() && fixture.version_on_disk() == 5,
            "a vote did not reach the disk");
   });
 }
@@ -123,7 +123,7 @@
 void append_changes_in_small_responses() {
   constexpr int kRegisters = 200;
   constexpr uint64_t kMaxBytes = 2000;
-  AcceptorFixture bench;
+  AcceptorFixture fixture;
   auto accept_named = [&](const std::string& name, uint64_t round, uint64_t version) {
     pb::PeerRequest request;
     request.mutable_accept()->set_name(name);
@@ -131,16 +131,16 @@
     request.mutable_accept()->mutable_ballot()->set_node("p");
     request.mutable_accept()->mutable_value()->set_version(version);
     request.mutable_accept()->mutable_value()->set_data(std::string(100, 'x'));
-    expect(bench.acceptor.answer(request).vote().granted(), "an accept failed");
+    expect(fixture.acceptor.answer(request).vote().granted(), "an accept failed");
   };
-  bench.play([&] {
+  fixture.play([&] {
     for (int i = 0; i < kRegisters; ++i) accept_named(fmt::format("r{}", i), 1, 1);
     std::map<std::string, uint64_t> reported;
     consensus::ChangePosition seen;
     int responses = 0;
     for (bool more = true; more; ++responses) {
       pb::PullResponse response;
-      bench.acceptor.append_changes(seen, kMaxBytes, response);
+      fixture.acceptor.append_changes(seen, kMaxBytes, response);
       expect(response.ByteSizeLong() < kMaxBytes + 200, "a response exceeds the requested size");
       expect(response.position() > seen.position, "a response reports nothing new");
       seen = {response.boot_id(), response.position()};
@@ -152,7 +152,7 @@
     same(reported.size(), size_t(kRegisters), "registers reported");
     same(reported["r0"], uint64_t(2), "version of the register that changed in between");
     pb::PullResponse complete;
-    bench.acceptor.append_changes({0, seen.position}, 0, complete);
+    fixture.acceptor.append_changes({0, seen.position}, 0, complete);
     expect(complete.registers_size() == kRegisters && !complete.more(),
            "a response without a limit is incomplete");
   });
@@ -161,70 +161,71 @@
 // All callers that arrive during a failing write get a non-voting response, although the state that they
 // requested is on the disk in the end.
 void callers_in_a_failing_write() {
-  AcceptorFixture bench;
-  bench.play([&] {
-    bench.contents.min_latency = bench.contents.max_latency = Duration(200);
+  AcceptorFixture fixture;
+  fixture.play([&] {
+    fixture.contents.min_latency = fixture.contents.max_latency = Duration(200);
     struct Counts {
       int granted = 0, non_voting = 0;
     };
     auto counts = std::make_shared<Counts>();
-    bench.contents.full = true;
+    fixture.contents.full = true;
     for (uint64_t i = 1; i <= 5; ++i)
-      bench.tasks.spawn([&bench, counts, i] {
-        auto vote = bench.prepare(i);
+      fixture.tasks.spawn([&fixture, counts, i] {
+        auto vote = fixture.prepare(i);
         counts->granted += vote.granted();
         counts->non_voting += vote.non_voting();
       });
-    bench.clock.sleep(Duration(190));
+    fixture.clock.sleep(Duration(190));
     for (uint64_t i = 6; i <= 9; ++i)
-      bench.tasks.spawn([&bench, counts, i] {
-        auto vote = bench.prepare(i);
+      fixture.tasks.spawn([&fixture, counts, i] {
+        auto vote = fixture.prepare(i);
         counts->granted += vote.granted();
         counts->non_voting += vote.non_voting();
       });
-    bench.clock.sleep(Duration(15));
-    bench.contents.full = false;
-    bench.clock.sleep(Duration(3000));
+    fixture.clock.sleep(Duration(15));
+    fixture.contents.full = false;
+    fixture.clock.sleep(Duration(3000));
     expect(counts->granted == 0 && counts->non_voting == 9,
            fmt::format("of 9 callers of a failed write, {} were granted and {} got a non-voting response",
                        counts->granted, counts->non_voting));
-    expect(!bench.acceptor.non_voting(), "the replica still does not vote");
-    expect(bench.prepare(9).granted() == false && bench.prepare(10).granted(),
+    expect(!fixture.acceptor.non_voting(), "the replica still does not vote");
+    expect(fixture.prepare(9).granted() == false && fixture.prepare(10).granted(),
            "a promise from the rewritten snapshot was not kept");
   });
 }
 
 void stalled_write_is_refused_after_a_round() {
-  AcceptorFixture bench;
-  bench.play([&] {
-    expect(bench.prepare(1).granted(), "a replica with a working disk does not vote");
-    bench.contents.stalled_until = bench.world.now() + Duration(4000);
-    auto from = bench.world.now();
-    expect(bench.accept(1, 1).non_voting(), "a stalled write was acknowledged");
-    auto took = bench.world.now() - from;
+  AcceptorFixture fixture;
+  fixture.play([&] {
+    expect(fixture.prepare(1).granted(), "a replica with a working disk does not vote");
+    fixture.contents.stalled_until = fixture.world.now() + Duration(4000);
+    auto from = fixture.world.now();
+    expect(fixture.accept(1, 1).non_voting(), "a stalled write was acknowledged");
+    auto took = fixture.world.now() - from;
     expect(took <= kRoundTimeout + Duration(20),
            fmt::format("the caller of a stalled write waited {} ms", took.count()));
-    bench.clock.sleep(Duration(10));
-    from = bench.world.now();
-    expect(bench.prepare(2).non_voting() && bench.world.now() == from,
+    fixture.clock.sleep(Duration(10));
+    from = fixture.world.now();
+    expect(fixture.prepare(2).non_voting() && fixture.world.now() == from,
            "a caller was queued behind a stalled write");
-    bench.clock.sleep(Duration(4000));
-    expect(!bench.acceptor.non_voting() && bench.read_version() == 1, "the stalled write did not complete");
-    expect(bench.prepare(3).granted(), "the replica does not vote after the stall");
+    fixture.clock.sleep(Duration(4000));
+    expect(!fixture.acceptor.non_voting() && fixture.read_version() == 1,
+           "the stalled write did not complete");
+    expect(fixture.prepare(3).granted(), "the replica does not vote after the stall");
   });
 }
 
 // The process starts on a disk that fails every write: the loaded data may exist only in the system's cache.
 void started_on_a_failing_disk() {
-  AcceptorFixture bench;
-  bench.contents.failing = true;
-  bench.play([&] {
-    expect(bench.acceptor.non_voting() && bench.prepare(1).non_voting(),
+  AcceptorFixture fixture;
+  fixture.contents.failing = true;
+  fixture.play([&] {
+    expect(fixture.acceptor.non_voting() && fixture.prepare(1).non_voting(),
            "a replica votes although it cannot write its disk");
-    bench.clock.sleep(Duration(2000));
-    bench.contents.failing = false;
-    bench.clock.sleep(Duration(1000));
-    expect(bench.prepare(2).granted(), "the replica does not vote a second after its disk works");
+    fixture.clock.sleep(Duration(2000));
+    fixture.contents.failing = false;
+    fixture.clock.sleep(Duration(1000));
+    expect(fixture.prepare(2).granted(), "the replica does not vote a second after its disk works");
   });
 }
 }  // namespace
