--- a/test/unit/consensus/acceptor_test.cpp
+++ b/test/unit/consensus/acceptor_test.cpp
@@ -43,7 +43,7 @@
   }
 
   // Runs the script, for at most one minute of simulated time.
-  void play(const std::function<void()>& script) {
+  void run_script(const std::function<void()>& script) {
     bool done = false;
     std::string failure;
     world.run(world.now() + Duration(60000), nullptr, [&] {
@@ -91,7 +91,7 @@
 
 void failed_write_is_not_acknowledged() {
   AcceptorFixture fixture;
-  fixture.play([&] {
+  fixture.run_script([&] {
     expect(fixture.prepare(1).granted() && fixture.accept(1, 1).granted(),
            "a replica with a working disk does not vote");
     fixture.contents.failing = true;
@@ -133,7 +133,7 @@
     request.mutable_accept()->mutable_value()->set_data(std::string(100, 'x'));
     expect(fixture.acceptor.answer(request).vote().granted(), "an accept failed");
   };
-  fixture.play([&] {
+  fixture.run_script([&] {
     for (int i = 0; i < kRegisters; ++i) accept_named(fmt::format("r{}", i), 1, 1);
     std::map<std::string, uint64_t> reported;
     consensus::ChangePosition seen;
@@ -162,7 +162,7 @@
 // requested is on the disk in the end.
 void callers_in_a_failing_write() {
   AcceptorFixture fixture;
-  fixture.play([&] {
+  fixture.run_script([&] {
     fixture.contents.min_latency = fixture.contents.max_latency = Duration(200);
     struct Counts {
       int granted = 0, non_voting = 0;
@@ -196,7 +196,7 @@
 
 void stalled_write_is_refused_after_a_round() {
   AcceptorFixture fixture;
-  fixture.play([&] {
+  fixture.run_script([&] {
     expect(fixture.prepare(1).granted(), "a replica with a working disk does not vote");
     fixture.contents.stalled_until = fixture.world.now() + Duration(4000);
     auto from = fixture.world.now();
@@ -219,7 +219,7 @@
 void started_on_a_failing_disk() {
   AcceptorFixture fixture;
   fixture.contents.failing = true;
-  fixture.play([&] {
+  fixture.run_script([&] {
     expect(fixture.acceptor.non_voting() && fixture.prepare(1).non_voting(),
            "a replica votes although it cannot write its disk");
     fixture.clock.sleep(Duration(2000));
