--- a/test/unit/consensus/trace_test.cpp
+++ b/test/unit/consensus/trace_test.cpp
@@ -19,7 +19,7 @@
 // The seed only decides which replica a pull contacts first.
 constexpr uint64_t kSeeds = 8;
 
-void play_day(const std::function<void(ConsensusHarness&)>& script) {
+void run_with_all_seeds(const std::function<void(ConsensusHarness&)>& script) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     ConsensusHarness harness(seed);
     harness.run([&] { script(harness); });
@@ -104,7 +104,7 @@
 }
 
 void read_counts_no_copy() {
-  play_day([](ConsensusHarness& harness) {
+  run_with_all_seeds([](ConsensusHarness& harness) {
     three_replicas(harness);
     copy_an_unchosen_value(harness);
     auto read = start_read(harness, "R");
@@ -119,7 +119,7 @@
 }
 
 void pull_counts_no_copy() {
-  play_day([](ConsensusHarness& harness) {
+  run_with_all_seeds([](ConsensusHarness& harness) {
     three_replicas(harness);
     warm_up(harness, "R");
     copy_an_unchosen_value(harness);
@@ -155,7 +155,7 @@
 }
 
 void read_counts_no_old_reply() {
-  play_day([](ConsensusHarness& harness) {
+  run_with_all_seeds([](ConsensusHarness& harness) {
     three_replicas(harness);
     accept_at_one(harness);
     auto read = start_read(harness, "R");
@@ -190,17 +190,17 @@
 }
 
 void pull_counts_no_reply_of_an_earlier_one() {
-  play_day([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::refuse); });
+  run_with_all_seeds([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::refuse); });
 }
 
 // The early pull waits for A until its timeout, long after C answered.
 void age_of_a_reply_runs_from_the_ask() {
-  play_day([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::drop); });
+  run_with_all_seeds([](ConsensusHarness& harness) { pull_of_a_lost_vote(harness, Fate::drop); });
 }
 
 // The pulling node is suspended between the replies of C and A to one pull.
 void pull_counts_no_old_reply() {
-  play_day([](ConsensusHarness& harness) {
+  run_with_all_seeds([](ConsensusHarness& harness) {
     three_replicas(harness);
     warm_up(harness, "R");
     accept_at_one(harness);
@@ -259,7 +259,7 @@
 // The trace "without names_from_adopters". C, which has not adopted the joint set, answers the
 // pull of names and then completes a quorum of the first set.
 void names_come_from_adopters() {
-  play_day([](ConsensusHarness& harness) {
+  run_with_all_seeds([](ConsensusHarness& harness) {
     three_replicas(harness);
     harness.add_empty_replica("D");
     warm_up(harness, "P1");
