--- a/test/unit/consensus/trace_test.cpp
+++ b/test/unit/consensus/trace_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using consensus::VersionedValue;
-using FaultKind = MessageKind;
+using Kind = MessageKind;
 
 constexpr const char* kRegister = "r";
 constexpr Duration kPullSpan = kStalenessBound / 8;
@@ -87,20 +87,20 @@
 // chosen, and A copies it in a refill, at a ballot below the promise of A.
 void copy_an_unchosen_value(ConsensusHarness& harness) {
   auto first = start_write(harness, "P1", "one");
-  harness.deliver({"P1", "A", FaultKind::prepare});
-  harness.deliver({"P1", "B", FaultKind::prepare});
+  harness.deliver({"P1", "A", Kind::prepare});
+  harness.deliver({"P1", "B", Kind::prepare});
   auto second = start_write(harness, "P2", "two");
-  harness.deliver({"P2", "C", FaultKind::prepare});
-  harness.deliver({"P2", "A", FaultKind::prepare});
-  harness.deliver({"P1", "B", FaultKind::accept});
-  harness.await_sent({"P2", "C", FaultKind::accept});
+  harness.deliver({"P2", "C", Kind::prepare});
+  harness.deliver({"P2", "A", Kind::prepare});
+  harness.deliver({"P1", "B", Kind::accept});
+  harness.await_sent({"P2", "C", Kind::accept});
   harness.crash("P1");
   harness.crash("P2");
   harness.lose_disk("A");
-  harness.deliver({"A", "B", FaultKind::snapshot});
-  harness.deliver({"A", "C", FaultKind::snapshot});
+  harness.deliver({"A", "B", Kind::snapshot});
+  harness.deliver({"A", "C", Kind::snapshot});
   await_voting(harness, "A");
-  harness.deliver({"P2", "C", FaultKind::accept});
+  harness.deliver({"P2", "C", Kind::accept});
 }
 
 void read_counts_no_copy() {
@@ -108,9 +108,9 @@
     three_replicas(harness);
     copy_an_unchosen_value(harness);
     auto read = start_read(harness, "R");
-    harness.deliver({"R", "B", FaultKind::read});
-    harness.deliver({"P2", "B", FaultKind::accept});  // a quorum with C: "two" is chosen
-    harness.deliver({"R", "A", FaultKind::read});
+    harness.deliver({"R", "B", Kind::read});
+    harness.deliver({"P2", "B", Kind::accept});  // a quorum with C: "two" is chosen
+    harness.deliver({"R", "A", Kind::read});
     harness.rule({"R"}, Fate::deliver);
     auto found = value_of(harness.result(read, "the read"), "the read of R");
     same(found.data, std::string("two"), "what the read returned");
@@ -123,14 +123,14 @@
     three_replicas(harness);
     warm_up(harness, "R");
     copy_an_unchosen_value(harness);
-    harness.rule({"R", "", FaultKind::pull}, Fate::deliver);
-    harness.rule({"R", "C", FaultKind::pull}, Fate::refuse);
+    harness.rule({"R", "", Kind::pull}, Fate::deliver);
+    harness.rule({"R", "C", Kind::pull}, Fate::refuse);
     auto pull = start_pull(harness, "R");
-    harness.wait_until([&] { return pull->result || harness.held({"R", "", FaultKind::read}); }, "the pull");
-    harness.deliver({"P2", "B", FaultKind::accept});
-    harness.rule({"R", "", FaultKind::read}, Fate::deliver);
-    harness.rule({"R", "", FaultKind::prepare}, Fate::deliver);
-    harness.rule({"R", "", FaultKind::accept}, Fate::deliver);
+    harness.wait_until([&] { return pull->result || harness.held({"R", "", Kind::read}); }, "the pull");
+    harness.deliver({"P2", "B", Kind::accept});
+    harness.rule({"R", "", Kind::read}, Fate::deliver);
+    harness.rule({"R", "", Kind::prepare}, Fate::deliver);
+    harness.rule({"R", "", Kind::accept}, Fate::deliver);
     expect(harness.result(pull, "the pull"), "the pull failed");
     same_value(pulled(harness, "R"), read_now(harness, "S", ""));
   });
@@ -139,18 +139,18 @@
 // Steps 1 to 4 of the trace "without old_replies_of_reads": A and B have promised, C accepts.
 void accept_at_one(ConsensusHarness& harness) {
   auto write = start_write(harness, "P1", "one");
-  harness.deliver({"P1", "A", FaultKind::prepare});
-  harness.deliver({"P1", "B", FaultKind::prepare});
-  harness.deliver({"P1", "C", FaultKind::accept});
+  harness.deliver({"P1", "A", Kind::prepare});
+  harness.deliver({"P1", "B", Kind::prepare});
+  harness.deliver({"P1", "C", Kind::accept});
   harness.crash("P1");
 }
 
 // Steps 7 to 11: C loses its disk with the accepted value, and A accepts it after sending its snapshot.
 void lose_the_one_and_accept_at_another(ConsensusHarness& harness) {
   harness.lose_disk("C");
-  harness.deliver({"C", "A", FaultKind::snapshot});
-  harness.deliver({"P1", "A", FaultKind::accept});
-  harness.deliver({"C", "B", FaultKind::snapshot});
+  harness.deliver({"C", "A", Kind::snapshot});
+  harness.deliver({"P1", "A", Kind::accept});
+  harness.deliver({"C", "B", Kind::snapshot});
   await_voting(harness, "C");
 }
 
@@ -159,10 +159,10 @@
     three_replicas(harness);
     accept_at_one(harness);
     auto read = start_read(harness, "R");
-    harness.deliver({"R", "C", FaultKind::read});
+    harness.deliver({"R", "C", Kind::read});
     harness.stall("R");
     lose_the_one_and_accept_at_another(harness);
-    harness.deliver({"R", "A", FaultKind::read});
+    harness.deliver({"R", "A", Kind::read});
     harness.wake("R");
     harness.rule({"R"}, Fate::deliver);
     auto found = value_of(harness.result(read, "the read"), "the read of R");
@@ -175,16 +175,15 @@
   three_replicas(harness);
   warm_up(harness, "R");
   accept_at_one(harness);
-  harness.rule({"R", "", FaultKind::pull}, Fate::deliver);
-  harness.rule({"R", "A", FaultKind::pull}, silence);
-  for (auto kind : {FaultKind::read, FaultKind::prepare, FaultKind::accept})
-    harness.rule({"R", "", kind}, Fate::refuse);
+  harness.rule({"R", "", Kind::pull}, Fate::deliver);
+  harness.rule({"R", "A", Kind::pull}, silence);
+  for (auto kind : {Kind::read, Kind::prepare, Kind::accept}) harness.rule({"R", "", kind}, Fate::refuse);
   auto early = start_pull(harness, "R");
   harness.sleep(kPullSpan / 4 + Duration(4));  // all but A have answered, whichever was contacted first
   lose_the_one_and_accept_at_another(harness);
   expect(!harness.result(early, "the first pull"), "the first pull succeeded without a quorum");
   harness.rule({"R"}, Fate::deliver);
-  harness.rule({"R", "C", FaultKind::pull}, Fate::refuse);
+  harness.rule({"R", "C", Kind::pull}, Fate::refuse);
   expect(harness.result(start_pull(harness, "R"), "the second pull"), "the second pull failed");
   same_value(pulled(harness, "R"), read_now(harness, "S", "A"));
 }
@@ -204,13 +203,13 @@
     three_replicas(harness);
     warm_up(harness, "R");
     accept_at_one(harness);
-    harness.rule({"R", "B", FaultKind::pull}, Fate::deliver);
-    harness.rule({"R", "C", FaultKind::pull}, Fate::deliver);
+    harness.rule({"R", "B", Kind::pull}, Fate::deliver);
+    harness.rule({"R", "C", Kind::pull}, Fate::deliver);
     auto pull = start_pull(harness, "R");
     harness.sleep(kPullSpan / 4 + Duration(4));
     harness.stall("R");
     lose_the_one_and_accept_at_another(harness);
-    harness.rule({"R", "A", FaultKind::pull}, Fate::deliver);
+    harness.rule({"R", "A", Kind::pull}, Fate::deliver);
     harness.sleep(Duration(5));
     harness.wake("R");
     harness.rule({"R"}, Fate::deliver);
@@ -222,9 +221,9 @@
 // P1 begins the change from A, B, C to A, B, D; A and B have voted for the joint set, and no
 // replica has adopted it.
 void vote_for_joint_set(ConsensusHarness& harness) {
-  harness.rule({"P1", "", FaultKind::adopt}, Fate::refuse);
+  harness.rule({"P1", "", Kind::adopt}, Fate::refuse);
   harness.rule({"P1", "C"}, Fate::refuse);
-  for (auto kind : {FaultKind::read, FaultKind::prepare, FaultKind::accept}) {
+  for (auto kind : {Kind::read, Kind::prepare, Kind::accept}) {
     harness.rule({"P1", "A", kind}, Fate::deliver);
     harness.rule({"P1", "B", kind}, Fate::deliver);
   }
@@ -233,7 +232,7 @@
   });
   auto begun = harness.result(begin, "the joint set");
   expect(std::holds_alternative<pb::ReplicaSet>(begun), "the joint set was not written");
-  harness.rule({"P1", "", FaultKind::adopt}, Fate::hold);
+  harness.rule({"P1", "", Kind::adopt}, Fate::hold);
 }
 
 auto start_finish(ConsensusHarness& harness) {
@@ -249,11 +248,11 @@
 
 // C does not adopt the joint set, and B does not answer the pull of names.
 void let_change_go_on(ConsensusHarness& harness) {
-  harness.rule({"P1", "C", FaultKind::adopt}, Fate::refuse);  // including the held one
-  for (auto kind : {FaultKind::pull, FaultKind::read, FaultKind::prepare, FaultKind::accept})
+  harness.rule({"P1", "C", Kind::adopt}, Fate::refuse);  // including the held one
+  for (auto kind : {Kind::pull, Kind::read, Kind::prepare, Kind::accept})
     harness.rule({"P1", "", kind}, Fate::deliver);
-  harness.rule({"P1", "B", FaultKind::pull}, Fate::refuse);
-  harness.rule({"P1", "C", FaultKind::read}, Fate::refuse);
+  harness.rule({"P1", "B", Kind::pull}, Fate::refuse);
+  harness.rule({"P1", "C", Kind::read}, Fate::refuse);
 }
 
 // The trace "without names_from_adopters". C, which has not adopted the joint set, answers the
@@ -266,20 +265,20 @@
     harness.sleep(kRoundLimit * 2);  // D has completed the wait of an empty disk
     vote_for_joint_set(harness);
     auto finish = start_finish(harness);
-    harness.deliver({"P1", "A", FaultKind::adopt});
-    harness.deliver({"P1", "D", FaultKind::adopt});
+    harness.deliver({"P1", "A", Kind::adopt});
+    harness.deliver({"P1", "D", Kind::adopt});
     auto write = start_write(harness, "P2", "one");
-    harness.deliver({"P2", "B", FaultKind::prepare});
-    harness.deliver({"P2", "C", FaultKind::prepare});
-    harness.deliver({"P2", "B", FaultKind::accept});
-    harness.deliver({"P1", "B", FaultKind::adopt});
-    harness.rule({"D", "B", FaultKind::snapshot}, Fate::refuse);
-    harness.deliver({"D", "A", FaultKind::snapshot});
-    harness.deliver({"D", "C", FaultKind::snapshot});
+    harness.deliver({"P2", "B", Kind::prepare});
+    harness.deliver({"P2", "C", Kind::prepare});
+    harness.deliver({"P2", "B", Kind::accept});
+    harness.deliver({"P1", "B", Kind::adopt});
+    harness.rule({"D", "B", Kind::snapshot}, Fate::refuse);
+    harness.deliver({"D", "A", Kind::snapshot});
+    harness.deliver({"D", "C", Kind::snapshot});
     await_voting(harness, "D");
     let_change_go_on(harness);
     auto finished = harness.result(finish, "the end of the change");
-    harness.deliver({"P2", "C", FaultKind::accept});
+    harness.deliver({"P2", "C", Kind::accept});
     auto written = harness.result(write, "the write");
     expect(std::holds_alternative<VersionedValue>(written), "the write was not acknowledged");
     if (!std::holds_alternative<pb::ReplicaSet>(finished)) {
