--- a/test/unit/consensus/trace_test.cpp
+++ b/test/unit/consensus/trace_test.cpp
@@ -27,7 +27,7 @@
 }
 
 // The proposers P1 and P2, the readers R and S, and the replicas A, B and C.
-void three_replicas(ConsensusHarness& harness) {
+void add_three_replicas(ConsensusHarness& harness) {
   harness.first_set({"A", "B", "C"});
   for (auto* name : {"A", "B", "C"}) harness.add_voting_replica(name);
   for (auto* name : {"P1", "P2", "R", "S"}) harness.add_client(name);
@@ -105,7 +105,7 @@
 
 void read_counts_no_copy() {
   run_with_all_seeds([](ConsensusHarness& harness) {
-    three_replicas(harness);
+    add_three_replicas(harness);
     copy_an_unchosen_value(harness);
     auto read = start_read(harness, "R");
     harness.deliver({"R", "B", Kind::read});
@@ -120,7 +120,7 @@
 
 void pull_counts_no_copy() {
   run_with_all_seeds([](ConsensusHarness& harness) {
-    three_replicas(harness);
+    add_three_replicas(harness);
     warm_up(harness, "R");
     copy_an_unchosen_value(harness);
     harness.rule({"R", "", Kind::pull}, Fate::deliver);
@@ -156,7 +156,7 @@
 
 void read_counts_no_old_reply() {
   run_with_all_seeds([](ConsensusHarness& harness) {
-    three_replicas(harness);
+    add_three_replicas(harness);
     accept_at_one(harness);
     auto read = start_read(harness, "R");
     harness.deliver({"R", "C", Kind::read});
@@ -172,7 +172,7 @@
 
 // C answers a pull of R before C loses its disk, A answers a later one; S then reads from B and C.
 void pull_of_a_lost_vote(ConsensusHarness& harness, Fate silence) {
-  three_replicas(harness);
+  add_three_replicas(harness);
   warm_up(harness, "R");
   accept_at_one(harness);
   harness.rule({"R", "", Kind::pull}, Fate::deliver);
@@ -200,7 +200,7 @@
 // The pulling node is suspended between the replies of C and A to one pull.
 void pull_counts_no_old_reply() {
   run_with_all_seeds([](ConsensusHarness& harness) {
-    three_replicas(harness);
+    add_three_replicas(harness);
     warm_up(harness, "R");
     accept_at_one(harness);
     harness.rule({"R", "B", Kind::pull}, Fate::deliver);
@@ -259,7 +259,7 @@
 // pull of names and then completes a quorum of the first set.
 void names_come_from_adopters() {
   run_with_all_seeds([](ConsensusHarness& harness) {
-    three_replicas(harness);
+    add_three_replicas(harness);
     harness.add_empty_replica("D");
     warm_up(harness, "P1");
     harness.sleep(kRoundLimit * 2);  // D has completed the wait of an empty disk
