--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-struct Conversation {
+struct PendingReply {
   std::optional<pb::PeerResponse> reply;
   bool refused = false;
   simulation::Wait wait;
@@ -81,7 +81,7 @@
   std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
                                                        const pb::PeerRequest& request,
                                                        const base::CallRules& rules) override {
-    auto conversation = std::make_shared<Conversation>();
+    auto conversation = std::make_shared<PendingReply>();
     harness_.send({name_, address, kind_of(request), request, conversation});
     TimePoint end = harness_.world().now() + rules.timeout;
     while (!conversation->over()) {
--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -19,12 +19,12 @@
 enum class MessageKind : uint8_t { any, prepare, accept, read, snapshot, adopt, pull };
 
 // A request in transit, and the state in which its sender waits for the reply.
-struct Conversation;
+struct PendingReply;
 struct Message {
   std::string from, to;
   MessageKind kind = MessageKind::any;
   pb::PeerRequest request;
-  std::shared_ptr<Conversation> conversation;
+  std::shared_ptr<PendingReply> conversation;
 };
 
 // Matches messages; an empty field matches every message.
