--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -81,15 +81,15 @@
   std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
                                                        const pb::PeerRequest& request,
                                                        const base::CallRules& rules) override {
-    auto conversation = std::make_shared<PendingReply>();
-    harness_.send({name_, address, kind_of(request), request, conversation});
+    auto pending_reply = std::make_shared<PendingReply>();
+    harness_.send({name_, address, kind_of(request), request, pending_reply});
     TimePoint end = harness_.world().now() + rules.timeout;
-    while (!conversation->over()) {
+    while (!pending_reply->over()) {
       auto now = harness_.world().now();
       if (now >= end) return base::PeerError::timed_out;
-      harness_.wait(name_, life_, end - now, conversation->wait);
+      harness_.wait(name_, life_, end - now, pending_reply->wait);
     }
-    if (conversation->reply) return *conversation->reply;
+    if (pending_reply->reply) return *pending_reply->reply;
     return base::PeerError::unreachable;
   }
 
@@ -278,11 +278,11 @@
 }
 
 void ConsensusHarness::reply(const Message& message, std::optional<pb::PeerResponse> answer) {
-  auto& conversation = *message.conversation;
-  if (conversation.over()) return;
-  conversation.reply = std::move(answer);
-  conversation.refused = !conversation.reply;
-  world_.notify(conversation.wait);
+  auto& pending_reply = *message.pending_reply;
+  if (pending_reply.over()) return;
+  pending_reply.reply = std::move(answer);
+  pending_reply.refused = !pending_reply.reply;
+  world_.notify(pending_reply.wait);
 }
 
 std::optional<Message> ConsensusHarness::take_held(const MessageFilter& filter) {
@@ -313,7 +313,7 @@
   await_sent(filter);
   auto message = take_held(filter);
   carry(*message, {Fate::deliver});
-  wait_until([&] { return message->conversation->over(); }, "the reply of " + filter.to);
+  wait_until([&] { return message->pending_reply->over(); }, "the reply of " + filter.to);
   sleep(Duration(1));
 }
 
--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -24,7 +24,7 @@
   std::string from, to;
   MessageKind kind = MessageKind::any;
   pb::PeerRequest request;
-  std::shared_ptr<PendingReply> conversation;
+  std::shared_ptr<PendingReply> pending_reply;
 };
 
 // Matches messages; an empty field matches every message.
