--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -89,7 +89,7 @@
   // Applies the fate to all matching messages from now on, including held ones. Later rules win.
   void rule(const MessageFilter& filter, Fate fate);
   // Called for messages that no rule matches.
-  void default_transit(std::function<Transit(const Message&)> decide) { decide_ = std::move(decide); }
+  void default_delivery(std::function<Transit(const Message&)> decide) { decide_ = std::move(decide); }
   // Waits for a matching message, delivers the oldest held one, and waits until its sender has
   // received the reply.
   void deliver(const MessageFilter& filter);
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -75,7 +75,7 @@
 
  private:
   void set_up() {
-    harness_.default_transit([this](const Message& message) { return transit(message); });
+    harness_.default_delivery([this](const Message& message) { return transit(message); });
     std::vector<std::string> first(disk_names_.begin(),
                                    disk_names_.begin() + static_cast<long>(schedule_.replicas));
     harness_.first_set(first);
@@ -308,7 +308,7 @@
   void heal_and_read() {
     note("the network heals and all nodes run");
     cut_off_.clear();
-    harness_.default_transit([](const Message&) { return Transit{Fate::deliver}; });
+    harness_.default_delivery([](const Message&) { return Transit{Fate::deliver}; });
     for (auto& name : node_names_)
       if (!harness_.running(name)) restart(name);
     harness_.sleep(kHealing);
