--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -141,7 +141,7 @@
 };
 
 ConsensusHarness::ConsensusHarness(uint64_t seed) : world_(seed) {
-  decide_ = [](const Message&) { return Transit{}; };
+  decide_ = [](const Message&) { return Delivery{}; };
 }
 ConsensusHarness::~ConsensusHarness() = default;
 
@@ -153,7 +153,7 @@
     } catch (const std::exception&) {
       failure = std::current_exception();
     }
-    decide_ = [](const Message&) { return Transit{Fate::drop}; };
+    decide_ = [](const Message&) { return Delivery{Fate::drop}; };
     for (auto& [name, node] : nodes_) crash(name);
   };
   world_.run(world_.now() + kLongestScript, nullptr, [&] { world_.spawn(script_, guarded); });
@@ -249,10 +249,10 @@
 void ConsensusHarness::send(const Message& message) {
   auto rule = std::find_if(rules_.rbegin(), rules_.rend(),
                            [&](const auto& entry) { return entry.first.matches(message); });
-  carry(message, rule == rules_.rend() ? decide_(message) : Transit{rule->second});
+  carry(message, rule == rules_.rend() ? decide_(message) : Delivery{rule->second});
 }
 
-void ConsensusHarness::carry(const Message& message, const Transit& transit) {
+void ConsensusHarness::carry(const Message& message, const Delivery& transit) {
   switch (transit.fate) {
     case Fate::hold:
       held_.push_back(message);
@@ -266,7 +266,7 @@
   }
 }
 
-void ConsensusHarness::arrive(const Message& message, const Transit& transit) {
+void ConsensusHarness::arrive(const Message& message, const Delivery& transit) {
   auto target = nodes_.find(message.to);
   if (target == nodes_.end() || !target->second.process || !target->second.replica) return reply(message, {});
   auto* process = target->second.process.get();
--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -42,7 +42,7 @@
 };
 
 // How a message that has just been sent is delivered.
-struct Transit {
+struct Delivery {
   Fate fate = Fate::hold;
   Duration request_delay{1}, reply_delay{0};
   bool reply_lost = false;
@@ -89,7 +89,7 @@
   // Applies the fate to all matching messages from now on, including held ones. Later rules win.
   void rule(const MessageFilter& filter, Fate fate);
   // Called for messages that no rule matches.
-  void default_delivery(std::function<Transit(const Message&)> decide) { decide_ = std::move(decide); }
+  void default_delivery(std::function<Delivery(const Message&)> decide) { decide_ = std::move(decide); }
   // Waits for a matching message, delivers the oldest held one, and waits until its sender has
   // received the reply.
   void deliver(const MessageFilter& filter);
@@ -123,8 +123,8 @@
   };
   void start_process(const std::string& name);
   void send(const Message& message);
-  void carry(const Message& message, const Transit& transit);
-  void arrive(const Message& message, const Transit& transit);
+  void carry(const Message& message, const Delivery& transit);
+  void arrive(const Message& message, const Delivery& transit);
   void reply(const Message& message, std::optional<pb::PeerResponse> answer);
   std::optional<Message> take_held(const MessageFilter& filter);
   bool wait(const std::string& name, const simulation::ProcessRunPtr& life, Duration span,
@@ -138,7 +138,7 @@
   std::vector<std::unique_ptr<HarnessProcess>> ended_;  // their fibers may still have to unwind
   std::vector<Message> held_;
   std::vector<std::pair<MessageFilter, Fate>> rules_;
-  std::function<Transit(const Message&)> decide_;
+  std::function<Delivery(const Message&)> decide_;
 };
 
 consensus::Replica replica_named(const std::string& name);
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -91,7 +91,7 @@
     return Duration(1 + harness_.world().below(chance(schedule_.slow_permille) ? kSlowMs : kUsualMs));
   }
 
-  Transit transit(const Message& message) {
+  Delivery transit(const Message& message) {
     bool cut = message.from == cut_off_ || message.to == cut_off_;
     if (cut || chance(schedule_.dropped_permille)) return {Fate::drop};
     return {Fate::deliver, some_delay(), some_delay(), chance(schedule_.dropped_permille)};
@@ -308,7 +308,7 @@
   void heal_and_read() {
     note("the network heals and all nodes run");
     cut_off_.clear();
-    harness_.default_delivery([](const Message&) { return Transit{Fate::deliver}; });
+    harness_.default_delivery([](const Message&) { return Delivery{Fate::deliver}; });
     for (auto& name : node_names_)
       if (!harness_.running(name)) restart(name);
     harness_.sleep(kHealing);
