--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -252,8 +252,8 @@
   carry(message, rule == rules_.rend() ? decide_(message) : Delivery{rule->second});
 }
 
-void ConsensusHarness::carry(const Message& message, const Delivery& transit) {
-  switch (transit.fate) {
+void ConsensusHarness::carry(const Message& message, const Delivery& delivery) {
+  switch (delivery.fate) {
     case Fate::hold:
       held_.push_back(message);
       return;
@@ -262,18 +262,18 @@
     case Fate::refuse:
       return reply(message, {});
     case Fate::deliver:
-      return world_.after(transit.request_delay, [this, message, transit] { arrive(message, transit); });
+      return world_.after(delivery.request_delay, [this, message, delivery] { arrive(message, delivery); });
   }
 }
 
-void ConsensusHarness::arrive(const Message& message, const Delivery& transit) {
+void ConsensusHarness::arrive(const Message& message, const Delivery& delivery) {
   auto target = nodes_.find(message.to);
   if (target == nodes_.end() || !target->second.process || !target->second.replica) return reply(message, {});
   auto* process = target->second.process.get();
-  world_.spawn(process->life, [this, process, message, transit] {
+  world_.spawn(process->life, [this, process, message, delivery] {
     auto answer = process->answer(message.request);
-    if (transit.reply_lost) return;
-    world_.after(transit.reply_delay, [this, message, answer] { reply(message, answer); });
+    if (delivery.reply_lost) return;
+    world_.after(delivery.reply_delay, [this, message, answer] { reply(message, answer); });
   });
 }
 
--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -123,8 +123,8 @@
   };
   void start_process(const std::string& name);
   void send(const Message& message);
-  void carry(const Message& message, const Delivery& transit);
-  void arrive(const Message& message, const Delivery& transit);
+  void carry(const Message& message, const Delivery& delivery);
+  void arrive(const Message& message, const Delivery& delivery);
   void reply(const Message& message, std::optional<pb::PeerResponse> answer);
   std::optional<Message> take_held(const MessageFilter& filter);
   bool wait(const std::string& name, const simulation::ProcessRunPtr& life, Duration span,
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -75,7 +75,7 @@
 
  private:
   void set_up() {
-    harness_.default_delivery([this](const Message& message) { return transit(message); });
+    harness_.default_delivery([this](const Message& message) { return delivery(message); });
     std::vector<std::string> first(disk_names_.begin(),
                                    disk_names_.begin() + static_cast<long>(schedule_.replicas));
     harness_.first_set(first);
@@ -91,7 +91,7 @@
     return Duration(1 + harness_.world().below(chance(schedule_.slow_permille) ? kSlowMs : kUsualMs));
   }
 
-  Delivery transit(const Message& message) {
+  Delivery delivery(const Message& message) {
     bool cut = message.from == cut_off_ || message.to == cut_off_;
     if (cut || chance(schedule_.dropped_permille)) return {Fate::drop};
     return {Fate::deliver, some_delay(), some_delay(), chance(schedule_.dropped_permille)};
