--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -249,10 +249,10 @@
 void ConsensusHarness::send(const Message& message) {
   auto rule = std::find_if(rules_.rbegin(), rules_.rend(),
                            [&](const auto& entry) { return entry.first.matches(message); });
-  carry(message, rule == rules_.rend() ? decide_(message) : Delivery{rule->second});
+  transmit(message, rule == rules_.rend() ? decide_(message) : Delivery{rule->second});
 }
 
-void ConsensusHarness::carry(const Message& message, const Delivery& delivery) {
+void ConsensusHarness::transmit(const Message& message, const Delivery& delivery) {
   switch (delivery.fate) {
     case Fate::hold:
       held_.push_back(message);
@@ -297,7 +297,7 @@
 void ConsensusHarness::rule(const MessageFilter& filter, Fate fate) {
   rules_.emplace_back(filter, fate);
   if (fate == Fate::hold) return;
-  while (auto message = take_held(filter)) carry(*message, {fate});
+  while (auto message = take_held(filter)) transmit(*message, {fate});
 }
 
 bool ConsensusHarness::held(const MessageFilter& filter) const {
@@ -312,7 +312,7 @@
 void ConsensusHarness::deliver(const MessageFilter& filter) {
   await_sent(filter);
   auto message = take_held(filter);
-  carry(*message, {Fate::deliver});
+  transmit(*message, {Fate::deliver});
   wait_until([&] { return message->pending_reply->over(); }, "the reply of " + filter.to);
   sleep(Duration(1));
 }
--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -123,7 +123,7 @@
   };
   void start_process(const std::string& name);
   void send(const Message& message);
-  void carry(const Message& message, const Delivery& delivery);
+  void transmit(const Message& message, const Delivery& delivery);
   void arrive(const Message& message, const Delivery& delivery);
   void reply(const Message& message, std::optional<pb::PeerResponse> answer);
   std::optional<Message> take_held(const MessageFilter& filter);
