--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -48,36 +48,36 @@
 class HarnessCondition final : public base::Condition {
  public:
   HarnessCondition(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
-      : harness_(harness), name_(std::move(name)), life_(std::move(life)) {}
-  bool wait(Duration span) override { return harness_.wait(name_, life_, span, wait_); }
+      : harness_(harness), name_(std::move(name)), process_run_(std::move(life)) {}
+  bool wait(Duration span) override { return harness_.wait(name_, process_run_, span, wait_); }
   void notify() override { harness_.world().notify(wait_); }
 
  private:
   ConsensusHarness& harness_;
   std::string name_;
-  simulation::ProcessRunPtr life_;
+  simulation::ProcessRunPtr process_run_;
   simulation::Wait wait_;
 };
 
 class HarnessTasks final : public base::Tasks {
  public:
   HarnessTasks(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
-      : harness_(harness), name_(std::move(name)), life_(std::move(life)) {}
-  void spawn(std::function<void()> task) override { harness_.world().spawn(life_, std::move(task)); }
+      : harness_(harness), name_(std::move(name)), process_run_(std::move(life)) {}
+  void spawn(std::function<void()> task) override { harness_.world().spawn(process_run_, std::move(task)); }
   std::shared_ptr<base::Condition> condition() override {
-    return std::make_shared<HarnessCondition>(harness_, name_, life_);
+    return std::make_shared<HarnessCondition>(harness_, name_, process_run_);
   }
 
  private:
   ConsensusHarness& harness_;
   std::string name_;
-  simulation::ProcessRunPtr life_;
+  simulation::ProcessRunPtr process_run_;
 };
 
 class HarnessNet final : public base::PeerTransport {
  public:
   HarnessNet(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
-      : harness_(harness), name_(std::move(name)), life_(std::move(life)) {}
+      : harness_(harness), name_(std::move(name)), process_run_(std::move(life)) {}
   std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
                                                        const pb::PeerRequest& request,
                                                        const base::CallRules& rules) override {
@@ -87,7 +87,7 @@
     while (!pending_reply->over()) {
       auto now = harness_.world().now();
       if (now >= end) return base::PeerError::timed_out;
-      harness_.wait(name_, life_, end - now, pending_reply->wait);
+      harness_.wait(name_, process_run_, end - now, pending_reply->wait);
     }
     if (pending_reply->reply) return *pending_reply->reply;
     return base::PeerError::unreachable;
@@ -96,7 +96,7 @@
  private:
   ConsensusHarness& harness_;
   std::string name_;
-  simulation::ProcessRunPtr life_;
+  simulation::ProcessRunPtr process_run_;
 };
 
 // One run of a node's process.
