--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -47,8 +47,8 @@
 
 class HarnessCondition final : public base::Condition {
  public:
-  HarnessCondition(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
-      : harness_(harness), name_(std::move(name)), process_run_(std::move(life)) {}
+  HarnessCondition(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr process_run)
+      : harness_(harness), name_(std::move(name)), process_run_(std::move(process_run)) {}
   bool wait(Duration span) override { return harness_.wait(name_, process_run_, span, wait_); }
   void notify() override { harness_.world().notify(wait_); }
 
@@ -61,8 +61,8 @@
 
 class HarnessTasks final : public base::Tasks {
  public:
-  HarnessTasks(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
-      : harness_(harness), name_(std::move(name)), process_run_(std::move(life)) {}
+  HarnessTasks(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr process_run)
+      : harness_(harness), name_(std::move(name)), process_run_(std::move(process_run)) {}
   void spawn(std::function<void()> task) override { harness_.world().spawn(process_run_, std::move(task)); }
   std::shared_ptr<base::Condition> condition() override {
     return std::make_shared<HarnessCondition>(harness_, name_, process_run_);
@@ -76,8 +76,8 @@
 
 class HarnessNet final : public base::PeerTransport {
  public:
-  HarnessNet(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr life)
-      : harness_(harness), name_(std::move(name)), process_run_(std::move(life)) {}
+  HarnessNet(ConsensusHarness& harness, std::string name, simulation::ProcessRunPtr process_run)
+      : harness_(harness), name_(std::move(name)), process_run_(std::move(process_run)) {}
   std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
                                                        const pb::PeerRequest& request,
                                                        const base::CallRules& rules) override {
@@ -101,7 +101,7 @@
 
 // One run of a node's process.
 struct HarnessProcess {
-  simulation::ProcessRunPtr life;
+  simulation::ProcessRunPtr process_run;
   simulation::Clock clock;
   simulation::Random random;
   HarnessTasks tasks;
@@ -116,14 +116,14 @@
 
   HarnessProcess(ConsensusHarness& harness, const std::string& name, simulation::DiskContents& contents,
                  bool replica, const pb::ReplicaSet& first_set, int64_t* wall)
-      : life(std::make_shared<simulation::ProcessRun>()),
-        clock(harness.world(), life, wall),
+      : process_run(std::make_shared<simulation::ProcessRun>()),
+        clock(harness.world(), process_run, wall),
         random(harness.world()),
-        tasks(harness, name, life),
-        net(harness, name, life),
-        disk(harness.world(), life, contents),
+        tasks(harness, name, process_run),
+        net(harness, name, process_run),
+        disk(harness.world(), process_run, contents),
         set({}) {
-    life->host = name;
+    process_run->host = name;
     set.adopt(first_set);
     if (replica) acceptor = std::make_unique<consensus::Acceptor>(ports, disk, name, set, kRoundLimit);
     consensus::LocalReplica local;
@@ -218,7 +218,7 @@
 void ConsensusHarness::crash(const std::string& name) {
   auto& node = nodes_.at(name);
   if (!node.process) return;
-  world_.kill(node.process->life);
+  world_.kill(node.process->process_run);
   ended_.push_back(std::move(node.process));
 }
 
@@ -238,11 +238,11 @@
 void ConsensusHarness::stall(const std::string& name) { nodes_.at(name).stalled = true; }
 void ConsensusHarness::wake(const std::string& name) { nodes_.at(name).stalled = false; }
 
-bool ConsensusHarness::wait(const std::string& name, const simulation::ProcessRunPtr& life, Duration span,
-                            simulation::Wait& wait) {
-  if (world_.wait(life, span, wait)) return true;
+bool ConsensusHarness::wait(const std::string& name, const simulation::ProcessRunPtr& process_run,
+                            Duration span, simulation::Wait& wait) {
+  if (world_.wait(process_run, span, wait)) return true;
   while (nodes_.at(name).stalled)
-    if (world_.wait(life, Duration(1), wait)) return true;
+    if (world_.wait(process_run, Duration(1), wait)) return true;
   return false;
 }
 
@@ -270,7 +270,7 @@
   auto target = nodes_.find(message.to);
   if (target == nodes_.end() || !target->second.process || !target->second.replica) return reply(message, {});
   auto* process = target->second.process.get();
-  world_.spawn(process->life, [this, process, message, delivery] {
+  world_.spawn(process->process_run, [this, process, message, delivery] {
     auto answer = process->answer(message.request);
     if (delivery.reply_lost) return;
     world_.after(delivery.reply_delay, [this, message, answer] { reply(message, answer); });
@@ -331,7 +331,7 @@
 }
 
 void ConsensusHarness::spawn(const std::string& name, std::function<void()> task) {
-  world_.spawn(nodes_.at(name).process->life, std::move(task));
+  world_.spawn(nodes_.at(name).process->process_run, std::move(task));
 }
 
 }  // namespace dunlinwing::test
--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -127,7 +127,7 @@
   void arrive(const Message& message, const Delivery& delivery);
   void reply(const Message& message, std::optional<pb::PeerResponse> answer);
   std::optional<Message> take_held(const MessageFilter& filter);
-  bool wait(const std::string& name, const simulation::ProcessRunPtr& life, Duration span,
+  bool wait(const std::string& name, const simulation::ProcessRunPtr& process_run, Duration span,
             simulation::Wait& wait);
 
   simulation::World world_;
