--- a/test/unit/consensus/consensus_history.cpp
+++ b/test/unit/consensus/consensus_history.cpp
@@ -31,10 +31,11 @@
                           observation.register_name, value.version, value.data);
   note(now, what);
   if (value.version < observation.floor)
-    violated(fmt::format("{}, but version {} was returned before the call began", what, observation.floor));
+    add_violation(
+        fmt::format("{}, but version {} was returned before the call began", what, observation.floor));
   auto [known, first] = observed.values.emplace(value.version, value.data);
   if (!first && known->second != value.data)
-    violated(fmt::format("{}, but an earlier call returned that version as {}", what, known->second));
+    add_violation(fmt::format("{}, but an earlier call returned that version as {}", what, known->second));
   check_chain(observed, value.version);
   check_chain(observed, value.version + 1);
   observed.floor = std::max(observed.floor, value.version);
@@ -48,14 +49,15 @@
   bool told = version == 1 || previous != observed.values.end();
   auto name = version == 1 ? "" : told ? own_name(previous->second) : "";
   if (told && previous_name(value->second) != name)
-    violated(fmt::format("version {} is {}, but the previous version is {}", version, value->second, name));
+    add_violation(
+        fmt::format("version {} is {}, but the previous version is {}", version, value->second, name));
 }
 
 void History::note(TimePoint now, const std::string& line) {
   lines_.push_back(fmt::format("{} {}", now.count(), line));
 }
 
-void History::violated(const std::string& what) {
+void History::add_violation(const std::string& what) {
   violations_.push_back(what);
   lines_.push_back("VIOLATED: " + what);
 }
--- a/test/unit/consensus/consensus_history.hpp
+++ b/test/unit/consensus/consensus_history.hpp
@@ -21,7 +21,7 @@
   // Records the value that a call acknowledged or returned, and checks it.
   void observe(TimePoint now, const Observation& observation, const consensus::VersionedValue& value);
   void note(TimePoint now, const std::string& line);
-  void violated(const std::string& what);
+  void add_violation(const std::string& what);
   const std::vector<std::string>& violations() const { return violations_; }
   // All noted lines, then the violations.
   std::string report() const;
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -149,7 +149,7 @@
       auto result = harness_.client(name).write(register_name, known.version, data);
       if (auto* written = std::get_if<VersionedValue>(&result)) {
         ++tally_.acknowledged;
-        if (written->version != known.version + 1) history_.violated("a write skips versions");
+        if (written->version != known.version + 1) history_.add_violation("a write skips versions");
         known = *written;
       } else if (auto* conflict = std::get_if<consensus::VersionConflict>(&result)) {
         known = conflict->current;
