--- a/test/unit/consensus/consensus_history.cpp
+++ b/test/unit/consensus/consensus_history.cpp
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-uint64_t History::floor(const std::string& register_name) const {
+uint64_t History::latest_version(const std::string& register_name) const {
   auto found = registers_.find(register_name);
-  return found == registers_.end() ? 0 : found->second.floor;
+  return found == registers_.end() ? 0 : found->second.latest_version;
 }
 
 std::string History::successor(const std::string& writer, const consensus::VersionedValue& previous) {
@@ -30,15 +30,15 @@
   auto what = fmt::format("{}: {} of {} returned version {}, {}", observation.node, observation.call,
                           observation.register_name, value.version, value.data);
   note(now, what);
-  if (value.version < observation.floor)
-    add_violation(
-        fmt::format("{}, but version {} was returned before the call began", what, observation.floor));
+  if (value.version < observation.latest_version)
+    add_violation(fmt::format("{}, but version {} was returned before the call began", what,
+                              observation.latest_version));
   auto [known, first] = observed.values.emplace(value.version, value.data);
   if (!first && known->second != value.data)
     add_violation(fmt::format("{}, but an earlier call returned that version as {}", what, known->second));
   check_chain(observed, value.version);
   check_chain(observed, value.version + 1);
-  observed.floor = std::max(observed.floor, value.version);
+  observed.latest_version = std::max(observed.latest_version, value.version);
 }
 
 // Checks that the value of a version names the value of the previous version, if both were returned.
--- a/test/unit/consensus/consensus_history.hpp
+++ b/test/unit/consensus/consensus_history.hpp
@@ -6,16 +6,16 @@
 
 namespace dunlinwing::test {
 
-// The call of a node. `floor`: the latest version that any call had returned when it began.
+// The call of a node. `latest_version`: the latest version that any call had returned when it began.
 struct Observation {
   std::string node, call, register_name;
-  uint64_t floor = 0;
+  uint64_t latest_version = 0;
 };
 
 class History {
  public:
   // The latest version of a register that any call has returned.
-  uint64_t floor(const std::string& register_name) const;
+  uint64_t latest_version(const std::string& register_name) const;
   // A new value to replace `previous`; it contains the name of `previous`.
   std::string successor(const std::string& writer, const consensus::VersionedValue& previous);
   // Records the value that a call acknowledged or returned, and checks it.
@@ -29,7 +29,7 @@
  private:
   struct Register {
     std::map<uint64_t, std::string> values;  // by version
-    uint64_t floor = 0;
+    uint64_t latest_version = 0;
   };
   void check_chain(const Register& observed, uint64_t version);
 
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -144,7 +144,7 @@
     auto& register_name = written_register.name;
     VersionedValue known;
     for (;; nap(pauses, Duration(1 + harness_.world().below(written_register.longest_pause_ms)))) {
-      auto began = history_.floor(register_name);
+      auto began = history_.latest_version(register_name);
       auto data = history_.successor(name, known);
       auto result = harness_.client(name).write(register_name, known.version, data);
       if (auto* written = std::get_if<VersionedValue>(&result)) {
@@ -161,7 +161,7 @@
   }
 
   void read(const std::string& name, const std::string& register_name) {
-    auto began = history_.floor(register_name);
+    auto began = history_.latest_version(register_name);
     auto result = harness_.client(name).read(register_name);
     auto* value = std::get_if<VersionedValue>(&result);
     if (!value) return;
@@ -171,7 +171,7 @@
 
   // A successful pull that starts after this call began returns everything acknowledged before.
   void cached_read(const std::string& name, const std::string& register_name) {
-    auto began = history_.floor(register_name);
+    auto began = history_.latest_version(register_name);
     if (!harness_.cache(name).await_pull(kStalenessBound)) return;
     ++tally_.cached_reads;
     auto& chosen = harness_.cache(name).chosen();
