--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -252,16 +252,16 @@
 
   // One disk at a time: the previous one has to vote again, without refilled registers.
   bool may_lose_disk() {
-    if (lost_.empty()) return true;
-    if (!harness_.running(lost_) || harness_.acceptor(lost_).non_voting()) return false;
-    if (!harness_.acceptor(lost_).refilled_registers().empty()) return false;
+    if (last_lost_disk_.empty()) return true;
+    if (!harness_.running(last_lost_disk_) || harness_.acceptor(last_lost_disk_).non_voting()) return false;
+    if (!harness_.acceptor(last_lost_disk_).refilled_registers().empty()) return false;
     ++tally_.refills;
     return true;
   }
 
   void lose_disk(const std::string& name) {
     if (!may_lose_disk()) return;
-    lost_ = name;
+    last_lost_disk_ = name;
     ++tally_.losses;
     note(name + " loses its disk");
     crash(name);
@@ -326,7 +326,7 @@
   std::vector<std::string> disk_names_, node_names_;
   std::map<std::string, simulation::ProcessRunPtr> pauses_;  // of each node's tasks
   std::set<std::string> changing_;                           // nodes with a change in progress
-  std::string lost_, cut_off_;
+  std::string last_lost_disk_, cut_off_;
   History history_;
   Tally tally_;
 };
