--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -92,7 +92,7 @@
   }
 
   Delivery delivery(const Message& message) {
-    bool cut = message.from == cut_off_ || message.to == cut_off_;
+    bool cut = message.from == isolated_node_ || message.to == isolated_node_;
     if (cut || chance(schedule_.dropped_permille)) return {Fate::drop};
     return {Fate::deliver, some_delay(), some_delay(), chance(schedule_.dropped_permille)};
   }
@@ -297,8 +297,8 @@
       case StepKind::lose_disk:
         return lose_disk(disk_names_[step.node % disk_names_.size()]);
       case StepKind::cut_off:
-        cut_off_ = cut_off_.empty() ? node : "";
-        return note(cut_off_.empty() ? "no node is isolated" : cut_off_ + " is isolated");
+        isolated_node_ = isolated_node_.empty() ? node : "";
+        return note(isolated_node_.empty() ? "no node is isolated" : isolated_node_ + " is isolated");
       case StepKind::read:
       case StepKind::cached_read:
         return read_somewhere(step);
@@ -307,7 +307,7 @@
 
   void heal_and_read() {
     note("the network heals and all nodes run");
-    cut_off_.clear();
+    isolated_node_.clear();
     harness_.default_delivery([](const Message&) { return Delivery{Fate::deliver}; });
     for (auto& name : node_names_)
       if (!harness_.running(name)) restart(name);
@@ -326,7 +326,7 @@
   std::vector<std::string> disk_names_, node_names_;
   std::map<std::string, simulation::ProcessRunPtr> pauses_;  // of each node's tasks
   std::set<std::string> changing_;                           // nodes with a change in progress
-  std::string last_lost_disk_, cut_off_;
+  std::string last_lost_disk_, isolated_node_;
   History history_;
   Tally tally_;
 };
