--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -12,11 +12,11 @@
 // How a call fails.
 enum class Fault {
   none,
-  refused,   // nothing is written
-  partial,   // some of the bytes reach the cache: the disk is full
-  unsynced,  // all bytes reach the cache, and the sync fails
-  denied,    // all bytes reach the medium, but the call returns an error
-  lied,      // the call returns success, but some of the bytes are lost
+  refused,        // nothing is written
+  partial,        // some of the bytes reach the cache: the disk is full
+  unsynced,       // all bytes reach the cache, and the sync fails
+  denied,         // all bytes reach the medium, but the call returns an error
+  false_success,  // the call returns success, but some of the bytes are lost
 };
 constexpr Fault kHonest[] = {Fault::refused, Fault::partial, Fault::unsynced, Fault::denied};
 
@@ -65,7 +65,7 @@
   }
   bool sync_folder() override {
     auto fault = plan_();
-    if (fault != Fault::none && fault != Fault::denied && fault != Fault::lied) return false;
+    if (fault != Fault::none && fault != Fault::denied && fault != Fault::false_success) return false;
     for (auto& [name, file] : medium_.files) file.named = true;
     return fault != Fault::denied;
   }
@@ -81,7 +81,7 @@
       throw;
     }
     if (fault == Fault::refused) return false;
-    bool part = fault == Fault::partial || fault == Fault::lied;
+    bool part = fault == Fault::partial || fault == Fault::false_success;
     auto& file = put(name, before, part ? bytes.substr(0, medium_.below(bytes.size())) : bytes);
     if (fault == Fault::partial || fault == Fault::unsynced) return false;
     file.synced = file.cached;
@@ -252,7 +252,7 @@
     fault = Fault::refused;
     replica.vote("a", 2, acknowledged);
     expect(replica.non_voting(), "a refused write was acknowledged");
-    fault = Fault::lied;
+    fault = Fault::false_success;
     replica.recover(acknowledged);
     expect(replica.non_voting(), "an incomplete snapshot was accepted as written");
     fault = Fault::none;
