--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -15,10 +15,10 @@
   refused,        // nothing is written
   partial,        // some of the bytes reach the cache: the disk is full
   unsynced,       // all bytes reach the cache, and the sync fails
-  denied,         // all bytes reach the medium, but the call returns an error
+  false_error,    // all bytes reach the medium, but the call returns an error
   false_success,  // the call returns success, but some of the bytes are lost
 };
-constexpr Fault kHonest[] = {Fault::refused, Fault::partial, Fault::unsynced, Fault::denied};
+constexpr Fault kHonest[] = {Fault::refused, Fault::partial, Fault::unsynced, Fault::false_error};
 
 struct ProcessEnds {};  // thrown in the call during which the process ends
 
@@ -65,9 +65,9 @@
   }
   bool sync_folder() override {
     auto fault = plan_();
-    if (fault != Fault::none && fault != Fault::denied && fault != Fault::false_success) return false;
+    if (fault != Fault::none && fault != Fault::false_error && fault != Fault::false_success) return false;
     for (auto& [name, file] : medium_.files) file.named = true;
-    return fault != Fault::denied;
+    return fault != Fault::false_error;
   }
   std::string location() const override { return "model"; }
 
@@ -85,7 +85,7 @@
     auto& file = put(name, before, part ? bytes.substr(0, medium_.below(bytes.size())) : bytes);
     if (fault == Fault::partial || fault == Fault::unsynced) return false;
     file.synced = file.cached;
-    return fault != Fault::denied;
+    return fault != Fault::false_error;
   }
   MediumFile& put(const std::string& name, const std::string& before, const std::string& bytes) {
     auto& file = medium_.files[name];
