--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -18,7 +18,7 @@
   false_error,    // all bytes reach the medium, but the call returns an error
   false_success,  // the call returns success, but some of the bytes are lost
 };
-constexpr Fault kHonest[] = {Fault::refused, Fault::partial, Fault::unsynced, Fault::false_error};
+constexpr Fault kReportedFaults[] = {Fault::refused, Fault::partial, Fault::unsynced, Fault::false_error};
 
 struct ProcessEnds {};  // thrown in the call during which the process ends
 
@@ -183,7 +183,7 @@
 void every_single_call() {
   constexpr int kCalls = 60;  // more than the votes need
   int runs = 0;
-  for (auto kind : kHonest)
+  for (auto kind : kReportedFaults)
     for (int first = 0; first < kCalls; ++first)
       for (int count : {1, 2, 5})
         for (int end : {first + 1, first + 2, first + 3, first + count, first + count + 4, kNever})
@@ -229,7 +229,8 @@
       if (left-- == 0) throw ProcessEnds{};
       bool goes_on = last != Fault::none && medium.below(100) < 60;
       if (!goes_on)
-        last = medium.below(100) < percent ? kHonest[medium.below(std::size(kHonest))] : Fault::none;
+        last = medium.below(100) < percent ? kReportedFaults[medium.below(std::size(kReportedFaults))]
+                                           : Fault::none;
       return last;
     };
     run_process(medium, log_bytes, plan, version, acknowledged);
