--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -70,7 +70,7 @@
 
   bool non_voting() const { return writer.failed() || stage != pb::REPLICA_VOTING; }
 
-  // ---- Memory ----
+  // ---- State in memory ----
 
   pb::Snapshot snapshot() const {
     pb::Snapshot all;
@@ -92,7 +92,7 @@
     if (stage == pb::REPLICA_EMPTY && snapshot.has_initial_boot()) initial_boot = snapshot.initial_boot();
   }
 
-  // True for a disk on which nothing was ever recorded.
+  // Whether nothing was ever recorded on the disk.
   bool is_new() const {
     return !initial_boot && stage == pb::REPLICA_EMPTY && registers.empty() && epoch == 0;
   }
--- a/src/consensus/acceptor.hpp
+++ b/src/consensus/acceptor.hpp
@@ -27,7 +27,7 @@
 
   /// Loads the disk and, when it may not vote, starts to refill it. Called once, before any other method.
   /// @param initial_boot  set when this is the first start of the whole fleet; without it an empty disk is
-  ///     refilled only by disks that vote, or joins with others that never voted
+  ///     refilled only from voting disks, or joins together with others that never voted
   void start(const std::optional<pb::InitialBoot>& initial_boot);
   /// The value passed to start(), or the one recorded on the empty disk.
   std::optional<pb::InitialBoot> initial_boot() const;
--- a/src/consensus/quorum_call.cpp
+++ b/src/consensus/quorum_call.cpp
@@ -7,7 +7,7 @@
 /// returned can still be stored.
 struct Call {
   PeerResponses responses;
-  size_t pending = 0;  ///< requests without an outcome
+  size_t pending = 0;  ///< requests that have neither completed nor failed
   std::shared_ptr<base::Condition> condition;
 };
 
--- a/src/consensus/record_writer.hpp
+++ b/src/consensus/record_writer.hpp
@@ -58,7 +58,7 @@
 
   /// Whether the disk failed and has not been rewritten yet.
   bool failed() const { return failed_; }
-  /// Whether a write takes longer than the timeout: nothing more should be queued behind it.
+  /// Whether the current write takes longer than the timeout; no more records should be queued then.
   bool stalled() const { return writing_ && ports_.clock.now() - write_began_ > timeout_; }
 
  private:
@@ -78,7 +78,7 @@
   bool writing_ = false;              ///< a fiber executes write_batches() or recover(); at most one does
   TimePoint write_began_{0};          ///< start of the current write; meaningful while `writing_`
   bool failed_ = false;
-  bool refused_while_failed_ = false;  ///< memory changed since the snapshot being written was made
+  bool refused_while_failed_ = false;  ///< memory changed after the snapshot in progress was made
   uint64_t failures_ = 0;              ///< incremented by each failure; waiting callers are then refused
   std::vector<std::shared_ptr<base::Condition>> waiters_;
 };
--- a/src/consensus/refill.hpp
+++ b/src/consensus/refill.hpp
@@ -11,7 +11,7 @@
 ///   round still counts a vote of the lost disk, and then copies the highest promise and value of each
 ///   register from a majority of the other replicas. So does a machine that has just become a replica.
 ///
-/// Threads: the functions have no state of their own.
+/// Threads: the functions are stateless.
 #pragma once
 #include "consensus/replica_set.hpp"
 
@@ -23,7 +23,7 @@
   size_t responded = 0;                ///< of these, the ones that responded
   size_t joining = 0;                  ///< disks that are joining or voting
   size_t voting = 0;                   ///< disks that are voting
-  size_t voting_on_complete_list = 0;  ///< of these, the ones on the list that holds everything ever chosen
+  size_t voting_on_complete_list = 0;  ///< of these, the ones on ReplicaSetView::complete_list()
   size_t with_registers = 0;           ///< replicas that have at least one register
   bool newer_set = false;              ///< a response contained a newer replica set than this node had
   std::map<std::string, pb::RegisterState> registers;  ///< the highest state of each, from voting disks
--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -10,15 +10,14 @@
 
 namespace dunlinwing::consensus {
 namespace {
-constexpr int kEarlierWriteIds = 8;         // write identifiers of earlier writes in a value
-constexpr int kOperationTimeoutRounds = 5;  // time limit of an operation, in round timeouts
-constexpr int kMaxRoundsWithoutQuorum = 3;  // rounds without a voting quorum before an operation gives up
-constexpr int kMaxRewriteRounds = 10;       // rounds for each register to rewrite
-constexpr size_t kConcurrentRewrites = 16;  // replicas sync concurrent votes in one write
-constexpr size_t kMinReplicas = 3;          // the fewest that tolerate the loss of one
-constexpr int kSetAnnouncementDivisor = 4;  // round timeout / this: time limit for announcing a new set
-constexpr uint64_t kFirstBackOffDivisor =
-    32;  // round timeout / this: the longest pause after the first round
+constexpr int kEarlierWriteIds = 8;            // write identifiers of earlier writes in a value
+constexpr int kOperationTimeoutRounds = 5;     // time limit of an operation, in round timeouts
+constexpr int kMaxRoundsWithoutQuorum = 3;     // rounds without a voting quorum before an operation gives up
+constexpr int kMaxRewriteRounds = 10;          // rounds for each register to rewrite
+constexpr size_t kConcurrentRewrites = 16;     // replicas sync concurrent votes in one write
+constexpr size_t kMinReplicas = 3;             // the fewest that tolerate the loss of one
+constexpr int kSetAnnouncementDivisor = 4;     // round timeout / this: time limit for announcing a new set
+constexpr uint64_t kFirstBackOffDivisor = 32;  // round timeout / this: longest pause after the first round
 constexpr int kMaxBackOffDoublings = 6;
 
 using Response = std::optional<pb::PeerResponse>;
--- a/src/consensus/vote.hpp
+++ b/src/consensus/vote.hpp
@@ -3,7 +3,7 @@
 /// request to the next state and a vote. The acceptor adds timeouts and the disk.
 ///
 /// Invariants: ballots in a state never decrease; a value is accepted only at a ballot not below the promise.
-/// Threads: the functions have no state of their own.
+/// Threads: the functions are stateless.
 #pragma once
 #include "base/common.hpp"
 #include "wire.pb.h"
