--- a/src/storage/framing.hpp
+++ b/src/storage/framing.hpp
@@ -3,7 +3,7 @@
 /// head and payload. Independent of file access, so that tests can damage the bytes.
 ///
 /// Invariant: the format never changes, since files in it are stored.
-/// Threads: the functions have no state of their own.
+/// Threads: the functions are stateless.
 #pragma once
 #include "base/common.hpp"
 
--- a/src/storage/snapshot_store.cpp
+++ b/src/storage/snapshot_store.cpp
@@ -141,7 +141,7 @@
 
 }  // namespace
 
-/// The state of the files. Used by the thread of the store's caller.
+/// The state of the files. Used only by the thread that calls the store.
 struct SnapshotStore::Impl {
   std::unique_ptr<Files> files;
   const size_t max_log_bytes;
