--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -1,4 +1,4 @@
-// A scripted environment for the product's consensus.
+// A scripted environment for the production consensus classes.
 //
 // Every node runs the production Acceptor, RegisterClient and StateCache on a simulated clock. The
 // test controls the network: each request is a message that is held until the test delivers,
@@ -35,7 +35,7 @@
 };
 
 enum class Fate : uint8_t {
-  hold,     // until the test decides
+  hold,     // until the test decides what happens
   deliver,  // the request and then its reply
   refuse,   // the sender gets an error at once: the target is unreachable
   drop,     // the sender gets no response and times out
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -47,7 +47,7 @@
   return names;
 }
 
-// Plays one schedule.
+// Runs one schedule.
 class ScheduleRun {
  public:
   explicit ScheduleRun(const Schedule& schedule) : schedule_(schedule), harness_(schedule.seed) {
--- a/test/unit/consensus/register_test.cpp
+++ b/test/unit/consensus/register_test.cpp
@@ -124,8 +124,9 @@
 
 std::vector<Case> registry_cases() {
   return {
-      property("registry: of racing proposers at most one value is chosen for a version", racing_proposers),
-      {"registry: a promise is not given twice, nor an accept below it", promise_binds},
+      property("register: at most one value is chosen for a version by competing proposers",
+               racing_proposers),
+      {"register: a ballot is not promised twice, and no accept below a promise is granted", promise_binds},
   };
 }
 
--- a/test/unit/consensus/trace_test.cpp
+++ b/test/unit/consensus/trace_test.cpp
@@ -53,7 +53,7 @@
   return *value;
 }
 
-// Reads with every message delivered, except those to `without`.
+// Reads from a node; every message is delivered except those to `without`.
 VersionedValue read_now(ConsensusHarness& harness, const std::string& node, const std::string& without) {
   harness.rule({node}, Fate::deliver);
   if (!without.empty()) harness.rule({node, without}, Fate::refuse);
