--- a/test/unit/storage/snapshot_store_test.cpp
+++ b/test/unit/storage/snapshot_store_test.cpp
@@ -84,7 +84,7 @@
 void damaged_log() {
   simulation::DiskContents contents;
   auto written = fill(contents, *rc::gen::inRange(5, 40), 1 << 20);
-  // The log in use is the longer one; damage anywhere before its last record.
+  // The log in use is the longer one. Damages a byte before its last record.
   auto& bytes = contents.files["log.0"].size() > contents.files["log.1"].size() ? contents.files["log.0"]
                                                                                 : contents.files["log.1"];
   auto parts = storage::unframe(bytes).payloads;
--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -24,7 +24,7 @@
 
 struct MediumFile {
   std::string cached, synced;
-  bool named = false;  // the folder was synced since the file was made
+  bool named = false;  // the folder was synced after the file was created
 };
 
 struct Medium {
@@ -110,7 +110,7 @@
     auto loaded = store_.load();
     non_voting_ = loaded.unwritten;
     possibly_lost_ = loaded.possibly_lost;
-    if (possibly_lost_ && acknowledged.empty()) return "";  // a first snapshot that was never complete
+    if (possibly_lost_ && acknowledged.empty()) return "";  // the first snapshot was never completed
     if (possibly_lost_) return "reported as possibly lost, though no byte that was synced is damaged";
     for (auto& slot : loaded.snapshot.registers()) memory_[slot.name()] = slot;
     for (auto& [name, version] : acknowledged)
