--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -220,10 +220,10 @@
   medium.random.seed(*rc::gen::arbitrary<uint64_t>());
   auto log_bytes = *rc::gen::inRange<size_t>(60, 2000);
   auto percent = *rc::gen::inRange<size_t>(0, 50);
-  auto lives = *rc::gen::inRange(1, 8);
+  auto run_count = *rc::gen::inRange(1, 8);
   Versions acknowledged;
   uint64_t version = 0;
-  for (int life = 0; life < lives; ++life) {
+  for (int life = 0; life < run_count; ++life) {
     int left = static_cast<int>(medium.below(60));
     auto plan = [&, last = Fault::none]() mutable {
       if (left-- == 0) throw ProcessEnds{};
