--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -223,7 +223,7 @@
   auto run_count = *rc::gen::inRange(1, 8);
   Versions acknowledged;
   uint64_t version = 0;
-  for (int life = 0; life < run_count; ++life) {
+  for (int run_index = 0; run_index < run_count; ++run_index) {
     int left = static_cast<int>(medium.below(60));
     auto plan = [&, last = Fault::none]() mutable {
       if (left-- == 0) throw ProcessEnds{};
