--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -224,9 +224,9 @@
   Versions acknowledged;
   uint64_t version = 0;
   for (int run_index = 0; run_index < run_count; ++run_index) {
-    int left = static_cast<int>(medium.below(60));
+    int calls_left = static_cast<int>(medium.below(60));
     auto plan = [&, last = Fault::none]() mutable {
-      if (left-- == 0) throw ProcessEnds{};
+      if (calls_left-- == 0) throw ProcessEnds{};
       bool goes_on = last != Fault::none && medium.below(100) < 60;
       if (!goes_on)
         last = medium.below(100) < percent ? kReportedFaults[medium.below(std::size(kReportedFaults))]
