--- a/test/unit/storage/storage_faults_test.cpp
+++ b/test/unit/storage/storage_faults_test.cpp
@@ -24,7 +24,7 @@
 
 struct MediumFile {
   std::string cached, synced;
-  bool named = false;  // the folder was synced after the file was created
+  bool name_synced = false;  // the folder was synced after the file was created
 };
 
 struct Medium {
@@ -41,7 +41,7 @@
     for (auto it = files.begin(); it != files.end();) {
       auto& [name, file] = *it;
       if (file.cached != file.synced) file.cached = file.synced = unsynced(file.synced, file.cached);
-      bool gone = !file.named && below(2);
+      bool gone = !file.name_synced && below(2);
       it = gone ? files.erase(it) : std::next(it);
     }
   }
@@ -66,7 +66,7 @@
   bool sync_folder() override {
     auto fault = plan_();
     if (fault != Fault::none && fault != Fault::false_error && fault != Fault::false_success) return false;
-    for (auto& [name, file] : medium_.files) file.named = true;
+    for (auto& [name, file] : medium_.files) file.name_synced = true;
     return fault != Fault::false_error;
   }
   std::string location() const override { return "model"; }
