--- a/test/unit/consensus/consensus_history.cpp
+++ b/test/unit/consensus/consensus_history.cpp
@@ -46,9 +46,9 @@
   if (version == 0) return;
   auto value = observed.values.find(version), previous = observed.values.find(version - 1);
   if (value == observed.values.end()) return;
-  bool told = version == 1 || previous != observed.values.end();
-  auto name = version == 1 ? "" : told ? own_name(previous->second) : "";
-  if (told && previous_name(value->second) != name)
+  bool previous_known = version == 1 || previous != observed.values.end();
+  auto name = version == 1 ? "" : previous_known ? own_name(previous->second) : "";
+  if (previous_known && previous_name(value->second) != name)
     add_violation(
         fmt::format("version {} is {}, but the previous version is {}", version, value->second, name));
 }
