--- a/src/consensus/register_client.cpp
+++ b/src/consensus/register_client.cpp
@@ -347,7 +347,7 @@
 
 const std::vector<Replica>& RegisterClient::replicas() const { return impl_->set.all(); }
 
-ReplicaSetView& RegisterClient::set() { return impl_->set; }
+ReplicaSetView& RegisterClient::replica_set() { return impl_->set; }
 
 ReadResult RegisterClient::read(const std::string& name) { return impl_->read(name); }
 
--- a/src/consensus/register_client.hpp
+++ b/src/consensus/register_client.hpp
@@ -63,7 +63,7 @@
   /// See ReplicaSetView.
   size_t sufficient_count() const;
   const std::vector<Replica>& replicas() const;
-  ReplicaSetView& set();
+  ReplicaSetView& replica_set();
 
  private:
   struct Impl;
--- a/src/control_api/node_identity.cpp
+++ b/src/control_api/node_identity.cpp
@@ -16,7 +16,7 @@
 
 base::Response get_node_identity(const ApiContext& context, const ApiRequest&) {
   const auto& config = context.node.config();
-  auto& replica_set = context.node.registers().set();
+  auto& replica_set = context.node.registers().replica_set();
   return json_response(
       200, fmt::format(
                R"({{"name":{},"zone":{},"peer_address":{},"disk":{},"epoch":{},"holders":{},"previous":{}}})",
--- a/src/control_api/replicas.cpp
+++ b/src/control_api/replicas.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 base::Response get_replicas(const ApiContext& context, const ApiRequest&) {
-  return json_response(200, message_json(context.node.registers().set().message()),
+  return json_response(200, message_json(context.node.registers().replica_set().message()),
                        known_register(context.node, consensus::kReplicaSetKey).version);
 }
 
@@ -39,9 +39,9 @@
   auto& node = context.node;
   if (auto no_majority = await_majority_contact(node)) return *no_majority;
   const auto& name = request.path[2];
-  auto next = node.registers().set().current();
+  auto next = node.registers().replica_set().current();
   bool present = consensus::contains_name(next, name);
-  if (add == present) return json_response(200, message_json(node.registers().set().message()));
+  if (add == present) return json_response(200, message_json(node.registers().replica_set().message()));
   if (add)
     next.push_back({name, address});
   else
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -129,7 +129,7 @@
 
   /// @param source  where the set comes from, for the log
   bool adopt(const pb::ReplicaSet& set, const std::string& source) {
-    if (!registers.set().adopt(set)) return false;
+    if (!registers.replica_set().adopt(set)) return false;
     logger.info("{}: {} the replicas of epoch {}, {} of them.", config.node_name, source, set.epoch(),
                 set.replicas_size());
     if (local_acceptor) local_acceptor->adopt(set);
@@ -174,7 +174,7 @@
   /// Passes the set on to seeds that know an older one or none, so that nodes which ask them later find it
   /// there.
   void update_seeds() {
-    auto set = registers.set().message();
+    auto set = registers.replica_set().message();
     for (const auto& [address, identity] : ask(config.seeds)) {
       if (identity.name == config.node_name || identity.replica_set.epoch() >= set.epoch()) continue;
       pb::PeerRequest request;
@@ -200,7 +200,7 @@
     }
     bool lost = now - last_read_lease >= config.bound * kBoundsToSearch;
     // Only a node with a disk remembers the set over a power cut.
-    bool may_update = local_acceptor && registers.set().epoch();
+    bool may_update = local_acceptor && registers.replica_set().epoch();
     if (lost && now - last_search >= config.bound) {
       last_search = now;
       search();
--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -167,7 +167,7 @@
   TimePoint need_since{0};                        ///< since when that need stands
 
   ClusterView observe() {
-    ClusterView view{registers.set().current(), {}, tolerate, bound};
+    ClusterView view{registers.replica_set().current(), {}, tolerate, bound};
     auto now = ports.clock.now();
     for (auto& [name, node] : known_nodes(now)) {
       auto contact = state_cache.contact(name);
@@ -183,7 +183,7 @@
   /// The replicas and all nodes with a disk, by name, as their statuses describe them.
   std::map<std::string, RepairNode> known_nodes(TimePoint now) {
     std::map<std::string, RepairNode> nodes;
-    for (const auto& replica : registers.set().current())
+    for (const auto& replica : registers.replica_set().current())
       nodes[replica.name] = {replica.name, "", replica.address, true};
     for (const auto& member : state_cache.statuses().all(now))
       if (!member.info.zone().empty() && member.info.disk()) nodes[member.name] = node_of(member);
@@ -205,7 +205,7 @@
   std::optional<int> place(const ClusterView& view) const {
     int before = 0;
     bool is_replica = false;
-    for (const auto& replica : registers.set().all()) {
+    for (const auto& replica : registers.replica_set().all()) {
       auto* node = find_node(view, replica.name);
       if (replica.name == node_name) is_replica = true;
       if (node && node->votes && node->present && replica.name < node_name) ++before;
@@ -224,7 +224,7 @@
 
   /// Whether each present replica of the new list votes already.
   bool all_joined(const ClusterView& view) const {
-    const auto& replicas = registers.set().current();
+    const auto& replicas = registers.replica_set().current();
     return std::all_of(replicas.begin(), replicas.end(), [&](const auto& replica) {
       auto* node = find_node(view, replica.name);
       return node && (node->votes || !node->present);
@@ -232,7 +232,7 @@
   }
 
   void finish_change(const ClusterView& view) {
-    auto epoch = registers.set().epoch();
+    auto epoch = registers.replica_set().epoch();
     bool own_turn = is_own_turn(fmt::format("finish {}", epoch), view);
     if (!all_joined(view) && ports.clock.now() - need_since < bound / kJoinWaitsPerBound) return;
     if (!own_turn) return;
@@ -249,7 +249,7 @@
   void begin_change(const ClusterView& view) {
     auto step = plan_repair(view);
     if (!step) return need.clear();
-    if (!is_own_turn(fmt::format("{} {}", registers.set().epoch(), step->reason), view)) return;
+    if (!is_own_turn(fmt::format("{} {}", registers.replica_set().epoch(), step->reason), view)) return;
     auto result = registers.begin_change(step->replicas);
     if (auto* set = std::get_if<pb::ReplicaSet>(&result)) {
       logger.info("{}: a change of the replicas begins, epoch {}: {}.", node_name, set->epoch(),
@@ -282,7 +282,7 @@
     }
     catch_up();
     auto current = observe();
-    if (registers.set().joint())
+    if (registers.replica_set().joint())
       finish_change(current);
     else
       begin_change(current);
@@ -291,7 +291,7 @@
   bool has_successor() {
     auto nodes = observe().nodes;
     return std::any_of(nodes.begin(), nodes.end(), [&](const RepairNode& node) {
-      return node.disk && node.present && !registers.set().has(node.name);
+      return node.disk && node.present && !registers.replica_set().has(node.name);
     });
   }
 };
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -107,7 +107,7 @@
 
   /// The chosen value of a register: as a quorum reported it, else by a read; nothing when that fails.
   std::optional<consensus::VersionedValue> find_chosen(const std::string& name) {
-    if (auto* state = responses.latest_at_quorum(registers.set(), name, ports.clock.now()))
+    if (auto* state = responses.latest_at_quorum(registers.replica_set(), name, ports.clock.now()))
       return consensus::VersionedValue{state->value().version(), state->value().data()};
     auto read = registers.read(name);
     auto* found = std::get_if<consensus::VersionedValue>(&read);
@@ -129,9 +129,10 @@
 
   /// The replica set has changed: what is chosen is settled anew under it.
   PullResult restart_under_new_set() {
-    if (local_acceptor) local_acceptor->adopt(registers.set().message());
+    if (local_acceptor) local_acceptor->adopt(registers.replica_set().message());
     for (const auto& name : responses.names()) unsettled.insert(name);
-    logger.info("{}: the replicas are now those of epoch {}.", config.node_name, registers.set().epoch());
+    logger.info("{}: the replicas are now those of epoch {}.", config.node_name,
+                registers.replica_set().epoch());
     return PullResult::failed;
   }
 
@@ -163,7 +164,7 @@
         raise_incarnation_above(status.version());
       else
         statuses.merge(status, now);
-    registers.set().adopt(reply.replica_set());
+    registers.replica_set().adopt(reply.replica_set());
     pull.responses.push_back(reply);
   }
 
@@ -194,7 +195,7 @@
   }
 
   bool has_quorum(const Pull& pull) const {
-    return registers.set().epoch() == pull.epoch && registers.set().is_quorum(pull.voting);
+    return registers.replica_set().epoch() == pull.epoch && registers.replica_set().is_quorum(pull.voting);
   }
 
   /// Whether a pull asks only as many replicas as it needs, as long as those respond.
@@ -261,7 +262,7 @@
     pb::ReplicaSet set;
     if (found == chosen.end() || !set.ParseFromString(found->second.data) || set.epoch() <= epoch)
       return false;
-    registers.set().adopt(set);
+    registers.replica_set().adopt(set);
     return true;
   }
 
@@ -276,7 +277,7 @@
     Pull pull;
     pull.start = ports.clock.now();
     pull.replicas = registers.replicas();
-    pull.epoch = registers.set().epoch();
+    pull.epoch = registers.replica_set().epoch();
     pull.voting.resize(pull.replicas.size());
     auto& request = *pull.request.mutable_pull();
     request.set_node(config.node_name);
@@ -300,7 +301,7 @@
   PullResult carry_out(Pull& pull, PullReport& report) {
     add_own_status(*pull.request.mutable_pull(), pull.start);
     ask_replicas(pull);
-    if (registers.set().epoch() != pull.epoch) return restart_under_new_set();
+    if (registers.replica_set().epoch() != pull.epoch) return restart_under_new_set();
     if (!has_quorum(pull)) return pull.more ? PullResult::partial : PullResult::failed;
     if (!incarnation) {
       find_incarnation(pull);
@@ -438,7 +439,8 @@
 std::map<std::string, uint64_t> StateCache::registers_behind(const std::string& replica) const {
   std::map<std::string, uint64_t> rounds;
   for (const auto& [name, value] : impl_->chosen) {
-    auto* latest = impl_->responses.latest_at_quorum(impl_->registers.set(), name, impl_->ports.clock.now());
+    auto* latest =
+        impl_->responses.latest_at_quorum(impl_->registers.replica_set(), name, impl_->ports.clock.now());
     if (!latest) continue;
     auto* own = impl_->responses.reported_by(replica, name);
     if (!own || consensus::is_lower(own->accepted(), latest->accepted()))
--- a/test/measure/catchup.cpp
+++ b/test/measure/catchup.cpp
@@ -93,7 +93,7 @@
     double n = 0;
     for (auto& [i, version] : versions_) {
       pb::PeerRequest request;
-      request.set_epoch(host.node->registers().set().epoch());
+      request.set_epoch(host.node->registers().replica_set().epoch());
       request.mutable_read_register()->set_name(key(i));
       n += host.node->acceptor()->answer(request).vote().register_state().value().version() < version;
     }
--- a/test/scenarios/disk_scenarios.cpp
+++ b/test/scenarios/disk_scenarios.cpp
@@ -51,7 +51,7 @@
   auto asked = std::make_shared<Asked>();
   auto* node = host.node.get();
   pb::PeerRequest request;
-  request.set_epoch(node->registers().set().epoch());
+  request.set_epoch(node->registers().replica_set().epoch());
   request.mutable_prepare()->set_name("test/disk");
   request.mutable_prepare()->mutable_ballot()->set_round(static_cast<uint64_t>(scene.world.now().count()));
   request.mutable_prepare()->mutable_ballot()->set_node("test");
--- a/test/scenarios/replica_scenarios.cpp
+++ b/test/scenarios/replica_scenarios.cpp
@@ -34,7 +34,7 @@
 
 std::set<std::string> holders_at(simulation::Host& host) {
   std::set<std::string> out;
-  for (auto& x : host.node->registers().set().all()) out.insert(x.name);
+  for (auto& x : host.node->registers().replica_set().all()) out.insert(x.name);
   return out;
 }
 
@@ -167,7 +167,7 @@
   for (auto& host : scene.fleet.hosts()) {
     if (!host->up()) continue;
     auto set = holders_at(*host);
-    if (host->node->registers().set().joint() || !set.count(in) || set.count(out)) return false;
+    if (host->node->registers().replica_set().joint() || !set.count(in) || set.count(out)) return false;
   }
   return settled(scene, 3);
 }
--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -51,7 +51,7 @@
       }
       if (n->generation() < gen) broken = host->name + " fell back to a lower generation";
       gen = n->generation();
-      auto& set = n->registers().set();
+      auto& set = n->registers().replica_set();
       if (set.epoch() && set.epoch() != seat[host->name]) {
         seat[host->name] = set.epoch();
         auto text = set.message().SerializeAsString();
