--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -210,7 +210,7 @@
 membership::StateCache& ConsensusHarness::cache(const std::string& name) {
   return *nodes_.at(name).process->cache;
 }
-consensus::ReplicaSetView& ConsensusHarness::set(const std::string& name) {
+consensus::ReplicaSetView& ConsensusHarness::replica_set(const std::string& name) {
   return nodes_.at(name).process->set;
 }
 bool ConsensusHarness::running(const std::string& name) const { return nodes_.at(name).process != nullptr; }
--- a/test/unit/consensus/consensus_harness.hpp
+++ b/test/unit/consensus/consensus_harness.hpp
@@ -75,7 +75,7 @@
   consensus::RegisterClient& client(const std::string& name);
   consensus::Acceptor& acceptor(const std::string& name);
   membership::StateCache& cache(const std::string& name);
-  consensus::ReplicaSetView& set(const std::string& name);
+  consensus::ReplicaSetView& replica_set(const std::string& name);
   bool running(const std::string& name) const;
 
   void crash(const std::string& name);
--- a/test/unit/consensus/property_test.cpp
+++ b/test/unit/consensus/property_test.cpp
@@ -182,7 +182,7 @@
 
   // The list that `name` proposes: one replica replaced, added or removed.
   ReplicaList wanted_list(const std::string& name, size_t choice) {
-    auto list = harness_.set(name).current();
+    auto list = harness_.replica_set(name).current();
     ReplicaList outsiders;
     for (auto& disk_name : disk_names_)
       if (!consensus::contains_name(list, disk_name)) outsiders.push_back(replica_named(disk_name));
@@ -202,7 +202,7 @@
 
   // As ReplicaRepair requires: in the view of `name`, a majority of the list already votes.
   bool majority_votes(const std::string& name, const ReplicaList& list) {
-    auto& present = harness_.set(name).current();
+    auto& present = harness_.replica_set(name).current();
     auto voting = std::count_if(list.begin(), list.end(), [&](auto& replica) {
       return consensus::contains(present, replica) && harness_.cache(name).is_voting(replica.name);
     });
@@ -211,7 +211,7 @@
 
   void begin_change(const std::string& name, size_t choice) {
     auto list = wanted_list(name, choice);
-    if (!majority_votes(name, harness_.set(name).current()) || !majority_votes(name, list)) return;
+    if (!majority_votes(name, harness_.replica_set(name).current()) || !majority_votes(name, list)) return;
     note(name + " begins a change to " + describe(list));
     auto result = harness_.client(name).begin_change(list);
     auto* begun = std::get_if<pb::ReplicaSet>(&result);
@@ -242,7 +242,7 @@
   void change(const std::string& name, size_t choice) {
     if (!changing_.insert(name).second) return;
     harness_.spawn(name, [this, name, choice] {
-      if (harness_.set(name).joint())
+      if (harness_.replica_set(name).joint())
         finish_change(name);
       else
         begin_change(name, choice);
