--- a/src/membership/backend_instance.hpp
+++ b/src/membership/backend_instance.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A backend instance as nodes know it from its heartbeats.
+/// A backend instance, as its heartbeats describe it.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,12 +8,12 @@
 
 namespace dunlinwing::membership {
 
-/// One process of a service. Its name is new with each start.
+/// One process of a service. It gets a new name at each start.
 struct BackendInstance {
   std::string instance, service, version, zone;
-  std::string address;      ///< HOST:PORT that takes its requests
-  int capacity = 1;         ///< requests that it runs at the same time
-  TimePoint cold_until{0};  ///< it has just started and is slow until then; 0: it does not say so
+  std::string address;      ///< HOST:PORT that accepts its requests
+  int capacity = 1;         ///< requests that it processes concurrently
+  TimePoint cold_until{0};  ///< end of its warm-up, during which it is slow; 0: not reported
 };
 
 }  // namespace dunlinwing::membership
--- a/src/membership/deregistered.cpp
+++ b/src/membership/deregistered.cpp
@@ -4,10 +4,10 @@
 
 namespace dunlinwing::membership {
 namespace {
-// Names that the register holds at most. The oldest can go: the name of an instance is new with each
-// start, and their last heartbeats are long past.
+// Maximum number of names in the register. The oldest can be dropped: an instance gets a new name at each
+// start, and the last heartbeats of these are long past.
 constexpr int kMaxInstances = 512;
-constexpr int kMaxAttempts = 16;  // writes, when others write between a read and a write
+constexpr int kMaxAttempts = 16;  // writes, when concurrent writes cause version conflicts
 
 bool contains(const pb::Deregistered& deregistered, const std::string& instance) {
   const auto& instances = deregistered.instances();
--- a/src/membership/deregistered.hpp
+++ b/src/membership/deregistered.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Backend instances that have announced that they end. The announcement is a register, since the node that
-/// took it may be gone in the next moment, and an instance need not announce it twice.
+/// Backend instances that have announced their shutdown. The announcement is stored in a register because the
+/// node that received it may fail right afterwards, and an instance need not repeat it.
 #pragma once
 #include <set>
 
@@ -8,14 +8,14 @@
 
 namespace dunlinwing::membership {
 
-/// The name of the register that holds them.
+/// The name of the register that stores their names.
 inline constexpr const char* kDeregisteredKey = "departed";
 
-/// Records that an instance ends. Waits for a quorum of the replicas.
-/// @return whether it is recorded; false: it may or may not be, and may be tried again
+/// Records that an instance shuts down. Waits for a quorum of the replicas.
+/// @return whether it is recorded; false: it may or may not be, and the call may be retried
 [[nodiscard]] bool deregister(consensus::RegisterClient& registers, const std::string& instance);
 
-/// The names of the instances in the register's value.
+/// Parses the register's value into the names of the instances.
 std::set<std::string> read_deregistered(const std::string& data);
 
 }  // namespace dunlinwing::membership
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -8,10 +8,10 @@
 namespace dunlinwing::membership {
 namespace {
 constexpr base::Log logger("membership");
-constexpr int kBoundsToSearch = 2;     // without a read lease for so many bounds, other nodes are asked
-constexpr int kChecksPerBound = 4;     // whether other nodes or the seeds are to be called
+constexpr int kBoundsToSearch = 2;     // bounds without a read lease, after which other nodes are queried
+constexpr int kChecksPerBound = 4;     // of whether to query other nodes or update the seeds
 constexpr int kSearchesPerBound = 16;  // while no replica is known
-constexpr int kCallsPerBound = 4;      // a call may take the fourth part of a bound
+constexpr int kCallsPerBound = 4;      // each call is limited to a quarter of a bound
 
 void read_replicas(const base::Json& list, google::protobuf::RepeatedPtrField<pb::ReplicaEntry>& replicas) {
   for (const auto& item : list.items()) {
@@ -73,19 +73,19 @@
 }
 
 struct Discovery::Impl : std::enable_shared_from_this<Impl> {
-  using Identities = std::map<std::string, NodeIdentity>;  // by the address that was asked
+  using Identities = std::map<std::string, NodeIdentity>;  // by the address that was queried
 
   base::Ports& ports;
   DiscoveryConfig config;
   consensus::RegisterClient& registers;
   StateCache& state_cache;
   consensus::Acceptor* local_acceptor;     ///< null: this node has no replica
-  std::vector<std::string> initial_seeds;  ///< the seeds of the fleet's first start; none at any other
-  Identities initial_identities;           ///< of the initial seeds that have answered so far
-  TimePoint last_read_lease{0};            ///< when the read lease was last seen to stand
-  TimePoint last_seed_update{0};           ///< when the seeds were last brought up to date
+  std::vector<std::string> initial_seeds;  ///< the seeds at the fleet's first start; empty at any other start
+  Identities initial_identities;           ///< of the initial seeds that have responded so far
+  TimePoint last_read_lease{0};            ///< when the read lease was last seen to be valid
+  TimePoint last_seed_update{0};           ///< when the seeds were last updated
   TimePoint last_search{0};
-  std::string last_warning;  ///< so that the same one is not logged again and again
+  std::string last_warning;  ///< so that the same one is not logged repeatedly
 
   Impl(base::Ports& ports, DiscoveryConfig config, consensus::RegisterClient& registers,
        StateCache& state_cache, consensus::Acceptor* local_acceptor)
@@ -97,14 +97,14 @@
 
   Duration call_limit() const { return config.bound / kCallsPerBound; }
 
-  /// The responses under way of one ask().
+  /// The responses to one ask(), as they arrive.
   struct Responses {
     Identities identities;
     size_t outstanding;
     std::shared_ptr<base::Condition> condition;
   };
 
-  /// Asks all addresses at once, each by a task of its own; the identities of those that answer in time.
+  /// Queries all addresses concurrently, one task each; returns the identities from the responses in time.
   Identities ask(const std::vector<std::string>& addresses) {
     auto limit = call_limit();
     auto responses = std::make_shared<Responses>(Responses{{}, addresses.size(), ports.tasks.condition()});
@@ -127,11 +127,11 @@
     if (warning != std::exchange(last_warning, warning)) logger.warn("{}: {}", config.node_name, warning);
   }
 
-  /// @param source  where the set comes from, for the log
+  /// @param source  how the set was found, for the log
   bool adopt(const pb::ReplicaSet& set, const std::string& source) {
     if (!registers.set().adopt(set)) return false;
-    logger.info("{}: {} the replicas of epoch {}, {} of them.", config.node_name, source, set.epoch(),
-                set.replicas_size());
+    logger.info("{}: {}; adopted the replica set of epoch {} with {} replicas.", config.node_name, source,
+                set.epoch(), set.replicas_size());
     if (local_acceptor) local_acceptor->adopt(set);
     return true;
   }
@@ -146,33 +146,35 @@
     return addresses;
   }
 
-  /// Asks the seeds and a few other nodes for a later replica set than the one known.
+  /// Queries the seeds and a few other nodes for a later replica set than the known one.
   void search() {
     auto identities = ask(search_addresses());
     auto latest = std::max_element(identities.begin(), identities.end(), [](auto& left, auto& right) {
       return left.second.replica_set.epoch() < right.second.replica_set.epoch();
     });
-    if (latest != identities.end() && adopt(latest->second.replica_set, latest->first + " named")) return;
+    if (latest != identities.end() &&
+        adopt(latest->second.replica_set, latest->first + " has a later replica set"))
+      return;
     if (registers.replicas().empty() && !initial_seeds.empty()) form_first_set(identities);
   }
 
-  /// At the fleet's first start: once all initial seeds have answered, those with a disk are the replicas.
+  /// At the fleet's first start: once all initial seeds have responded, those with a disk form the set.
   void form_first_set(const Identities& identities) {
     for (const auto& address : initial_seeds)
       if (auto identity = identities.find(address); identity != identities.end())
         initial_identities[address] = identity->second;
     if (initial_identities.size() < initial_seeds.size())
-      return warn_once("not all seeds have answered yet, so the first replica set is not known.");
+      return warn_once("not all seeds have responded yet, so the first replica set cannot be formed.");
     std::vector<NodeIdentity> seeds;
     for (const auto& [address, identity] : initial_identities) seeds.push_back(identity);
     auto set = first_set(seeds);
     if (!set)
-      return warn_once("no seed has a disk, or two have the same name: there is no first replica set.");
-    adopt(*set, "first start: the seeds with a disk are");
+      return warn_once(
+          "no seed has a disk, or two seeds have the same name: cannot form the first replica set.");
+    adopt(*set, "first start of the fleet: all seeds have responded");
   }
 
-  /// Passes the set on to seeds that know an older one or none, so that nodes which ask them later find it
-  /// there.
+  /// Sends the set to seeds that have an older one or none, so that nodes which query them later find it.
   void update_seeds() {
     auto set = registers.set().message();
     for (const auto& [address, identity] : ask(config.seeds)) {
@@ -190,7 +192,7 @@
     sort_unique(initial_seeds);
   }
 
-  /// One check; how long to wait for the next one.
+  /// Runs one check; returns how long to wait before the next one.
   Duration check() {
     TimePoint now = ports.clock.now();
     if (state_cache.has_read_lease()) last_read_lease = now;
@@ -199,7 +201,7 @@
       return config.bound / kSearchesPerBound;
     }
     bool lost = now - last_read_lease >= config.bound * kBoundsToSearch;
-    // Only a node with a disk remembers the set over a power cut.
+    // Only a node with a disk still has the set after a power failure.
     bool may_update = local_acceptor && registers.set().epoch();
     if (lost && now - last_search >= config.bound) {
       last_search = now;
--- a/src/membership/leadership.cpp
+++ b/src/membership/leadership.cpp
@@ -8,13 +8,13 @@
 
 // Whether this node may be the leader.
 enum class Participation {
-  candidate,  // acquires the leadership when its lease has lapsed, and renews it
-  passive,    // acquires none, and gives up the one it has
-  ended,      // as passive, and for good
+  candidate,  // acquires the leadership once its lease has expired, and renews it
+  passive,    // does not acquire it, and releases it
+  ended,      // as passive, permanently
 };
 
 constexpr int kChecksPerSpan = 8;
-constexpr int kJitterPerSpan = 16;  // between two checks, a random time of at most this part of the span
+constexpr int kJitterPerSpan = 16;  // random delay between checks: at most this part of the span
 }  // namespace
 
 std::string leadership_key(const std::string& name) { return "duty/" + name; }
@@ -26,17 +26,16 @@
   std::string name, node_name, zone;
   Duration span;
   Participation participation = Participation::candidate;
-  TimePoint lease_end{0};  ///< until when this node is the leader; never later than others may take over
-  uint64_t term = 0;       ///< of the lease that this node acquired last
-  uint64_t version = 0;    ///< of the register that holds `lease`
-  pb::LeaderLease lease;   ///< as this node wrote it last
-  uint64_t seen_version =
-      0;  ///< of the register, when this node last saw it change; what follows is since then
+  TimePoint lease_end{0};     ///< until when this node is the leader; no later than others may take over
+  uint64_t term = 0;          ///< of the lease that this node acquired last
+  uint64_t version = 0;       ///< of the register that stores `lease`
+  pb::LeaderLease lease;      ///< as last written by this node
+  uint64_t seen_version = 0;  ///< of the register when this node last saw it change, at `seen_at`
   TimePoint seen_at{0};
 
   bool has_lease() const { return ports.clock.now() < lease_end; }
 
-  /// The register as the last pull found it; version 0: nothing was ever written.
+  /// The register as of the last pull; version 0: nothing was ever written.
   consensus::VersionedValue known_value() const {
     auto found = state_cache.chosen().find(leadership_key(name));
     return found == state_cache.chosen().end() ? consensus::VersionedValue{} : found->second;
@@ -48,7 +47,7 @@
     return lease;
   }
 
-  /// A member that could take over, in another zone when there is one.
+  /// Chooses a member that could take over, in another zone if possible.
   std::string choose_standby() const {
     std::string same_zone;
     for (const auto& member : state_cache.statuses().members(ports.clock.now())) {
@@ -59,8 +58,8 @@
     return same_zone;
   }
 
-  /// Writes the lease over the version `expected`. When the write fails, whatever became of it, the lease
-  /// of before stands until its own end only.
+  /// Writes the lease if the register is at version `expected`. If the write fails, whether or not it took
+  /// effect, the previous lease still expires at its own end.
   bool write(const pb::LeaderLease& next, uint64_t expected) {
     TimePoint begin = ports.clock.now();
     auto result = registers.write(leadership_key(name), expected, next.SerializeAsString());
@@ -80,7 +79,7 @@
     if (!write(next, version)) check_lease_after_failure();
   }
 
-  /// After a renewal that failed: it may have been written all the same, or another node may be the leader.
+  /// Handles a failed renewal: it may have been written nevertheless, or another node may be the leader.
   void check_lease_after_failure() {
     auto read = registers.read(leadership_key(name));
     auto* found = std::get_if<consensus::VersionedValue>(&read);
@@ -92,7 +91,7 @@
       return;
     }
     lease_end = TimePoint(0);
-    logger.warn("{}: the leadership {} passed to {}.", node_name, name,
+    logger.warn("{}: lost the leadership {}; the current leader is {}.", node_name, name,
                 current.leader().empty() ? "nobody" : current.leader());
   }
 
@@ -101,7 +100,7 @@
     next.set_leader("");
     write(next, version);
     lease_end = TimePoint(0);
-    logger.info("{}: handed the leadership {} over to {}.", node_name, name, next.standby());
+    logger.info("{}: released the leadership {}; the standby is {}.", node_name, name, next.standby());
   }
 
   /// How long after the last change of the register this node may take the leadership over.
@@ -130,7 +129,7 @@
       logger.info("{}: acquired the leadership {} under term {}.", node_name, name, next.term());
   }
 
-  /// Does what the state asks for: renews the lease, gives it up, or tries to acquire it.
+  /// Renews the lease, releases it, or tries to acquire it, depending on the state.
   void check() {
     bool candidate = participation == Participation::candidate;
     if (has_lease() && candidate)
--- a/src/membership/leadership.hpp
+++ b/src/membership/leadership.hpp
@@ -1,41 +1,42 @@
 /// @file
-/// A leadership that one node has at a time. Its lease is a register that a quorum of the replicas wrote,
-/// renewed in good time. The leader stops before the lease ends; its standby takes the leadership over once
-/// the lease has lapsed, other nodes do so later. Used by the thread that runs control only.
+/// A leadership that at most one node has at a time. Its lease is a register written to a quorum of the
+/// replicas and renewed before it expires. The leader stops acting before the lease expires; its standby may
+/// take over once it has expired, other nodes only later. Used by the thread that runs control only.
 ///
-/// The lease spans two bounds. The leader counts three quarters of that from before the write that renewed
-/// it; others count the whole of it from when they saw the last renewal. So no clocks are compared.
+/// The lease lasts two bounds. The leader relies on three quarters of that, counted from before the write
+/// that renewed it; other nodes wait for all of it, counted from when they saw the last renewal. So no clocks
+/// of different nodes are compared.
 #pragma once
 #include "membership/state_cache.hpp"
 
 namespace dunlinwing::membership {
 
-/// This node's part in one leadership.
+/// This node's participation in one leadership.
 class Leadership {
  public:
-  /// The references have to outlive the task that start() begins.
+  /// The references have to outlive the task that start() spawns.
   /// @param name   of the leadership
-  /// @param bound  the bound of the fleet's configuration, half of the lease's span
+  /// @param bound  the staleness bound of the fleet's configuration, half of the lease's span
   Leadership(base::Ports& ports, consensus::RegisterClient& registers, StateCache& state_cache,
              std::string name, std::string node_name, std::string zone, Duration bound);
   ~Leadership();
 
-  /// Starts the task that acquires and renews the lease; it ends after transfer().
+  /// Spawns the task that acquires and renews the lease; it ends after transfer().
   void start();
 
-  /// Whether this node is the leader; to be asked right before each act.
+  /// Whether this node is the leader; to be checked right before each action.
   [[nodiscard]] bool held() const;
 
-  /// The term of the lease that this node acquired last; 0: it acquired none.
+  /// The term of the lease that this node acquired last; 0: it has acquired none.
   uint64_t term() const;
 
-  /// The lease as the last pull found it; without a leader when there is none.
+  /// The lease as of the last pull; without a leader when there is none.
   pb::LeaderLease known_lease() const;
 
-  /// A passive node (one that is drained) acquires no leadership, and gives up the one it has.
+  /// A passive (drained) node does not acquire the leadership, and releases it if it has it.
   void set_passive(bool passive);
 
-  /// Gives the leadership up in favour of the standby, for good: this node ends. Waits for the write.
+  /// Releases the leadership to the standby permanently, because this node shuts down. Waits for the write.
   void transfer();
 
   /// The span of the lease.
@@ -46,7 +47,7 @@
   std::shared_ptr<Impl> impl_;
 };
 
-/// The name of the register that holds the lease.
+/// The name of the register that stores the lease.
 std::string leadership_key(const std::string& name);
 
 }  // namespace dunlinwing::membership
--- a/src/membership/pull_schedule.hpp
+++ b/src/membership/pull_schedule.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// When a node pulls next. Good pulls follow each other at a steady period, sooner when somebody waits for
-/// one. Pulls that fail are retried soon at first, for a message may have been lost or the replicas be
-/// restarting, and then ever more seldom and at random moments: a fleet whose replicas are overloaded must
-/// not ask them the more often the less they answer. Does no I/O; used by the thread that runs control only.
+/// When a node pulls next. Good pulls follow each other at a fixed period, or sooner when a caller waits for
+/// one. Failed pulls are retried quickly at first, because a message may have been lost or the replicas may
+/// be restarting, and then with a jittered backoff: retries must not add load to replicas that fail to
+/// respond because they are overloaded. Does no I/O; used by the thread that runs control only.
 #pragma once
 #include <algorithm>
 
@@ -10,26 +10,26 @@
 
 namespace dunlinwing::membership {
 
-/// How a pull ended.
+/// The outcome of a pull.
 enum class PullResult {
-  good,     ///< a quorum answered with everything it has
-  partial,  ///< there is more to ask for at once
+  good,     ///< a quorum responded completely
+  partial,  ///< the replicas have more to report; pull again at once
   failed,
 };
 
-/// Turns the results of pulls into waits.
+/// Computes the wait after each pull from its result.
 class PullSchedule {
  public:
-  /// How long to wait for the next pull.
+  /// How long to wait before the next pull.
   struct Wait {
-    Duration least;  ///< when somebody waits for the pull
+    Duration least;  ///< when a caller waits for the pull
     Duration usual;  ///< never less than `least`
   };
 
   /// @param random  has to outlive the schedule
   PullSchedule(base::Random& random, Duration period) : random_(random), period_(period) {}
 
-  /// Takes how the pull that took `spent` ended; how long to wait for the next one.
+  /// Records the result of a pull that took `spent`; returns how long to wait before the next one.
   Wait after(PullResult result, Duration spent) {
     if (result == PullResult::partial) return {shortest(), shortest()};
     failures_ = result == PullResult::good ? 0 : failures_ + 1;
@@ -39,17 +39,17 @@
     return {period_ / 2, backoff()};
   }
 
-  /// Whether the last pulls failed, so that it does not pay to ask one replica before the others.
+  /// Whether the last pulls failed, so that querying one replica before the others is not worthwhile.
   bool failing() const { return failures_ > kQuickRetries; }
 
  private:
-  static constexpr int kQuickRetries = 8;    // about two seconds, in which replicas restart
-  static constexpr int kMaxDoublings = 1;    // of the period: a node that can be reached again pulls soon
-  static constexpr int kShortestWaits = 10;  // of them make a period
+  static constexpr int kQuickRetries = 8;    // about two seconds, enough for replicas to restart
+  static constexpr int kMaxDoublings = 1;    // of the period: a node pulls soon after it is reachable again
+  static constexpr int kShortestWaits = 10;  // number of these per period
 
   Duration shortest() const { return period_ / kShortestWaits; }
 
-  /// A random time of half to one and a half of the doubled period.
+  /// A random time between 0.5 and 1.5 times the doubled period.
   Duration backoff() {
     auto doubled = period_ * (1 << std::min(failures_ - kQuickRetries - 1, kMaxDoublings));
     auto jitter = random_.below(static_cast<uint64_t>(doubled.count()));
@@ -58,7 +58,7 @@
 
   base::Random& random_;
   Duration period_;
-  int failures_ = 0;  ///< in a row, up to now
+  int failures_ = 0;  ///< consecutive, up to the last pull
 };
 
 }  // namespace dunlinwing::membership
--- a/src/membership/read_lease_log.cpp
+++ b/src/membership/read_lease_log.cpp
@@ -23,13 +23,12 @@
 bool ReadLeaseLog::follow(bool stands, Duration since_last_good_pull) {
   if (std::exchange(stands_, stands) == stands) return false;
   if (stands)
-    logger.info("{}: the read lease stands.", node_name_);
+    logger.info("{}: the read lease is valid.", node_name_);
   else
     logger.warn(
-        "{}: the read lease has lapsed: the last good pull began {} ms ago; {} pulls were not good since, "
-        "the "
-        "longest took {} ms, and in the last one {} of {} replicas responded, {} of these complete and "
-        "voting{}.",
+        "{}: the read lease has expired: the last good pull began {} ms ago; {} pulls were not good since, "
+        "the longest took {} ms, and in the last one {} of {} replicas responded, {} of them completely and "
+        "as voting replicas{}.",
         node_name_, since_last_good_pull.count(), failed_, longest_.count(), last_.responded, last_.replicas,
         last_.voting, last_.unsettled ? "; a register could not be read" : "");
   return true;
--- a/src/membership/read_lease_log.hpp
+++ b/src/membership/read_lease_log.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Logs when the read lease stands and lapses, and why it lapsed: what became of the pulls since the last
-/// good one.
+/// Logs when the read lease becomes valid and when it expires, with the likely cause: the outcomes of the
+/// pulls since the last good one.
 ///
 /// Threads: used by the thread that runs control only.
 #pragma once
@@ -10,13 +10,13 @@
 
 namespace dunlinwing::membership {
 
-/// How a pull went.
+/// The details of one pull.
 struct PullReport {
   PullResult result = PullResult::failed;
   Duration spent{0};
   size_t replicas = 0;     ///< in the set
-  size_t responded = 0;    ///< of these, whether complete or not
-  size_t voting = 0;       ///< of these, completely and as ones that vote
+  size_t responded = 0;    ///< of these replicas, whether completely or not
+  size_t voting = 0;       ///< of these replicas, completely and as voting ones
   bool unsettled = false;  ///< a register's chosen value could not be read
 };
 
@@ -26,8 +26,8 @@
 
   void note(const PullReport& pull);
 
-  /// @param stands  whether the lease does
-  /// @return whether that has changed since the last call
+  /// @param stands  whether the lease is valid
+  /// @return whether this has changed since the last call
   bool follow(bool stands, Duration since_last_good_pull);
 
  private:
--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -10,9 +10,9 @@
 namespace {
 constexpr base::Log logger("repair");
 constexpr size_t kMaxReplicas = 9, kMinReplicas = 3;
-constexpr int kChecksPerBound = 8;     // how often each replica checks the set
-constexpr int kTurnsPerBound = 4;      // the next replica by name acts a fourth of the bound later
-constexpr int kJoinWaitsPerBound = 1;  // new replicas are waited for no longer before a change is finished
+constexpr int kChecksPerBound = 8;     // checks of the set by each replica
+constexpr int kTurnsPerBound = 4;      // each further replica by name acts a quarter of the bound later
+constexpr int kJoinWaitsPerBound = 1;  // a change waits for new replicas to vote for at most this long
 
 using ReplicaList = std::vector<consensus::Replica>;
 
@@ -22,7 +22,7 @@
   return found == view.nodes.end() ? nullptr : &*found;
 }
 
-/// Makes one plan: repairs the list step by step, and says what each is for.
+/// Computes one plan: changes the list step by step and collects the reason for each change.
 class Planner {
  public:
   explicit Planner(const ClusterView& view) : view_(view), list_(view.replicas) {
@@ -52,25 +52,27 @@
         std::count_if(list.begin(), list.end(), [&](auto& replica) { return votes(replica); }));
   }
 
-  /// A change may not depend on new replicas: a majority of the new list has to vote already.
-  /// Sets that are smaller than any tolerance needs grow all the same.
+  /// A change must not depend on new replicas: a majority of the new list has to vote already. Sets below the
+  /// minimum size may grow regardless.
   bool is_safe(const ReplicaList& list) const {
     return view_.replicas.size() < kMinReplicas || count_voting(list) >= consensus::majority_of(list.size());
   }
 
-  /// Why a replica should give its place to a node that is present; nothing: it should not.
+  /// Why a replica should be replaced by a node that is present; nothing: it should not.
   std::optional<std::string> loss(const consensus::Replica& replica) const {
     auto* node = find_node(view_, replica.name);
     if (!node) return {};
-    if (node->leaving) return replica.name + " leaves";
-    if (!node->address.empty() && node->address != replica.address) return replica.name + " has moved";
-    if (!node->votes && node->since_response >= lost_after(view_.bound)) return replica.name + " is silent";
+    if (node->leaving) return replica.name + " is leaving";
+    if (!node->address.empty() && node->address != replica.address)
+      return replica.name + " has a new address";
+    if (!node->votes && node->since_response >= lost_after(view_.bound))
+      return replica.name + " does not respond";
     if (!node->votes && node->non_voting >= non_voting_limit(view_.bound))
       return replica.name + " cannot vote";
     return {};
   }
 
-  /// A present node with a disk, from the zone with fewest replicas; null: there is none.
+  /// A present node with a disk, from the zone with the fewest replicas; null: there is none.
   const RepairNode* candidate() const {
     const RepairNode* best = nullptr;
     for (const auto& node : view_.nodes) {
@@ -110,7 +112,7 @@
         *place = {successor->name, successor->address};
       }
       if (successor && is_safe(list))
-        take(list, *successor, fmt::format("{}: {} takes its place", *reason, successor->name));
+        take(list, *successor, fmt::format("{}: replaced by {}", *reason, successor->name));
       else if (!node->zone.empty())
         ++zones_[node->zone];
     }
@@ -123,7 +125,8 @@
       auto list = list_;
       list.push_back({node->name, node->address});
       if (!is_safe(list)) return;
-      take(list, *node, fmt::format("{} joins: {} of {} wanted", node->name, list.size(), wanted()));
+      take(list, *node,
+           fmt::format("{} joins: {} of {} required replicas", node->name, list.size(), wanted()));
     }
   }
 
@@ -141,9 +144,9 @@
   }
 
   const ClusterView& view_;
-  ReplicaList list_;                     ///< as far as it is repaired; never smaller than is safe
+  ReplicaList list_;                     ///< with the changes planned so far; never smaller than is safe
   std::map<std::string, size_t> zones_;  ///< replicas of list_ in each zone
-  std::string reason_;                   ///< for what has been changed
+  std::string reason_;                   ///< for the changes planned so far
 };
 
 }  // namespace
@@ -161,10 +164,10 @@
   std::string node_name;
   int tolerate;
   Duration bound;
-  std::map<std::string, TimePoint> session_seen;  ///< when each node's session last stood, as seen here
-  std::map<std::string, uint64_t> behind;         ///< registers that this replica lacked at the last check
-  std::string need;                               ///< what the set needed at the last check; empty: nothing
-  TimePoint need_since{0};                        ///< since when that need stands
+  std::map<std::string, TimePoint> session_seen;  ///< when this node last saw each node's session alive
+  std::map<std::string, uint64_t> behind;         ///< registers_behind() of this replica at the last check
+  std::string need;                               ///< the change needed at the last check; empty: none
+  TimePoint need_since{0};                        ///< since when that change has been needed
 
   ClusterView observe() {
     ClusterView view{registers.set().current(), {}, tolerate, bound};
@@ -201,7 +204,7 @@
     return node;
   }
 
-  /// This node's place, from 0, among the replicas that can act, by name; nothing: it cannot.
+  /// This node's rank by name, from 0, among the replicas that can act; nothing: it cannot act.
   std::optional<int> place(const ClusterView& view) const {
     int before = 0;
     bool is_replica = false;
@@ -214,7 +217,7 @@
     return before;
   }
 
-  /// Whether a need that is the same as at the last check has stood long enough for this node to act on it.
+  /// Whether the change `what` has been needed for long enough that it is this node's turn to make it.
   bool is_own_turn(const std::string& what, const ClusterView& view) {
     auto now = ports.clock.now();
     if (std::exchange(need, what) != what) need_since = now;
@@ -239,11 +242,11 @@
     auto start = ports.clock.now();
     auto result = registers.finish_change([this] { return state_cache.register_names(bound); });
     if (auto* set = std::get_if<pb::ReplicaSet>(&result))
-      logger.info("{}: the replicas of epoch {} are in force, {} of them, in {} ms.", node_name, set->epoch(),
-                  set->replicas_size(), (ports.clock.now() - start).count());
+      logger.info("{}: finished the change to the replica set of epoch {} with {} replicas in {} ms.",
+                  node_name, set->epoch(), set->replicas_size(), (ports.clock.now() - start).count());
     else
-      logger.warn("{}: the change of epoch {} is not finished yet; the next check tries again.", node_name,
-                  epoch);
+      logger.warn("{}: failed to finish the change to the replica set of epoch {}; the next check retries.",
+                  node_name, epoch);
   }
 
   void begin_change(const ClusterView& view) {
@@ -252,21 +255,22 @@
     if (!is_own_turn(fmt::format("{} {}", registers.set().epoch(), step->reason), view)) return;
     auto result = registers.begin_change(step->replicas);
     if (auto* set = std::get_if<pb::ReplicaSet>(&result)) {
-      logger.info("{}: a change of the replicas begins, epoch {}: {}.", node_name, set->epoch(),
+      logger.info("{}: began a change to the replica set of epoch {}: {}.", node_name, set->epoch(),
                   step->reason);
       state_cache.pull_soon();
     } else {
-      logger.warn("{}: no change of the replicas ({}); the next check tries again.", node_name, step->reason);
+      logger.warn("{}: failed to begin a change of the replica set ({}); the next check retries.", node_name,
+                  step->reason);
     }
   }
 
-  /// What came by a refill is no vote for anybody until it is accepted here; and what was written while
-  /// this replica was away is not on its disk until it is written again.
+  /// Rewrites registers that this replica copied in a refill, since copies do not count as votes until this
+  /// replica accepts them, and those written while it was unreachable, which its disk lacks.
   void catch_up() {
     if (acceptor.non_voting()) return;
     if (auto copied = acceptor.refilled_registers(); !copied.empty()) registers.rewrite(copied);
     auto missing = state_cache.registers_behind(node_name);
-    std::vector<std::string> still_missing;  // since the last check: not just on their way
+    std::vector<std::string> still_missing;  // also missing at the last check, so not just in transit
     for (const auto& [name, round] : missing)
       if (auto before = behind.find(name); before != behind.end() && before->second == round)
         still_missing.push_back(name);
@@ -275,7 +279,7 @@
   }
 
   void check() {
-    if (!state_cache.has_read_lease()) {  // what was not seen is not absence
+    if (!state_cache.has_read_lease()) {  // an unseen session may still be alive
       session_seen.clear();
       need.clear();
       return;
--- a/src/membership/replica_responses.cpp
+++ b/src/membership/replica_responses.cpp
@@ -15,7 +15,8 @@
 std::vector<std::string> ReplicaResponses::take(const std::string& replica, const pb::PullResponse& response,
                                                 TimePoint requested_at, TimePoint now) {
   auto& report = reports_[replica];
-  // After a restart it reports anew what it has accepted, which may be less: its disk may be lost.
+  // After a restart the replica reports everything it has accepted again; that may be less, if it lost its
+  // disk.
   if (report.boot_id != response.boot_id()) report.registers.clear();
   report.boot_id = response.boot_id();
   report.position = response.position();
--- a/src/membership/replica_responses.hpp
+++ b/src/membership/replica_responses.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What each replica last reported to this node of its registers, and when: the evidence by which a node
-/// takes a register's value for chosen. Does no I/O; used by the thread that runs control only.
+/// What each replica last reported to this node about its registers, and when: the evidence by which a node
+/// determines a register's chosen value. Does no I/O; used by the thread that runs control only.
 #pragma once
 #include <map>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace dunlinwing::membership {
 
-/// How long ago a replica last responded, and last responded as one that votes.
+/// How long ago a replica last responded, and last responded as a voting replica.
 struct ReplicaContact {
   Duration since_response{0}, since_vote{0};
 };
@@ -18,42 +18,43 @@
 /// The latest reports of all replicas.
 class ReplicaResponses {
  public:
-  /// @param lifetime  how long a response counts, from the moment its request was sent. An older one may
-  ///                  come from a disk that was lost since
+  /// @param lifetime  how long a response is valid, counted from when its request was sent. An older one may
+  ///                  come from a disk that has been lost since
   explicit ReplicaResponses(Duration lifetime) : lifetime_(lifetime) {}
 
-  /// Takes the response to a request that was sent at `requested_at`.
+  /// Records the response to a request that was sent at `requested_at`.
   /// @return the names of the registers that it reports
   std::vector<std::string> take(const std::string& replica, const pb::PullResponse& response,
                                 TimePoint requested_at, TimePoint now);
 
-  /// Sets in `pull` from where on the replica is to report.
+  /// Sets in `pull` the position from which the replica has to report.
   void set_position(const std::string& replica, pb::PullRequest& pull) const;
 
   /// The names of all registers that any replica reported, sorted.
   std::vector<std::string> names() const;
 
-  /// What a replica last reported of a register; null: nothing.
+  /// What a replica last reported about a register; null: nothing.
   const pb::RegisterState* reported_by(const std::string& replica, const std::string& name) const;
 
-  /// The latest state known of a register, when a quorum of `set` has accepted its ballot and reported so
-  /// within the lifetime of responses; else null. A state that a replica copied in a refill is no vote.
+  /// The latest known state of a register if a quorum of `set` has accepted its ballot and reported so within
+  /// the lifetime of responses; else null. A state that a replica copied in a refill does not count as a
+  /// vote.
   const pb::RegisterState* latest_at_quorum(const consensus::ReplicaSetView& set, const std::string& name,
                                             TimePoint now) const;
 
-  /// Whether the replica responded as one that votes less than `within` ago.
+  /// Whether the replica responded as a voting replica less than `within` ago.
   bool voted_within(const std::string& replica, TimePoint now, Duration within) const;
 
-  /// Ages count from `since` where there was no response after it.
+  /// Ages are counted from `since` if there was no response after it.
   ReplicaContact contact(const std::string& replica, TimePoint now, TimePoint since) const;
 
  private:
   struct Report {
     uint64_t boot_id = 0;       ///< of the process that responded last
-    uint64_t position = 0;      ///< in its register changes, up to which it reported
+    uint64_t position = 0;      ///< of the last register change that it reported
     TimePoint responded_at{0};  ///< 0: never
-    TimePoint requested_at{0};  ///< when the request was sent that it responded to last
-    TimePoint voted_at{0};      ///< when it last responded as one that votes; 0: never
+    TimePoint requested_at{0};  ///< when the last request that it responded to was sent
+    TimePoint voted_at{0};      ///< when it last responded as a voting replica; 0: never
     std::map<std::string, pb::RegisterState> registers;  ///< by name, as reported by this process
   };
 
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -12,22 +12,23 @@
 namespace dunlinwing::membership {
 namespace {
 constexpr base::Log logger("membership");
-// With so many nodes, one without a replica asks no more replicas than it needs.
+// In fleets of this size, a node without a replica queries only as many replicas as it needs.
 constexpr size_t kLargeFleet = 32;
-// What a node takes in one response: so much at the least, and for each known node more than its status
-// takes, for what changes between two pulls must always fit.
+// Size limit of a response: a minimum, and per known node more than the size of its status, because all
+// changes between two pulls must fit.
 constexpr uint64_t kMinResponseBytes = 64 << 10, kResponseBytesPerNode = 2 << 10;
-constexpr int kFirstResponseMultiple = 3;  // of the usual time, until the others are asked too
-constexpr int kOwnStatusesPerBound = 4;    // at the least, also when nothing urgent has changed
+constexpr int kFirstResponseMultiple = 3;  // of the usual response time, until the others are queried too
+constexpr int kOwnStatusesPerBound = 4;    // minimum, even if nothing urgent has changed
 
-/// What must be passed on at once, as a text to compare; the rest (counters, clocks, ages) may wait.
+/// The part of a status whose changes are sent at once, as a text to compare; the rest (counters, clocks,
+/// ages) may be sent later.
 std::string urgent_part(const pb::NodeStatus& status) {
   pb::NodeStatus node;
   *node.mutable_node() = status.node();
   node.mutable_node()->clear_wall_ms();
   node.mutable_node()->clear_running();
   std::string text = node.SerializeAsString();
-  // In the order of their keys, which a protobuf map does not have.
+  // Sorted by key, because a protobuf map has no defined order.
   std::map<std::string, std::string> running(status.node().running().begin(), status.node().running().end());
   for (const auto& [kind, release] : running) text += fmt::format("{}={};", kind, release);
   for (const auto& counts : status.canary_counts())
@@ -42,18 +43,18 @@
 }  // namespace
 
 struct StateCache::Impl {
-  /// One pull under way.
+  /// A pull in progress.
   struct Pull {
     TimePoint start;
-    uint64_t epoch;  ///< of the replica set that is asked
+    uint64_t epoch;  ///< of the replica set that is queried
     std::vector<consensus::Replica> replicas;
-    consensus::MemberFlags voting;  ///< the replicas that responded completely, as ones that vote
+    consensus::MemberFlags voting;  ///< the replicas that responded completely, as voting ones
     std::vector<pb::PullResponse> responses;
     bool more = false;  ///< some replica has more to report
     pb::PeerRequest request;
   };
 
-  /// Somebody who waits for a good pull.
+  /// A caller that waits for a good pull.
   struct Waiter {
     TimePoint since;
     std::shared_ptr<base::Condition> condition;
@@ -71,13 +72,13 @@
   ChosenValues chosen;
   std::set<std::string> unsettled;    ///< registers whose chosen value may have changed
   uint64_t deregistered_version = 0;  ///< of the register of deregistered instances, as last read
-  std::map<std::string, int> misses;  ///< by replica: requests in a row without a response
-  size_t first_asked = 0;             ///< index of the replica that is asked before the others
-  Duration usual_response{0};         ///< of that replica, of late
+  std::map<std::string, int> misses;  ///< by replica: consecutive requests without a response
+  size_t first_asked = 0;             ///< index of the replica that is queried before the others
+  Duration usual_response{0};         ///< smoothed response time of that replica
 
   uint64_t incarnation = 0;     ///< of this node's statuses; 0: not known yet
-  uint64_t status_count = 0;    ///< of the statuses stated under this incarnation
-  TimePoint own_status_at{0};   ///< when this node last stated its status
+  uint64_t status_count = 0;    ///< number of statuses sent under this incarnation
+  TimePoint own_status_at{0};   ///< when this node last sent its status
   std::string own_urgent_part;  ///< of that status
 
   std::atomic<int64_t> read_lease_end{0};  ///< in milliseconds of the clock; read by other threads
@@ -86,8 +87,8 @@
 
   PullSchedule schedule;
   std::vector<Waiter> waiters;
-  bool pull_requested = false;                 ///< the next pull is to begin at once
-  std::shared_ptr<base::Condition> next_pull;  ///< where the task waits between pulls; null: it does not
+  bool pull_requested = false;                 ///< the next pull should begin at once
+  std::shared_ptr<base::Condition> next_pull;  ///< where the task waits between pulls; null: it does not wait
 
   Impl(base::Ports& ports, StateCacheConfig config, consensus::RegisterClient& registers,
        consensus::Acceptor* local_acceptor, std::function<void(pb::NodeStatus&)> fill_own_status,
@@ -105,7 +106,7 @@
     first_asked = static_cast<size_t>(ports.random.below(registers.replicas().size()));
   }
 
-  /// The chosen value of a register: as a quorum reported it, else by a read; nothing when that fails.
+  /// Finds the chosen value of a register: as a quorum reported it, else by a read; nothing if that fails.
   std::optional<consensus::VersionedValue> find_chosen(const std::string& name) {
     if (auto* state = responses.latest_at_quorum(registers.set(), name, ports.clock.now()))
       return consensus::VersionedValue{state->value().version(), state->value().data()};
@@ -114,7 +115,7 @@
     return found ? std::optional(*found) : std::nullopt;
   }
 
-  /// Brings `chosen` up to date; false when a register could not be read.
+  /// Updates `chosen` for the unsettled registers; false when a register could not be read.
   bool settle() {
     for (auto next = unsettled.begin(); next != unsettled.end();) {
       auto name = *next;
@@ -127,15 +128,15 @@
     return true;
   }
 
-  /// The replica set has changed: what is chosen is settled anew under it.
+  /// Handles a change of the replica set: the chosen values have to be determined again under the new set.
   PullResult restart_under_new_set() {
     if (local_acceptor) local_acceptor->adopt(registers.set().message());
     for (const auto& name : responses.names()) unsettled.insert(name);
-    logger.info("{}: the replicas are now those of epoch {}.", config.node_name, registers.set().epoch());
+    logger.info("{}: switched to the replica set of epoch {}.", config.node_name, registers.set().epoch());
     return PullResult::failed;
   }
 
-  /// States this node's status in `pull`, when that is due or something urgent has changed.
+  /// Adds this node's status to `pull` if it is due or something urgent has changed.
   void add_own_status(pb::PullRequest& pull, TimePoint now) {
     if (!incarnation) return;
     pb::NodeStatus status;
@@ -154,7 +155,7 @@
   void take(Pull& pull, size_t index, const pb::PullResponse& reply, TimePoint requested_at) {
     const auto& replica = pull.replicas[index].name;
     auto now = ports.clock.now();
-    // One that has not made the present set durable may still vote under the one before.
+    // A replica that has not made the current set durable may still vote under the previous one.
     pull.voting[index] = !reply.non_voting() && !reply.more() && reply.adopted_epoch() >= pull.epoch;
     pull.more |= reply.more();
     for (const auto& name : responses.take(replica, reply, requested_at, now)) unsettled.insert(name);
@@ -167,7 +168,7 @@
     pull.responses.push_back(reply);
   }
 
-  /// Asks the replicas at the given indices and takes their responses; false when none responded.
+  /// Queries the replicas at the given indices and processes their responses; false when none responded.
   bool ask(Pull& pull, const std::vector<size_t>& indices, Duration limit) {
     std::vector<consensus::Replica> targets;
     targets.reserve(indices.size());
@@ -197,11 +198,11 @@
     return registers.set().epoch() == pull.epoch && registers.set().is_quorum(pull.voting);
   }
 
-  /// Whether a pull asks only as many replicas as it needs, as long as those respond.
+  /// Whether a pull queries only as many replicas as it needs, as long as those respond.
   bool asks_few() const { return !local_acceptor && statuses.size() >= kLargeFleet; }
 
-  /// Asks one replica alone, for as long as responses take of late: the others, asked too soon, would all
-  /// send what it is sending.
+  /// Queries one replica alone, with a limit derived from recent response times: if queried too soon, the
+  /// others would all send the same data.
   bool ask_first(Pull& pull) {
     const TimePoint began = ports.clock.now();
     const Duration limit =
@@ -211,11 +212,11 @@
     return responded;
   }
 
-  /// Asks one replica alone, and then the others with what it reported.
+  /// Queries one replica alone, and then the others for what its response did not contain.
   void ask_replicas(Pull& pull) {
     auto count = pull.replicas.size();
     first_asked %= count;
-    // While pulls fail, all are asked at once: a replica that responds late would only be asked twice.
+    // While pulls fail, all are queried at once: a replica that responds late would only be queried twice.
     if (!schedule.failing() && !ask_first(pull)) first_asked = (first_asked + 1) % count;
     std::vector<size_t> others, spare;
     for (size_t i = 0; i < count; ++i)
@@ -232,7 +233,7 @@
     if (!spare.empty() && !has_quorum(pull) && !pull.more) ask(pull, spare, config.pull_period());
   }
 
-  /// Sets the incarnation above the one under which this node was known before; the next pull states it.
+  /// Sets the incarnation above the one under which this node was known before; the next pull reports it.
   void find_incarnation(const Pull& pull) {
     auto latest = statuses.known_version(config.node_name);
     for (const auto& reply : pull.responses)
@@ -242,8 +243,8 @@
     incarnation = latest ? latest->incarnation() + 1 : 1;
   }
 
-  /// Others know a later status of this node than its own: one from before its restart, which no replica
-  /// remembered when it started. They would take no status of it that is not above that.
+  /// Handles other nodes having a later status of this node than its own: one from before its restart that no
+  /// replica had when it started. They would reject its statuses until its incarnation is above that.
   void raise_incarnation_above(const pb::StatusVersion& known) {
     pb::StatusVersion own_version;
     own_version.set_incarnation(incarnation);
@@ -252,10 +253,11 @@
     incarnation = known.incarnation() + 1;
     status_count = 0;
     own_urgent_part.clear();
-    logger.info("{}: continues under incarnation {}.", config.node_name, incarnation);
+    logger.info("{}: raised its incarnation to {}, above a status from before its restart.", config.node_name,
+                incarnation);
   }
 
-  /// Whether a newer replica set than that of `epoch` is among the chosen values; adopts it.
+  /// Adopts a replica set from the chosen values if it is newer than `epoch`; returns whether it did.
   bool adopt_chosen_set(uint64_t epoch) {
     auto found = chosen.find(consensus::kReplicaSetKey);
     pb::ReplicaSet set;
@@ -285,7 +287,7 @@
   }
 
   PullResult pull_once() {
-    if (registers.replicas().empty()) return PullResult::failed;  // they have not been found yet
+    if (registers.replicas().empty()) return PullResult::failed;  // discovery has not found them yet
     auto pull = begin_pull();
     PullReport report;
     report.result = carry_out(pull, report);
@@ -316,7 +318,7 @@
   void finish_good_pull(const Pull& pull) {
     follow_deregistered();
     statuses.forget(ports.clock.now());
-    // Counted from the start: a pull that itself took longer than the read lease has proved nothing.
+    // Counted from the start: a pull that took longer than the read lease grants no valid one.
     read_lease_end = (pull.start + config.read_lease_span()).count();
     on_good_pull();
     std::erase_if(waiters, [&](const Waiter& waiter) {
@@ -326,7 +328,7 @@
     });
   }
 
-  /// What the requester lacks, as far as it takes it in one response; it asks for the rest next.
+  /// Adds the statuses that the requester lacks, up to its size limit; it requests the rest in the next pull.
   void add_statuses(const pb::PullRequest& request, TimePoint now, pb::PullResponse& response) const {
     auto bytes = response.ByteSizeLong();
     for (const auto& status : statuses.since(request.known_versions(), now)) {
@@ -337,15 +339,15 @@
     }
   }
 
-  /// A node that was restarted learns under which incarnation it was known, and one that has chosen too low
-  /// an incarnation learns that.
+  /// Reports to the requester the latest version of its status that is known here, so that after a restart it
+  /// can choose an incarnation, or raise one that is too low.
   void add_version_of_requester(const pb::PullRequest& request, pb::PullResponse& response) const {
     auto known = statuses.known_version(request.node());
     if (!known || (request.has_own_status() && !is_newer(*known, request.own_status().version()))) return;
     auto* status = response.add_statuses();
     status->set_source(request.node());
     *status->mutable_version() = *known;
-    status->set_age_ms(static_cast<uint64_t>(config.session_span().count()) * 2);  // no session stands by it
+    status->set_age_ms(static_cast<uint64_t>(config.session_span().count()) * 2);  // too old for a session
   }
 
   pb::PeerResponse answer(const pb::PeerRequest& request) {
--- a/src/membership/status_table.cpp
+++ b/src/membership/status_table.cpp
@@ -4,13 +4,14 @@
 
 namespace dunlinwing::membership {
 namespace {
-constexpr int kSessionsRemembered = 20;  // for as long a node that is gone is still listed
+constexpr int kSessionsRemembered = 20;  // how long a node that is gone is still listed
 
 std::tuple<uint64_t, uint64_t> order(const pb::StatusVersion& version) {
   return {version.incarnation(), version.count()};
 }
 
-/// Takes a heartbeat that is later than the known one, or the same but younger. An announced end stays.
+/// Merges a heartbeat that is later than the known one, or the same with a lower age. An announced shutdown
+/// is never cleared.
 void merge_heartbeat(const pb::Heartbeat& heartbeat, Duration age, BackendInstanceStatus& instance) {
   auto& known = instance.heartbeat;
   bool leaving = known.leaving() || heartbeat.leaving();
--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -1,5 +1,5 @@
-// What keeps the control side reachable when a whole fleet has lost its contact at once: few
-// addresses are asked, failing pulls grow seldom, and descriptors suffice for control.
+// Keeps control reachable when a whole fleet loses its contact at once: each node queries few addresses,
+// failing pulls back off, and enough file descriptors are left for control.
 #include "membership/discovery.hpp"
 #include "membership/pull_schedule.hpp"
 #include "node/socket_budget.hpp"
@@ -36,16 +36,17 @@
   for (int look = 0; look < 100; ++look) {
     auto drawn = membership::draw_contacts(known, random);
     expect(drawn.size() == 2 * membership::kContactsPerKind,
-           fmt::format("{} addresses at once", drawn.size()));
+           fmt::format("{} addresses were queried at once", drawn.size()));
     asked.insert(drawn.begin(), drawn.end());
   }
   for (int i = 0; i < kWithDisk; ++i)
-    expect(asked.count(fmt::format("n{}", i)) > 0, "a node with a disk is never asked");
-  expect(asked.size() > 100, "always the same are asked");
-  expect(membership::draw_contacts({member(1, false)}, random).size() == 1, "one known, one asked");
+    expect(asked.count(fmt::format("n{}", i)) > 0, "a node with a disk is never queried");
+  expect(asked.size() > 100, "the same nodes are queried each time");
+  expect(membership::draw_contacts({member(1, false)}, random).size() == 1,
+         "the only known node is not queried");
 }
 
-// Pulls in ten seconds, each of which takes as long as a pull may.
+// The number of pulls in ten seconds if all of them have the given result.
 using membership::PullResult;
 
 int pulls_in_ten_seconds(PullResult result, bool hurried) {
@@ -55,7 +56,7 @@
   for (Duration time(0); time < Duration(10000); ++pulls) {
     auto spent = result == PullResult::good ? Duration(10) : Duration(0);
     auto wait = schedule.after(result, spent);
-    expect(wait.usual >= wait.least, "the usual wait is the longer one");
+    expect(wait.usual >= wait.least, "the usual wait is shorter than the least one");
     time += spent + (hurried ? wait.least : wait.usual);
   }
   return pulls;
@@ -67,22 +68,23 @@
   expect(failing <= 32, fmt::format("{} failing pulls in ten seconds", failing));
   expect(failing >= 15, fmt::format("only {} failing pulls in ten seconds", failing));
   auto hurried = pulls_in_ten_seconds(PullResult::failed, true);
-  expect(hurried <= 88, fmt::format("{} failing pulls in ten seconds for those in a hurry", hurried));
+  expect(hurried <= 88, fmt::format("{} failing pulls in ten seconds while a caller waits", hurried));
 }
 
 void one_good_pull_resets() {
   Sequence random;
   membership::PullSchedule schedule(random, kPeriod);
   for (int i = 0; i < 12; ++i) schedule.after(PullResult::failed, Duration(0));
-  expect(schedule.failing(), "twelve failures in a row");
+  expect(schedule.failing(), "not failing after twelve consecutive failures");
   same(schedule.after(PullResult::good, Duration(0)).usual.count(), kPeriod.count(),
        "the wait after a good pull");
-  expect(!schedule.failing(), "after a good pull");
+  expect(!schedule.failing(), "still failing after a good pull");
   expect(schedule.after(PullResult::failed, Duration(0)).usual <= kPeriod / 2,
-         "a single lost pull is repeated soon");
+         "a single lost pull is not retried soon");
 }
 
-// A node that lacks far more than one reply holds: no pull is good before it knows everything.
+// A node that lacks far more than one response may contain: no pull is good before all registers are
+// received.
 void good_pulls_know_everything() {
   constexpr int kRegisters = 120;
   constexpr int kMostPulls = 20;
@@ -106,13 +108,13 @@
       auto pull = harness.start<bool>("R", [&] { return harness.cache("R").pull_once(); });
       good = harness.result(pull, "a pull");
     }
-    expect(pulls > 3, fmt::format("all was told in {} pulls", pulls));
+    expect(pulls > 3, fmt::format("everything was received in only {} pulls", pulls));
     same(harness.cache("R").chosen().size(), size_t(kRegisters), "registers known after a good pull");
   });
 }
 
-// All replicas lost their memory at once while a node lived on that knows a late status of one of
-// them: that replica soon says what the node takes.
+// All replicas lose their memory at once while another node still has a later status of one of them: that
+// replica has to raise its incarnation so that the node accepts its statuses again.
 void restarted_replicas_are_believed() {
   membership::StatusTable replica(Duration(3000)), other(Duration(3000));
   TimePoint now(100000);
@@ -124,21 +126,21 @@
   pb::NodeStatus anew = old;
   anew.mutable_version()->set_count(1);
   replica.merge(anew, now);
-  expect(!other.merge(anew, now), "the node takes what its source said in its life before for later");
+  expect(!other.merge(anew, now), "a status from after the restart was accepted under the old incarnation");
   replica.note_known_versions(other.known_versions(), now);
   auto known = replica.known_version("A");
   expect(known && membership::is_newer(*known, anew.version()),
-         "the replica is not told that it began too low");
+         "the replica does not learn that its incarnation is too low");
   anew.mutable_version()->set_incarnation(known->incarnation() + 1);
-  expect(other.merge(anew, now) && replica.merge(anew, now), "what it says above that is not taken");
+  expect(other.merge(anew, now) && replica.merge(anew, now), "a status of a higher incarnation was rejected");
   replica.note_known_versions(other.known_versions(), now);
   replica.forget(now);
   expect(!membership::is_newer(*replica.known_version("A"), anew.version()),
-         "an old mark is kept beside a later status");
+         "the version known to a requester is kept beside a later status");
 }
 
-// The same with whole nodes: replicas have noted that others know a later status of R than its own; R
-// is told so by its pulls.
+// The same with complete nodes: replicas have recorded that others know a later status of R than its own; R
+// learns this from its pulls.
 void own_status_goes_on_above() {
   ConsensusHarness harness(1);
   harness.run([&] {
@@ -167,8 +169,8 @@
   });
 }
 
-// All kinds of connections at their bounds at once, and the ones to backend instances, of which
-// each client's request may use one.
+// All kinds of connections are at their limits at once, including those to backend instances, of which each
+// client request may use one.
 void sockets_suffice() {
   constexpr size_t kListening = 4;
   for (int sockets = 40; sockets < 5000; ++sockets)
@@ -177,21 +179,23 @@
       auto most = kListening + 2 * budget.clients + budget.upstream_idle + budget.operators +
                   budget.readiness + budget.peers_served + budget.peers_called;
       expect(most <= static_cast<size_t>(sockets), fmt::format("{} of {} sockets", most, sockets));
-      expect(budget.clients * 6 >= static_cast<size_t>(sockets), "clients get a sixth at the least");
+      expect(budget.clients * 6 >= static_cast<size_t>(sockets), "clients get less than a sixth");
     }
   auto unbounded = node::share_sockets(0, true);
-  expect(unbounded.clients == 0 && unbounded.peers_served > 1000, "nothing stated, nothing bounded");
+  expect(unbounded.clients == 0 && unbounded.peers_served > 1000,
+         "an unknown number of sockets must not set limits");
 }
 }  // namespace
 
 std::vector<Case> contact_cases() {
-  return {{"contact: few of the known nodes are asked at a time", few_are_asked},
-          {"contact: failing pulls are seldom, whoever is in a hurry", failing_pulls_are_seldom},
-          {"contact: one good pull ends the waiting", one_good_pull_resets},
-          {"contact: a pull is good once everything is known", good_pulls_know_everything},
-          {"contact: a restarted replica goes on above what others know", restarted_replicas_are_believed},
-          {"contact: a node told of a later status goes on above it", own_status_goes_on_above},
-          {"contact: all sockets at their bounds are within the process's", sockets_suffice}};
+  return {{"contact: few of the known nodes are queried at a time", few_are_asked},
+          {"contact: failing pulls back off, even while a caller waits", failing_pulls_are_seldom},
+          {"contact: one good pull ends the backoff", one_good_pull_resets},
+          {"contact: a pull is good once everything is received", good_pulls_know_everything},
+          {"contact: a restarted replica continues above the version that others know",
+           restarted_replicas_are_believed},
+          {"contact: a node that learns of a later own status continues above it", own_status_goes_on_above},
+          {"contact: all sockets at their limits are within the process's limit", sockets_suffice}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -1,4 +1,4 @@
-// The step that keeps the set of holders, and the first set.
+// The step that maintains the replica set, and the first set.
 #include "membership/replica_repair.hpp"
 
 #include "membership/discovery.hpp"
@@ -40,13 +40,13 @@
   return out;
 }
 
-// The names of the list that the plan goes to.
+// The names in the planned list.
 std::string step(const ClusterView& view) {
   auto plan = membership::plan_repair(view);
   return plan ? names(plan->replicas) : "none";
 }
 
-// A cluster that lives through any course of failures under the plan's own steps.
+// A cluster that undergoes random failures and applies the planned steps.
 struct Course {
   ClusterView view;
 
@@ -68,13 +68,13 @@
     }));
   }
 
-  // Takes one step and checks it; false when the plan names none.
+  // Applies one step and checks it; false when the plan has none.
   bool take() {
     auto plan = membership::plan_repair(view);
     if (!plan) return false;
     auto& to = plan->replicas;
     RC_ASSERT(voting(view.replicas) >= consensus::majority_of(view.replicas.size()));
-    // The change never depends on newcomers, but in sets too small to bear anything.
+    // The change never depends on new replicas, except in sets too small to tolerate a failure.
     if (view.replicas.size() >= 3) RC_ASSERT(voting(to) >= consensus::majority_of(to.size()));
     RC_ASSERT(to.size() >= std::min<size_t>(view.replicas.size(), 3));
     std::set<std::string> once;
@@ -83,7 +83,7 @@
       if (!consensus::contains(view.replicas, member))
         RC_ASSERT(at(member.name).present && at(member.name).disk);
     }
-    // A replica that is well keeps its place.
+    // A healthy replica is never replaced.
     for (auto& member : view.replicas)
       if (at(member.name).votes && !at(member.name).leaving) RC_ASSERT(consensus::contains(to, member));
     view.replicas = to;
@@ -114,7 +114,7 @@
   }
 };
 
-// Whatever comes and goes, a majority stays, and the set comes to what is wanted.
+// Under any sequence of failures a majority keeps voting, and the set reaches the required size.
 void any_course() {
   int tolerate = *rc::gen::inRange(1, 4);
   int nodes = *rc::gen::inRange(3, 12), first = *rc::gen::inRange(1, 4);
@@ -135,23 +135,23 @@
   same(step(view), std::string("abcfe"), "step");
   view.nodes.back().disk = false;
   same(step(view), std::string("abced"), "step");
-  same(step(three(2)), std::string("none"), "with nobody fit");
+  same(step(three(2)), std::string("none"), "without a candidate");
   view.tolerate = 0;
-  same(step(view), std::string("none"), "operators keep it");
+  same(step(view), std::string("none"), "operators maintain the set");
 }
 
 void silent_is_replaced() {
   auto view = three(1);
   view.nodes.push_back(node("d", "3", false));
-  same(step(view), std::string("none"), "all is well");
+  same(step(view), std::string("none"), "all replicas are healthy");
   fall_silent(view.nodes[1], membership::lost_after(kBound) - Duration(1));
-  same(step(view), std::string("none"), "away for a moment");
+  same(step(view), std::string("none"), "unresponsive for a moment");
   fall_silent(view.nodes[1], membership::lost_after(kBound));
-  same(step(view), std::string("adc"), "silent");
+  same(step(view), std::string("adc"), "unresponsive");
   view.nodes[3].present = false;
-  same(step(view), std::string("none"), "nobody at hand");
+  same(step(view), std::string("none"), "no candidate is present");
   end(view.nodes[1]);
-  same(step(view), std::string("none"), "nor is a set of three made smaller");
+  same(step(view), std::string("none"), "a set of three does not shrink");
 }
 
 void non_voting_is_replaced_later() {
@@ -169,7 +169,7 @@
   view.nodes.push_back(node("d", "3", false));
   view.nodes[2].leaving = true;
   view.nodes[2].present = false;
-  same(step(view), std::string("abd"), "it leaves");
+  same(step(view), std::string("abd"), "it is leaving");
 }
 
 void moved_is_replaced() {
@@ -177,7 +177,8 @@
   view.nodes[1].address = "at:elsewhere";
   view.nodes[1].votes = false;
   auto plan = membership::plan_repair(view);
-  expect(plan && plan->replicas[1] == consensus::Replica{"b", "at:elsewhere"}, "the address is old");
+  expect(plan && plan->replicas[1] == consensus::Replica{"b", "at:elsewhere"},
+         "the old address is still listed");
 }
 
 void two_are_replaced_at_once() {
@@ -189,7 +190,7 @@
   for (auto* name : {"f", "g", "h"}) view.nodes.push_back(node(name, "1", false));
   end(view.nodes[0]);
   end(view.nodes[3]);
-  same(step(view), std::string("fbcge"), "two");
+  same(step(view), std::string("fbcge"), "two are replaced");
   end(view.nodes[4]);
   same(step(view), std::string("none"), "no majority votes");
 }
@@ -218,7 +219,7 @@
   expect(!set.is_quorum(flags("abc")), "only the old majority");
   expect(!set.is_quorum(flags("ade")), "only the new majority");
   expect(set.is_quorum(flags("abd")), "both");
-  same(set.sufficient_count(), size_t{4}, "how many always suffice");
+  same(set.sufficient_count(), size_t{4}, "the number of replicas that always forms a quorum");
   expect(!set.adopt(joint), "the same epoch again");
 }
 
@@ -229,10 +230,10 @@
        other = membership::first_set({first, third, without_disk, first});
   expect(one && other && one->SerializeAsString() == other->SerializeAsString() &&
              one->replicas_size() == 2 && one->epoch() == 1,
-         "not one set");
-  expect(!membership::first_set({without_disk}), "a set without a disk");
+         "the first sets differ or are wrong");
+  expect(!membership::first_set({without_disk}), "a set was formed without a disk");
   membership::NodeIdentity namesake{"a", "1", "p:d", true, {}};
-  expect(!membership::first_set({first, namesake}), "two that go by one name");
+  expect(!membership::first_set({first, namesake}), "two seeds with the same name were accepted");
 }
 
 void identity_is_read_back() {
@@ -240,29 +241,31 @@
       R"({"name":"a","zone":"z","peer_address":"p","disk":true,"epoch":3,"holders":[{"name":"h","address":"q"}]})");
   expect(identity && identity->name == "a" && identity->disk && identity->replica_set.epoch() == 3 &&
              identity->replica_set.replicas(0).address() == "q",
-         "read wrongly");
+         "the identity was parsed wrongly");
   expect(!membership::parse_node_identity("{}") && !membership::parse_node_identity("x"),
-         "taken without a name");
+         "an identity without a name was accepted");
 }
 }  // namespace
 
 std::vector<Case> keepers_cases() {
   return {
       property(
-          "replica_repair: whatever comes and goes, a majority stays and the set comes to what is wanted",
+          "replica_repair: under any failures a majority keeps voting and the set reaches the required size",
           any_course),
-      {"replica_repair: the zones with fewest replicas give the next ones, in one step", grows_by_zones},
-      {"replica_repair: a silent replica gives its place to a node at hand, in one step", silent_is_replaced},
-      {"replica_repair: one that answers but cannot vote is waited for longer", non_voting_is_replaced_later},
-      {"replica_repair: one that leaves gives its place while it still votes", leaving_is_replaced},
-      {"replica_repair: a successor under the same name at another address takes the place",
+      {"replica_repair: new replicas are taken from the zones with the fewest, in one step", grows_by_zones},
+      {"replica_repair: an unresponsive replica is replaced by a present node, in one step",
+       silent_is_replaced},
+      {"replica_repair: a replica that responds but cannot vote is replaced later",
+       non_voting_is_replaced_later},
+      {"replica_repair: a leaving replica is replaced while it still votes", leaving_is_replaced},
+      {"replica_repair: a replica is replaced by its successor of the same name at another address",
        moved_is_replaced},
-      {"replica_repair: two that are lost are replaced at once, three of five are not",
+      {"replica_repair: two lost replicas of five are replaced at once, three are not",
        two_are_replaced_at_once},
-      {"replica_repair: one that is gone is dropped where more than wanted are left", gone_is_dropped},
-      {"replica set: quorums of neighbouring sets always meet", quorums_meet},
-      {"discovery: the first set is the seeds with a disk, in one order", first_set_of_seeds},
-      {"discovery: what a relay tells of itself is read back", identity_is_read_back},
+      {"replica_repair: a gone replica is dropped if enough others are left", gone_is_dropped},
+      {"replica set: quorums of successive sets always intersect", quorums_meet},
+      {"discovery: the first set consists of the seeds with a disk, in a fixed order", first_set_of_seeds},
+      {"discovery: the identity that a node reports is parsed", identity_is_read_back},
   };
 }
 
