--- a/src/limits/connection_share.cpp
+++ b/src/limits/connection_share.cpp
@@ -5,17 +5,17 @@
 
 namespace dunlinwing::limits {
 namespace {
-// Of the connections that an instance accepts, all nodes together use this part: a node may know of fewer
-// nodes than there are.
+// Fraction of an instance's connections that all nodes together use: a node may know of fewer nodes than
+// there are.
 constexpr double kUsedPart = 0.85;
-constexpr double kDeviations = 3;  // of the number of nodes that use an instance, above its mean
+constexpr double kDeviations = 3;  // standard deviations above the mean number of nodes that use an instance
 }  // namespace
 
 int connections_of_node(const ConnectionDemand& demand) {
   const double nodes = std::max(demand.nodes, 1);
   const double instances = static_cast<double>(std::max<size_t>(demand.instances, 1));
   const double used = std::clamp(static_cast<double>(demand.instances_of_node), 1.0, instances);
-  const double use = used / instances;  // the part of the nodes that use one instance
+  const double use = used / instances;  // the fraction of the nodes that use one instance
   const double crowding = 1 + kDeviations * std::sqrt((1 - use) / (nodes * use));
   const double share = demand.share.value_or(1 / nodes);
   const double connections = kUsedPart * demand.max_connections * share / use / crowding;
--- a/src/limits/demand_estimator.cpp
+++ b/src/limits/demand_estimator.cpp
@@ -5,16 +5,16 @@
 namespace dunlinwing::limits {
 namespace {
 constexpr double kLatestWeight = 0.3;  // of the latest observation in the smoothed rate
-constexpr int kAwayBounds = 15;  // a node that is away for less is expected back, and its quota waits for it
-constexpr int kAwayBoundsNeeded = 1;  // the same, while the other nodes need its quota
+constexpr int kAwayBounds = 15;        // a node absent for less is expected back and keeps its quota
+constexpr int kAwayBoundsNeeded = 1;   // the same, if the other nodes need its quota
 constexpr double kPerMilliRequest = 0.001;
-constexpr double kHeadroom = 1.4;  // times its demand, what nodes should have to serve it without waiting
+constexpr double kHeadroom = 1.4;  // times the demand: the quota with which nodes serve it without waiting
 
 bool is_present(const pb::NodeStatus& status) {
   return !status.node().zone().empty() && !status.node().leaving();
 }
 
-/// A node that was never asked for the service says nothing of it, and its demand is known to be none.
+/// A node that received no request for the service does not report it; its demand is known to be zero.
 uint64_t requested_of(const pb::NodeStatus& status, const std::string& service) {
   for (const auto& counted : status.demands())
     if (counted.service() == service) return counted.requested();
@@ -27,7 +27,7 @@
   return sum;
 }
 
-/// What nodes have that are not present, in requests a second.
+/// The quotas of the nodes that are not present, in requests per second.
 double quota_of_absent(const pb::RateQuotas& quotas, const DemandByNode& present) {
   double sum = 0;
   for (const auto& [name, quota] : quotas.milli_requests())
@@ -73,7 +73,7 @@
     demand[name] = nodes.at(name).rate.value_or(0);
     shield_ready |= status.node().shield() && status.node().ready();
   }
-  // Shields fetch for all: while nobody has asked yet, they are expected to be asked most.
+  // Shields fetch for all nodes: while there is no demand yet, they are expected to receive most of it.
   const bool shields_fetch = shield_ready && demand.size() >= kMinNodesForShields;
   if (shields_fetch && total(demand) < 1)
     for (auto& [name, rate] : demand)
@@ -100,7 +100,7 @@
     if (node.present_at == TimePoint(0)) node.present_at = context.now;
     bool expected_back = context.now - node.present_at < max_absence;
     if (!demand.count(name) && !expected_back) continue;
-    // A node whose demand is not known is asked for as much as its quota says.
+    // If a node's demand is not known, it is derived from its quota.
     demand[name] = node.rate.value_or(quota * rate_of_quota);
   }
   return demand;
--- a/src/limits/demand_share.cpp
+++ b/src/limits/demand_share.cpp
@@ -5,7 +5,7 @@
 
 namespace dunlinwing::limits {
 namespace {
-constexpr double kRounding = 1e-9;  // sums of parts differ by less
+constexpr double kRounding = 1e-9;  // rounding errors of sums of shares are smaller
 }  // namespace
 
 int64_t whole_part(int64_t number, const DemandShare& share) {
--- a/src/limits/demand_share.hpp
+++ b/src/limits/demand_share.hpp
@@ -1,19 +1,20 @@
 /// @file
-/// One node's part of what the whole fleet sends to a service, and what follows from it for things that can
-/// only be handed out whole. Pure.
+/// One node's share of the requests that the whole fleet sends to a service, and its share of indivisible
+/// units. Pure.
 #pragma once
 #include <cstdint>
 
 namespace dunlinwing::limits {
 
-/// A part of a service's requests: of all of them in the order of the nodes' names.
+/// A node's share of a service's requests, as an interval: the nodes' shares are laid end to end, sorted by
+/// name.
 struct DemandShare {
-  double before = 0;  ///< sent by the nodes before this one, from 0 to 1
-  double share = 0;   ///< sent by this node, from 0 to 1
+  double before = 0;  ///< start of the interval: the sum of the shares before it, from 0 to 1
+  double share = 0;   ///< length of the interval: this node's share, from 0 to 1
 };
 
-/// This node's part of a number of things. The parts of all nodes add up to the number: each gets those that
-/// lie within its part, whose ends are rounded alike by both neighbours.
+/// This node's share of `number` units, as an integer. The results of all nodes add up to `number`: each node
+/// gets the units in its interval, and adjacent intervals round their common end alike.
 [[nodiscard]] int64_t whole_part(int64_t number, const DemandShare& share);
 
 }  // namespace dunlinwing::limits
--- a/src/limits/demand_shares.cpp
+++ b/src/limits/demand_shares.cpp
@@ -40,7 +40,7 @@
   return shares;
 }
 
-// The least part that was computed within the last bound, at its present place among the others.
+// The smallest share computed within the last bound, at its current position among the others.
 DemandShares::Shares DemandShares::usable() const {
   if (observed_.empty()) return {};
   Shares usable = observed_.back().shares;
--- a/src/limits/rate_allocator.cpp
+++ b/src/limits/rate_allocator.cpp
@@ -8,12 +8,12 @@
 namespace dunlinwing::limits {
 namespace {
 constexpr base::Log logger("limits");
-constexpr int kObservationsNeeded = 3;  // before demand is known well enough to lower a quota for want of it
+constexpr int kObservationsNeeded = 3;  // until then demand is too uncertain to lower quotas by it
 constexpr double kMsPerSecond = 1000;
 
 using Releases = std::map<std::string, config::Release>;
 using ConfigurationNames = std::set<std::string>;
-using Rates = std::map<std::string, int64_t>;  // by service, requests a second
+using Rates = std::map<std::string, int64_t>;  // by service, requests per second
 
 /// The routing configurations that are assigned to some node.
 ConfigurationNames assigned_configurations(const pb::RolloutState& rollout) {
@@ -42,26 +42,26 @@
 }  // namespace
 
 struct RateAllocator::Impl {
-  /// A service's quotas as they stand in their register.
+  /// A service's quotas as stored in their register.
   struct StoredQuotas {
     pb::RateQuotas quotas;
-    uint64_t version = 0;  ///< 0: none were ever written
+    uint64_t version = 0;  ///< 0: never written
   };
 
   base::Ports& ports;
   consensus::RegisterClient& registers;
   membership::StateCache& state_cache;
   Duration bound;
-  uint64_t term = 0;         ///< of the leadership; what follows was seen under it
+  uint64_t term = 0;         ///< of the leadership; the members below were observed under it
   TimePoint observed_at{0};  ///< when demand was last observed
-  int observations = 0;      ///< of demand, up to kObservationsNeeded
+  int observations = 0;      ///< number of demand observations, up to kObservationsNeeded
   DemandEstimator demand;
-  std::map<std::string, TimePoint> decreased_at;  ///< by service; at first, when it was first seen
+  std::map<std::string, TimePoint> decreased_at;  ///< by service; initially when it was first seen
   Rates rates;                                    ///< the lowest rate in force of each service that has one
-  ConfigurationNames rated_configurations;        ///< those that `rates` was read from
+  ConfigurationNames rated_configurations;        ///< the configurations that `rates` was read from
   config::NumberedConfigurationReader numbered_configuration;
 
-  /// Reads the lowest rate that any configuration in force states; a rate holds for all nodes.
+  /// Reads the lowest rate that any active configuration sets for a service; a rate applies to all nodes.
   void read_rates(const pb::RolloutState& rollout, const Releases& releases) {
     if (const auto& active = numbered_configuration.read(state_cache.chosen()); active.number) {
       rates = active.configuration ? rates_of(*active.configuration) : Rates{};
@@ -72,7 +72,7 @@
     rates.clear();
     for (const auto& name : names) {
       auto release = releases.find(config::release_key("layout", name));
-      if (release == releases.end()) return;  // it is not known here yet; the next tick tries again
+      if (release == releases.end()) return;  // not known here yet; the next tick retries
       auto result = config::parse_routing_configuration(name, release->second.content);
       if (auto* parsed = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&result))
         lower_rates(**parsed, rates);
@@ -89,8 +89,8 @@
     return stored;
   }
 
-  /// Writes the term into the quotas, so that what was decided under an earlier one can no longer be written.
-  /// @return whether it is in them already; if not, the next tick finds what stands then
+  /// Writes the term into the quotas, so that decisions of an earlier term can no longer be written.
+  /// @return whether they carry it already; if not, the next tick reads the quotas again
   bool take_over(const std::string& service, StoredQuotas stored,
                  const membership::LeadershipFence& fence) const {
     if (!stored.version || stored.quotas.term() == fence.term()) return fence.allows(stored.quotas.term());
@@ -145,9 +145,9 @@
     bool decreased = step.change == QuotaChange::decreased;
     auto written =
         fence.write(registers, quota_key(service), stored.version, stored.quotas.term(), step.quotas);
-    // Whatever becomes of the write, what it lowers may have been lowered now.
+    // Even a write that failed may have taken effect and lowered quotas.
     if (decreased || !written) decreased_at[service] = ports.clock.now();
-    logger.debug("Quotas of {} were {} for {} nodes.", service, decreased ? "lowered" : "raised",
+    logger.debug("Service {}: {} the rate quotas of {} nodes.", service, decreased ? "lowered" : "raised",
                  step.quotas.milli_requests_size());
   }
 };
--- a/src/limits/rate_allocator.hpp
+++ b/src/limits/rate_allocator.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// Keeps the quotas of stated rates, for the rollout leader: reads what each node is asked for and writes a
-/// service's quotas when they should fall or may rise. The decisions are made in demand_estimator and
-/// rate_quotas. Used by the thread that runs control only.
+/// Maintains the quotas of rate-limited services on the rollout leader: observes the demand at each node and
+/// writes a service's quotas when they should fall or may rise. demand_estimator and rate_quotas decide. Used
+/// by the thread that runs control only.
 ///
-/// After a takeover the leader does not know when quotas last fell, and so waits a bound before it lets any
-/// rise; nor what is asked where, and so lowers none for want of demand until it has observed it a few times.
+/// After a takeover the leader does not know when quotas last fell, so it raises none for a bound; nor does
+/// it know the demand, so it lowers none because of low demand until it has observed it a few times.
 #pragma once
 #include "config/release.hpp"
 #include "limits/rate_quotas.hpp"
@@ -12,7 +12,7 @@
 
 namespace dunlinwing::limits {
 
-/// The leader's part in the quotas.
+/// Runs the quota allocation on the leader.
 class RateAllocator {
  public:
   /// The references have to outlive the allocator.
@@ -20,9 +20,9 @@
                 Duration bound);
   ~RateAllocator();
 
-  /// Observes and writes, at most twice in a bound; waits for the writes.
-  /// @param releases  all that are recorded, by the name of their register
-  /// @param fence     of the rollout leadership, begun for this tick
+  /// Observes demand and writes quotas, at most twice per bound; waits for the writes.
+  /// @param releases  all recorded releases, by the name of their register
+  /// @param fence     of the rollout leadership; begin() was called for this tick
   void tick(TimePoint now, const pb::RolloutState& rollout,
             const std::map<std::string, config::Release>& releases, const membership::LeadershipFence& fence);
 
--- a/src/limits/rate_limiter.cpp
+++ b/src/limits/rate_limiter.cpp
@@ -5,9 +5,9 @@
 namespace dunlinwing::limits {
 namespace {
 constexpr double kMsPerSecond = 1000;
-constexpr double kMaxDelayMs = 100;   // a request that is later than that makes a new reservation
-constexpr double kSameQuota = 0.999;  // a quota has not fallen when it is at least so much of the earlier one
-constexpr double kRoundUpMs = 0.999;  // to whole milliseconds
+constexpr double kMaxDelayMs = 100;   // a request that is later than this needs a new reservation
+constexpr double kSameQuota = 0.999;  // a quota above this fraction of the earlier one has not fallen
+constexpr double kRoundUpMs = 0.999;  // rounds up to whole milliseconds
 }  // namespace
 
 std::variant<RateReservation, Duration> RateLimiter::reserve(const std::string& service, double quota,
--- a/src/limits/rate_limiter.hpp
+++ b/src/limits/rate_limiter.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Spaces the requests that one node sends to an origin evenly at its quota of the origin's stated rate. The
-/// rate holds over the whole fleet because the quotas of all nodes together never exceed it.
+/// Spaces one node's requests to an origin evenly, at the node's quota of the origin's configured rate. The
+/// rate is kept over the whole fleet because the quotas of all nodes together never exceed it.
 #pragma once
 #include <mutex>
 
@@ -8,37 +8,37 @@
 
 namespace dunlinwing::limits {
 
-/// A moment at which one request may be sent.
+/// A time slot in which one request may be sent.
 struct RateReservation {
-  Duration wait{0};   ///< until that moment
-  double due_ms = 0;  ///< that moment, in milliseconds of the clock
-  double quota = 0;   ///< under which it was computed, in requests a second
+  Duration wait{0};   ///< until the slot
+  double due_ms = 0;  ///< the slot's time, in milliseconds of the clock
+  double quota = 0;   ///< from which it was computed, in requests per second
 };
 
-/// The moments that are reserved so far. From any thread.
+/// The slots reserved so far. From any thread.
 class RateLimiter {
  public:
   /// @param clock  has to outlive the limiter
   explicit RateLimiter(base::Clock& clock)
       : clock_(clock), started_ms_(static_cast<double>(clock.now().count())) {}
 
-  /// Reserves the next free moment, one interval after the one reserved before. The first one is a whole
-  /// interval after this process started, which does not know what its predecessor sent.
-  /// @param quota     of this node, in requests a second; 0: it may send none
-  /// @param max_wait  a later moment is not reserved
-  /// @return the reservation, or for how long one would have to wait
+  /// Reserves the next free slot, one interval after the previous one. The first slot is a whole interval
+  /// after this process started, because it does not know what its predecessor sent.
+  /// @param quota     of this node, in requests per second; 0: it may send none
+  /// @param max_wait  a slot later than this is not reserved
+  /// @return the reservation, or the wait that would have been necessary
   [[nodiscard]] std::variant<RateReservation, Duration> reserve(const std::string& service, double quota,
                                                                 Duration max_wait);
 
-  /// Whether a reservation that was waited for still stands: its moment has not passed, and the quota has not
-  /// fallen since. If not, another one has to be made.
+  /// Whether a reservation is still valid after the wait: its slot has not passed, and the quota has not
+  /// fallen since. If not, the caller has to make a new one.
   [[nodiscard]] bool is_valid(const RateReservation& reservation, double quota) const;
 
  private:
   base::Clock& clock_;
   double started_ms_;
   std::mutex mutex_;
-  std::map<std::string, double> next_ms_;  ///< by service, the next free moment; guarded by mutex_
+  std::map<std::string, double> next_ms_;  ///< by service, the next free slot; guarded by mutex_
 };
 
 }  // namespace dunlinwing::limits
--- a/src/limits/rate_quotas.cpp
+++ b/src/limits/rate_quotas.cpp
@@ -5,14 +5,14 @@
 
 namespace dunlinwing::limits {
 namespace {
-constexpr double kMaxHandedOut = 0.97, kMinHandedOut = 0.5;  // of the rate
-constexpr double kRateWithMargin = 1.1;                      // of the rate, what any five seconds may hold
-constexpr double kMarginSeconds = 5;                         // in which each node may be early by one request
-constexpr double kMinRatePerNode = 2.5;  // requests a second; with less, fewer nodes get a quota
-constexpr double kEvenShare = 0.1;       // is spread evenly, so that no node starts from nothing
-constexpr double kMinChange = 0.15;      // of a quota; smaller changes are not worth a write
-constexpr double kHeadroom = 1.3;        // times its demand, what a node's quota should hold
-constexpr uint32_t kMilli = 1000;        // quotas are in thousandths of a request a second
+constexpr double kMaxHandedOut = 0.97, kMinHandedOut = 0.5;  // fractions of the rate
+constexpr double kRateWithMargin = 1.1;  // times the rate: the limit over any five seconds
+constexpr double kMarginSeconds = 5;     // period in which each node may be early by one request
+constexpr double kMinRatePerNode = 2.5;  // requests per second; with less, fewer nodes get a quota
+constexpr double kEvenShare = 0.1;       // fraction split evenly, so that no node has to start at zero
+constexpr double kMinChange = 0.15;      // fraction of a quota; smaller changes are not worth a write
+constexpr double kHeadroom = 1.3;        // quota that a node should have, as a multiple of its demand
+constexpr uint32_t kMilli = 1000;        // quotas are in thousandths of a request per second
 
 using QuotaByNode = std::map<std::string, uint32_t>;
 
@@ -21,7 +21,7 @@
   double rate;
 };
 
-/// The nodes that get a quota: those with most demand.
+/// Selects the nodes that get a quota: those with the highest demand.
 std::vector<NodeRate> select_nodes(const QuotaInput& input) {
   std::vector<NodeRate> nodes;
   nodes.reserve(input.demand.size());
@@ -33,7 +33,7 @@
   return nodes;
 }
 
-/// The quotas that the demand asks for.
+/// The target quotas for the given demand.
 QuotaByNode wanted_quotas(const QuotaInput& input) {
   auto nodes = select_nodes(input);
   auto rate = static_cast<double>(input.rate);
@@ -50,9 +50,8 @@
   return quotas;
 }
 
-/// Whether some node is asked for more than its quota holds, and is to have more. While none is, nothing
-/// changes: no quota rises for a bound after one has fallen, and of many nodes some would always fall a
-/// little.
+/// Whether the demand at some node exceeds its quota and its target is higher. Otherwise nothing changes: no
+/// quota may rise for a bound after one has fallen, and with many nodes some would always fall a little.
 bool is_change_needed(const QuotaByNode& wanted, const QuotaInput& input, const pb::RateQuotas& quotas) {
   if (quotas.rate() != static_cast<uint32_t>(input.rate)) return true;
   return std::any_of(wanted.begin(), wanted.end(), [&](const auto& entry) {
@@ -64,7 +63,7 @@
   });
 }
 
-/// Lowers what is far above what is wanted, or all of that when the rate itself has fallen.
+/// Lowers quotas that are far above their target, or all that are above it if the rate itself has fallen.
 bool decrease(const QuotaByNode& wanted, int64_t rate, pb::RateQuotas& quotas) {
   bool rate_fell = quotas.rate() > static_cast<uint32_t>(rate);
   bool decreased = false;
@@ -83,14 +82,14 @@
   return true;
 }
 
-/// What so many nodes may have together, in thousandths: each may be early by one request.
+/// The most that `holders` nodes may have together, in thousandths: each may be early by one request.
 uint64_t most_handed_out(int64_t rate, size_t holders) {
   const auto whole = static_cast<double>(rate);
   const double with_margin = whole * kRateWithMargin - static_cast<double>(holders) / kMarginSeconds;
   return static_cast<uint64_t>(std::max(0.0, std::min(whole, with_margin)) * kMilli);
 }
 
-/// Raises what is far below what is wanted, as far as the rate allows.
+/// Raises quotas that are far below their target, as far as the rate allows.
 bool increase(const QuotaByNode& wanted, int64_t rate, pb::RateQuotas& quotas) {
   auto& milli_requests = *quotas.mutable_milli_requests();
   uint64_t sum = 0;
@@ -118,8 +117,8 @@
   QuotaStep step{quotas, QuotaChange::none};
   auto wanted = wanted_quotas(input);
   if (!is_change_needed(wanted, input, quotas)) return step;
-  // While something has fallen of late nothing may rise, and nothing else falls: each fall would put the rise
-  // off. Then what may rise goes first.
+  // For a bound after a decrease no quota may rise, and no other falls: each decrease would delay the next
+  // increase. After that, increases come first.
   const bool rate_fell = quotas.rate() > static_cast<uint32_t>(input.rate);
   const bool may_rise = input.since_decrease >= input.bound;
   if (!rate_fell && may_rise && increase(wanted, input.rate, step.quotas))
--- a/test/unit/limits/limits_test.cpp
+++ b/test/unit/limits/limits_test.cpp
@@ -1,4 +1,4 @@
-// The bounds over the whole fleet: retries, and the rate of an origin.
+// The limits over the whole fleet: retries, connections and the rate of an origin.
 #include "limits/connection_share.hpp"
 #include "limits/demand_shares.hpp"
 #include "limits/limit_counters.hpp"
@@ -9,7 +9,7 @@
 
 namespace dunlinwing::test {
 namespace {
-// Stands until it is set.
+// Only advances when the test sets it.
 struct ManualClock final : base::Clock {
   TimePoint time{1000000};
   TimePoint now() override { return time; }
@@ -17,9 +17,9 @@
   void sleep(Duration) override {}
 };
 
-using WrittenQuotas = std::vector<std::pair<Duration, pb::RateQuotas>>;  // with when they were written
+using WrittenQuotas = std::vector<std::pair<Duration, pb::RateQuotas>>;  // with the times of the writes
 
-// Each node uses some version no older than the bound, at worst for the sum.
+// Each node uses some version no older than the bound; returns its largest quota among these.
 uint32_t worst_quota(const WrittenQuotas& written, const std::string& node, Duration now) {
   uint32_t worst = 0;
   for (size_t k = 0; k < written.size(); ++k) {
@@ -31,8 +31,8 @@
   return worst;
 }
 
-// Nodes follow what is written up to a bound late, each in its own time: at no moment may what they use
-// together exceed the rate.
+// Nodes follow a write with different delays of up to a bound: the sum of the quotas in use must never exceed
+// the rate.
 void shares_never_exceed() {
   int64_t rate = *rc::gen::inRange(2, 200);
   pb::RateQuotas quotas;
@@ -85,7 +85,7 @@
   RC_ASSERT(sum >= allowance * 3 / 4 - 1);
 }
 
-/// The parts of nodes that send so many requests each.
+/// The shares of nodes that send the given numbers of requests.
 std::vector<limits::DemandShare> shares_of(const std::vector<int>& demand) {
   double total = 0, before = 0;
   for (int requests : demand) total += requests;
@@ -97,7 +97,7 @@
   return shares;
 }
 
-// However uneven the demand is: nothing is handed out twice, and whoever sends most has most.
+// For any demand, the shares add up to the allowance, and the node with the highest demand gets the most.
 void allowances_follow_demand() {
   const int allowance = *rc::gen::inRange(0, 400);
   auto demand = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 50));
@@ -116,7 +116,8 @@
   RC_ASSERT(limits::retry_allowance_of_node(allowance, {nodes, nodes - 1, shares.back()}) + 1 >= largest);
 }
 
-// A cap that is split among all nodes gives each of them one connection; the four that send get the rest.
+// With a cap close to the number of nodes an even split gives each node one connection; the four that send
+// need more.
 void connections_follow_demand() {
   constexpr int kCap = 86, kNodes = 87, kSenders = 4;
   limits::ConnectionDemand demand{kCap, 2, 2, kNodes, 1.0 / kSenders};
@@ -129,13 +130,13 @@
   same(limits::connections_of_node(demand), 1, "connections while the demand is not known");
 }
 
-// Of 78 instances each node uses 11, so that an instance has some twelve users and not 87.
+// Each node uses 11 of 78 instances, so an instance has about twelve users and not 87.
 void connections_go_to_users_of_an_instance() {
   constexpr int kCap = 86, kNodes = 87;
   constexpr size_t kInstances = 78, kUsed = 11;
   const limits::ConnectionDemand demand{kCap, kInstances, kUsed, kNodes, 1.0 / kNodes};
   const int each = limits::connections_of_node(demand);
-  constexpr int kMostUsers = 24;  // by three deviations
+  constexpr int kMostUsers = 24;  // mean plus three standard deviations
   expect(each >= 3 && each * kMostUsers <= kCap, fmt::format("{} connections of each user", each));
 }
 
@@ -148,7 +149,7 @@
   return status;
 }
 
-// A part that falls is given up at once; one that rises is used when all others have heard of it.
+// A share that falls is used at once; one that rises is used only when all other nodes have learned of it.
 void demand_shares_rise_late() {
   constexpr Duration kBound{2000};
   limits::DemandShares shares("n1", kBound);
@@ -160,18 +161,18 @@
                    now);
     return shares.usable();
   };
-  expect(!step(0, 0).count("s"), "a part before anything is known");
+  expect(!step(0, 0).count("s"), "a share was returned before demand is known");
   for (int i = 0; i < 4; ++i) step(10, 90);
   const double low = step(10, 90).at("s").share;
-  expect(low > 0.05 && low < 0.15, fmt::format("a part of {}", low));
-  expect(step(900, 90).at("s").share <= low + 0.001, "a risen part was used at once");
+  expect(low > 0.05 && low < 0.15, fmt::format("a share of {}", low));
+  expect(step(900, 90).at("s").share <= low + 0.001, "an increased share was used at once");
   for (int i = 0; i < 4; ++i) step(900, 90);
   const double high = step(900, 90).at("s").share;
-  expect(high > 0.7, fmt::format("a part of {} after a bound", high));
-  expect(step(0, 900).at("s").share < high - 0.1, "a fallen part was kept");
+  expect(high > 0.7, fmt::format("a share of {} after a bound", high));
+  expect(step(0, 900).at("s").share < high - 0.1, "a decreased share was kept");
 }
 
-/// What the estimator says of a relay and a shield, none of which was asked yet, in a fleet of so many nodes.
+/// The estimate for relays and one shield in a fleet of this many nodes before any request.
 limits::DemandByNode first_demand(int nodes) {
   limits::DemandEstimator::Statuses statuses{{"shield", asked("s", 0)}};
   statuses["shield"].mutable_node()->set_shield(true);
@@ -182,13 +183,13 @@
   return estimator.estimate("s", statuses, {}, {100, Duration(2000), TimePoint(1000)});
 }
 
-// A shield of a small fleet is idle; were the rate kept for it, the first seconds of traffic would be
-// refused.
+// A shield of a small fleet is idle; if the rate were reserved for it, the first seconds of traffic would be
+// rejected.
 void shields_are_expected_to_be_asked_where_they_fetch() {
   const auto small = first_demand(limits::kMinNodesForShields - 1);
-  same(small.at("shield"), small.at("relay-1"), "what is expected of the shield of a small fleet");
+  same(small.at("shield"), small.at("relay-1"), "expected demand at the shield of a small fleet");
   const auto large = first_demand(limits::kMinNodesForShields);
-  expect(large.at("shield") > large.at("relay-1"), "what is expected of the shield of a large fleet");
+  expect(large.at("shield") > large.at("relay-1"), "no demand expected at the shield of a large fleet");
 }
 
 void limits_count_what_they_grant() {
@@ -210,10 +211,11 @@
 void new_process_has_no_retries() {
   limits::RetryBudget budget;
   for (int i = 0; i < 4; ++i) budget.record_request("s");
-  expect(!budget.try_acquire("s", 2), "four requests earned a repeat");
+  expect(!budget.try_acquire("s", 2), "four requests earned a retry");
   budget.record_request("s");
   budget.record_request("s");
-  expect(budget.try_acquire("s", 2) && !budget.try_acquire("s", 2), "five requests earn one repeat");
+  expect(budget.try_acquire("s", 2) && !budget.try_acquire("s", 2),
+         "six requests must earn exactly one retry");
 }
 
 void reservations_expire() {
@@ -223,12 +225,12 @@
     return std::get<limits::RateReservation>(limiter.reserve("s", share, Duration(60000)));
   };
   auto first = reserve(10);
-  expect(first.wait == Duration(100), "a new process waits a whole interval");
+  expect(first.wait == Duration(100), "a new process must wait a whole interval");
   clock.time += first.wait;
   expect(limiter.is_valid(first, 10) && limiter.is_valid(first, 20) && !limiter.is_valid(first, 5),
-         "a fallen share");
+         "validity under the same, a higher and a lower quota");
   clock.time += Duration(150);
-  expect(!limiter.is_valid(first, 10), "a missed turn");
+  expect(!limiter.is_valid(first, 10), "a missed slot is still valid");
 }
 
 void rate_is_never_exceeded() {
@@ -252,21 +254,23 @@
 
 std::vector<Case> limits_cases() {
   return {
-      property("budget: repeats stay within a fifth and the allowance in any ten seconds",
+      property("budget: retries stay within a fifth of the requests plus the allowance in any ten seconds",
                retries_stay_within_budget),
-      property("budget: the parts of all relays together are never more than the allowance",
+      property("budget: the shares of all nodes together never exceed the allowance",
                allowances_never_exceed),
-      property("budget: what goes by demand adds up to the allowance", allowances_follow_demand),
-      {"connections: go to the nodes that send", connections_follow_demand},
+      property("budget: shares by demand add up to the allowance", allowances_follow_demand),
+      {"connections: follow the demand of the nodes", connections_follow_demand},
       {"connections: are divided among the users of an instance", connections_go_to_users_of_an_instance},
-      {"demand: a part that rises is used a bound later", demand_shares_rise_late},
-      {"demand: shields are expected to be asked where they fetch",
+      {"demand: an increased share is used a bound later", demand_shares_rise_late},
+      {"demand: shields are expected to have demand in fleets where they fetch",
        shields_are_expected_to_be_asked_where_they_fetch},
       {"limits: what was granted and denied is counted", limits_count_what_they_grant},
-      {"budget: a process that starts has no repeats saved up", new_process_has_no_retries},
-      {"budget: a turn does not stand once it is missed or the share has fallen", reservations_expire},
-      property("budget: a pace never lets a second hold more than its share and one", rate_is_never_exceeded),
-      property("shares: relays together never exceed the rate, however late they hear", shares_never_exceed),
+      {"budget: a new process has no saved-up retries", new_process_has_no_retries},
+      {"budget: a reservation is invalid once its slot is missed or the quota has fallen",
+       reservations_expire},
+      property("budget: no second has more requests than the rate limit and one", rate_is_never_exceeded),
+      property("quotas: nodes together never exceed the rate, however late they learn of a change",
+               shares_never_exceed),
   };
 }
 
