--- a/src/link/link.hpp
+++ b/src/link/link.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The machine's network link as this process uses it: one pacer for each direction.
+/// The machine's network link as used by this process: one pacer per direction.
 ///
 /// Threads: every function may be called from any thread.
 #pragma once
@@ -8,7 +8,7 @@
 namespace dunlinwing::link {
 
 struct Link {
-  /// @param mbps  million bits a second, each way; 0: not stated, and nothing is paced
+  /// @param mbps  megabits per second in each direction; 0: not configured, and nothing is paced
   Link(base::Clock& clock, base::Tasks& tasks, double mbps)
       : inbound(clock, tasks, mbps * kBytesPerMegabit), outbound(clock, tasks, mbps * kBytesPerMegabit) {}
 
@@ -19,12 +19,12 @@
   static constexpr double kBytesPerMegabit = 125000;
 };
 
-/// What a part of the process transfers over which link.
+/// The link and traffic class that a component transfers under.
 struct LinkUse {
-  Link* link = nullptr;  ///< null: its rate is not known, and nothing is counted or paced
+  Link* link = nullptr;  ///< null: its rate is unknown, and nothing is counted or paced
   TrafficClass traffic_class = TrafficClass::control;
 
-  /// What came in, or goes out without waiting.
+  /// Counts bytes that were received, or are sent without waiting.
   void received(size_t bytes) const {
     if (link) link->inbound.charge(traffic_class, bytes);
   }
@@ -32,11 +32,11 @@
     if (link) link->outbound.charge(traffic_class, bytes);
   }
 
-  /// Bytes of a body that go out at once.
+  /// Number of bytes of a body that are sent at a time.
   size_t outbound_part() const { return link ? link->outbound.part_bytes() : SIZE_MAX; }
 
-  /// Waits until a part may go out; false when the limit is over first.
-  /// @param since      when the first part was to go
+  /// Waits until a part may be sent; false when the limit passes first.
+  /// @param since      when the first part was ready to be sent
   /// @param remaining  bytes, this part included
   [[nodiscard]] bool await_outbound(size_t bytes, TimePoint since, size_t remaining, Duration limit) const {
     return !link || link->outbound.acquire({traffic_class, since, remaining}, bytes, limit);
--- a/src/link/pacer.cpp
+++ b/src/link/pacer.cpp
@@ -4,10 +4,10 @@
 
 namespace dunlinwing::link {
 namespace {
-// Of the link's rate; the rest is for packet headers and for what is not seen here.
+// Fraction of the link's rate; the rest is for packet headers and traffic that is not counted here.
 constexpr double kUsableShare = 0.9;
 constexpr double kMsPerSecond = 1000;
-// What the link carries in these times is a burst, and a part; but no less than a part is worth its overhead.
+// A burst and a part are what the link carries in these times; the minimum size bounds the overhead per part.
 constexpr double kBurstMs = 15;
 constexpr double kPartMs = 10;
 constexpr double kMinPartBytes = 4 << 10;
--- a/test/unit/link/pacer_test.cpp
+++ b/test/unit/link/pacer_test.cpp
@@ -1,4 +1,4 @@
-// How bodies share a link with control and with each other.
+// Bodies share a link with control and with each other.
 #include "link/pacer.hpp"
 
 #include "support/manual_ports.hpp"
@@ -6,17 +6,17 @@
 
 namespace dunlinwing::test {
 namespace {
-constexpr double kBytesPerSecond = 1225000;  // 9.8 million bits
+constexpr double kBytesPerSecond = 1225000;  // 9.8 megabits
 constexpr Duration kLong(60000);
 
-/// Conditions that let time pass: whoever waits does so for as long as it may.
+/// Conditions whose waits advance the clock by their full limit.
 class TimePassing final : public base::Tasks {
  public:
   explicit TimePassing(ManualClock& clock) : clock_(clock) {}
   void spawn(std::function<void()> /*task*/) override { throw Failed("a task was spawned"); }
   std::shared_ptr<base::Condition> condition() override { return std::make_shared<Wait>(*this); }
 
-  std::function<void()> meanwhile;  ///< called at the begin of each wait
+  std::function<void()> meanwhile;  ///< called at the start of each wait
 
  private:
   struct Wait final : base::Condition {
@@ -42,11 +42,11 @@
     return pacer.acquire({link::TrafficClass::clients, clock.now(), remaining}, bytes, limit);
   }
 
-  /// Sends a body part by part; how long that took.
+  /// Sends a body part by part; returns how long that took.
   Duration send(size_t bytes) {
     const TimePoint began = clock.now();
     for (size_t remaining = bytes; remaining > 0; remaining -= std::min(remaining, pacer.part_bytes()))
-      expect(send_part(remaining), "a part had its turn");
+      expect(send_part(remaining), "a part was not granted");
     return clock.now() - began;
   }
 };
@@ -66,35 +66,38 @@
   bench.clock.sleep(Duration(1000));
   bench.pacer.charge(link::TrafficClass::control, kBytes);
   const Duration behind_control = bench.send(kBytes);
-  expect(behind_control >= alone * 19 / 10, "bodies leave room for what control took");
+  expect(behind_control >= alone * 19 / 10, "bodies did not slow down for control traffic");
   same(bench.pacer.counts()[0].waits, 0U, "waits of control");
 }
 
 void a_small_body_is_not_behind_large_ones() {
   Bench bench;
   constexpr size_t kSmall = 2000, kLarge = 700000;
-  while (bench.pacer.expected_time(1) <= Duration(0)) expect(bench.send_part(kLarge), "a part had its turn");
+  while (bench.pacer.expected_time(1) <= Duration(0))
+    expect(bench.send_part(kLarge), "a part was not granted");
   Duration small(0), large(0);
   bench.tasks.meanwhile = [&] {
-    if (large > Duration(0)) return;  // only while the large body waits for the first time
+    if (large > Duration(0)) return;  // only during the first wait of the large body
     small = bench.pacer.expected_time(kSmall);
     large = bench.pacer.expected_time(kLarge + 1);
   };
-  expect(bench.send_part(kLarge), "a part had its turn");
+  expect(bench.send_part(kLarge), "a part was not granted");
   expect(small < Duration(100), fmt::format("a small body would take {} ms", small.count()));
-  expect(large > bench.pacer.time_alone(kLarge) * 3 / 2, "a larger one comes after the one that waits");
+  expect(large > bench.pacer.time_alone(kLarge) * 3 / 2,
+         "a larger body is not queued behind the waiting one");
 }
 
 void who_gives_up_takes_nothing() {
   Bench bench;
-  while (bench.pacer.expected_time(1) <= Duration(0)) expect(bench.send_part(SIZE_MAX / 2), "a part");
+  while (bench.pacer.expected_time(1) <= Duration(0))
+    expect(bench.send_part(SIZE_MAX / 2), "a part was not granted");
   const auto before = bench.pacer.counts()[1];
   bench.pacer.charge(link::TrafficClass::control, 1 << 20);
-  expect(!bench.send_part(1000, Duration(5)), "the time is over before its turn");
+  expect(!bench.send_part(1000, Duration(5)), "a part was granted after its time limit");
   const auto after = bench.pacer.counts()[1];
   same(after.bytes, before.bytes, "bytes taken");
-  same(after.given_up, before.given_up + 1, "parts given up");
-  same(after.waiting_bytes, 0U, "bytes that wait");
+  same(after.given_up, before.given_up + 1, "parts that were not granted in time");
+  same(after.waiting_bytes, 0U, "waiting bytes");
 }
 
 void a_link_of_unknown_rate_paces_nothing() {
@@ -109,10 +112,10 @@
 std::vector<Case> pacer_cases() {
   return {
       {"link: bodies leave a part of it to control", bodies_leave_a_part_of_the_link},
-      {"link: control never waits, and bodies make room for it", control_takes_from_bodies_and_never_waits},
-      {"link: a small body is not behind large ones", a_small_body_is_not_behind_large_ones},
-      {"link: who gives up takes nothing", who_gives_up_takes_nothing},
-      {"link: one of unknown rate paces nothing", a_link_of_unknown_rate_paces_nothing}};
+      {"link: control never waits, and bodies slow down for it", control_takes_from_bodies_and_never_waits},
+      {"link: a small body is not queued behind large ones", a_small_body_is_not_behind_large_ones},
+      {"link: a part that times out takes no tokens", who_gives_up_takes_nothing},
+      {"link: with an unknown rate nothing is paced", a_link_of_unknown_rate_paces_nothing}};
 }
 
 }  // namespace dunlinwing::test
