--- a/src/limits/demand_shares.cpp
+++ b/src/limits/demand_share_tracker.cpp
@@ -1,4 +1,4 @@
-#include "limits/demand_shares.hpp"
+#include "limits/demand_share_tracker.hpp"
 
 #include <algorithm>
 #include <set>
@@ -16,7 +16,7 @@
 }
 }  // namespace
 
-void DemandShares::observe(const DemandEstimator::Statuses& statuses, TimePoint now) {
+void DemandShareTracker::observe(const DemandEstimator::Statuses& statuses, TimePoint now) {
   const Duration since = observed_.empty() ? bound_ : Duration(now - observed_.back().at);
   if (since < bound_ / kObservationsPerBound) return;
   const double seconds = static_cast<double>(since.count()) / kMsPerSecond;
@@ -25,7 +25,7 @@
   while (observed_.size() > 1 && now - observed_[1].at >= bound_) observed_.pop_front();
 }
 
-DemandShares::Shares DemandShares::own_shares(const DemandEstimator::Statuses& statuses) const {
+DemandShareTracker::Shares DemandShareTracker::own_shares(const DemandEstimator::Statuses& statuses) const {
   Shares shares;
   for (const auto& service : services_of(statuses)) {
     const auto demand = demand_.known_demand(service, statuses);
@@ -41,7 +41,7 @@
 }
 
 // The smallest share computed within the last bound, at its current position among the others.
-DemandShares::Shares DemandShares::usable() const {
+DemandShareTracker::Shares DemandShareTracker::usable() const {
   if (observed_.empty()) return {};
   Shares usable = observed_.back().shares;
   for (const auto& observed : observed_)
--- a/src/limits/demand_shares.hpp
+++ b/src/limits/demand_share_tracker.hpp
@@ -15,13 +15,14 @@
 
 namespace dunlinwing::limits {
 
-class DemandShares {
+class DemandShareTracker {
  public:
   /// By service.
   using Shares = std::map<std::string, DemandShare>;
 
   /// @param bound  within which every node learns of a change
-  DemandShares(std::string node_name, Duration bound) : node_name_(std::move(node_name)), bound_(bound) {}
+  DemandShareTracker(std::string node_name, Duration bound)
+      : node_name_(std::move(node_name)), bound_(bound) {}
 
   /// Records the nodes' counters; does nothing if the last observation is too recent.
   void observe(const DemandEstimator::Statuses& statuses, TimePoint now);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -6,7 +6,7 @@
 
 #include "base/log.hpp"
 #include "canary/canary_analysis.hpp"
-#include "limits/demand_shares.hpp"
+#include "limits/demand_share_tracker.hpp"
 #include "membership/deregistered.hpp"
 #include "membership/discovery.hpp"
 #include "membership/replica_repair.hpp"
@@ -65,7 +65,7 @@
   AssignmentLoader assignment_loader;
   software::Artifacts* artifacts = nullptr;
   canary::CanaryAnalysis canary_analysis;
-  limits::DemandShares demand_shares;
+  limits::DemandShareTracker demand_shares;
   RejectionLog rejection_log;
   LinkLog link_log;
   TimePoint cache_swept{0};
--- a/test/unit/limits/limits_test.cpp
+++ b/test/unit/limits/limits_test.cpp
@@ -1,6 +1,6 @@
 // The limits over the whole fleet: retries, connections and the rate of an origin.
 #include "limits/connection_share.hpp"
-#include "limits/demand_shares.hpp"
+#include "limits/demand_share_tracker.hpp"
 #include "limits/limit_counters.hpp"
 #include "limits/rate_limiter.hpp"
 #include "limits/rate_quotas.hpp"
@@ -152,7 +152,7 @@
 // A share that falls is used at once; one that rises is used only when all other nodes have learned of it.
 void demand_shares_rise_late() {
   constexpr Duration kBound{2000};
-  limits::DemandShares shares("n1", kBound);
+  limits::DemandShareTracker shares("n1", kBound);
   TimePoint now{1000};
   uint64_t own = 0, other = 0;
   const auto step = [&](uint64_t own_requests, uint64_t other_requests) {
