--- a/src/control_api/metrics.cpp
+++ b/src/control_api/metrics.cpp
@@ -165,7 +165,8 @@
   page.gauge("ready", "1 when the platform may send callers.", node.ready() ? 1 : 0);
   page.gauge("generation", "The generation in force here.", node.generation());
   page.gauge("permit_left_ms", "What is left of the read lease.", read_lease_left(node, now).count());
-  page.gauge("duty_held", "1 when this node does the rollout leadership.", node.leadership().held() ? 1 : 0);
+  page.gauge("duty_held", "1 when this node does the rollout leadership.",
+             node.leadership().is_leader() ? 1 : 0);
   page.gauge("members", "Nodes whose session stands.", state_cache.statuses().members(now).size());
   page.gauge("registers", "Registers known.", state_cache.chosen().size());
   if (node.acceptor())
--- a/src/control_api/status_page.cpp
+++ b/src/control_api/status_page.cpp
@@ -25,7 +25,7 @@
           fmt::format(R"("generation":{},"layout":{})", node.generation(),
                       base::quote(node.configuration_name())),
           fmt::format(R"("holder":{},"votes":{})", is_replica, is_replica && !node.acceptor()->non_voting()),
-          fmt::format(R"("shield":{},"duty":{})", node.config().shield, node.leadership().held()),
+          fmt::format(R"("shield":{},"duty":{})", node.config().shield, node.leadership().is_leader()),
           fmt::format(R"("incarnation":{},"members":{})", state_cache.incarnation(),
                       state_cache.statuses().members(now).size())};
 }
--- a/src/membership/leadership.cpp
+++ b/src/membership/leadership.cpp
@@ -159,7 +159,7 @@
   impl_->ports.tasks.spawn([impl = impl_] { impl->run(); });
 }
 
-bool Leadership::held() const {
+bool Leadership::is_leader() const {
   return impl_->participation != Participation::ended && impl_->ports.clock.now() < impl_->lease_end;
 }
 uint64_t Leadership::term() const { return impl_->term; }
@@ -172,7 +172,7 @@
 }
 
 void Leadership::transfer() {
-  bool was_leader = held();
+  bool was_leader = is_leader();
   impl_->participation = Participation::ended;
   if (was_leader) impl_->give_up();
 }
--- a/src/membership/leadership.hpp
+++ b/src/membership/leadership.hpp
@@ -25,7 +25,7 @@
   void start();
 
   /// Whether this node is the leader; to be checked right before each action.
-  [[nodiscard]] bool held() const;
+  [[nodiscard]] bool is_leader() const;
 
   /// The term of the lease that this node acquired last; 0: it has acquired none.
   uint64_t term() const;
--- a/src/membership/leadership_fence.cpp
+++ b/src/membership/leadership_fence.cpp
@@ -14,7 +14,7 @@
 }
 
 bool LeadershipFence::allows(uint64_t in_force) const {
-  return may_replace({leadership_.held(), leadership_.term()}, term_, in_force);
+  return may_replace({leadership_.is_leader(), leadership_.term()}, term_, in_force);
 }
 
 }  // namespace dunlinwing::membership
--- a/src/rollout/forgotten_releases.cpp
+++ b/src/rollout/forgotten_releases.cpp
@@ -38,7 +38,7 @@
   const auto key = operator_action_key_of(path);
   auto result = registers_.read(key);
   const auto* value = as<consensus::VersionedValue>(result);
-  if (!value || !leadership_.held()) return;
+  if (!value || !leadership_.is_leader()) return;
   pb::OperatorAction action;
   action.ParseFromString(value->data);
   if (action.forgotten()) return;  // the next pull brings it
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -84,7 +84,7 @@
   if (!version_rollouts_.is_urgent()) return ports_.clock.sleep(span);
   for (int i = 0; i < kSwitchTicks; ++i) {
     ports_.clock.sleep(span / kSwitchTicks);
-    if (i + 1 < kSwitchTicks && state_cache_.has_read_lease() && leadership_.held())
+    if (i + 1 < kSwitchTicks && state_cache_.has_read_lease() && leadership_.is_leader())
       version_rollouts_.tick(ports_.clock.now(), Duration(0), rules_);
   }
 }
@@ -95,7 +95,7 @@
     led_ = TimePoint(0);
     return;
   }
-  const bool leads = leadership_.held();
+  const bool leads = leadership_.is_leader();
   if (fence_.begin()) {
     led_ = TimePoint(0);
     store_.invalidate();
--- a/src/rollout/version_rollout_driver.cpp
+++ b/src/rollout/version_rollout_driver.cpp
@@ -44,7 +44,7 @@
   urgent_ = false;
   observer_.update(now, state_cache_.last_good_pull(), state_cache_.chosen(), statuses,
                    state_cache_.statuses().backend_instances(now));
-  if (!leadership_.held()) return;
+  if (!leadership_.is_leader()) return;
   sum_recent(now, observations);
   count_instances(now, observations);
   const auto prefix = service_key("");
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -80,7 +80,7 @@
     ++(n.replica ? hn : rn);
     if (n.replica) most = std::max(most, b);
     if (!n.replica) bytes.add(b);
-    if (n.up() && n.relay().leadership().held()) leadership = b;
+    if (n.up() && n.relay().leadership().is_leader()) leadership = b;
   }
   double all = static_cast<double>(cpu) / 1e6 / sec;
   o["relay_bytes"] = rn ? rb / rn : 0;
--- a/test/scenarios/fault_scenarios.cpp
+++ b/test/scenarios/fault_scenarios.cpp
@@ -31,8 +31,8 @@
         if (response.status != 200 && response.status != 202) return false;
         ++scene.world.faults_met["acked"];
         for (auto& host : scene.fleet.hosts())
-          if (host->up() &&
-              (host->name == response.by || (scene.world.random(300) && host->node->leadership().held())))
+          if (host->up() && (host->name == response.by ||
+                             (scene.world.random(300) && host->node->leadership().is_leader())))
             scene.fleet.kill(host->name);
         return true;
       });
--- a/test/scenarios/scenario.cpp
+++ b/test/scenarios/scenario.cpp
@@ -120,7 +120,7 @@
 
 simulation::Host* leader_host(Scene& scene) {
   for (auto& host : scene.fleet.hosts())
-    if (host->up() && host->node->leadership().held()) return host.get();
+    if (host->up() && host->node->leadership().is_leader()) return host.get();
   return nullptr;
 }
 
--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -60,7 +60,7 @@
           broken =
               fmt::format("two sets of holders under epoch {}, one of them at {}", set.epoch(), host->name);
       }
-      replicas += n->leadership().held();
+      replicas += n->leadership().is_leader();
     }
     if (replicas > 1) broken = "two nodes hold the rollout duty";
   }
