--- a/src/limits/demand_share.cpp
+++ b/src/limits/demand_share.cpp
@@ -8,7 +8,7 @@
 constexpr double kRounding = 1e-9;  // rounding errors of sums of shares are smaller
 }  // namespace
 
-int64_t whole_part(int64_t number, const DemandShare& share) {
+int64_t integer_share(int64_t number, const DemandShare& share) {
   const auto end_of = [&](double part) {
     return static_cast<int64_t>(
         std::floor(static_cast<double>(number) * std::clamp(part, 0.0, 1.0) + kRounding));
--- a/src/limits/demand_share.hpp
+++ b/src/limits/demand_share.hpp
@@ -15,6 +15,6 @@
 
 /// This node's share of `number` units, as an integer. The results of all nodes add up to `number`: each node
 /// gets the units in its interval, and adjacent intervals round their common end alike.
-[[nodiscard]] int64_t whole_part(int64_t number, const DemandShare& share);
+[[nodiscard]] int64_t integer_share(int64_t number, const DemandShare& share);
 
 }  // namespace dunlinwing::limits
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -18,13 +18,13 @@
 
 int allowance_of_node(int64_t allowance, const AllowanceSharer& sharer) {
   const int64_t total = usable_allowance(allowance);
-  return static_cast<int>(sharer.share ? whole_part(total, *sharer.share) : even_part(total, sharer));
+  return static_cast<int>(sharer.share ? integer_share(total, *sharer.share) : even_part(total, sharer));
 }
 
 int retry_allowance_of_node(int64_t allowance, const AllowanceSharer& sharer) {
   const int64_t total = usable_allowance(allowance);
   if (!sharer.share || total <= sharer.nodes) return allowance_of_node(allowance, sharer);
-  return 1 + static_cast<int>(whole_part(total - sharer.nodes, *sharer.share));
+  return 1 + static_cast<int>(integer_share(total - sharer.nodes, *sharer.share));
 }
 
 void RetryBudget::record_request(const std::string& service, double earned) {
