--- a/src/limits/retry_budget.hpp
+++ b/src/limits/retry_budget.hpp
@@ -11,7 +11,7 @@
 namespace dunlinwing::limits {
 
 /// A node among those that share an allowance.
-struct AllowanceSharer {
+struct AllowanceParticipant {
   int nodes = 1;                     ///< number of nodes that share it
   int rank = 0;                      ///< this node's rank among them, from 0
   std::optional<DemandShare> share;  ///< this node's share of the service's requests; nothing: not known yet
@@ -19,11 +19,11 @@
 
 /// One node's share of an allowance of the whole fleet, in whole units. While the service's demand is unknown
 /// the nodes have equal shares; then the shares are proportional to the requests they send. Pure.
-[[nodiscard]] int allowance_of_node(int64_t allowance, const AllowanceSharer& sharer);
+[[nodiscard]] int allowance_of_node(int64_t allowance, const AllowanceParticipant& sharer);
 
 /// One node's share of the fleet's retry allowance: as allowance_of_node(), but if there are more retries
 /// than nodes each node gets at least one. Pure.
-[[nodiscard]] int retry_allowance_of_node(int64_t allowance, const AllowanceSharer& sharer);
+[[nodiscard]] int retry_allowance_of_node(int64_t allowance, const AllowanceParticipant& sharer);
 
 /// The retries earned by this node's requests, by service. From any thread.
 ///
--- a/test/unit/limits/limits_test.cpp
+++ b/test/unit/limits/limits_test.cpp
@@ -106,7 +106,7 @@
   const auto shares = shares_of(demand);
   int retries = 0, whole = 0, largest = 0;
   for (int rank = 0; rank < nodes; ++rank) {
-    const limits::AllowanceSharer sharer{nodes, rank, shares[static_cast<size_t>(rank)]};
+    const limits::AllowanceParticipant sharer{nodes, rank, shares[static_cast<size_t>(rank)]};
     whole += limits::allowance_of_node(allowance, sharer);
     retries += limits::retry_allowance_of_node(allowance, sharer);
     largest = std::max(largest, limits::retry_allowance_of_node(allowance, sharer));
