--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -10,21 +10,22 @@
   return static_cast<int64_t>(kMargin * static_cast<double>(allowance));
 }
 
-int64_t even_part(int64_t total, const AllowanceParticipant& sharer) {
-  const int64_t count = std::max(sharer.nodes, 1);
-  return total / count + (sharer.rank < total % count);
+int64_t even_part(int64_t total, const AllowanceParticipant& participant) {
+  const int64_t count = std::max(participant.nodes, 1);
+  return total / count + (participant.rank < total % count);
 }
 }  // namespace
 
-int allowance_of_node(int64_t allowance, const AllowanceParticipant& sharer) {
+int allowance_of_node(int64_t allowance, const AllowanceParticipant& participant) {
   const int64_t total = usable_allowance(allowance);
-  return static_cast<int>(sharer.share ? integer_share(total, *sharer.share) : even_part(total, sharer));
+  return static_cast<int>(participant.share ? integer_share(total, *participant.share)
+                                            : even_part(total, participant));
 }
 
-int retry_allowance_of_node(int64_t allowance, const AllowanceParticipant& sharer) {
+int retry_allowance_of_node(int64_t allowance, const AllowanceParticipant& participant) {
   const int64_t total = usable_allowance(allowance);
-  if (!sharer.share || total <= sharer.nodes) return allowance_of_node(allowance, sharer);
-  return 1 + static_cast<int>(integer_share(total - sharer.nodes, *sharer.share));
+  if (!participant.share || total <= participant.nodes) return allowance_of_node(allowance, participant);
+  return 1 + static_cast<int>(integer_share(total - participant.nodes, *participant.share));
 }
 
 void RetryBudget::record_request(const std::string& service, double earned) {
--- a/src/limits/retry_budget.hpp
+++ b/src/limits/retry_budget.hpp
@@ -19,11 +19,11 @@
 
 /// One node's share of an allowance of the whole fleet, in whole units. While the service's demand is unknown
 /// the nodes have equal shares; then the shares are proportional to the requests they send. Pure.
-[[nodiscard]] int allowance_of_node(int64_t allowance, const AllowanceParticipant& sharer);
+[[nodiscard]] int allowance_of_node(int64_t allowance, const AllowanceParticipant& participant);
 
 /// One node's share of the fleet's retry allowance: as allowance_of_node(), but if there are more retries
 /// than nodes each node gets at least one. Pure.
-[[nodiscard]] int retry_allowance_of_node(int64_t allowance, const AllowanceParticipant& sharer);
+[[nodiscard]] int retry_allowance_of_node(int64_t allowance, const AllowanceParticipant& participant);
 
 /// The retries earned by this node's requests, by service. From any thread.
 ///
--- a/test/unit/limits/limits_test.cpp
+++ b/test/unit/limits/limits_test.cpp
@@ -106,10 +106,10 @@
   const auto shares = shares_of(demand);
   int retries = 0, whole = 0, largest = 0;
   for (int rank = 0; rank < nodes; ++rank) {
-    const limits::AllowanceParticipant sharer{nodes, rank, shares[static_cast<size_t>(rank)]};
-    whole += limits::allowance_of_node(allowance, sharer);
-    retries += limits::retry_allowance_of_node(allowance, sharer);
-    largest = std::max(largest, limits::retry_allowance_of_node(allowance, sharer));
+    const limits::AllowanceParticipant participant{nodes, rank, shares[static_cast<size_t>(rank)]};
+    whole += limits::allowance_of_node(allowance, participant);
+    retries += limits::retry_allowance_of_node(allowance, participant);
+    largest = std::max(largest, limits::retry_allowance_of_node(allowance, participant));
   }
   RC_ASSERT(whole == allowance * 3 / 4);
   RC_ASSERT(retries == allowance * 3 / 4);
