--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -10,7 +10,7 @@
   return static_cast<int64_t>(kMargin * static_cast<double>(allowance));
 }
 
-int64_t even_part(int64_t total, const AllowanceParticipant& participant) {
+int64_t even_share(int64_t total, const AllowanceParticipant& participant) {
   const int64_t count = std::max(participant.nodes, 1);
   return total / count + (participant.rank < total % count);
 }
@@ -19,7 +19,7 @@
 int allowance_of_node(int64_t allowance, const AllowanceParticipant& participant) {
   const int64_t total = usable_allowance(allowance);
   return static_cast<int>(participant.share ? integer_share(total, *participant.share)
-                                            : even_part(total, participant));
+                                            : even_share(total, participant));
 }
 
 int retry_allowance_of_node(int64_t allowance, const AllowanceParticipant& participant) {
