--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -62,7 +62,7 @@
   return set;
 }
 
-std::vector<std::string> draw_contacts(std::vector<Member> known, base::Random& random) {
+std::vector<std::string> sample_contacts(std::vector<Member> known, base::Random& random) {
   for (size_t i = known.size(); i > 1; --i) std::swap(known[i - 1], known[random.below(i)]);
   size_t with_disk = 0, without = 0;
   std::vector<std::string> addresses;
@@ -139,7 +139,7 @@
   std::vector<std::string> search_addresses() {
     auto addresses = config.seeds;
     addresses.insert(addresses.end(), initial_seeds.begin(), initial_seeds.end());
-    for (auto& address : draw_contacts(state_cache.statuses().all(ports.clock.now()), ports.random))
+    for (auto& address : sample_contacts(state_cache.statuses().all(ports.clock.now()), ports.random))
       addresses.push_back(std::move(address));
     sort_unique(addresses);
     std::erase(addresses, std::string());
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -35,7 +35,7 @@
 
 /// The control addresses to query, chosen at random: all nodes of a fleet may search at the same time, and
 /// must not overload each other.
-std::vector<std::string> draw_contacts(std::vector<Member> known, base::Random& random);
+std::vector<std::string> sample_contacts(std::vector<Member> known, base::Random& random);
 
 /// Searches for the replica set whenever this node has lost it.
 class Discovery {
