--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -356,7 +356,7 @@
     auto& response = *answer.mutable_pull();
     TimePoint now = ports.clock.now();
     if (pull.has_own_status()) statuses.merge(pull.own_status(), now);
-    statuses.note_known_versions(pull.known_versions(), now);
+    statuses.record_requester_versions(pull.known_versions(), now);
     if (local_acceptor)
       local_acceptor->append_changes({pull.boot_id(), pull.position()}, pull.max_bytes(), response);
     else
--- a/src/membership/status_table.cpp
+++ b/src/membership/status_table.cpp
@@ -64,7 +64,7 @@
   return latest;
 }
 
-void StatusTable::note_known_versions(const KnownVersions& known_to_requester, TimePoint now) {
+void StatusTable::record_requester_versions(const KnownVersions& known_to_requester, TimePoint now) {
   for (const auto& [source, version] : known_to_requester) {
     auto known = known_version(source);
     if (!known || is_newer(version, *known)) {
--- a/src/membership/status_table.hpp
+++ b/src/membership/status_table.hpp
@@ -54,7 +54,7 @@
   std::optional<pb::StatusVersion> known_version(const std::string& source) const;
 
   /// Records the versions that a requester knows, if they are later than those in this table.
-  void note_known_versions(const KnownVersions& known_to_requester, TimePoint now);
+  void record_requester_versions(const KnownVersions& known_to_requester, TimePoint now);
 
   /// The nodes whose session is alive and that have not announced their shutdown.
   std::vector<Member> members(TimePoint now) const;
--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -127,13 +127,13 @@
   anew.mutable_version()->set_count(1);
   replica.merge(anew, now);
   expect(!other.merge(anew, now), "a status from after the restart was accepted under the old incarnation");
-  replica.note_known_versions(other.known_versions(), now);
+  replica.record_requester_versions(other.known_versions(), now);
   auto known = replica.known_version("A");
   expect(known && membership::is_newer(*known, anew.version()),
          "the replica does not learn that its incarnation is too low");
   anew.mutable_version()->set_incarnation(known->incarnation() + 1);
   expect(other.merge(anew, now) && replica.merge(anew, now), "a status of a higher incarnation was rejected");
-  replica.note_known_versions(other.known_versions(), now);
+  replica.record_requester_versions(other.known_versions(), now);
   replica.forget(now);
   expect(!membership::is_newer(*replica.known_version("A"), anew.version()),
          "the version known to a requester is kept beside a later status");
@@ -162,7 +162,7 @@
     for (auto* name : {"A", "B", "C"}) {
       google::protobuf::Map<std::string, pb::StatusVersion> known;
       known["R"] = late.version();
-      harness.cache(name).statuses().note_known_versions(known, TimePoint(0));
+      harness.cache(name).statuses().record_requester_versions(known, TimePoint(0));
     }
     for (int i = 0; i < 3; ++i) pull_once();
     same(harness.cache("R").incarnation(), uint64_t(8), "the incarnation above the one that others know");
