--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -317,7 +317,7 @@
 
   void finish_good_pull(const Pull& pull) {
     follow_deregistered();
-    statuses.forget(ports.clock.now());
+    statuses.remove_expired(ports.clock.now());
     // Counted from the start: a pull that took longer than the read lease grants no valid one.
     read_lease_end = (pull.start + config.read_lease_span()).count();
     on_good_pull();
--- a/src/membership/status_table.cpp
+++ b/src/membership/status_table.cpp
@@ -113,7 +113,7 @@
   return instances;
 }
 
-void StatusTable::forget(TimePoint now) {
+void StatusTable::remove_expired(TimePoint now) {
   std::erase_if(entries_, [&](const auto& entry) {
     return now - entry.second.stated_at > session_ * kSessionsRemembered;
   });
--- a/src/membership/status_table.hpp
+++ b/src/membership/status_table.hpp
@@ -75,7 +75,7 @@
   size_t size() const { return entries_.size(); }
 
   /// Removes statuses and versions that are older than twenty sessions.
-  void forget(TimePoint now);
+  void remove_expired(TimePoint now);
 
  private:
   struct Entry {
--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -134,7 +134,7 @@
   anew.mutable_version()->set_incarnation(known->incarnation() + 1);
   expect(other.merge(anew, now) && replica.merge(anew, now), "a status of a higher incarnation was rejected");
   replica.record_requester_versions(other.known_versions(), now);
-  replica.forget(now);
+  replica.remove_expired(now);
   expect(!membership::is_newer(*replica.known_version("A"), anew.version()),
          "the version known to a requester is kept beside a later status");
 }
