--- a/src/limits/rate_allocator.cpp
+++ b/src/limits/rate_allocator.cpp
@@ -115,7 +115,7 @@
     observed_at = now;
     observations = std::min(observations + 1, kObservationsNeeded);
     read_rates(rollout, releases);
-    auto statuses = state_cache.statuses().latest(now);
+    auto statuses = state_cache.statuses().live_statuses(now);
     for (const auto& [service, rate] : rates) {
       demand.observe(service, statuses, seconds, now);
       allocate(service, {rate, bound, now}, statuses, fence);
--- a/src/membership/status_table.cpp
+++ b/src/membership/status_table.cpp
@@ -91,7 +91,7 @@
   return members;
 }
 
-std::map<std::string, pb::NodeStatus> StatusTable::latest(TimePoint now) const {
+std::map<std::string, pb::NodeStatus> StatusTable::live_statuses(TimePoint now) const {
   std::map<std::string, pb::NodeStatus> statuses;
   for (const auto& [source, entry] : entries_)
     if (now - entry.stated_at < session_) statuses[source] = entry.status;
--- a/src/membership/status_table.hpp
+++ b/src/membership/status_table.hpp
@@ -66,7 +66,7 @@
   std::map<std::string, BackendInstanceStatus> backend_instances(TimePoint now) const;
 
   /// The statuses younger than a session, by source, including those of nodes that announced their shutdown.
-  std::map<std::string, pb::NodeStatus> latest(TimePoint now) const;
+  std::map<std::string, pb::NodeStatus> live_statuses(TimePoint now) const;
 
   /// Replaces the set of instances whose announced shutdown is recorded.
   void set_deregistered(std::set<std::string> instances) { deregistered_ = std::move(instances); }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -170,7 +170,7 @@
     builder.add_register_values(chosen);
     builder.add_shields(state_cache.statuses().members(now));
     evict_expired_responses(now);
-    const auto statuses = state_cache.statuses().latest(now);
+    const auto statuses = state_cache.statuses().live_statuses(now);
     demand_shares.observe(statuses, now);
     builder.set_demand_shares(demand_shares.usable());
     canary_analysis.update(builder.service_states(), statuses,
--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -69,7 +69,7 @@
           ? 0
           : static_cast<double>(std::min<Duration>(now - observed_, bound_).count()) / kMsPerSecond;
   const auto lease = leadership_.known_lease();
-  for (const auto& [name, status] : state_cache_.statuses().latest(now)) {
+  for (const auto& [name, status] : state_cache_.statuses().live_statuses(now)) {
     if (status.node().zone().empty()) continue;
     auto& node = nodes[name];
     node.name = name;
--- a/src/rollout/version_rollout_driver.cpp
+++ b/src/rollout/version_rollout_driver.cpp
@@ -39,7 +39,7 @@
 
 void VersionRolloutDriver::tick(TimePoint now, Duration elapsed, const RolloutRules& rules) {
   Observations observations;
-  const auto statuses = state_cache_.statuses().latest(now);
+  const auto statuses = state_cache_.statuses().live_statuses(now);
   count_answers(now, statuses, observations);
   urgent_ = false;
   observer_.update(now, state_cache_.last_good_pull(), state_cache_.chosen(), statuses,
