--- a/src/control_api/listings.cpp
+++ b/src/control_api/listings.cpp
@@ -38,7 +38,7 @@
   std::set<std::string> members;
   for (auto& member : statuses.members(now)) members.insert(member.name);
   std::vector<std::string> list;
-  for (auto& known : statuses.all(now)) {
+  for (auto& known : statuses.all_nodes(now)) {
     if (known.info.zone().empty()) continue;  // nothing but its name was ever reported
     list.push_back(fmt::format(R"({{"name":{},"member":{},"age_ms":{},"facts":{}}})", base::quote(known.name),
                                members.count(known.name) > 0, known.age.count(), message_json(known.info)));
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -139,7 +139,7 @@
   std::vector<std::string> search_addresses() {
     auto addresses = config.seeds;
     addresses.insert(addresses.end(), initial_seeds.begin(), initial_seeds.end());
-    for (auto& address : sample_contacts(state_cache.statuses().all(ports.clock.now()), ports.random))
+    for (auto& address : sample_contacts(state_cache.statuses().all_nodes(ports.clock.now()), ports.random))
       addresses.push_back(std::move(address));
     sort_unique(addresses);
     std::erase(addresses, std::string());
--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -188,7 +188,7 @@
     std::map<std::string, RepairNode> nodes;
     for (const auto& replica : registers.set().current())
       nodes[replica.name] = {replica.name, "", replica.address, true};
-    for (const auto& member : state_cache.statuses().all(now))
+    for (const auto& member : state_cache.statuses().all_nodes(now))
       if (!member.info.zone().empty() && member.info.disk()) nodes[member.name] = node_of(member);
     for (const auto& member : state_cache.statuses().members(now)) {
       session_seen[member.name] = now;
--- a/src/membership/status_table.cpp
+++ b/src/membership/status_table.cpp
@@ -77,7 +77,7 @@
   }
 }
 
-std::vector<Member> StatusTable::all(TimePoint now) const {
+std::vector<Member> StatusTable::all_nodes(TimePoint now) const {
   std::vector<Member> nodes;
   for (const auto& [source, entry] : entries_)
     nodes.push_back({source, entry.status.node(), now - entry.stated_at});
@@ -86,7 +86,7 @@
 
 std::vector<Member> StatusTable::members(TimePoint now) const {
   std::vector<Member> members;
-  for (auto& node : all(now))
+  for (auto& node : all_nodes(now))
     if (node.age < session_ && !node.info.leaving()) members.push_back(std::move(node));
   return members;
 }
--- a/src/membership/status_table.hpp
+++ b/src/membership/status_table.hpp
@@ -60,7 +60,7 @@
   std::vector<Member> members(TimePoint now) const;
 
   /// Every node with a status in this table, however old.
-  std::vector<Member> all(TimePoint now) const;
+  std::vector<Member> all_nodes(TimePoint now) const;
 
   /// Every backend instance reported by any status in this table, by name.
   std::map<std::string, BackendInstanceStatus> backend_instances(TimePoint now) const;
