--- a/src/membership/status_table.cpp
+++ b/src/membership/status_table.cpp
@@ -34,7 +34,7 @@
   bool known = !entry.status.source().empty();
   if (known && !is_newer(status.version(), entry.status.version())) return false;
   entry.status = status;
-  entry.stated_at = now - Duration(static_cast<int64_t>(status.age_ms()));
+  entry.reported_at = now - Duration(static_cast<int64_t>(status.age_ms()));
   return true;
 }
 
@@ -44,7 +44,7 @@
     auto version = known.find(source);
     if (version != known.end() && !is_newer(entry.status.version(), version->second)) continue;
     statuses.push_back(entry.status);
-    statuses.back().set_age_ms(static_cast<uint64_t>((now - entry.stated_at).count()));
+    statuses.back().set_age_ms(static_cast<uint64_t>((now - entry.reported_at).count()));
   }
   return statuses;
 }
@@ -80,7 +80,7 @@
 std::vector<Member> StatusTable::all_nodes(TimePoint now) const {
   std::vector<Member> nodes;
   for (const auto& [source, entry] : entries_)
-    nodes.push_back({source, entry.status.node(), now - entry.stated_at});
+    nodes.push_back({source, entry.status.node(), now - entry.reported_at});
   return nodes;
 }
 
@@ -94,7 +94,7 @@
 std::map<std::string, pb::NodeStatus> StatusTable::live_statuses(TimePoint now) const {
   std::map<std::string, pb::NodeStatus> statuses;
   for (const auto& [source, entry] : entries_)
-    if (now - entry.stated_at < session_) statuses[source] = entry.status;
+    if (now - entry.reported_at < session_) statuses[source] = entry.status;
   return statuses;
 }
 
@@ -102,7 +102,7 @@
   std::map<std::string, BackendInstanceStatus> instances;
   for (const auto& [source, entry] : entries_)
     for (const auto& heartbeat : entry.status.heartbeats()) {
-      Duration age = now - entry.stated_at + Duration(static_cast<int64_t>(heartbeat.age_ms()));
+      Duration age = now - entry.reported_at + Duration(static_cast<int64_t>(heartbeat.age_ms()));
       merge_heartbeat(heartbeat, age, instances[heartbeat.instance()]);
     }
   for (auto& [name, instance] : instances) {
@@ -115,7 +115,7 @@
 
 void StatusTable::remove_expired(TimePoint now) {
   std::erase_if(entries_, [&](const auto& entry) {
-    return now - entry.second.stated_at > session_ * kSessionsRemembered;
+    return now - entry.second.reported_at > session_ * kSessionsRemembered;
   });
   std::erase_if(requester_versions_, [&](const auto& noted) {
     auto entry = entries_.find(noted.first);
--- a/src/membership/status_table.hpp
+++ b/src/membership/status_table.hpp
@@ -80,7 +80,7 @@
  private:
   struct Entry {
     pb::NodeStatus status;
-    TimePoint stated_at{0};  ///< when the source reported it, by this node's clock
+    TimePoint reported_at{0};  ///< when the source reported it, by this node's clock
   };
   struct RequesterVersion {
     pb::StatusVersion version;
