--- a/src/membership/status_table.cpp
+++ b/src/membership/status_table.cpp
@@ -73,7 +73,7 @@
     }
     auto noted = requester_versions_.find(source);
     if (noted != requester_versions_.end() && !is_newer(noted->second.version, version))
-      noted->second.noted_at = now;
+      noted->second.recorded_at = now;
   }
 }
 
@@ -121,7 +121,7 @@
     auto entry = entries_.find(noted.first);
     bool known_here =
         entry != entries_.end() && !is_newer(noted.second.version, entry->second.status.version());
-    return known_here || now - noted.second.noted_at > session_ * kSessionsRemembered;
+    return known_here || now - noted.second.recorded_at > session_ * kSessionsRemembered;
   });
 }
 
--- a/src/membership/status_table.hpp
+++ b/src/membership/status_table.hpp
@@ -84,7 +84,7 @@
   };
   struct RequesterVersion {
     pb::StatusVersion version;
-    TimePoint noted_at{0};  ///< when a requester last reported it
+    TimePoint recorded_at{0};  ///< when a requester last reported it
   };
 
   Duration session_;
