--- a/src/membership/pull_schedule.hpp
+++ b/src/membership/pull_schedule.hpp
@@ -30,7 +30,7 @@
   PullSchedule(base::Random& random, Duration period) : random_(random), period_(period) {}
 
   /// Records the result of a pull that took `spent`; returns how long to wait before the next one.
-  Wait after(PullResult result, Duration spent) {
+  Wait next_wait(PullResult result, Duration spent) {
     if (result == PullResult::partial) return {shortest(), shortest()};
     failures_ = result == PullResult::good ? 0 : failures_ + 1;
     if (failures_ == 0) return {shortest(), std::max(shortest(), period_ - spent)};
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -389,7 +389,7 @@
       pull_requested = false;
       auto result = pull_once();
       follow_read_lease();
-      wait_for_next_pull(schedule.after(result, ports.clock.now() - start));
+      wait_for_next_pull(schedule.next_wait(result, ports.clock.now() - start));
     }
   }
 };
--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -55,7 +55,7 @@
   int pulls = 0;
   for (Duration time(0); time < Duration(10000); ++pulls) {
     auto spent = result == PullResult::good ? Duration(10) : Duration(0);
-    auto wait = schedule.after(result, spent);
+    auto wait = schedule.next_wait(result, spent);
     expect(wait.usual >= wait.least, "the usual wait is shorter than the least one");
     time += spent + (hurried ? wait.least : wait.usual);
   }
@@ -74,12 +74,12 @@
 void one_good_pull_resets() {
   Sequence random;
   membership::PullSchedule schedule(random, kPeriod);
-  for (int i = 0; i < 12; ++i) schedule.after(PullResult::failed, Duration(0));
+  for (int i = 0; i < 12; ++i) schedule.next_wait(PullResult::failed, Duration(0));
   expect(schedule.failing(), "not failing after twelve consecutive failures");
-  same(schedule.after(PullResult::good, Duration(0)).usual.count(), kPeriod.count(),
+  same(schedule.next_wait(PullResult::good, Duration(0)).usual.count(), kPeriod.count(),
        "the wait after a good pull");
   expect(!schedule.failing(), "still failing after a good pull");
-  expect(schedule.after(PullResult::failed, Duration(0)).usual <= kPeriod / 2,
+  expect(schedule.next_wait(PullResult::failed, Duration(0)).usual <= kPeriod / 2,
          "a single lost pull is not retried soon");
 }
 
