--- a/src/membership/read_lease_log.cpp
+++ b/src/membership/read_lease_log.cpp
@@ -9,7 +9,7 @@
 constexpr base::Log logger("membership");
 }
 
-void ReadLeaseLog::note(const PullReport& pull) {
+void ReadLeaseLog::record_pull(const PullReport& pull) {
   if (pull.result == PullResult::good) {
     failed_ = 0;
     longest_ = Duration(0);
--- a/src/membership/read_lease_log.hpp
+++ b/src/membership/read_lease_log.hpp
@@ -24,7 +24,7 @@
  public:
   explicit ReadLeaseLog(std::string node_name) : node_name_(std::move(node_name)) {}
 
-  void note(const PullReport& pull);
+  void record_pull(const PullReport& pull);
 
   /// @param stands  whether the lease is valid
   /// @return whether this has changed since the last call
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -295,7 +295,7 @@
     report.replicas = pull.replicas.size();
     report.responded = pull.responses.size();
     report.voting = static_cast<size_t>(std::count(pull.voting.begin(), pull.voting.end(), true));
-    read_lease_log.note(report);
+    read_lease_log.record_pull(report);
     return report.result;
   }
 
