--- a/src/membership/read_lease_log.cpp
+++ b/src/membership/read_lease_log.cpp
@@ -20,9 +20,9 @@
   last_ = pull;
 }
 
-bool ReadLeaseLog::follow(bool stands, Duration since_last_good_pull) {
-  if (std::exchange(stands_, stands) == stands) return false;
-  if (stands)
+bool ReadLeaseLog::record_lease_state(bool valid, Duration since_last_good_pull) {
+  if (std::exchange(valid_, valid) == valid) return false;
+  if (valid)
     logger.info("{}: the read lease is valid.", node_name_);
   else
     logger.warn(
--- a/src/membership/read_lease_log.hpp
+++ b/src/membership/read_lease_log.hpp
@@ -26,13 +26,13 @@
 
   void record_pull(const PullReport& pull);
 
-  /// @param stands  whether the lease is valid
+  /// @param valid  whether the lease is valid
   /// @return whether this has changed since the last call
-  bool follow(bool stands, Duration since_last_good_pull);
+  bool record_lease_state(bool valid, Duration since_last_good_pull);
 
  private:
   std::string node_name_;
-  bool stands_ = false;  ///< as logged
+  bool valid_ = false;   ///< as logged
   int failed_ = 0;       ///< pulls since the last good one
   Duration longest_{0};  ///< of these
   PullReport last_;      ///< of these
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -370,9 +370,9 @@
 
   void follow_read_lease() {
     const TimePoint now = ports.clock.now();
-    const bool stands = has_read_lease();
+    const bool valid = has_read_lease();
     const TimePoint last_good_pull(read_lease_end - config.read_lease_span().count());
-    if (read_lease_log.follow(stands, now - last_good_pull) && stands) contact_since = now;
+    if (read_lease_log.record_lease_state(valid, now - last_good_pull) && valid) contact_since = now;
   }
 
   void wait_for_next_pull(PullSchedule::Wait wait) {
