--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -65,7 +65,7 @@
     if (node->leaving) return replica.name + " is leaving";
     if (!node->address.empty() && node->address != replica.address)
       return replica.name + " has a new address";
-    if (!node->votes && node->since_response >= lost_after(view_.bound))
+    if (!node->votes && node->since_response >= unresponsive_limit(view_.bound))
       return replica.name + " does not respond";
     if (!node->votes && node->non_voting >= non_voting_limit(view_.bound))
       return replica.name + " cannot vote";
--- a/src/membership/replica_repair.hpp
+++ b/src/membership/replica_repair.hpp
@@ -38,7 +38,7 @@
 };
 
 /// A replica that has not responded for this long is replaced by a node that is present.
-inline constexpr Duration lost_after(Duration bound) { return bound * 3 / 4; }
+inline constexpr Duration unresponsive_limit(Duration bound) { return bound * 3 / 4; }
 /// One that responds but cannot vote (its disk has failed or is being refilled) is replaced after this time.
 inline constexpr Duration non_voting_limit(Duration bound) { return bound * 2; }
 /// With no replacement available, a surplus replica is dropped after this long without a session.
--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -144,9 +144,9 @@
   auto view = three(1);
   view.nodes.push_back(node("d", "3", false));
   same(step(view), std::string("none"), "all replicas are healthy");
-  fall_silent(view.nodes[1], membership::lost_after(kBound) - Duration(1));
+  fall_silent(view.nodes[1], membership::unresponsive_limit(kBound) - Duration(1));
   same(step(view), std::string("none"), "unresponsive for a moment");
-  fall_silent(view.nodes[1], membership::lost_after(kBound));
+  fall_silent(view.nodes[1], membership::unresponsive_limit(kBound));
   same(step(view), std::string("adc"), "unresponsive");
   view.nodes[3].present = false;
   same(step(view), std::string("none"), "no candidate is present");
