--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -133,7 +133,7 @@
   void drop_gone() {
     for (const auto& replica : view_.replicas) {
       auto* node = find_node(view_, replica.name);
-      bool gone = node && !node->votes && node->absent >= gone_after(view_.bound);
+      bool gone = node && !node->votes && node->absent >= absence_limit(view_.bound);
       if (!gone || !contains(list_, replica) || list_.size() <= std::max(wanted(), kMinReplicas)) continue;
       auto list = list_;
       std::erase(list, replica);
--- a/src/membership/replica_repair.hpp
+++ b/src/membership/replica_repair.hpp
@@ -42,7 +42,7 @@
 /// One that responds but cannot vote (its disk has failed or is being refilled) is replaced after this time.
 inline constexpr Duration non_voting_limit(Duration bound) { return bound * 2; }
 /// With no replacement available, a surplus replica is dropped after this long without a session.
-inline constexpr Duration gone_after(Duration bound) { return bound * 10; }
+inline constexpr Duration absence_limit(Duration bound) { return bound * 10; }
 
 /// Pure.
 /// @return nothing when the set needs no change, or no change is safe now
--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -26,7 +26,7 @@
 
 void end(RepairNode& node) {
   node.present = node.votes = false;
-  node.since_response = node.non_voting = node.absent = membership::gone_after(kBound);
+  node.since_response = node.non_voting = node.absent = membership::absence_limit(kBound);
 }
 
 void fall_silent(RepairNode& node, Duration since) {
