--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -44,7 +44,7 @@
   return identity;
 }
 
-std::optional<pb::ReplicaSet> first_set(const std::vector<NodeIdentity>& seeds) {
+std::optional<pb::ReplicaSet> build_first_set(const std::vector<NodeIdentity>& seeds) {
   std::map<std::string, std::string> addresses;  // by name, so that the order is the same on every node
   for (const auto& seed : seeds) {
     if (!seed.disk) continue;
@@ -167,7 +167,7 @@
       return warn_once("not all seeds have responded yet, so the first replica set cannot be formed.");
     std::vector<NodeIdentity> seeds;
     for (const auto& [address, identity] : initial_identities) seeds.push_back(identity);
-    auto set = first_set(seeds);
+    auto set = build_first_set(seeds);
     if (!set)
       return warn_once(
           "no seed has a disk, or two seeds have the same name: cannot form the first replica set.");
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -28,7 +28,7 @@
 
 /// Computes the first set from the identities that the seeds reported.
 /// @return nothing when none of them has a disk, or two at different addresses share a name
-std::optional<pb::ReplicaSet> first_set(const std::vector<NodeIdentity>& seeds);
+std::optional<pb::ReplicaSet> build_first_set(const std::vector<NodeIdentity>& seeds);
 
 /// Number of remembered nodes with a disk, and of those without one, that are queried at a time.
 inline constexpr size_t kContactsPerKind = 2;
--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -226,14 +226,14 @@
 void first_set_of_seeds() {
   membership::NodeIdentity first{"a", "1", "p:a", true, {}}, without_disk{"b", "2", "p:b", false, {}},
       third{"c", "3", "p:c", true, {}};
-  auto one = membership::first_set({third, without_disk, first}),
-       other = membership::first_set({first, third, without_disk, first});
+  auto one = membership::build_first_set({third, without_disk, first}),
+       other = membership::build_first_set({first, third, without_disk, first});
   expect(one && other && one->SerializeAsString() == other->SerializeAsString() &&
              one->replicas_size() == 2 && one->epoch() == 1,
          "the first sets differ or are wrong");
-  expect(!membership::first_set({without_disk}), "a set was formed without a disk");
+  expect(!membership::build_first_set({without_disk}), "a set was formed without a disk");
   membership::NodeIdentity namesake{"a", "1", "p:d", true, {}};
-  expect(!membership::first_set({first, namesake}), "two seeds with the same name were accepted");
+  expect(!membership::build_first_set({first, namesake}), "two seeds with the same name were accepted");
 }
 
 void identity_is_read_back() {
