--- a/src/control_api/listings.cpp
+++ b/src/control_api/listings.cpp
@@ -26,7 +26,7 @@
 std::vector<std::string> deregistered_names(node::Node& node) {
   std::vector<std::string> names;
   auto value = known_register(node, membership::kDeregisteredKey);
-  for (const auto& instance : membership::read_deregistered(value.data))
+  for (const auto& instance : membership::parse_deregistered(value.data))
     names.push_back(base::quote(instance));
   return names;
 }
--- a/src/membership/deregistered.cpp
+++ b/src/membership/deregistered.cpp
@@ -40,7 +40,7 @@
   return false;
 }
 
-std::set<std::string> read_deregistered(const std::string& data) {
+std::set<std::string> parse_deregistered(const std::string& data) {
   pb::Deregistered deregistered;
   deregistered.ParseFromString(data);
   return {deregistered.instances().begin(), deregistered.instances().end()};
--- a/src/membership/deregistered.hpp
+++ b/src/membership/deregistered.hpp
@@ -16,6 +16,6 @@
 [[nodiscard]] bool deregister(consensus::RegisterClient& registers, const std::string& instance);
 
 /// Parses the register's value into the names of the instances.
-std::set<std::string> read_deregistered(const std::string& data);
+std::set<std::string> parse_deregistered(const std::string& data);
 
 }  // namespace dunlinwing::membership
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -271,7 +271,7 @@
     auto found = chosen.find(kDeregisteredKey);
     if (found == chosen.end() || found->second.version == deregistered_version) return;
     deregistered_version = found->second.version;
-    statuses.set_deregistered(read_deregistered(found->second.data));
+    statuses.set_deregistered(parse_deregistered(found->second.data));
   }
 
   Pull begin_pull() {
