--- a/src/membership/replica_responses.cpp
+++ b/src/membership/replica_responses.cpp
@@ -12,8 +12,9 @@
   return found == reports_.end() ? nullptr : &found->second;
 }
 
-std::vector<std::string> ReplicaResponses::take(const std::string& replica, const pb::PullResponse& response,
-                                                TimePoint requested_at, TimePoint now) {
+std::vector<std::string> ReplicaResponses::record(const std::string& replica,
+                                                  const pb::PullResponse& response, TimePoint requested_at,
+                                                  TimePoint now) {
   auto& report = reports_[replica];
   // After a restart the replica reports everything it has accepted again; that may be less, if it lost its
   // disk.
--- a/src/membership/replica_responses.hpp
+++ b/src/membership/replica_responses.hpp
@@ -24,8 +24,8 @@
 
   /// Records the response to a request that was sent at `requested_at`.
   /// @return the names of the registers that it reports
-  std::vector<std::string> take(const std::string& replica, const pb::PullResponse& response,
-                                TimePoint requested_at, TimePoint now);
+  std::vector<std::string> record(const std::string& replica, const pb::PullResponse& response,
+                                  TimePoint requested_at, TimePoint now);
 
   /// Sets in `pull` the position from which the replica has to report.
   void set_position(const std::string& replica, pb::PullRequest& pull) const;
--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -158,7 +158,7 @@
     // A replica that has not made the current set durable may still vote under the previous one.
     pull.voting[index] = !reply.non_voting() && !reply.more() && reply.adopted_epoch() >= pull.epoch;
     pull.more |= reply.more();
-    for (const auto& name : responses.take(replica, reply, requested_at, now)) unsettled.insert(name);
+    for (const auto& name : responses.record(replica, reply, requested_at, now)) unsettled.insert(name);
     for (const auto& status : reply.statuses())
       if (status.source() == config.node_name)
         raise_incarnation_above(status.version());
