--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -152,7 +152,7 @@
     *pull.mutable_own_status() = status;
   }
 
-  void take(Pull& pull, size_t index, const pb::PullResponse& reply, TimePoint requested_at) {
+  void process_response(Pull& pull, size_t index, const pb::PullResponse& reply, TimePoint requested_at) {
     const auto& replica = pull.replicas[index].name;
     auto now = ports.clock.now();
     // A replica that has not made the current set durable may still vote under the previous one.
@@ -188,7 +188,7 @@
     for (size_t i = 0; i < replies.size(); ++i) {
       bool responded = replies[i] && replies[i]->has_pull();
       misses[targets[i].name] = responded ? 0 : misses[targets[i].name] + 1;
-      if (responded) take(pull, indices[i], replies[i]->pull(), requested_at);
+      if (responded) process_response(pull, indices[i], replies[i]->pull(), requested_at);
       any |= responded;
     }
     return any;
