--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -73,7 +73,7 @@
   std::set<std::string> unsettled;    ///< registers whose chosen value may have changed
   uint64_t deregistered_version = 0;  ///< of the register of deregistered instances, as last read
   std::map<std::string, int> misses;  ///< by replica: consecutive requests without a response
-  size_t first_asked = 0;             ///< index of the replica that is queried before the others
+  size_t first_queried = 0;           ///< index of the replica that is queried before the others
   Duration usual_response{0};         ///< smoothed response time of that replica
 
   uint64_t incarnation = 0;     ///< of this node's statuses; 0: not known yet
@@ -103,7 +103,7 @@
         responses(this->config.response_lifetime()),
         read_lease_log(this->config.node_name),
         schedule(ports.random, this->config.pull_period()) {
-    first_asked = static_cast<size_t>(ports.random.below(registers.replicas().size()));
+    first_queried = static_cast<size_t>(ports.random.below(registers.replicas().size()));
   }
 
   /// Finds the chosen value of a register: as a quorum reported it, else by a read; nothing if that fails.
@@ -169,7 +169,7 @@
   }
 
   /// Queries the replicas at the given indices and processes their responses; false when none responded.
-  bool ask(Pull& pull, const std::vector<size_t>& indices, Duration limit) {
+  bool query(Pull& pull, const std::vector<size_t>& indices, Duration limit) {
     std::vector<consensus::Replica> targets;
     targets.reserve(indices.size());
     for (auto index : indices) targets.push_back(pull.replicas[index]);
@@ -199,38 +199,38 @@
   }
 
   /// Whether a pull queries only as many replicas as it needs, as long as those respond.
-  bool asks_few() const { return !local_acceptor && statuses.size() >= kLargeFleet; }
+  bool queries_few() const { return !local_acceptor && statuses.size() >= kLargeFleet; }
 
   /// Queries one replica alone, with a limit derived from recent response times: if queried too soon, the
   /// others would all send the same data.
-  bool ask_first(Pull& pull) {
+  bool query_first(Pull& pull) {
     const TimePoint began = ports.clock.now();
     const Duration limit =
         std::clamp(usual_response * kFirstResponseMultiple, config.pull_period() / 4, config.pull_period());
-    const bool responded = ask(pull, {first_asked}, limit);
+    const bool responded = query(pull, {first_queried}, limit);
     usual_response = (usual_response * 3 + (ports.clock.now() - began)) / 4;
     return responded;
   }
 
   /// Queries one replica alone, and then the others for what its response did not contain.
-  void ask_replicas(Pull& pull) {
+  void query_replicas(Pull& pull) {
     auto count = pull.replicas.size();
-    first_asked %= count;
+    first_queried %= count;
     // While pulls fail, all are queried at once: a replica that responds late would only be queried twice.
-    if (!schedule.failing() && !ask_first(pull)) first_asked = (first_asked + 1) % count;
+    if (!schedule.failing() && !query_first(pull)) first_queried = (first_queried + 1) % count;
     std::vector<size_t> others, spare;
     for (size_t i = 0; i < count; ++i)
-      if (i || pull.responses.empty()) others.push_back((first_asked + i) % count);
+      if (i || pull.responses.empty()) others.push_back((first_queried + i) % count);
     auto sufficient = registers.sufficient_count();
     size_t needed = sufficient - std::min(sufficient, pull.responses.size());
-    if (asks_few() && others.size() > needed) {
+    if (queries_few() && others.size() > needed) {
       std::stable_partition(others.begin(), others.end(),
                             [&](size_t index) { return misses[pull.replicas[index].name] == 0; });
       spare.assign(others.begin() + static_cast<std::ptrdiff_t>(needed), others.end());
       others.resize(needed);
     }
-    ask(pull, others, config.pull_period());
-    if (!spare.empty() && !has_quorum(pull) && !pull.more) ask(pull, spare, config.pull_period());
+    query(pull, others, config.pull_period());
+    if (!spare.empty() && !has_quorum(pull) && !pull.more) query(pull, spare, config.pull_period());
   }
 
   /// Sets the incarnation above the one under which this node was known before; the next pull reports it.
@@ -301,7 +301,7 @@
 
   PullResult carry_out(Pull& pull, PullReport& report) {
     add_own_status(*pull.request.mutable_pull(), pull.start);
-    ask_replicas(pull);
+    query_replicas(pull);
     if (registers.set().epoch() != pull.epoch) return restart_under_new_set();
     if (!has_quorum(pull)) return pull.more ? PullResult::partial : PullResult::failed;
     if (!incarnation) {
