--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -97,7 +97,7 @@
 
   Duration call_limit() const { return config.bound / kCallsPerBound; }
 
-  /// The responses to one ask(), as they arrive.
+  /// The responses to one query(), as they arrive.
   struct Responses {
     Identities identities;
     size_t outstanding;
@@ -105,7 +105,7 @@
   };
 
   /// Queries all addresses concurrently, one task each; returns the identities from the responses in time.
-  Identities ask(const std::vector<std::string>& addresses) {
+  Identities query(const std::vector<std::string>& addresses) {
     auto limit = call_limit();
     auto responses = std::make_shared<Responses>(Responses{{}, addresses.size(), ports.tasks.condition()});
     TimePoint end = ports.clock.now() + limit;
@@ -148,7 +148,7 @@
 
   /// Queries the seeds and a few other nodes for a later replica set than the known one.
   void search() {
-    auto identities = ask(search_addresses());
+    auto identities = query(search_addresses());
     auto latest = std::max_element(identities.begin(), identities.end(), [](auto& left, auto& right) {
       return left.second.replica_set.epoch() < right.second.replica_set.epoch();
     });
@@ -177,7 +177,7 @@
   /// Sends the set to seeds that have an older one or none, so that nodes which query them later find it.
   void update_seeds() {
     auto set = registers.set().message();
-    for (const auto& [address, identity] : ask(config.seeds)) {
+    for (const auto& [address, identity] : query(config.seeds)) {
       if (identity.name == config.node_name || identity.replica_set.epoch() >= set.epoch()) continue;
       pb::PeerRequest request;
       *request.mutable_adopt()->mutable_replica_set() = set;
