--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -116,7 +116,7 @@
   }
 
   /// Updates `chosen` for the unsettled registers; false when a register could not be read.
-  bool settle() {
+  bool update_chosen() {
     for (auto next = unsettled.begin(); next != unsettled.end();) {
       auto name = *next;
       auto value = find_chosen(name);
@@ -308,7 +308,7 @@
       find_incarnation(pull);
       return PullResult::partial;
     }
-    report.unsettled = !settle();
+    report.unsettled = !update_chosen();
     if (report.unsettled) return PullResult::failed;
     if (adopt_chosen_set(pull.epoch)) return restart_under_new_set();
     finish_good_pull(pull);
