--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -290,7 +290,7 @@
     if (registers.replicas().empty()) return PullResult::failed;  // discovery has not found them yet
     auto pull = begin_pull();
     PullReport report;
-    report.result = carry_out(pull, report);
+    report.result = run_pull(pull, report);
     report.spent = ports.clock.now() - pull.start;
     report.replicas = pull.replicas.size();
     report.responded = pull.responses.size();
@@ -299,7 +299,7 @@
     return report.result;
   }
 
-  PullResult carry_out(Pull& pull, PullReport& report) {
+  PullResult run_pull(Pull& pull, PullReport& report) {
     add_own_status(*pull.request.mutable_pull(), pull.start);
     query_replicas(pull);
     if (registers.set().epoch() != pull.epoch) return restart_under_new_set();
