--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -267,7 +267,7 @@
     return true;
   }
 
-  void follow_deregistered() {
+  void update_deregistered() {
     auto found = chosen.find(kDeregisteredKey);
     if (found == chosen.end() || found->second.version == deregistered_version) return;
     deregistered_version = found->second.version;
@@ -316,7 +316,7 @@
   }
 
   void finish_good_pull(const Pull& pull) {
-    follow_deregistered();
+    update_deregistered();
     statuses.remove_expired(ports.clock.now());
     // Counted from the start: a pull that took longer than the read lease grants no valid one.
     read_lease_end = (pull.start + config.read_lease_span()).count();
