--- a/src/membership/state_cache.cpp
+++ b/src/membership/state_cache.cpp
@@ -368,7 +368,7 @@
 
   bool has_read_lease() const { return ports.clock.now().count() < read_lease_end.load(); }
 
-  void follow_read_lease() {
+  void update_read_lease() {
     const TimePoint now = ports.clock.now();
     const bool valid = has_read_lease();
     const TimePoint last_good_pull(read_lease_end - config.read_lease_span().count());
@@ -388,7 +388,7 @@
       TimePoint start = ports.clock.now();
       pull_requested = false;
       auto result = pull_once();
-      follow_read_lease();
+      update_read_lease();
       wait_for_next_pull(schedule.next_wait(result, ports.clock.now() - start));
     }
   }
