--- a/src/link/pacer.cpp
+++ b/src/link/pacer.cpp
@@ -44,13 +44,13 @@
       tokens_(burst_),
       refilled_at_(clock.now()) {}
 
-Duration Pacer::time_alone(size_t bytes) const {
+Duration Pacer::uncontended_time(size_t bytes) const {
   if (rate_ <= 0) return Duration(0);
   return Duration(static_cast<int64_t>(static_cast<double>(bytes) / rate_ * kMsPerSecond));
 }
 
 TimePoint Pacer::completion(const Transfer& transfer) const {
-  return transfer.since + time_alone(transfer.remaining);
+  return transfer.since + uncontended_time(transfer.remaining);
 }
 
 void Pacer::refill(TimePoint now) {
--- a/src/link/pacer.hpp
+++ b/src/link/pacer.hpp
@@ -66,7 +66,7 @@
   Duration expected_time(size_t bytes) const;
 
   /// How long a body takes on an otherwise idle link.
-  Duration time_alone(size_t bytes) const;
+  Duration uncontended_time(size_t bytes) const;
 
   /// Number of bytes of a body that are transferred at a time.
   size_t part_bytes() const { return part_bytes_; }
--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -165,7 +165,7 @@
   const TimePoint now = node_.ports.clock.now();
   if (context.route->latency_target <= Duration(0))
     return now + total > context.start_deadline() ? std::optional(total) : std::nullopt;
-  const Duration alone = link->outbound.time_alone(bytes);
+  const Duration alone = link->outbound.uncontended_time(bytes);
   return overload_retry_after(*context.route, {total, std::max(total - alone, Duration(0))},
                               context.deadline - now);
 }
--- a/test/unit/link/pacer_test.cpp
+++ b/test/unit/link/pacer_test.cpp
@@ -83,7 +83,7 @@
   };
   expect(bench.send_part(kLarge), "a part was not granted");
   expect(small < Duration(100), fmt::format("a small body would take {} ms", small.count()));
-  expect(large > bench.pacer.time_alone(kLarge) * 3 / 2,
+  expect(large > bench.pacer.uncontended_time(kLarge) * 3 / 2,
          "a larger body is not queued behind the waiting one");
 }
 
