--- a/src/link/pacer.cpp
+++ b/src/link/pacer.cpp
@@ -59,7 +59,7 @@
   refilled_at_ = now;
 }
 
-void Pacer::take(TrafficClass traffic_class, size_t bytes) {
+void Pacer::take_tokens(TrafficClass traffic_class, size_t bytes) {
   counts_[index(traffic_class)].bytes += bytes;
   if (rate_ > 0) tokens_ -= static_cast<double>(bytes);
 }
@@ -76,11 +76,11 @@
                     const base::CancellationPtr& cancellation) {
   const TimePoint now = clock_.now();
   std::unique_lock lock(mutex_);
-  if (rate_ <= 0) return take(transfer.traffic_class, bytes), true;
+  if (rate_ <= 0) return take_tokens(transfer.traffic_class, bytes), true;
   refill(now);
   const TimePoint key = completion(transfer);
   if (tokens_ > 0 && (waiters_.empty() || key < waiters_.begin()->first))
-    return take(transfer.traffic_class, bytes), true;
+    return take_tokens(transfer.traffic_class, bytes), true;
   const auto place = waiters_.emplace(key, Waiter{transfer, tasks_.condition()});
   auto& counts = counts_[index(transfer.traffic_class)];
   ++counts.waits;
@@ -104,7 +104,7 @@
     refill(now);
     const bool is_first = place == waiters_.begin();
     if (is_first && tokens_ > 0) {
-      take(place->second.transfer.traffic_class, bytes);
+      take_tokens(place->second.transfer.traffic_class, bytes);
       return true;
     }
     const Duration wait = is_first ? std::min(time_until_tokens(), end - now) : end - now;
@@ -118,7 +118,7 @@
   const TimePoint now = clock_.now();
   const std::lock_guard lock(mutex_);
   refill(now);
-  take(traffic_class, bytes);
+  take_tokens(traffic_class, bytes);
 }
 
 void Pacer::refund(TrafficClass traffic_class, size_t bytes) {
--- a/src/link/pacer.hpp
+++ b/src/link/pacer.hpp
@@ -85,7 +85,7 @@
 
   TimePoint completion(const Transfer& transfer) const;
   void refill(TimePoint now);
-  void take(TrafficClass traffic_class, size_t bytes);
+  void take_tokens(TrafficClass traffic_class, size_t bytes);
   Duration time_until_tokens() const;
   void wake_first();
   bool await_turn(Waiters::iterator place, size_t bytes, TimePoint end,
