--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -93,7 +93,7 @@
 
   void add_reason(const std::string& reason) { reason_ += (reason_.empty() ? "" : ", ") + reason; }
 
-  void take(ReplicaList list, const RepairNode& node, const std::string& reason) {
+  void apply_change(ReplicaList list, const RepairNode& node, const std::string& reason) {
     list_ = std::move(list);
     ++zones_[node.zone];
     add_reason(reason);
@@ -112,7 +112,7 @@
         *place = {successor->name, successor->address};
       }
       if (successor && is_safe(list))
-        take(list, *successor, fmt::format("{}: replaced by {}", *reason, successor->name));
+        apply_change(list, *successor, fmt::format("{}: replaced by {}", *reason, successor->name));
       else if (!node->zone.empty())
         ++zones_[node->zone];
     }
@@ -125,8 +125,8 @@
       auto list = list_;
       list.push_back({node->name, node->address});
       if (!is_safe(list)) return;
-      take(list, *node,
-           fmt::format("{} joins: {} of {} required replicas", node->name, list.size(), wanted()));
+      apply_change(list, *node,
+                   fmt::format("{} joins: {} of {} required replicas", node->name, list.size(), wanted()));
     }
   }
 
