--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -59,7 +59,7 @@
   }
 
   /// Why a replica should be replaced by a node that is present; nothing: it should not.
-  std::optional<std::string> loss(const consensus::Replica& replica) const {
+  std::optional<std::string> replacement_reason(const consensus::Replica& replica) const {
     auto* node = find_node(view_, replica.name);
     if (!node) return {};
     if (node->leaving) return replica.name + " is leaving";
@@ -78,7 +78,7 @@
     for (const auto& node : view_.nodes) {
       if (!node.disk || !node.present || node.address.empty()) continue;
       bool taken = std::any_of(list_.begin(), list_.end(), [&](auto& replica) {
-        return replica.address == node.address || (replica.name == node.name && !loss(replica));
+        return replica.address == node.address || (replica.name == node.name && !replacement_reason(replica));
       });
       if (taken) continue;
       if (!best || zone_count(node.zone) < zone_count(best->zone)) best = &node;
@@ -101,7 +101,7 @@
 
   void replace_lost() {
     for (const auto& replica : view_.replicas) {
-      auto reason = loss(replica);
+      auto reason = replacement_reason(replica);
       if (!reason) continue;
       auto* node = find_node(view_, replica.name);
       if (auto zone = zones_.find(node->zone); zone != zones_.end()) --zone->second;
