--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -205,7 +205,7 @@
   }
 
   /// This node's rank by name, from 0, among the replicas that can act; nothing: it cannot act.
-  std::optional<int> place(const ClusterView& view) const {
+  std::optional<int> rank(const ClusterView& view) const {
     int before = 0;
     bool is_replica = false;
     for (const auto& replica : registers.set().all()) {
@@ -221,8 +221,8 @@
   bool is_own_turn(const std::string& what, const ClusterView& view) {
     auto now = ports.clock.now();
     if (std::exchange(need, what) != what) need_since = now;
-    auto own_place = place(view);
-    return own_place && now - need_since >= bound * *own_place / kTurnsPerBound;
+    auto own_rank = rank(view);
+    return own_rank && now - need_since >= bound * *own_rank / kTurnsPerBound;
   }
 
   /// Whether each present replica of the new list votes already.
