--- a/src/membership/replica_repair.cpp
+++ b/src/membership/replica_repair.cpp
@@ -40,7 +40,7 @@
   }
 
  private:
-  size_t wanted() const { return 2 * static_cast<size_t>(view_.tolerate) + 1; }
+  size_t required_size() const { return 2 * static_cast<size_t>(view_.tolerate) + 1; }
 
   bool votes(const consensus::Replica& replica) const {
     auto* node = find_node(view_, replica.name);
@@ -119,14 +119,15 @@
   }
 
   void grow() {
-    while (list_.size() < std::min(wanted(), kMaxReplicas)) {
+    while (list_.size() < std::min(required_size(), kMaxReplicas)) {
       auto* node = candidate();
       if (!node) return;
       auto list = list_;
       list.push_back({node->name, node->address});
       if (!is_safe(list)) return;
-      apply_change(list, *node,
-                   fmt::format("{} joins: {} of {} required replicas", node->name, list.size(), wanted()));
+      apply_change(
+          list, *node,
+          fmt::format("{} joins: {} of {} required replicas", node->name, list.size(), required_size()));
     }
   }
 
@@ -134,7 +135,8 @@
     for (const auto& replica : view_.replicas) {
       auto* node = find_node(view_, replica.name);
       bool gone = node && !node->votes && node->absent >= absence_limit(view_.bound);
-      if (!gone || !contains(list_, replica) || list_.size() <= std::max(wanted(), kMinReplicas)) continue;
+      if (!gone || !contains(list_, replica) || list_.size() <= std::max(required_size(), kMinReplicas))
+        continue;
       auto list = list_;
       std::erase(list, replica);
       if (!is_safe(list)) continue;
