--- a/src/limits/rate_quotas.cpp
+++ b/src/limits/rate_quotas.cpp
@@ -34,7 +34,7 @@
 }
 
 /// The target quotas for the given demand.
-QuotaByNode wanted_quotas(const QuotaInput& input) {
+QuotaByNode target_quotas(const QuotaInput& input) {
   auto nodes = select_nodes(input);
   auto rate = static_cast<double>(input.rate);
   auto count = static_cast<double>(nodes.size());
@@ -115,7 +115,7 @@
 
 QuotaStep next_quotas(const pb::RateQuotas& quotas, const QuotaInput& input) {
   QuotaStep step{quotas, QuotaChange::none};
-  auto wanted = wanted_quotas(input);
+  auto wanted = target_quotas(input);
   if (!is_change_needed(wanted, input, quotas)) return step;
   // For a bound after a decrease no quota may rise, and no other falls: each decrease would delay the next
   // increase. After that, increases come first.
