--- a/src/limits/rate_quotas.cpp
+++ b/src/limits/rate_quotas.cpp
@@ -52,28 +52,28 @@
 
 /// Whether the demand at some node exceeds its quota and its target is higher. Otherwise nothing changes: no
 /// quota may rise for a bound after one has fallen, and with many nodes some would always fall a little.
-bool is_change_needed(const QuotaByNode& wanted, const QuotaInput& input, const pb::RateQuotas& quotas) {
+bool is_change_needed(const QuotaByNode& targets, const QuotaInput& input, const pb::RateQuotas& quotas) {
   if (quotas.rate() != static_cast<uint32_t>(input.rate)) return true;
-  return std::any_of(wanted.begin(), wanted.end(), [&](const auto& entry) {
-    const auto& [node, want] = entry;
+  return std::any_of(targets.begin(), targets.end(), [&](const auto& entry) {
+    const auto& [node, target] = entry;
     const auto found = quotas.milli_requests().find(node);
     if (found == quotas.milli_requests().end()) return true;
-    return want > found->second * (1 + kMinChange) &&
+    return target > found->second * (1 + kMinChange) &&
            input.demand.at(node) * kHeadroom * kMilli > found->second;
   });
 }
 
 /// Lowers quotas that are far above their target, or all that are above it if the rate itself has fallen.
-bool decrease(const QuotaByNode& wanted, int64_t rate, pb::RateQuotas& quotas) {
+bool decrease(const QuotaByNode& targets, int64_t rate, pb::RateQuotas& quotas) {
   bool rate_fell = quotas.rate() > static_cast<uint32_t>(rate);
   bool decreased = false;
   auto before = quotas.milli_requests();
   auto& after = *quotas.mutable_milli_requests();
   for (const auto& [node, quota] : before) {
-    auto found = wanted.find(node);
-    uint32_t want = found == wanted.end() ? 0 : found->second;
-    if (want >= quota || (!rate_fell && want != 0 && want >= quota * (1 - kMinChange))) continue;
-    after[node] = want;
+    auto found = targets.find(node);
+    uint32_t target = found == targets.end() ? 0 : found->second;
+    if (target >= quota || (!rate_fell && target != 0 && target >= quota * (1 - kMinChange))) continue;
+    after[node] = target;
     decreased = true;
   }
   if (!decreased) return false;
@@ -90,18 +90,18 @@
 }
 
 /// Raises quotas that are far below their target, as far as the rate allows.
-bool increase(const QuotaByNode& wanted, int64_t rate, pb::RateQuotas& quotas) {
+bool increase(const QuotaByNode& targets, int64_t rate, pb::RateQuotas& quotas) {
   auto& milli_requests = *quotas.mutable_milli_requests();
   uint64_t sum = 0;
   for (const auto& [node, quota] : milli_requests) sum += quota;
   bool increased = false;
-  for (const auto& [node, want] : wanted) {
+  for (const auto& [node, target] : targets) {
     auto found = milli_requests.find(node);
     uint32_t quota = found == milli_requests.end() ? 0 : found->second;
-    if (want <= quota * (1 + kMinChange)) continue;
+    if (target <= quota * (1 + kMinChange)) continue;
     const size_t holders = milli_requests.size() + (quota == 0);
     const uint64_t limit = most_handed_out(rate, holders);
-    auto added = std::min<uint64_t>(want - quota, limit > sum ? limit - sum : 0);
+    auto added = std::min<uint64_t>(target - quota, limit > sum ? limit - sum : 0);
     if (!added) continue;
     milli_requests[node] = static_cast<uint32_t>(quota + added);
     sum += added;
@@ -115,15 +115,15 @@
 
 QuotaStep next_quotas(const pb::RateQuotas& quotas, const QuotaInput& input) {
   QuotaStep step{quotas, QuotaChange::none};
-  auto wanted = target_quotas(input);
-  if (!is_change_needed(wanted, input, quotas)) return step;
+  auto targets = target_quotas(input);
+  if (!is_change_needed(targets, input, quotas)) return step;
   // For a bound after a decrease no quota may rise, and no other falls: each decrease would delay the next
   // increase. After that, increases come first.
   const bool rate_fell = quotas.rate() > static_cast<uint32_t>(input.rate);
   const bool may_rise = input.since_decrease >= input.bound;
-  if (!rate_fell && may_rise && increase(wanted, input.rate, step.quotas))
+  if (!rate_fell && may_rise && increase(targets, input.rate, step.quotas))
     step.change = QuotaChange::increased;
-  else if ((rate_fell || may_rise) && decrease(wanted, input.rate, step.quotas))
+  else if ((rate_fell || may_rise) && decrease(targets, input.rate, step.quotas))
     step.change = QuotaChange::decreased;
   else
     return step;
