--- a/src/limits/rate_quotas.cpp
+++ b/src/limits/rate_quotas.cpp
@@ -83,7 +83,7 @@
 }
 
 /// The most that `holders` nodes may have together, in thousandths: each may be early by one request.
-uint64_t most_handed_out(int64_t rate, size_t holders) {
+uint64_t max_allocated(int64_t rate, size_t holders) {
   const auto whole = static_cast<double>(rate);
   const double with_margin = whole * kRateWithMargin - static_cast<double>(holders) / kMarginSeconds;
   return static_cast<uint64_t>(std::max(0.0, std::min(whole, with_margin)) * kMilli);
@@ -100,7 +100,7 @@
     uint32_t quota = found == milli_requests.end() ? 0 : found->second;
     if (target <= quota * (1 + kMinChange)) continue;
     const size_t holders = milli_requests.size() + (quota == 0);
-    const uint64_t limit = most_handed_out(rate, holders);
+    const uint64_t limit = max_allocated(rate, holders);
     auto added = std::min<uint64_t>(target - quota, limit > sum ? limit - sum : 0);
     if (!added) continue;
     milli_requests[node] = static_cast<uint32_t>(quota + added);
