--- a/src/limits/rate_quotas.cpp
+++ b/src/limits/rate_quotas.cpp
@@ -5,7 +5,7 @@
 
 namespace dunlinwing::limits {
 namespace {
-constexpr double kMaxHandedOut = 0.97, kMinHandedOut = 0.5;  // fractions of the rate
+constexpr double kMaxAllocated = 0.97, kMinAllocated = 0.5;  // fractions of the rate
 constexpr double kRateWithMargin = 1.1;  // times the rate: the limit over any five seconds
 constexpr double kMarginSeconds = 5;     // period in which each node may be early by one request
 constexpr double kMinRatePerNode = 2.5;  // requests per second; with less, fewer nodes get a quota
@@ -40,12 +40,12 @@
   auto count = static_cast<double>(nodes.size());
   double total = 0;
   for (const auto& node : nodes) total += node.rate;
-  double handed_out = std::max(
-      rate * kMinHandedOut, std::min(rate * kMaxHandedOut, rate * kRateWithMargin - count / kMarginSeconds));
+  double allocated = std::max(
+      rate * kMinAllocated, std::min(rate * kMaxAllocated, rate * kRateWithMargin - count / kMarginSeconds));
   QuotaByNode quotas;
   for (const auto& node : nodes) {
     double share = total > 0 ? kEvenShare / count + (1 - kEvenShare) * node.rate / total : 1 / count;
-    quotas[node.node] = static_cast<uint32_t>(std::floor(share * handed_out * kMilli));
+    quotas[node.node] = static_cast<uint32_t>(std::floor(share * allocated * kMilli));
   }
   return quotas;
 }
