--- a/src/limits/rate_quotas.cpp
+++ b/src/limits/rate_quotas.cpp
@@ -82,10 +82,10 @@
   return true;
 }
 
-/// The most that `holders` nodes may have together, in thousandths: each may be early by one request.
-uint64_t max_allocated(int64_t rate, size_t holders) {
+/// The most that `node_count` nodes may have together, in thousandths: each may be early by one request.
+uint64_t max_allocated(int64_t rate, size_t node_count) {
   const auto whole = static_cast<double>(rate);
-  const double with_margin = whole * kRateWithMargin - static_cast<double>(holders) / kMarginSeconds;
+  const double with_margin = whole * kRateWithMargin - static_cast<double>(node_count) / kMarginSeconds;
   return static_cast<uint64_t>(std::max(0.0, std::min(whole, with_margin)) * kMilli);
 }
 
@@ -99,8 +99,8 @@
     auto found = milli_requests.find(node);
     uint32_t quota = found == milli_requests.end() ? 0 : found->second;
     if (target <= quota * (1 + kMinChange)) continue;
-    const size_t holders = milli_requests.size() + (quota == 0);
-    const uint64_t limit = max_allocated(rate, holders);
+    const size_t node_count = milli_requests.size() + (quota == 0);
+    const uint64_t limit = max_allocated(rate, node_count);
     auto added = std::min<uint64_t>(target - quota, limit > sum ? limit - sum : 0);
     if (!added) continue;
     milli_requests[node] = static_cast<uint32_t>(quota + added);
