--- a/src/limits/demand_estimator.cpp
+++ b/src/limits/demand_estimator.cpp
@@ -4,9 +4,9 @@
 
 namespace dunlinwing::limits {
 namespace {
-constexpr double kLatestWeight = 0.3;  // of the latest observation in the smoothed rate
-constexpr int kMaxAbsenceBounds = 15;  // a node absent for less is expected back and keeps its quota
-constexpr int kAwayBoundsNeeded = 1;   // the same, if the other nodes need its quota
+constexpr double kLatestWeight = 0.3;       // of the latest observation in the smoothed rate
+constexpr int kMaxAbsenceBounds = 15;       // a node absent for less is expected back and keeps its quota
+constexpr int kMaxAbsenceBoundsNeeded = 1;  // the same, if the other nodes need its quota
 constexpr double kPerMilliRequest = 0.001;
 constexpr double kHeadroom = 1.4;  // times the demand: the quota with which nodes serve it without waiting
 
@@ -87,7 +87,7 @@
   auto demand = present_demand(nodes, statuses);
   const double present_rate = static_cast<double>(context.rate) - quota_of_absent(quotas, demand);
   const bool needed = total(demand) * kHeadroom > present_rate;
-  const auto max_absence = context.bound * (needed ? kAwayBoundsNeeded : kMaxAbsenceBounds);
+  const auto max_absence = context.bound * (needed ? kMaxAbsenceBoundsNeeded : kMaxAbsenceBounds);
   double known_rate = 0, known_quota = 0;  // of the nodes with a quota whose demand is known
   for (const auto& [name, quota] : quotas.milli_requests())
     if (const auto& node = nodes[name]; node.rate) {
