--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -26,7 +26,7 @@
   return member;
 }
 
-void few_are_asked() {
+void few_are_queried() {
   Sequence random;
   constexpr int kNodes = 200, kWithDisk = 6;
   std::vector<membership::Member> known;
@@ -188,7 +188,7 @@
 }  // namespace
 
 std::vector<Case> contact_cases() {
-  return {{"contact: few of the known nodes are queried at a time", few_are_asked},
+  return {{"contact: few of the known nodes are queried at a time", few_are_queried},
           {"contact: failing pulls back off, even while a caller waits", failing_pulls_are_seldom},
           {"contact: one good pull ends the backoff", one_good_pull_resets},
           {"contact: a pull is good once everything is received", good_pulls_know_everything},
