--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -32,16 +32,16 @@
   std::vector<membership::Member> known;
   known.reserve(kNodes);
   for (int i = 0; i < kNodes; ++i) known.push_back(member(i, i < kWithDisk));
-  std::set<std::string> asked;
+  std::set<std::string> queried;
   for (int look = 0; look < 100; ++look) {
     auto drawn = membership::sample_contacts(known, random);
     expect(drawn.size() == 2 * membership::kContactsPerKind,
            fmt::format("{} addresses were queried at once", drawn.size()));
-    asked.insert(drawn.begin(), drawn.end());
+    queried.insert(drawn.begin(), drawn.end());
   }
   for (int i = 0; i < kWithDisk; ++i)
-    expect(asked.count(fmt::format("n{}", i)) > 0, "a node with a disk is never queried");
-  expect(asked.size() > 100, "the same nodes are queried each time");
+    expect(queried.count(fmt::format("n{}", i)) > 0, "a node with a disk is never queried");
+  expect(queried.size() > 100, "the same nodes are queried each time");
   expect(membership::sample_contacts({member(1, false)}, random).size() == 1,
          "the only known node is not queried");
 }
