--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -62,7 +62,7 @@
   return pulls;
 }
 
-void failing_pulls_are_seldom() {
+void failing_pulls_back_off() {
   same(pulls_in_ten_seconds(PullResult::good, false), 40, "good pulls in ten seconds");
   auto failing = pulls_in_ten_seconds(PullResult::failed, false);
   expect(failing <= 32, fmt::format("{} failing pulls in ten seconds", failing));
@@ -189,7 +189,7 @@
 
 std::vector<Case> contact_cases() {
   return {{"contact: few of the known nodes are queried at a time", few_are_queried},
-          {"contact: failing pulls back off, even while a caller waits", failing_pulls_are_seldom},
+          {"contact: failing pulls back off, even while a caller waits", failing_pulls_back_off},
           {"contact: one good pull ends the backoff", one_good_pull_resets},
           {"contact: a pull is good once everything is received", good_pulls_know_everything},
           {"contact: a restarted replica continues above the version that others know",
