--- a/test/unit/limits/limits_test.cpp
+++ b/test/unit/limits/limits_test.cpp
@@ -140,7 +140,7 @@
   expect(each >= 3 && each * kMostUsers <= kCap, fmt::format("{} connections of each user", each));
 }
 
-pb::NodeStatus asked(const std::string& service, uint64_t requests) {
+pb::NodeStatus status_with_demand(const std::string& service, uint64_t requests) {
   pb::NodeStatus status;
   status.mutable_node()->set_zone("a");
   auto* demand = status.add_demands();
@@ -157,7 +157,8 @@
   uint64_t own = 0, other = 0;
   const auto step = [&](uint64_t own_requests, uint64_t other_requests) {
     now += kBound / 2;
-    shares.observe({{"n1", asked("s", own += own_requests)}, {"n2", asked("s", other += other_requests)}},
+    shares.observe({{"n1", status_with_demand("s", own += own_requests)},
+                    {"n2", status_with_demand("s", other += other_requests)}},
                    now);
     return shares.usable();
   };
@@ -174,10 +175,10 @@
 
 /// The estimate for relays and one shield in a fleet of this many nodes before any request.
 limits::DemandByNode first_demand(int nodes) {
-  limits::DemandEstimator::Statuses statuses{{"shield", asked("s", 0)}};
+  limits::DemandEstimator::Statuses statuses{{"shield", status_with_demand("s", 0)}};
   statuses["shield"].mutable_node()->set_shield(true);
   statuses["shield"].mutable_node()->set_ready(true);
-  for (int i = 1; i < nodes; ++i) statuses[fmt::format("relay-{}", i)] = asked("s", 0);
+  for (int i = 1; i < nodes; ++i) statuses[fmt::format("relay-{}", i)] = status_with_demand("s", 0);
   limits::DemandEstimator estimator;
   estimator.observe("s", statuses, 1, TimePoint(1000));
   return estimator.estimate("s", statuses, {}, {100, Duration(2000), TimePoint(1000)});
