--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -47,10 +47,10 @@
 }
 
 // A cluster that undergoes random failures and applies the planned steps.
-struct Course {
+struct FailureSimulation {
   ClusterView view;
 
-  Course(int tolerate, int nodes, int first) {
+  FailureSimulation(int tolerate, int nodes, int first) {
     view.tolerate = tolerate;
     view.bound = kBound;
     for (int i = 0; i < nodes; ++i) {
@@ -118,7 +118,7 @@
 void any_course() {
   int tolerate = *rc::gen::inRange(1, 4);
   int nodes = *rc::gen::inRange(3, 12), first = *rc::gen::inRange(1, 4);
-  Course course(tolerate, nodes, first);
+  FailureSimulation course(tolerate, nodes, first);
   for (int draw : *rc::gen::container<std::vector<int>>(40, rc::gen::inRange(0, 1000))) course.happens(draw);
   for (auto& known : course.view.nodes) known = node(known.name, known.zone, course.member(known.name));
   int steps = 0;
