--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -118,13 +118,15 @@
 void any_course() {
   int tolerate = *rc::gen::inRange(1, 4);
   int nodes = *rc::gen::inRange(3, 12), first = *rc::gen::inRange(1, 4);
-  FailureSimulation course(tolerate, nodes, first);
-  for (int draw : *rc::gen::container<std::vector<int>>(40, rc::gen::inRange(0, 1000))) course.happens(draw);
-  for (auto& known : course.view.nodes) known = node(known.name, known.zone, course.member(known.name));
+  FailureSimulation simulation(tolerate, nodes, first);
+  for (int draw : *rc::gen::container<std::vector<int>>(40, rc::gen::inRange(0, 1000)))
+    simulation.happens(draw);
+  for (auto& known : simulation.view.nodes)
+    known = node(known.name, known.zone, simulation.member(known.name));
   int steps = 0;
-  while (course.take()) RC_ASSERT(++steps < 10);
+  while (simulation.take()) RC_ASSERT(++steps < 10);
   auto wanted = std::min<size_t>({static_cast<size_t>(nodes), static_cast<size_t>(2 * tolerate + 1), 9});
-  RC_ASSERT(course.view.replicas.size() >= wanted);
+  RC_ASSERT(simulation.view.replicas.size() >= wanted);
 }
 
 void grows_by_zones() {
