--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -115,7 +115,7 @@
 };
 
 // Under any sequence of failures a majority keeps voting, and the set reaches the required size.
-void any_course() {
+void majority_survives_failures() {
   int tolerate = *rc::gen::inRange(1, 4);
   int nodes = *rc::gen::inRange(3, 12), first = *rc::gen::inRange(1, 4);
   FailureSimulation simulation(tolerate, nodes, first);
@@ -253,7 +253,7 @@
   return {
       property(
           "replica_repair: under any failures a majority keeps voting and the set reaches the required size",
-          any_course),
+          majority_survives_failures),
       {"replica_repair: new replicas are taken from the zones with the fewest, in one step", grows_by_zones},
       {"replica_repair: an unresponsive replica is replaced by a present node, in one step",
        silent_is_replaced},
