--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -92,7 +92,7 @@
     return true;
   }
 
-  void happens(int draw) {
+  void inject_failure(int draw) {
     auto& struck = view.nodes[static_cast<size_t>(draw) % view.nodes.size()];
     switch (draw / 20 % 6) {
       case 0:
@@ -120,7 +120,7 @@
   int nodes = *rc::gen::inRange(3, 12), first = *rc::gen::inRange(1, 4);
   FailureSimulation simulation(tolerate, nodes, first);
   for (int draw : *rc::gen::container<std::vector<int>>(40, rc::gen::inRange(0, 1000)))
-    simulation.happens(draw);
+    simulation.inject_failure(draw);
   for (auto& known : simulation.view.nodes)
     known = node(known.name, known.zone, simulation.member(known.name));
   int steps = 0;
