--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -69,7 +69,7 @@
   }
 
   // Applies one step and checks it; false when the plan has none.
-  bool take() {
+  bool apply_step() {
     auto plan = membership::plan_repair(view);
     if (!plan) return false;
     auto& to = plan->replicas;
@@ -109,7 +109,7 @@
         struck.present = false;
         return;
       default:
-        take();
+        apply_step();
     }
   }
 };
@@ -124,7 +124,7 @@
   for (auto& known : simulation.view.nodes)
     known = node(known.name, known.zone, simulation.member(known.name));
   int steps = 0;
-  while (simulation.take()) RC_ASSERT(++steps < 10);
+  while (simulation.apply_step()) RC_ASSERT(++steps < 10);
   auto wanted = std::min<size_t>({static_cast<size_t>(nodes), static_cast<size_t>(2 * tolerate + 1), 9});
   RC_ASSERT(simulation.view.replicas.size() >= wanted);
 }
