--- a/test/unit/link/pacer_test.cpp
+++ b/test/unit/link/pacer_test.cpp
@@ -10,9 +10,9 @@
 constexpr Duration kLong(60000);
 
 /// Conditions whose waits advance the clock by their full limit.
-class TimePassing final : public base::Tasks {
+class ClockAdvancingTasks final : public base::Tasks {
  public:
-  explicit TimePassing(ManualClock& clock) : clock_(clock) {}
+  explicit ClockAdvancingTasks(ManualClock& clock) : clock_(clock) {}
   void spawn(std::function<void()> /*task*/) override { throw Failed("a task was spawned"); }
   std::shared_ptr<base::Condition> condition() override { return std::make_shared<Wait>(*this); }
 
@@ -20,21 +20,21 @@
 
  private:
   struct Wait final : base::Condition {
-    explicit Wait(TimePassing& owner) : tasks(owner) {}
+    explicit Wait(ClockAdvancingTasks& owner) : tasks(owner) {}
     bool wait(Duration limit) override {
       if (tasks.meanwhile) tasks.meanwhile();
       tasks.clock_.sleep(limit);
       return false;
     }
     void notify() override {}
-    TimePassing& tasks;
+    ClockAdvancingTasks& tasks;
   };
   ManualClock& clock_;
 };
 
 struct Bench {
   ManualClock clock;
-  TimePassing tasks{clock};
+  ClockAdvancingTasks tasks{clock};
   link::Pacer pacer{clock, tasks, kBytesPerSecond};
 
   bool send_part(size_t remaining, Duration limit = kLong) {
