--- a/test/unit/link/pacer_test.cpp
+++ b/test/unit/link/pacer_test.cpp
@@ -87,7 +87,7 @@
          "a larger body is not queued behind the waiting one");
 }
 
-void who_gives_up_takes_nothing() {
+void timed_out_part_takes_no_tokens() {
   Bench bench;
   while (bench.pacer.expected_time(1) <= Duration(0))
     expect(bench.send_part(SIZE_MAX / 2), "a part was not granted");
@@ -114,7 +114,7 @@
       {"link: bodies leave a part of it to control", bodies_leave_a_part_of_the_link},
       {"link: control never waits, and bodies slow down for it", control_takes_from_bodies_and_never_waits},
       {"link: a small body is not queued behind large ones", a_small_body_is_not_behind_large_ones},
-      {"link: a part that times out takes no tokens", who_gives_up_takes_nothing},
+      {"link: a part that times out takes no tokens", timed_out_part_takes_no_tokens},
       {"link: with an unknown rate nothing is paced", a_link_of_unknown_rate_paces_nothing}};
 }
 
