--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -4,16 +4,17 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr double kLeastWeight = 0.002;    // of the latest observation in the mean: some two minutes count
-constexpr uint64_t kLearningCount = 240;  // observations, a minute of them, before the mean counts as usual
+constexpr double kLeastWeight = 0.002;    // of the latest observation in the average: a span of two minutes
+constexpr uint64_t kLearningCount = 240;  // observations (one minute) before the average counts as usual
 constexpr double kMsPerSecond = 1000;
-constexpr double kThousandths = 1000;  // in which usual heartbeats are told, since a few are less than one
+constexpr double kThousandths = 1000;  // unit of usual heartbeats, since one observation may expect below one
 constexpr std::string_view kReleasePrefix = "release/";
 constexpr std::string_view kOperatorActionPrefix = "act/";
 
 uint64_t increase(uint64_t before, uint64_t now) { return now > before ? now - before : 0; }
 
-// The fleet's calendar time, so that one wrong clock does not count: the median of the replicas' clocks.
+// The wall-clock time of the fleet: the median of the replicas' clocks, so that one wrong clock has no
+// effect.
 std::optional<int64_t> median_wall_clock(const std::vector<membership::Member>& members) {
   std::vector<int64_t> clocks;
   for (const auto& member : members)
@@ -83,7 +84,7 @@
   return result;
 }
 
-// Fills in what was counted on the node since its counters were last seen.
+// Fills in the increases of the node's counters since its previous status.
 void FleetObserver::count(const pb::NodeStatus& status, double seconds, bool on_active_release,
                           NodeObservation& node) {
   NodeCounters latest;
--- a/src/rollout/fleet_observer.hpp
+++ b/src/rollout/fleet_observer.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Turns the statuses of nodes and the recorded releases into what the state machine of releases is fed with.
-/// It runs on every node that stands for the leadership, so that its counters are known when the leadership
-/// comes to it.
+/// Builds the input of the release state machine from the nodes' statuses and the recorded releases. It runs
+/// on every node that is a candidate for the leadership, so that the counters are up to date when that node
+/// becomes leader.
 /// Threads: the fiber of the rollout controller. Never waits.
 #pragma once
 #include "membership/leadership.hpp"
@@ -10,15 +10,14 @@
 
 namespace dunlinwing::rollout {
 
-using ReleasesByKey = std::map<std::string, config::Release>;  ///< by the name of their register
+using ReleasesByKey = std::map<std::string, config::Release>;  ///< by register name
 
-/// The rate of heartbeats that usually come through a node: a mean, in which the latest two minutes count
-/// most.
+/// The usual rate of heartbeats that a node accepts: a moving average dominated by the latest two minutes.
 class UsualHeartbeatRate {
  public:
-  /// Takes the rate over one observation.
+  /// Adds the rate measured over one observation.
   void learn(double per_second);
-  /// Whether there were observations enough for the mean to be taken for usual.
+  /// Whether there are enough observations to use the average as the usual rate.
   bool is_known() const;
   double per_second() const { return per_second_; }
 
@@ -30,28 +29,28 @@
 class FleetObserver {
  public:
   /// The references have to outlive the observer.
-  /// @param bound  of the fleet; the most time that one observation is taken to cover
+  /// @param bound  of the fleet; upper limit of the time that one observation is assumed to cover
   FleetObserver(membership::StateCache& state_cache, membership::Leadership& leadership, HealthProber& prober,
                 Duration bound);
 
-  /// Observes the fleet once more; counts are those since the call before.
-  /// @param elapsed  observed under the lease since then
+  /// Observes the fleet. Counts are increases since the previous call.
+  /// @param elapsed  time observed under the lease since the previous call
   /// @param state    of the releases
-  /// @return the observation, but for its `forgotten_everywhere`
+  /// @return the observation, without its `forgotten_everywhere`
   FleetObservation observe(TimePoint now, Duration elapsed, const pb::RolloutState& state,
                            const config::QuietHours& quiet_hours);
 
-  /// The releases recorded when the fleet was last observed.
+  /// The releases that were recorded at the last observation.
   const ReleasesByKey& releases() const { return releases_; }
 
  private:
-  /// Counters of a node as it last reported them. They start from zero with each incarnation.
+  /// The counters that a node last reported. They restart from zero with each incarnation.
   struct NodeCounters {
     uint64_t incarnation = 0;
     uint64_t requests = 0;
     uint64_t failures = 0;
     uint64_t heartbeats = 0;
-    UsualHeartbeatRate usual;  ///< while it was on no release in its phases; lasts over incarnations
+    UsualHeartbeatRate usual;  ///< measured while on no active release; kept across incarnations
   };
 
   std::vector<NodeObservation> observe_nodes(TimePoint now, const pb::RolloutState& state);
@@ -63,9 +62,9 @@
   membership::Leadership& leadership_;
   HealthProber& prober_;
   Duration bound_;
-  TimePoint observed_{0};                         ///< the last observation; 0: there was none
+  TimePoint observed_{0};                         ///< time of the last observation; 0: none yet
   std::map<std::string, NodeCounters> counters_;  ///< by node
-  ReleasesByKey releases_;                        ///< each is parsed once: releases never change
+  ReleasesByKey releases_;                        ///< each is parsed once, since releases are immutable
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/forgotten_releases.cpp
+++ b/src/rollout/forgotten_releases.cpp
@@ -41,9 +41,10 @@
   if (!value || !leadership_.held()) return;
   pb::OperatorAction action;
   action.ParseFromString(value->data);
-  if (action.forgotten()) return;  // the next pull brings it
+  if (action.forgotten()) return;  // the next pull returns it
   action.set_forgotten(true);
-  // A leader of an older program does not know the marker; by this it starts nothing anew either.
+  // A leader with older software does not know the marker; the withdrawal keeps it from restarting the
+  // release.
   if (action.withdrawn().empty()) action.set_withdrawn("its course has ended and is no longer kept");
   registers_.write(key, value->version, action.SerializeAsString());
 }
--- a/src/rollout/forgotten_releases.hpp
+++ b/src/rollout/forgotten_releases.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// The markers of finished releases whose progress is no longer kept. A marker stands in the operator action
-/// of the release and tells every leader that the release is not a new one.
+/// The markers of finished releases whose progress has been deleted. A marker is stored in the operator
+/// action of the release; it prevents leaders from treating the release as a new one.
 ///
-/// Invariant: a release's name leaves RolloutState.forgotten only once its marker has been known here for a
-/// bound. It was acknowledged then before the latest pull of any node with a read lease began, so that a
-/// successor knows it too, whichever state of the releases it reads.
-/// Threads: the fiber of the rollout controller; mark_next() waits for the network.
+/// Invariant: a release's name is removed from RolloutState.forgotten only once this node has known its
+/// marker for longer than the bound. The write of the marker was then acknowledged before the latest pull of
+/// any node with a read lease began, so that the next leader knows it too, whichever state of the releases it
+/// reads. Threads: the fiber of the rollout controller; mark_next() waits for the network.
 #pragma once
 #include "consensus/register_client.hpp"
 #include "membership/leadership.hpp"
@@ -15,7 +15,7 @@
 
 using OperatorActionsByKey = std::map<std::string, pb::OperatorAction>;  ///< by the register of the release
 
-/// Whether the release, named by its register, carries the marker.
+/// Whether the operator action of the release, named by its register, carries the marker.
 bool is_marked_forgotten(const OperatorActionsByKey& actions, const std::string& release_key);
 
 class ForgottenReleases {
@@ -24,13 +24,12 @@
   /// @param bound  of the fleet
   ForgottenReleases(consensus::RegisterClient& registers, membership::Leadership& leadership, Duration bound);
 
-  /// Notes which of the forgotten releases carry the marker.
-  /// @return those, as kind/name, whose marker every leader must know by now
+  /// Records since when each forgotten release has carried the marker.
+  /// @return the releases, as kind/name, whose marker every leader must know by now
   std::set<std::string> update(TimePoint now, const pb::RolloutState& state,
                                const OperatorActionsByKey& actions);
 
-  /// Writes the marker of one release that lacks it; later calls go on with the others. Done twice it does no
-  /// harm.
+  /// Writes the marker of one release that lacks it; later calls continue with the others. Idempotent.
   void mark_next(const pb::RolloutState& state, const OperatorActionsByKey& actions);
 
  private:
@@ -39,7 +38,7 @@
   consensus::RegisterClient& registers_;
   membership::Leadership& leadership_;
   Duration bound_;
-  std::map<std::string, TimePoint> marked_since_;  ///< by kind/name: since when the marker is known here
+  std::map<std::string, TimePoint> marked_since_;  ///< by kind/name: when this node first saw the marker
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/health_prober.cpp
+++ b/src/rollout/health_prober.cpp
@@ -6,7 +6,7 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr size_t kOthers = 3;  // nodes not on a release that are checked beside those on it
+constexpr size_t kOthers = 3;  // nodes on no active release that are checked for comparison
 }  // namespace
 
 HealthProber::HealthProber(base::Ports& ports, membership::StateCache& state_cache, Duration bound)
--- a/src/rollout/health_prober.hpp
+++ b/src/rollout/health_prober.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Health checks of the nodes on a release that is in its phases, and of a few others to compare with.
-/// Threads: the fiber of the rollout controller; each check runs in a fiber of its own of the same process.
+/// Health checks of the nodes on an active release, and of a few other nodes for comparison.
+/// Threads: the fiber of the rollout controller; each check runs in a separate fiber of the same process.
 #pragma once
 #include "base/ports.hpp"
 #include "membership/state_cache.hpp"
@@ -16,14 +16,14 @@
 class HealthProber {
  public:
   /// The references have to outlive the prober and its checks.
-  /// @param bound  of the fleet; a node has half of it to respond
+  /// @param bound  of the fleet; a check times out after half of it
   HealthProber(base::Ports& ports, membership::StateCache& state_cache, Duration bound);
 
-  /// Starts one check of each node on a release in its phases and of three others, in turn; of none when no
-  /// node is on one. Does not wait for the results.
+  /// Starts one check of each node on an active release, and of three other nodes in round-robin order.
+  /// Starts none when no node is on an active release. Does not wait for the results.
   void probe(const pb::RolloutState& state);
 
-  /// The results since they were last taken.
+  /// Returns the node's results since the previous call and resets them.
   HealthCheckCounts take_counts(const std::string& node);
 
  private:
@@ -33,8 +33,8 @@
   base::Ports& ports_;
   membership::StateCache& state_cache_;
   Duration bound_;
-  size_t next_other_ = 0;                 ///< the next node to compare with, in turn
-  std::shared_ptr<CountsByNode> counts_;  ///< shared with the checks that are under way
+  size_t next_other_ = 0;                 ///< round-robin position among the nodes for comparison
+  std::shared_ptr<CountsByNode> counts_;  ///< shared with the checks in flight
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -6,12 +6,12 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr double kSlack = 0.005;           // a failure rate this close to the others' proves nothing
+constexpr double kSlack = 0.005;           // a failure rate this close to the baseline's proves nothing
 constexpr uint64_t kLeastFailures = 5;     // one failed request proves nothing
-constexpr uint64_t kLeastChecks = 10;      // health checks: the least from which their failures are judged
-constexpr uint64_t kLeastHeartbeats = 16;  // by chance less than a quarter of so many hardly ever comes
-constexpr uint64_t kThousandths = 1000;    // in which usual heartbeats are counted
-constexpr int kLeastLost = 2;              // one node may be lost for reasons of its own
+constexpr uint64_t kLeastChecks = 10;      // minimum health checks before their failures are judged
+constexpr uint64_t kLeastHeartbeats = 16;  // of so many, fewer than a quarter hardly ever arrive by chance
+constexpr uint64_t kThousandths = 1000;    // unit of the usual heartbeats
+constexpr int kLeastLost = 2;              // a single node may be lost for a reason other than the release
 
 bool is_waived(const pb::OperatorAction& action, const char* check) {
   return action.waived().count(check) > 0;
@@ -42,11 +42,11 @@
 
 struct NodeCount {
   int all = 0;
-  int lost = 0;  // of them, not present
+  int lost = 0;  // of `all`, those not present
 };
 
-// One node may be lost unnoticed, the phase-one node may not; nor a third of those on the release, when the
-// others fare better.
+// Fails when the phase-one node is lost, or at least two nodes and more than a third of those on the release,
+// and the lost part is more than twice that of the other nodes.
 std::optional<std::string> check_presence(const pb::ReleaseProgress& progress,
                                           const FleetObservation& observation, const pb::RolloutState& state,
                                           const RolloutRules& rules) {
@@ -68,7 +68,7 @@
 std::optional<std::string> check_load(const pb::ReleaseProgress& progress,
                                       const FleetObservation& observation, const pb::RolloutState& state) {
   const auto prefix = release_path(progress.kind(), progress.release()) + ":";
-  std::optional<std::string> failure;  // of the last node that has one
+  std::optional<std::string> failure;  // of the last node with a load error
   for (const auto& node : observation.nodes)
     if (node.present && is_assigned(state, node.name, progress) && node.load_error.starts_with(prefix))
       failure = "check load: " + node.name + ": " + node.load_error;
@@ -88,7 +88,7 @@
                      evidence.requests(), evidence.baseline_failures(), evidence.baseline_requests());
 }
 
-// Fails when more than a quarter of the health checks failed, and more than twice the part elsewhere.
+// Fails when more than a quarter of the health checks failed, and more than twice the baseline's part.
 std::optional<std::string> check_health(const pb::Evidence& evidence) {
   const auto checks = evidence.checks_passed() + evidence.checks_failed();
   const auto others = evidence.baseline_checks_passed() + evidence.baseline_checks_failed();
@@ -99,8 +99,8 @@
                      evidence.baseline_checks_failed(), others);
 }
 
-// Fails when heartbeats of backend instances that used to come through the release's nodes stay away, and
-// elsewhere they do not.
+// Fails when the release's nodes accept fewer than a quarter of the usual heartbeats of backend instances,
+// while the other nodes accept more than half of theirs.
 std::optional<std::string> check_heartbeats(const pb::Evidence& evidence) {
   const auto usual = evidence.heartbeats_usual() / kThousandths;
   const auto baseline_usual = evidence.baseline_heartbeats_usual() / kThousandths;
--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -1,5 +1,5 @@
-// Decides what happens to each release in a step. The checks are in release_checks.cpp, what changes the
-// state in release_transitions.cpp.
+// Decides which transitions each release makes in a step. The checks are in release_checks.cpp, the
+// transitions in release_transitions.cpp.
 #include "rollout/release_state_machine.hpp"
 
 #include <fmt/format.h>
@@ -11,17 +11,17 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kZoneHoldFraction = 4;  // in phase three, each zone holds this part of phase two's time
-constexpr int kRestartBounds = 20;    // in which a machine comes back with other software
+constexpr int kZoneHoldFraction = 4;  // phase three: each zone is held for phase two's time divided by this
+constexpr int kRestartBounds = 20;    // within so many bounds a machine has restarted with other software
 constexpr int64_t kMsPerSecond = 1000;
 
-// The releases of one kind that a step is about; null: there is none.
+// The releases of one kind that a step may act on; null if there is none.
 struct Candidates {
   pb::ReleaseProgress* active = nullptr;
-  pb::ReleaseProgress* next = nullptr;  // the one that waits and is to begin once none is active
+  pb::ReleaseProgress* next = nullptr;  // the waiting release that starts once none is active
 };
 
-// One step of all releases on an observation of the fleet.
+// One step of all releases for an observation of the fleet.
 class FleetStep {
  public:
   FleetStep(const pb::RolloutState& state, const FleetObservation& observation, const RolloutRules& rules)
@@ -85,8 +85,8 @@
   return candidates;
 }
 
-// A release that waits may be withdrawn, sent by express, or take the place of the active one.
-// True when one was sent by express: nothing else happens to the kind in this step.
+// Withdraws a waiting release, deploys it by express, or lets it supersede the active one.
+// Returns true if one was deployed by express: the step then does nothing else for this kind.
 bool FleetStep::resolve_waiting(const std::string& kind, Candidates& candidates) {
   for (auto& progress : *transitions_.state().mutable_releases()) {
     if (progress.kind() != kind || progress.phase() != pb::WAITING) continue;
@@ -113,7 +113,7 @@
   return false;
 }
 
-// Begins a release that waits, when it may begin.
+// Starts a waiting release, if it may start now.
 void FleetStep::start(pb::ReleaseProgress& progress) {
   if (!find_release(progress)) return;
   const auto& state = transitions_.state();
@@ -124,7 +124,7 @@
   transitions_.begin(progress);
 }
 
-// Takes the active release one step on.
+// Runs one step of the active release.
 void FleetStep::drive(pb::ReleaseProgress& progress) {
   const auto* release = find_release(progress);
   if (!release) return;
@@ -143,13 +143,13 @@
   transitions_.advance(progress);
 }
 
-// Whether all nodes of the phase run the release; gives it to more of them where it may.
+// Whether all nodes of the phase run the release; if not, assigns it to more of them where allowed.
 bool FleetStep::is_deployed(pb::ReleaseProgress& progress) {
   if (progress.phase() == pb::ONE) return all_run_release(progress, observation_, transitions_.state());
   return transitions_.spread_in_zone(progress);
 }
 
-// Why a release that all nodes of its phase run does not leave the phase yet.
+// Why a release that all nodes of its phase run cannot leave the phase yet; nothing if it can.
 std::optional<std::string> FleetStep::next_phase_blocker(const pb::ReleaseProgress& progress,
                                                          const config::Release& release,
                                                          const pb::OperatorAction& action) const {
@@ -159,7 +159,7 @@
     return fmt::format("holding: {} s of the phase are left",
                        (left.count() + kMsPerSecond - 1) / kMsPerSecond);
   if (auto missing = missing_evidence(progress, rules_, action)) return missing;
-  // The end of a release starts nothing, so it may come at any hour.
+  // Completing a release changes no node, so it is allowed at any hour.
   const bool ends = progress.phase() == pb::THREE && !transitions_.has_remaining_zones(progress);
   if (!observation_.in_quiet_hours && !ends) return "waiting for the quiet hours";
   return {};
@@ -173,7 +173,7 @@
   return result;
 }
 
-// Whether the release has progress, or had it once.
+// Whether the release has progress, or had it before it was forgotten.
 bool is_known(const pb::RolloutState& state, const config::Release& release) {
   if (find_progress(state, release.kind, release.name)) return true;
   const auto path = release_path(release.kind, release.name);
@@ -189,7 +189,7 @@
   progress->set_order(state.next_order());
   result.state.set_next_order(state.next_order() + 1);
   result.effects.emplace_back(
-      LogEffect{fmt::format("Release {} {} is recorded and waits.", release.kind, release.name)});
+      LogEffect{fmt::format("Release {} {} is recorded and waiting.", release.kind, release.name)});
   result.effects.emplace_back(PersistEffect{true});
   return result;
 }
--- a/src/rollout/release_transitions.cpp
+++ b/src/rollout/release_transitions.cpp
@@ -9,8 +9,8 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kFinishedReleases = 64;   // of each kind whose progress operators may still look up
-constexpr size_t kRestartFraction = 3;  // of a zone's nodes, one in so many may restart for software at once
+constexpr int kFinishedReleases = 64;   // kept of each kind, so that operators can look up their progress
+constexpr size_t kRestartFraction = 3;  // one in so many nodes of a zone may restart for software at a time
 }  // namespace
 
 ReleaseTransitions::ReleaseTransitions(pb::RolloutState state, const FleetObservation& observation,
@@ -21,7 +21,7 @@
 
 void ReleaseTransitions::log(std::string message) { effects_.emplace_back(LogEffect{std::move(message)}); }
 
-// Changes the named nodes to the releases under one new generation; an empty name takes the kind away.
+// Assigns the releases to the nodes under one new generation; an empty release removes the kind.
 void ReleaseTransitions::assign(const std::string& kind, const ReleaseByNode& releases) {
   if (releases.empty()) return;
   state_.set_generation(state_.generation() + 1);
@@ -60,7 +60,8 @@
   }
 }
 
-// What a node gets that is new in the zone: what most of the zone's nodes have, else what is in force.
+// The first assignment of a node that is new in the zone: of each kind, the release of most of the zone's
+// nodes, else the one in force.
 pb::NodeAssignment ReleaseTransitions::first_assignment(const std::string& zone) const {
   pb::NodeAssignment assignment;
   assignment.set_zone(zone);
@@ -74,7 +75,7 @@
     auto most = std::max_element(releases.begin(), releases.end(),
                                  [](auto& left, auto& right) { return left.second < right.second; });
     const auto* active = active_release(state_, kind);
-    // In phase one a single node of the zone has the release: the zone counts as what it was.
+    // In phase one only a single node has the release, so the rest of the zone still has the previous one.
     if (active && most->first == active->release() && active->phase() == pb::ONE) continue;
     (*assignment.mutable_releases())[kind] = most->first;
   }
@@ -129,7 +130,7 @@
 }
 
 void ReleaseTransitions::assign_stateless(pb::ReleaseProgress& progress, ZoneStatus zone) {
-  if (progress.kind() == "software") {  // its nodes are away while they restart
+  if (progress.kind() == "software") {  // its nodes are unavailable while they restart
     auto allowed = std::max<size_t>(1, zone.nodes / kRestartFraction);
     if (zone.unavailable >= allowed) return;
     zone.pending_stateless.resize(std::min(zone.pending_stateless.size(), allowed - zone.unavailable));
@@ -173,7 +174,7 @@
     return enter(progress, pb::TWO, zones[progress.order() % zones.size()]);
   }
   progress.add_completed_zones(progress.zone());
-  if (!zones.empty()) {  // the phase-one node's own zone comes last
+  if (!zones.empty()) {  // the zone of the phase-one node is last
     const auto& next = zones.front() == home && zones.size() > 1 ? zones[1] : zones.front();
     return enter(progress, pb::THREE, next);
   }
@@ -189,7 +190,7 @@
   progress.set_phase(pb::DONE);
   progress.set_reason(reason);
   (*state_.mutable_in_force())[progress.kind()] = progress.release();
-  log(fmt::format("Release {} {} goes to all nodes at once: {}.", progress.kind(), progress.release(),
+  log(fmt::format("Release {} {} is deployed to all nodes at once: {}.", progress.kind(), progress.release(),
                   reason));
 }
 
@@ -206,9 +207,9 @@
   progress.set_phase(end);
   progress.set_reason(reason);
   assignments_changed_ = true;
-  log(fmt::format("Release {} {} is {}: {}. {} nodes go back under generation {}.", progress.kind(),
-                  progress.release(), end == pb::STOPPED ? "stopped" : "withdrawn", reason, releases.size(),
-                  state_.generation()));
+  log(fmt::format("Release {} {} is {}: {}. {} nodes return to their previous releases under generation {}.",
+                  progress.kind(), progress.release(), end == pb::STOPPED ? "stopped" : "withdrawn", reason,
+                  releases.size(), state_.generation()));
 }
 
 void ReleaseTransitions::withdraw_waiting(pb::ReleaseProgress& progress, const std::string& reason) {
--- a/src/rollout/release_transitions.hpp
+++ b/src/rollout/release_transitions.hpp
@@ -1,15 +1,15 @@
 /// @file
-/// What changes the state of the releases in one step: nodes join, a release enters a phase, spreads,
-/// is rolled back or ends. When to do which is decided in release_state_machine.cpp.
+/// The transitions of the releases' state in one step: nodes join, a release enters a phase, is assigned to
+/// more nodes, is rolled back or ends. release_state_machine.cpp decides which transitions to make.
 ///
-/// Invariant: whatever changes an assignment takes a new generation, higher than all before.
-/// Threads: one; an object lives for one step.
+/// Invariant: each change of an assignment has a new generation, higher than all before.
+/// Threads: one; an object is used for one step only.
 #pragma once
 #include "rollout/release_state_machine.hpp"
 
 namespace dunlinwing::rollout {
 
-/// The state under change in one step, with one method for each transition.
+/// The state that one step modifies, with one method for each transition.
 class ReleaseTransitions {
  public:
   /// The observation and the rules have to outlive the object.
@@ -18,52 +18,53 @@
   pb::RolloutState& state() { return state_; }
   const pb::RolloutState& state() const { return state_; }
 
-  /// Assigns to each present node that is new, or new in its zone, what most of its zone runs.
+  /// Assigns the releases of most nodes in its zone to each present node that is new or has changed its zone.
   void add_new_nodes();
 
-  /// WAITING to ONE: one node gets the release, a stateless one where there is one.
+  /// WAITING to ONE: assigns the release to one node, a stateless one if there is any.
   void begin(pb::ReleaseProgress& progress);
 
-  /// Gives the release to more nodes of its zone: at once to all stateless ones (of software, to a third of
-  /// the zone at a time), then to one stateful node after the other.
-  /// @return whether all nodes of the zone that are present run it
+  /// Assigns the release to more nodes of its zone: to all stateless ones at once (a software release: to a
+  /// third of the zone at a time), then to the stateful nodes one by one.
+  /// @return whether all present nodes of the zone run it
   bool spread_in_zone(pb::ReleaseProgress& progress);
 
-  /// Leaves a phase that is complete: to the next phase or zone, or to DONE.
+  /// Moves on from a completed phase: to the next phase or zone, or to DONE.
   void advance(pb::ReleaseProgress& progress);
 
-  /// To DONE, past all phases: every node gets the release.
+  /// To DONE, skipping the remaining phases: assigns the release to every node.
   void deploy_everywhere(pb::ReleaseProgress& progress, const std::string& reason);
 
-  /// To STOPPED or WITHDRAWN: its nodes go back to what they had before it.
+  /// To STOPPED or WITHDRAWN: reassigns to its nodes the releases that they had before it.
   void roll_back(pb::ReleaseProgress& progress, pb::Phase end, const std::string& reason);
 
-  /// To WITHDRAWN, of a release that no node was ever assigned.
+  /// To WITHDRAWN, for a release that was never assigned to a node.
   void withdraw_waiting(pb::ReleaseProgress& progress, const std::string& reason);
 
-  /// Drops the progress of the oldest finished releases.
+  /// Deletes the progress of the oldest finished releases.
   ///
-  /// The name of each goes into the list of forgotten ones in the same write, since its release is still
-  /// recorded and would be taken for a new one. Once its operator action carries the marker and every leader
-  /// knows that, the name goes as well, so that the list does not grow with history.
+  /// The same write adds their names to RolloutState.forgotten, since the releases are still recorded and
+  /// would be treated as new ones. A name is removed once the operator action carries the marker and every
+  /// leader knows it, so that the list does not grow without limit.
   void forget_finished();
 
-  /// Whether some node is not assigned the release.
+  /// Whether any zone has a node that is not assigned the release.
   bool has_remaining_zones(const pb::ReleaseProgress& progress) const;
 
-  /// The result of the step that began with the state `before`; the object is not to be used any more.
+  /// Returns the result of the step that began with the state `before`. The object must not be used
+  /// afterwards.
   StepResult finish(const pb::RolloutState& before);
 
  private:
   using ReleaseByNode = std::map<std::string, std::string>;
 
-  /// How far a release has come in its zone.
+  /// Progress of a release in its current zone.
   struct ZoneStatus {
     size_t nodes = 0;
-    size_t unavailable = 0;                      ///< assigned the release, and not running it or away
-    bool all_running = true;                     ///< all that are assigned it and present
-    std::vector<std::string> pending_stateless;  ///< nodes not assigned it that keep no state, or are away
-    std::vector<std::string> pending_stateful;   ///< nodes not assigned it that keep state
+    size_t unavailable = 0;                      ///< assigned the release, but absent or not running it
+    bool all_running = true;                     ///< all nodes that are present and assigned it run it
+    std::vector<std::string> pending_stateless;  ///< nodes not assigned it that are stateless or absent
+    std::vector<std::string> pending_stateful;   ///< nodes not assigned it that are stateful
   };
 
   void log(std::string message);
@@ -80,7 +81,7 @@
   const FleetObservation& observation_;
   const RolloutRules& rules_;
   std::map<std::string, const NodeObservation*> nodes_;  ///< those of `observation_`, by name
-  bool assignments_changed_ = false;                     ///< or a phase has: what has to be recorded at once
+  bool assignments_changed_ = false;  ///< an assignment or a phase has changed: an urgent write is needed
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -1,4 +1,5 @@
-// Sequences what the other files of this folder do; the order of the steps is that of their writes.
+// Calls the other components of this folder in sequence; the order of the calls determines that of the
+// writes.
 #include "rollout/rollout_controller.hpp"
 
 #include <algorithm>
@@ -14,10 +15,10 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kSwitchTicks = 4;  // of version rollouts alone in the place of one, while they are urgent
+constexpr int kSwitchTicks = 4;  // ticks of version rollouts in the time of one tick, while they are urgent
 }  // namespace
 
-// Everything here belongs to the fiber that ticks.
+// All members are used only by the fiber that calls tick().
 class RolloutController::Impl : public std::enable_shared_from_this<Impl> {
  public:
   Impl(base::Ports& ports, consensus::RegisterClient& registers, membership::StateCache& state_cache,
@@ -39,7 +40,7 @@
   membership::Leadership& leadership_;
   RolloutRules rules_;
   membership::LeadershipFence fence_;
-  TimePoint led_{0};  // the last tick as the leader under the present lease; 0: there was none
+  TimePoint led_{0};  // the last tick as leader under the current lease; 0: none yet
   RolloutStateStore store_;
   HealthProber prober_;
   FleetObserver observer_;
@@ -78,7 +79,7 @@
   });
 }
 
-// Until the next tick. A switch of a service does not wait for it.
+// Sleeps until the next tick; meanwhile, urgent version rollouts get additional ticks.
 void RolloutController::Impl::pause() {
   const Duration span = rules_.bound / kTicksPerBound;
   if (!version_rollouts_.is_urgent()) return ports_.clock.sleep(span);
@@ -116,7 +117,7 @@
   version_rollouts_.tick(now, Duration(0), rules_);
 }
 
-// A tick of the leader. Whatever could not be recorded ends it; the next one begins anew.
+// A tick of the leader. A failed write ends it; the next tick starts over.
 void RolloutController::Impl::lead(TimePoint now, Duration elapsed) {
   if (!take_over()) return;
   read_system_options();
@@ -131,7 +132,7 @@
   forgotten_.mark_next(store_.state(), observation.operator_actions);
 }
 
-// Reads the state where it is not known, and writes this lease's term into it before anything else.
+// Loads the state if needed, and records the term of this lease in it before anything else is done.
 bool RolloutController::Impl::take_over() {
   if (!store_.load()) return false;
   if (!fence_.allows(store_.state().term())) return false;
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -1,13 +1,13 @@
 /// @file
-/// Does the work of the rollout leadership: each eighth of the bound it observes the fleet, feeds the state
-/// machines of releases and of version rollouts, and records what they decide.
+/// The tasks of the rollout leader: every eighth of the bound it observes the fleet, runs the state machines
+/// of releases and of version rollouts, and records their results.
 ///
-/// It runs on every node that stands for the leadership. A node that does not lead observes too, so that its
-/// counters are known when the leadership comes to it; it writes nothing.
+/// It runs on every node that is a candidate for the leadership. Followers observe too, so that their
+/// counters are up to date when they become leader; they write nothing.
 ///
 /// Invariants: nothing is done without a read lease. Every write is fenced by the leadership
 /// (membership/leadership_fence.hpp), and a new leader writes its term into each state before it acts on it.
-/// Threads: one fiber, which start() begins.
+/// Threads: one fiber, spawned by start().
 #pragma once
 #include "membership/leadership.hpp"
 #include "rollout/rollout_state_store.hpp"
@@ -17,7 +17,7 @@
 struct RolloutControllerConfig {
   Duration bound{2000};          ///< of the fleet; see RolloutRules
   double scale = 1;              ///< see RolloutRules
-  config::SystemOptions system;  ///< in force until a release states others
+  config::SystemOptions system;  ///< in force until a "system" release replaces them
 };
 
 class RolloutController {
@@ -28,15 +28,15 @@
                     const RolloutControllerConfig& config);
   ~RolloutController();
 
-  /// Begins the fiber that ticks; it never ends by itself.
+  /// Spawns the fiber that calls tick() periodically. The fiber never ends.
   void start();
 
-  /// One observation of the fleet and what follows from it.
+  /// Observes the fleet once and, on the leader, runs all steps and records their results.
   void tick();
 
  private:
   class Impl;
-  std::shared_ptr<Impl> impl_;  ///< shared with the fiber that ticks
+  std::shared_ptr<Impl> impl_;  ///< shared with the fiber of start()
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/rollout_state_store.cpp
+++ b/src/rollout/rollout_state_store.cpp
@@ -6,8 +6,8 @@
 
 namespace dunlinwing::rollout {
 namespace {
-// Counts may wait so long for a write; what is lost with a leader is then counted once more. Held time in
-// test fleets is short, so they wait less.
+// The longest delay of a write of counts alone. What is lost with a leader has to be counted again. The delay
+// is divided by the scale, since hold times are short in test fleets.
 constexpr int kFlushBounds = 5;
 constexpr double kFlushMs = 45000;
 
--- a/src/rollout/service_state.cpp
+++ b/src/rollout/service_state.cpp
@@ -6,7 +6,7 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kIdleVersions = 16;  // previous versions without backend instances that are remembered
+constexpr int kIdleVersions = 16;  // previous versions without backend instances that are kept
 }  // namespace
 
 int instances_of(const InstancesByVersion& instances, const std::string& version) {
--- a/src/rollout/service_state.hpp
+++ b/src/rollout/service_state.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// The recorded state of a service: which version is in place, which is its canary, and which were in place
-/// before. Here is what operators' orders do to it; how it goes on is in version_rollout.hpp. Pure.
+/// The recorded state of a service: its version in place, its canary, and its previous versions. This file
+/// has the changes that operators request; version_rollout.hpp has the steps that follow. Pure.
 ///
 /// Invariants: the version in place is neither a canary nor among the previous versions; a canary's number is
-/// higher than those of all canaries of the service before it.
+/// higher than those of all earlier canaries of the service.
 /// Threads: any; nothing is shared.
 #pragma once
 #include "base/common.hpp"
@@ -11,28 +11,29 @@
 
 namespace dunlinwing::rollout {
 
-/// How many backend instances send heartbeats, by the version that they report.
+/// Number of backend instances that send heartbeats, by the version that they report.
 using InstancesByVersion = std::map<std::string, int>;
 
-/// The count of one version; 0 where it has none.
+/// The number of instances of one version; 0 if there is no entry.
 int instances_of(const InstancesByVersion& instances, const std::string& version);
 
 /// The register of a service's state.
 std::string service_key(const std::string& service);
 
-/// Opens a canary in place of any that there is.
-/// @param deadline  since the request, in which the version rollout has to end; 0: there is none
-/// @param longest   the service's longest request
+/// Starts a canary; it replaces any canary that the service has.
+/// @param deadline  of the version rollout, measured from its request; 0: none
+/// @param longest   the longest duration of a request of the service
 void start_canary(pb::ServiceState& state, const std::string& version, Duration deadline, Duration longest);
 
 /// Ends the canary without a verdict.
 void drop_canary(pb::ServiceState& state);
 
-/// What the operator is told of a version rollout with a deadline: running, completed or rolled_back; empty
-/// when none was requested.
+/// The outcome reported to the operator of a version rollout with a deadline: running, completed or
+/// rolled_back; empty when none was requested.
 std::string rollout_outcome(const pb::ServiceState& state);
 
-/// Drops the oldest previous versions without backend instances, beyond the sixteen latest of them.
+/// Drops the oldest previous versions without backend instances, so that at most sixteen such versions
+/// remain.
 void prune_previous_versions(pb::ServiceState& state, const InstancesByVersion& instances);
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/switch_schedule.cpp
+++ b/src/rollout/switch_schedule.cpp
@@ -6,13 +6,13 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kWriteTicks = 3;   // for a switch to be recorded and known everywhere, when nodes are silent
-constexpr int kGiveUpTicks = 1;  // after the latest start, for the last evidence
-// Parts of the bound: for a switch to be recorded and followed when all nodes say so, and what is left before
-// the deadline, so that operators read in time that the rollout is completed.
+constexpr int kWriteTicks = 3;   // to record a switch and propagate it to all nodes, if some are unresponsive
+constexpr int kGiveUpTicks = 1;  // after the latest start, to wait for the last evidence
+// Parts of the bound: to record a switch and have all nodes confirm that they follow it; and the margin
+// before the deadline, so that operators can read in time that the rollout is completed.
 constexpr double kFollowPart = 0.2;
 constexpr double kReadPart = 0.31;
-// Of the requests that the allowance leaves for the switch, the part that is planned with.
+// The part of the requests left in the allowance that the switch is planned to use.
 constexpr double kPlannedPart = 0.95;
 constexpr double kMsPerSecond = 1000;
 constexpr double kPercent = 100;
@@ -23,8 +23,8 @@
   return Duration(static_cast<int64_t>(static_cast<double>(span.count()) * part));
 }
 
-// For how long the allowance lets the canary have all requests, up to the deadline. What is still to come
-// until then counts for the share, too.
+// How long before the deadline the canary can receive all requests within the allowance. The allowance is a
+// share of all requests up to the deadline, so the expected ones are included.
 Duration affordable_span(const VersionRolloutObservation& observation, Duration remaining,
                          const RolloutRules& rules) {
   const double rate = observation.requests_per_second;
--- a/src/rollout/switch_schedule.hpp
+++ b/src/rollout/switch_schedule.hpp
@@ -1,23 +1,24 @@
 /// @file
-/// When a service is switched to its canary, and until when that may last.
+/// When the switch of a service to its canary starts, and by when it has to be completed.
 ///
-/// A version that answers under its share as the old one does may still be a bad one. While it has all
-/// requests, it uses up in a second what the allowance grants it in ten, so the switch comes no earlier
-/// before the deadline than what is left of the allowance lasts: then no version is beyond its allowance,
-/// whether anybody sees that it is bad or not. Where that is less than a switch takes, it comes as late as it
-/// can be completed in time. Pure.
+/// A version that responds like the old one under its canary share may still be bad. While it receives all
+/// requests, it uses up in one second what the allowance grants in ten. The time from the start of the switch
+/// to the deadline is therefore limited to what the rest of the allowance covers: no version then exceeds its
+/// allowance, whether it is detected as bad or not. If that is less than a switch takes, the switch starts as
+/// late as it can still be completed in time. Pure.
 #pragma once
 #include "rollout/version_rollout.hpp"
 
 namespace dunlinwing::rollout {
 
-/// All but `clock_span` count from the request.
+/// All times but `clock_span` are measured from the request.
 struct SwitchSchedule {
-  Duration start{0};        ///< when the switch is to begin
-  Duration give_up{0};      ///< when it begins no more
+  Duration start{0};        ///< when the switch should start
+  Duration give_up{0};      ///< from this time on the switch no longer starts
   Duration complete_by{0};  ///< when it should be completed
-  Duration clock_span{
-      0};  ///< after its record, until no node can still send to the old version, whoever is silent
+  /// Time after the switch is recorded from which no node, not even an unresponsive one, can still send to
+  /// the old version.
+  Duration clock_span{0};
 };
 
 [[nodiscard]] SwitchSchedule plan_switch(const pb::ServiceState& state,
--- a/src/rollout/version_initializer.cpp
+++ b/src/rollout/version_initializer.cpp
@@ -7,7 +7,7 @@
 namespace dunlinwing::rollout {
 namespace {
 constexpr base::Log logger("rollout");
-constexpr int kGoneBounds = 5;  // beyond the missing heartbeats: a crash of all instances may end sooner
+constexpr int kGoneBounds = 5;  // after the heartbeats have stopped: a crash of all instances may be shorter
 
 InstancesByVersion count_instances(const BackendInstances& instances, const std::string& service) {
   InstancesByVersion counts;
@@ -16,7 +16,7 @@
   return counts;
 }
 
-// The first version with the highest count; empty: there is none.
+// The first version with the highest count; empty if there is none.
 std::string most_common(const InstancesByVersion& counts) {
   auto most = std::max_element(counts.begin(), counts.end(),
                                [](auto& left, auto& right) { return left.second < right.second; });
@@ -87,15 +87,17 @@
     recorded.state.set_current(version);
     if (!write(name, std::move(recorded))) return Progress::failed;
     if (as_reported)
-      logger.info("Service {}: version {} is in place, as its backend instances report.", name, version);
+      logger.info("Service {}: version {} is now in place, as reported by its backend instances.", name,
+                  version);
   }
   return progress;
 }
 
-// A service that the configuration names no more has no version in place when it comes back.
+// Clears the version in place of services that are no longer configured, so that a service that is added
+// again starts without one.
 bool VersionInitializer::clear_removed_services() {
   const auto prefix = service_key("");
-  const auto chosen = state_cache_.chosen();  // a copy, for it may change while a write waits
+  const auto chosen = state_cache_.chosen();  // a copy, since it may change while a write waits
   for (const auto& [key, value] : chosen) {
     if (!key.starts_with(prefix)) continue;
     const auto service = key.substr(prefix.size());
@@ -122,11 +124,13 @@
   }
   auto [since, is_new] = gone_since_.emplace(service, clock_.now());
   if (is_new)
-    logger.warn("Service {}: no backend instance of version {} sends heartbeats any more, and others do.",
-                service, current);
+    logger.warn(
+        "Service {}: no backend instance of version {} sends heartbeats; instances of other versions do.",
+        service, current);
   if (clock_.now() - since->second < bound_ * kGoneBounds) return;
   const auto version = most_common(counts);
-  logger.warn("Service {}: version {} takes the place of {}, which is gone.", service, version, current);
+  logger.warn("Service {}: version {} replaces {}, whose backend instances are gone.", service, version,
+              current);
   recorded.state.set_current(version);
   if (write(service, std::move(recorded))) gone_since_.erase(service);
 }
--- a/src/rollout/version_initializer.hpp
+++ b/src/rollout/version_initializer.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// Records which version of a service is in place where no version rollout has said so: the routing
-/// configuration's first or, where that names none, the one that most of the service's backend instances
-/// report.
+/// Records the version in place of each service for which no version rollout has set it: the first version
+/// in the routing configuration or, if that names none, the version that most of the service's backend
+/// instances report.
 ///
-/// A version whose backend instances have all been gone for a while gives way to another without a canary: it
-/// serves nothing, and nobody has requested a rollout.
+/// If all backend instances of the version in place have been gone for a while, another version replaces it
+/// without a canary: the old one serves nothing, and no rollout has been requested.
 /// Threads: the fiber of the rollout controller; a write waits for the network.
 #pragma once
 #include "config/routing_configuration.hpp"
@@ -15,12 +15,12 @@
 
 using BackendInstances = std::map<std::string, membership::BackendInstanceStatus>;  ///< by name
 
-/// The version that most backend instances of the service report; `except` only when there is no other.
-/// Empty: none sends heartbeats.
+/// The version that most backend instances of the service report; `except` only if there is no other.
+/// Empty if no instance sends heartbeats.
 std::string most_common_version(const BackendInstances& instances, const std::string& service,
                                 const std::string& except = {});
 
-/// What a leader does beside version rollouts so that each service has a version in place.
+/// Ensures, on the leader and outside of version rollouts, that each service has a version in place.
 class VersionInitializer {
  public:
   /// The references have to outlive the object.
@@ -28,21 +28,21 @@
                      membership::StateCache& state_cache, const membership::LeadershipFence& fence,
                      Duration bound);
 
-  /// Records what is in place, and what takes the place of versions that are gone.
-  /// @param configuration  in force for the fleet; null: nothing is done
+  /// Records missing versions in place, and replaces versions whose instances are gone.
+  /// @param configuration  in force for the fleet; if null, nothing is done
   void tick(std::shared_ptr<const config::RoutingConfiguration> configuration);
 
-  /// This node does not lead, or leads anew: what was known counts no longer.
+  /// Discards all cached state, when this node does not lead or leads under a new lease.
   void reset();
 
  private:
   enum class Progress {
     complete,
-    incomplete,  ///< no backend instance of some service has sent a heartbeat yet
-    failed,      ///< a write failed; the next tick begins anew
+    incomplete,  ///< some service has no backend instance that has sent a heartbeat yet
+    failed,      ///< a write failed; the next tick starts over
   };
   struct RecordedState {
-    uint64_t version = 0;  ///< of the register; 0: there is none
+    uint64_t version = 0;  ///< of the register; 0 if it has no value
     pb::ServiceState state;
   };
 
@@ -57,8 +57,8 @@
   membership::StateCache& state_cache_;
   const membership::LeadershipFence& fence_;
   Duration bound_;
-  std::shared_ptr<const config::RoutingConfiguration> configuration_;  ///< of the tick under way
-  std::string completed_;  ///< the configuration of which each service has a version in place
+  std::shared_ptr<const config::RoutingConfiguration> configuration_;  ///< of the current tick
+  std::string completed_;  ///< name of the configuration whose services all have a version in place
   std::map<std::string, TimePoint> gone_since_;  ///< by service: when its version in place was found gone
 };
 
--- a/src/rollout/version_rollout.cpp
+++ b/src/rollout/version_rollout.cpp
@@ -9,8 +9,9 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr double kWorseFactor = 2;    // a rate of bad answers is worse than another from so many times that,
-constexpr double kWorseSlack = 0.01;  // and from so much beside it
+// A rate of bad responses is worse than another if it exceeds that rate times the factor plus the slack.
+constexpr double kWorseFactor = 2;
+constexpr double kWorseSlack = 0.01;
 constexpr double kMsPerSecond = 1000;
 
 VersionTotals totals_of(const TotalsByVersion& totals, const std::string& version) {
@@ -18,7 +19,8 @@
   return found == totals.end() ? VersionTotals{} : found->second;
 }
 
-// One step of a service without a deadline: its canary is judged, and the version in place may give way.
+// One step of a service whose rollout has no deadline: judges the canary, and may revert the version in
+// place.
 class ServiceStep {
  public:
   ServiceStep(const std::string& service, const pb::ServiceState& state,
@@ -56,7 +58,7 @@
   const pb::ServiceState& before_;
   const VersionRolloutObservation& observation_;
   const RolloutRules& rules_;
-  const uint64_t limit_;  // bad answers, from which a version goes
+  const uint64_t limit_;  // bad responses from which a version is quarantined
   pb::ServiceState state_;
   std::vector<Effect> effects_;
 };
@@ -81,7 +83,7 @@
   promote_canary(canary);
 }
 
-// Whether the canary has had the requests and the time that a promotion needs.
+// Whether the canary has had enough requests and time for a promotion.
 bool ServiceStep::has_evidence(const VersionTotals& canary) const {
   const Duration least(
       static_cast<int64_t>(static_cast<double>(rules_.system.promote_seconds) * kMsPerSecond / rules_.scale));
@@ -109,7 +111,8 @@
   effects_.emplace_back(PersistEffect{true});
 }
 
-// Goes back to the latest previous version that fares better over this span; true when it did.
+// Goes back to the latest previous version with a better rate over the span of `totals`. Returns whether it
+// did.
 bool ServiceStep::revert_promotion(const TotalsByVersion& totals) {
   const auto current = totals_of(totals, state_.current());
   if (current.bad < limit_) return false;
--- a/src/rollout/version_rollout.hpp
+++ b/src/rollout/version_rollout.hpp
@@ -2,9 +2,9 @@
 /// The version rollout of a service: a canary with a bounded share of the requests, then promotion on
 /// evidence, or quarantine. A pure step from the recorded state and an observation to the next state.
 ///
-/// A canary that reaches the limit of bad answers is put into quarantine for good, however the version in
-/// place fares. A promoted version that turns bad, while a version before it still has backend instances and
-/// answers better, gives way to that one. Threads: any; nothing is shared.
+/// A canary that reaches the limit of bad responses is quarantined permanently, regardless of the version in
+/// place. If a promoted version turns bad while a previous version still has backend instances and a lower
+/// rate of bad responses, the service goes back to that one. Threads: any; nothing is shared.
 #pragma once
 #include "canary/canary_statistics.hpp"
 #include "rollout/release_state_machine.hpp"
@@ -12,46 +12,46 @@
 
 namespace dunlinwing::rollout {
 
-/// Answers of one version.
+/// Counts of good and bad responses of one version.
 struct VersionTotals {
   uint64_t good = 0;
   uint64_t bad = 0;
 
   uint64_t total() const { return good + bad; }
   VersionTotals& operator+=(const VersionTotals& other);
-  /// Whether its rate of bad answers is above twice the other's and a hundredth.
+  /// Whether its rate of bad responses is above twice the other's plus 0.01.
   bool is_worse_than(const VersionTotals& other) const;
 };
 using TotalsByVersion = std::map<std::string, VersionTotals>;
 
 /// One service as the leader sees it.
 struct VersionRolloutObservation {
-  Duration elapsed{0};           ///< observed under the lease since the previous observation
+  Duration elapsed{0};           ///< time observed under the lease since the previous observation
   TotalsByVersion delta;         ///< since the previous observation
   TotalsByVersion recent;        ///< over the last ten seconds
   TotalsByVersion minute;        ///< over the last minute
   InstancesByVersion instances;  ///< those that send heartbeats
-  bool aborted = false;          ///< some node has aborted the canary by itself
+  bool aborted = false;          ///< some node has aborted the canary on its own
 
-  // The others are of a version rollout with a deadline alone.
-  Duration since_requested{0};        ///< at least so long ago it was requested
-  Duration since_switch{0};           ///< at most so long ago its switch was recorded
+  // The remaining members are set only for a version rollout with a deadline.
+  Duration since_requested{0};        ///< lower bound of the time since the rollout was requested
+  Duration since_switch{0};           ///< upper bound of the time since its switch was recorded
   InstancesByVersion warm_instances;  ///< of `instances`, those that have warmed up
-  bool all_warm = false;              ///< all that the canary uses have been warm for a while
+  bool all_warm = false;              ///< all instances that the canary uses have been warm for a while
   canary::CanarySample sample;
-  uint64_t sent_to_canary = 0;     ///< requests, whatever came of them
-  double requests_per_second = 0;  ///< of the service, lately
-  /// All nodes that have been heard of within a session send to the canary alone.
+  uint64_t sent_to_canary = 0;     ///< requests, whatever their outcome
+  double requests_per_second = 0;  ///< recent request rate of the service
+  /// All nodes that have reported within a session send to the canary only.
   bool all_follow_switch = false;
 };
 
 struct VersionRolloutStep {
   pb::ServiceState state;
   std::vector<Effect> effects;
-  bool is_urgent = false;  ///< a switch is under way or about to begin: the next step should come soon
+  bool is_urgent = false;  ///< a switch is in progress or imminent: the next step should follow soon
 };
 
-/// The next state of the service. A state without any PersistEffect is unchanged.
+/// Returns the next state of the service. Without a PersistEffect the state is unchanged.
 VersionRolloutStep step(const std::string& service, const pb::ServiceState& state,
                         const VersionRolloutObservation& observation, const RolloutRules& rules);
 
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -9,15 +9,15 @@
 
 namespace dunlinwing::rollout {
 namespace {
-// A switch lasts this part of the bound at the least: until then a node that nobody has heard of may be in
-// the midst of its first pull, which does not bring the switch.
+// The minimum duration of a switch is the bound divided by this: until then a node that has not reported yet
+// may be in its first pull, begun before the switch was recorded.
 constexpr int kMinSwitchFraction = 5;
-// So long before a switch nodes are told to look for it often.
+// Ticks before a switch at which nodes are notified to pull more often.
 constexpr int kNearTicks = 2;
 
 Duration from_ms(uint64_t ms) { return Duration(static_cast<int64_t>(ms)); }
 
-// One step of a canary with a deadline, by its phase.
+// One step of a canary with a deadline, according to its phase.
 class DeadlineStep {
  public:
   DeadlineStep(const std::string& service, const pb::ServiceState& state,
@@ -78,7 +78,7 @@
   std::vector<Effect> effects_;
 };
 
-// A leader that took over lately may have seen less than what is recorded: nothing falls.
+// A new leader may have observed less than what is recorded, so no total decreases.
 void DeadlineStep::update_totals() {
   state_.set_held_ms(std::max(state_.held_ms(), static_cast<uint64_t>(observation_.since_requested.count())));
   state_.set_good(std::max(state_.good(), canary_.good));
@@ -92,7 +92,7 @@
                      canary_.slow, baseline_.bad, baseline_.slow, baseline_.total());
 }
 
-// What ends the canary at once, in any phase; empty: nothing does.
+// The reason to roll the canary back at once, in any phase; empty if there is none.
 std::string DeadlineStep::canary_failure() const {
   if (observation_.aborted || state_.bad() >= static_cast<uint64_t>(rules_.system.max_canary_failures) ||
       canary::is_clearly_worse(observation_.sample))
@@ -110,11 +110,11 @@
   persist(true);
 }
 
-// What speaks against the switch; empty: nothing does.
+// The reason not to switch yet; empty if there is none.
 std::string DeadlineStep::switch_blocker() const {
   if (!observation_.all_warm) return "its workers are not warm yet";
   if (auto blocker = canary::promotion_blocker(observation_.sample); !blocker.empty()) return blocker;
-  // Three quarters of the instances in place have to stand ready to take their load.
+  // Warm instances of the new version must number three quarters of those in place, to take over their load.
   const int warm = instances_of(observation_.warm_instances, version_);
   const int in_place = instances_of(observation_.instances, state_.current());
   if (warm * 4 < std::max(1, in_place) * 3)
@@ -122,7 +122,7 @@
   return {};
 }
 
-// What the verdict does not need is left for the switch.
+// Lowers the share once there is enough evidence, to save the rest of the allowance for the switch.
 void DeadlineStep::adjust_share() {
   const bool is_enough = canary::promotion_blocker(observation_.sample).empty();
   const uint32_t percent = is_enough ? canary::kWatchPercent : canary::kDeadlinePercent;
@@ -134,7 +134,7 @@
 void DeadlineStep::begin_switch() {
   state_.set_switching(true);
   state_.set_reason("switching: " + figures());
-  log(fmt::format("Service {}: {} to version {}.", service_, state_.reason(), version_));
+  log(fmt::format("Service {}: {}; target version {}.", service_, state_.reason(), version_));
   persist(true);
 }
 
@@ -146,9 +146,9 @@
   if (switch_has_ended()) complete();
 }
 
-// Whether the old version may be halted. Not before that is due, however soon nothing reaches it: until then
-// the new one can be judged under the whole load, and gone back from. What the old one still answers when it
-// is due is not waited for: that would be taken out of the allowance.
+// Whether the old version may be stopped. Not before `complete_by`, even if no node sends to it earlier:
+// until then the new one can be judged under full load and rolled back. Requests that the old one still
+// serves at that time are not waited for, since the wait would use up the allowance.
 bool DeadlineStep::switch_has_ended() const {
   if (since_requested() < schedule_.complete_by) return false;
   if (observation_.since_switch >= schedule_.clock_span) return true;
--- a/src/rollout/version_rollout_driver.cpp
+++ b/src/rollout/version_rollout_driver.cpp
@@ -6,8 +6,8 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kRecentBounds = 5;   // ten seconds, in VersionRolloutObservation::recent
-constexpr int kMinuteBounds = 30;  // a minute, in VersionRolloutObservation::minute
+constexpr int kRecentBounds = 5;   // ten seconds, for VersionRolloutObservation::recent
+constexpr int kMinuteBounds = 30;  // one minute, for VersionRolloutObservation::minute
 constexpr double kMsPerSecond = 1000;
 
 bool is_aborted(const std::map<std::string, pb::NodeStatus>& statuses, const std::string& service,
@@ -20,7 +20,8 @@
   return false;
 }
 
-// How long a write of counts alone may wait; with a deadline a successor needs them sooner.
+// The longest delay of a write of counts alone; shorter with a deadline, since a new leader needs them
+// sooner.
 Duration flush_interval(const pb::ServiceState& state, Duration bound) {
   return state.deadline_ms() ? bound / 2 : bound;
 }
@@ -72,12 +73,12 @@
       observations[counts.service()].delta[counts.version()] += increase;
       recent_.push_back({now, counts.service(), counts.version(), increase});
     }
-    reported_[source] = std::move(latest);  // what is no longer reported begins at 0 when it comes back
+    reported_[source] = std::move(latest);  // entries no longer reported restart at 0 when they reappear
   }
   std::erase_if(recent_, [&](auto& entry) { return now - entry.at > bound_ * kMinuteBounds; });
 }
 
-// What the source counted since its counters were last seen, or since it started anew.
+// The increase of the source's counters since its previous status, or since its restart.
 VersionTotals VersionRolloutDriver::take_increase(const pb::NodeStatus& status,
                                                   const pb::VersionCounts& counts, ReportedByKey& latest) {
   const std::string key = counts.service() + "/" + counts.version() + "/" + counts.route();
@@ -100,7 +101,7 @@
   }
 }
 
-// Over the last bound or the last ten seconds, whichever had more.
+// The rate over the last bound or the last ten seconds, whichever is higher.
 double VersionRolloutDriver::requests_per_second(TimePoint now, const std::string& service) const {
   uint64_t latest = 0;
   uint64_t recent = 0;
@@ -145,7 +146,7 @@
   }
   if (required != Persistence::none || takes_over) {
     auto written = fence_.write(registers_, service_key(service), record.version, in_force, result.state);
-    if (!written) return;  // the next pull brings what is in force
+    if (!written) return;  // the next pull returns the value in force
     record = {written->version, std::move(result.state), now};
   }
   log_effects(result.effects);
--- a/src/rollout/version_rollout_observer.cpp
+++ b/src/rollout/version_rollout_observer.cpp
@@ -6,11 +6,11 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kWarmFraction = 4;      // of a bound, for which instances have to be warm before they count
-constexpr int kUnrecordedBounds = 3;  // the span of a lease, and a bound
-constexpr int kSessionBounds = 2;     // no less than the session of a node, see StateCacheConfig
+constexpr int kWarmFraction = 4;      // instances must have been warm for the bound divided by this
+constexpr int kUnrecordedBounds = 3;  // the duration of a lease, plus a bound
+constexpr int kSessionBounds = 2;     // at least a node's session timeout, see StateCacheConfig
 
-// Since when a condition holds that is observed now; 0: it does not hold.
+// Since when the condition has held continuously; 0: it does not hold now.
 TimePoint held_since(TimePoint before, bool holds, TimePoint now) {
   if (!holds) return TimePoint(0);
   return before == TimePoint(0) ? now : before;
@@ -77,12 +77,12 @@
 
 TimePoint VersionRolloutObserver::request_time(TimePoint now, TimePoint pulled_at,
                                                const pb::ServiceState& state) const {
-  // The last pull had not brought it yet, the present one does.
+  // The previous pull did not return the rollout yet, the current one does.
   if (pulled_at_ != TimePoint(0)) return pulled_at_ + (pulled_at - pulled_at_) / 2;
   return now - Duration(static_cast<int64_t>(state.held_ms())) - bound_ * kUnrecordedBounds;
 }
 
-// Notes what the nodes sent to the canary, and whether all of them follow a switch to it.
+// Records how many requests the nodes sent to the canary, and whether all of them follow a switch to it.
 void VersionRolloutObserver::observe_nodes(const std::string& service, const pb::ServiceState& state,
                                            const std::map<std::string, pb::NodeStatus>& statuses,
                                            ObservedRollout& rollout) {
@@ -116,7 +116,7 @@
   observation.all_warm = is_warm(now, rollout);
   observation.sample = statistics_.at(service);
   for (const auto& [process, sent] : rollout.sent_to_canary) observation.sent_to_canary += sent;
-  // Who has not watched for a session may not have heard of all nodes.
+  // Before it has observed for a session, this node may not have received the status of every node.
   observation.all_follow_switch = rollout.all_follow_switch && now - first_update_ >= bound_ * kSessionBounds;
 }
 
--- a/src/rollout/version_rollout_observer.hpp
+++ b/src/rollout/version_rollout_observer.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// What a node that stands for the leadership sees of version rollouts with a deadline, whether it leads or
-/// not, so that it can go on with them whenever the leadership comes to it: since when it knows of each,
-/// since when the canary's backend instances are warm, and what they answered.
+/// Observes version rollouts with a deadline on every node that is a candidate for the leadership, so that it
+/// can continue them when it becomes leader: when each was requested, since when the canary's backend
+/// instances have been warm, and their responses.
 ///
-/// Whatever is not known counts against a rollout, but for the moment of its request: that is taken as
-/// half-way between the pull that first brought it and the one before. A node that begins to observe in the
-/// midst of it takes the recorded time, and adds the span of a lease and a bound for what was recorded late.
+/// Unknown facts count against a rollout, except for the time of its request, which is assumed to be half-way
+/// between the pull that first returned it and the previous pull. A node that starts observing during a
+/// rollout uses the recorded time, plus a lease duration and a bound for what was recorded late.
 /// Threads: the fiber of the rollout controller. Never waits.
 #pragma once
 #include "membership/backend_instance.hpp"
@@ -19,35 +19,35 @@
   /// @param bound  of the fleet
   explicit VersionRolloutObserver(Duration bound) : bound_(bound) {}
 
-  /// Observes all services once more.
-  /// @param pulled_at  when the pull began that brought what is observed
-  /// @param chosen     the recorded states among others
+  /// Observes all services.
+  /// @param pulled_at  start of the pull that returned the observed values
+  /// @param chosen     chosen values; the recorded service states are among them
   /// @param statuses   by source
   /// @param instances  by name
   void update(TimePoint now, TimePoint pulled_at, const membership::ChosenValues& chosen,
               const std::map<std::string, pb::NodeStatus>& statuses,
               const std::map<std::string, membership::BackendInstanceStatus>& instances);
 
-  /// Fills in what the observation has of a rollout with a deadline; nothing when the state has another
-  /// canary than at the last update.
+  /// Fills in the members of the observation for a rollout with a deadline. Does nothing if the state has
+  /// another canary than at the last update.
   void fill_observation(TimePoint now, const std::string& service, const pb::ServiceState& state,
                         VersionRolloutObservation& observation) const;
 
  private:
   struct ObservedRollout {
     uint64_t canary_number = 0;
-    TimePoint requested{0};   ///< as near as pulls tell
-    TimePoint warm_since{0};  ///< all instances that the canary uses; 0: some are not warm
-    TimePoint switched{0};    ///< when the switch was first seen; 0: it was not
+    TimePoint requested{0};   ///< estimated from the times of pulls
+    TimePoint warm_since{0};  ///< when all instances that the canary uses were warm; 0: some are not
+    TimePoint switched{0};    ///< when the switch was first observed; 0: not yet
     InstancesByVersion warm_instances;
-    std::map<canary::ReportingProcess, uint64_t> sent_to_canary;  ///< the most that each reported
+    std::map<canary::ReportingProcess, uint64_t> sent_to_canary;  ///< the highest count that each reported
     bool all_follow_switch = false;
   };
   /// The backend instances of all services that are not gone.
   struct InstanceView {
     std::map<std::string, std::vector<membership::BackendInstance>> by_service;
     std::map<std::string, InstancesByVersion> warm_by_service;
-    std::set<std::string> cold;  ///< by name: those that have not warmed up
+    std::set<std::string> cold;  ///< names of the instances that have not warmed up
   };
 
   static InstanceView view_instances(
@@ -60,9 +60,9 @@
   bool is_warm(TimePoint now, const ObservedRollout& rollout) const;
 
   Duration bound_;
-  TimePoint pulled_at_{0};                           ///< of the last update; 0: there was none
-  TimePoint first_update_{0};                        ///< 0: there was none
-  std::map<std::string, ObservedRollout> rollouts_;  ///< by service: those that go on
+  TimePoint pulled_at_{0};                           ///< of the last update; 0: none yet
+  TimePoint first_update_{0};                        ///< 0: none yet
+  std::map<std::string, ObservedRollout> rollouts_;  ///< by service: running rollouts
   canary::CanaryStatistics statistics_;
 };
 
