--- a/test/unit/rollout/release_state_machine_test.cpp
+++ b/test/unit/rollout/release_state_machine_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The state machine of releases on invented fleets: the order of phases, holds and checks; and the step of
-/// version rollouts without a deadline.
+/// The state machine of releases on simulated fleets: the order of phases, hold times and checks; and the
+/// step of version rollouts without a deadline.
 #include "rollout/release_state_machine.hpp"
 
 #include "rollout/version_rollout.hpp"
@@ -12,21 +12,21 @@
 
 constexpr Duration kTick{1000};
 
-// When a node first got a release.
+// The first assignment of a release to a node.
 struct Assigned {
   Duration at;
   std::string node;
 };
 
-// A fleet whose nodes run what they are assigned, and the events that the state machine is fed with.
+// A simulated fleet whose nodes run their assigned releases, and the source of the state machine's events.
 struct TestFleet {
   pb::RolloutState state;
   RolloutRules rules;
   FleetObservation observation;
   std::string log;
-  std::vector<Assigned> assigned;  // the first times that nodes got release "new"
+  std::vector<Assigned> assigned;  // the first assignments of release "new", by node
   Duration clock{0};
-  std::set<std::string> had_new;  // the nodes of `assigned`
+  std::set<std::string> had_new;  // the names of the nodes in `assigned`
 
   explicit TestFleet(int zones = 3, int nodes_per_zone = 4) {
     for (int zone = 0; zone < zones; ++zone)
@@ -52,7 +52,7 @@
   }
   void feed(const Event& event) {
     auto result = step(state, event, rules);
-    expect(result.state.generation() >= state.generation(), "the generation fell");
+    expect(result.state.generation() >= state.generation(), "the generation decreased");
     for (auto& [name, assignment] : result.state.nodes()) check_assignment(name, assignment);
     state = result.state;
     for (auto& effect : result.effects)
@@ -61,7 +61,7 @@
   void check_assignment(const std::string& name, const pb::NodeAssignment& assignment) {
     auto before = state.nodes().find(name);
     if (before != state.nodes().end()) {
-      expect(assignment.generation() >= before->second.generation(), "a node's generation fell");
+      expect(assignment.generation() >= before->second.generation(), "a node's generation decreased");
       bool changed = assignment.releases().at("layout") != before->second.releases().at("layout");
       expect(!changed || assignment.generation() > before->second.generation(),
              "an assignment changed without a higher generation");
@@ -85,10 +85,11 @@
   }
   const pb::ReleaseProgress& progress(const std::string& name) const {
     if (const auto* found = find_progress(state, "layout", name)) return *found;
-    throw Failed("no progress of " + name);
+    throw Failed("no progress of release " + name);
   }
   bool is_on_new(const std::string& node) const { return assigned_release(state, node, "layout") == "new"; }
-  // What each node takes in a tick, and how many of these requests fail on release "new" and elsewhere.
+  // Sets the requests of each node in a tick, and how many of them fail on nodes with release "new" and on
+  // others.
   void set_traffic(uint64_t requests, uint64_t failures = 0, uint64_t baseline_failures = 0) {
     for (auto& node : observation.nodes) {
       node.requests = requests;
@@ -105,7 +106,7 @@
 
 using std::chrono::minutes;
 
-// What goes wrong on nodes, and whether it does on all of them or on those with release "new" alone.
+// Makes heartbeats or health checks fail, on all nodes or only on those with release "new".
 void fail_silently(TestFleet& fleet, bool heartbeats, bool everywhere) {
   for (auto& node : fleet.observation.nodes) {
     bool fails = everywhere || fleet.is_on_new(node.name);
@@ -118,7 +119,7 @@
   }
 }
 
-// Health checks and backend instances' heartbeats stop a release only when they fare better elsewhere.
+// Failed health checks and missing backend heartbeats stop a release only if the other nodes are better off.
 void silent_failures(bool heartbeats, bool everywhere) {
   TestFleet fleet;
   fleet.set_traffic(10);
@@ -134,7 +135,7 @@
   }
   const auto& progress = fleet.progress("new");
   expect((progress.phase() == pb::STOPPED) == !everywhere,
-         fmt::format("heartbeats {}, everywhere {}: it is {}", heartbeats, everywhere,
+         fmt::format("heartbeats {}, everywhere {}: the phase is {}", heartbeats, everywhere,
                      pb::Phase_Name(progress.phase())));
   if (!everywhere)
     expect(progress.reason().find(heartbeats ? "check worker-beats" : "check probes") == 0,
@@ -151,13 +152,14 @@
   fleet.set_traffic(10);
   fleet.record("new");
   fleet.run(minutes(200));
-  expect(fleet.progress("new").phase() == pb::DONE, "it did not finish: " + fleet.progress("new").reason());
-  same(fleet.assigned.size(), size_t(12), "nodes that got it");
+  expect(fleet.progress("new").phase() == pb::DONE,
+         "the release did not finish: " + fleet.progress("new").reason());
+  same(fleet.assigned.size(), size_t(12), "nodes with the release");
   auto home = fleet.node(fleet.assigned[0].node).zone;
-  expect(!fleet.node(fleet.assigned[0].node).keeps_state, "the phase-one machine keeps state");
+  expect(!fleet.node(fleet.assigned[0].node).keeps_state, "the phase-one node is stateful");
   expect(fleet.assigned[1].at - fleet.assigned[0].at >= minutes(15), "phase one was shorter than 15 minutes");
   auto zone = fleet.node(fleet.assigned[1].node).zone;
-  expect(zone != home, "phase two took the zone of the phase-one machine");
+  expect(zone != home, "phase two is in the zone of the phase-one node");
   Duration last{0};
   for (size_t i = 1; i <= 4; ++i) {
     same(fleet.node(fleet.assigned[i].node).zone, zone, "the zone of phase two");
@@ -178,11 +180,11 @@
   fleet.run(minutes(200));
   std::map<Duration, int> changed_at;
   for (auto& [at, name] : fleet.assigned)
-    if (fleet.node(name).keeps_state) same(++changed_at[at], 1, "stateful nodes changed together");
-  expect(fleet.progress("new").phase() == pb::DONE, "it did not finish");
+    if (fleet.node(name).keeps_state) same(++changed_at[at], 1, "stateful nodes changed at the same time");
+  expect(fleet.progress("new").phase() == pb::DONE, "the release did not finish");
 }
 
-// In each phase a release whose requests fail stops and goes no further.
+// In each phase, a release whose requests fail is stopped and assigned to no more nodes.
 void bad_in(pb::Phase phase) {
   TestFleet fleet;
   fleet.set_traffic(10);
@@ -193,15 +195,15 @@
   auto generation = fleet.state.generation();
   fleet.set_traffic(10, 3, 0);
   fleet.run(minutes(5));
-  expect(fleet.progress("new").phase() == pb::STOPPED, "a bad release went on");
+  expect(fleet.progress("new").phase() == pb::STOPPED, "a bad release was not stopped");
   expect(fleet.progress("new").reason().find("check defects") == 0, fleet.progress("new").reason());
-  expect(fleet.state.generation() > generation, "no higher generation took it back");
-  expect(fleet.assigned.size() <= assigned_before + 4, "it spread while it was bad");
+  expect(fleet.state.generation() > generation, "the rollback has no higher generation");
+  expect(fleet.assigned.size() <= assigned_before + 4, "a bad release was assigned to more nodes");
   for (auto& [name, assignment] : fleet.state.nodes())
     same(assignment.releases().at("layout"), std::string("base"), name + " after the stop");
   fleet.set_traffic(10);
   fleet.run(minutes(100));
-  expect(fleet.progress("new").phase() == pb::STOPPED, "a stopped release came back");
+  expect(fleet.progress("new").phase() == pb::STOPPED, "a stopped release was restarted");
 }
 
 void too_little_evidence() {
@@ -209,11 +211,11 @@
   fleet.set_traffic(0);
   fleet.record("new");
   fleet.run(minutes(300));
-  expect(fleet.progress("new").phase() == pb::ONE, "it went on without evidence");
+  expect(fleet.progress("new").phase() == pb::ONE, "the release left phase one without evidence");
   expect(fleet.progress("new").reason().find("too little evidence") == 0, fleet.progress("new").reason());
   (*fleet.observation.operator_actions["release/layout/new"].mutable_waived())["evidence"] = "a quiet night";
   fleet.run(minutes(200));
-  expect(fleet.progress("new").phase() == pb::DONE, "a waived check still held it");
+  expect(fleet.progress("new").phase() == pb::DONE, "a waived check still blocked the release");
 }
 
 void lost_machine() {
@@ -223,7 +225,7 @@
   fleet.run(minutes(5));
   fleet.node(fleet.assigned[0].node).present = false;
   fleet.tick(Duration(1000));
-  expect(fleet.progress("new").phase() == pb::STOPPED, "the loss of the phase-one machine went unnoticed");
+  expect(fleet.progress("new").phase() == pb::STOPPED, "the loss of the phase-one node was not detected");
 }
 
 void refused_load() {
@@ -233,7 +235,7 @@
   fleet.tick(Duration(1000));
   fleet.node(fleet.assigned[0].node).load_error = "layout/new: unreadable";
   fleet.tick(Duration(1000));
-  expect(fleet.progress("new").phase() == pb::STOPPED, "a release that does not load went on");
+  expect(fleet.progress("new").phase() == pb::STOPPED, "a release that does not load was not stopped");
 }
 
 void quiet_hours() {
@@ -242,13 +244,13 @@
   fleet.observation.in_quiet_hours = false;
   fleet.record("new");
   fleet.run(minutes(60));
-  expect(fleet.progress("new").phase() == pb::WAITING, "it started in the busy hours");
+  expect(fleet.progress("new").phase() == pb::WAITING, "the release started outside the quiet hours");
   fleet.observation.in_quiet_hours = true;
   fleet.tick(Duration(1000));
   fleet.observation.in_quiet_hours = false;
   fleet.run(minutes(60));
-  expect(fleet.progress("new").phase() == pb::ONE, "phase two started in the busy hours");
-  same(fleet.assigned.size(), size_t(1), "nodes that got it");
+  expect(fleet.progress("new").phase() == pb::ONE, "phase two started outside the quiet hours");
+  same(fleet.assigned.size(), size_t(1), "nodes with the release");
 }
 
 void bad_hour_for_all() {
@@ -257,7 +259,7 @@
   fleet.record("new");
   fleet.run(minutes(200));
   expect(fleet.progress("new").phase() == pb::DONE,
-         "a bad hour for all stopped a release: " + fleet.progress("new").reason());
+         "failures on all nodes stopped a release: " + fleet.progress("new").reason());
 }
 
 void one_after_the_other() {
@@ -266,12 +268,12 @@
   fleet.record("new");
   fleet.record("next");
   fleet.run(minutes(10));
-  expect(fleet.progress("next").phase() == pb::WAITING, "two of a kind at once");
+  expect(fleet.progress("next").phase() == pb::WAITING, "two releases of a kind are active");
   fleet.record("urgent", R"(,"supersedes":"new")");
   fleet.tick(Duration(1000));
   fleet.tick(Duration(1000));
-  expect(fleet.progress("new").phase() == pb::WITHDRAWN, "it was not superseded");
-  expect(fleet.progress("urgent").phase() == pb::ONE, "the superseding one did not start");
+  expect(fleet.progress("new").phase() == pb::WITHDRAWN, "the release was not superseded");
+  expect(fleet.progress("urgent").phase() == pb::ONE, "the superseding release did not start");
   fleet.observation.operator_actions["release/layout/next"].set_withdrawn("no need");
   fleet.tick(Duration(1000));
   expect(fleet.progress("next").phase() == pb::WITHDRAWN, "a waiting release was not withdrawn");
@@ -282,18 +284,18 @@
   fleet.set_traffic(10);
   fleet.record("new", R"(,"express":"an origin is on fire")");
   fleet.tick(Duration(1000));
-  same(fleet.assigned.size(), size_t(12), "nodes that got it at once");
+  same(fleet.assigned.size(), size_t(12), "nodes with the release at once");
 }
 
-// Whatever happens, phases come in order, no hold is cut short, and what failed never spreads; the leadership
-// may pass on at any moment.
+// Under any sequence of events, including changes of leadership, phases occur in order, no hold time is
+// shortened, and a finished release stays finished.
 struct History {
   TestFleet fleet;
   pb::Phase phase = pb::WAITING;
   Duration held{0};
   uint64_t term = 0;
 
-  // One tick, in which a drawn number decides what else happens.
+  // One tick; the random number selects the other events of the tick.
   void step(int number) {
     fleet.set_traffic(static_cast<uint64_t>(number % 7), number > 95 ? 3 : 0, 0);
     if (number % 11 == 0) {
@@ -352,28 +354,29 @@
   observation.elapsed = Duration(1000);
   observation.delta = {{"1", {90, 1}}, {"2", {10, 0}}};
   for (int i = 0; i < 59; ++i) state = step("app", state, observation, rules).state;
-  same(state.current(), std::string("1"), "the version before a minute of trial");
+  same(state.current(), std::string("1"), "the version in place before one minute of the canary");
   state = step("app", state, observation, rules).state;
-  same(state.current(), std::string("2"), "the version after it");
-  expect(state.previous_versions_size() == 1 && state.previous_versions(0) == "1", "the old version is kept");
+  same(state.current(), std::string("2"), "the version in place after one minute of the canary");
+  expect(state.previous_versions_size() == 1 && state.previous_versions(0) == "1",
+         "the old version is not among the previous ones");
   observation.delta.clear();
   observation.recent = {{"2", {10, 60}}};
   observation.instances = {{"1", 2}};
   state = step("app", state, observation, rules).state;
-  same(state.current(), std::string("1"), "the version after the new one turned bad");
-  expect(state.quarantined().count("2") == 1, "the bad one is in quarantine");
+  same(state.current(), std::string("1"), "the version in place after the new one turned bad");
+  expect(state.quarantined().count("2") == 1, "the bad version is not in quarantine");
 }
 
-// Hundreds of releases have come and gone; the state of the rollout is no larger for it.
+// The rollout state stays bounded after hundreds of finished releases.
 void history_leaves_little() {
   constexpr int kReleases = 400;
-  constexpr int kRemembered = 65;  // finished ones, and the latest
+  constexpr int kRemembered = 65;  // 64 finished releases, and the latest one
   TestFleet fleet;
   size_t bytes_early = 0;
   for (int i = 0; i < kReleases; ++i) {
     fleet.record(fmt::format("past{:03}", i), R"(,"express":"a trial of many")");
     fleet.tick(Duration(250));
-    for (int j = 0; j < 2; ++j) {  // as the controller does: marked, and known to all a while later
+    for (int j = 0; j < 2; ++j) {  // like the controller: sets the marker, later reports it as known
       auto names = fleet.state.forgotten();
       fleet.observation.forgotten_everywhere.clear();
       for (auto& name : names) {
@@ -383,19 +386,21 @@
       }
       fleet.tick(Duration(250));
     }
-    expect(fleet.state.releases_size() <= kRemembered, "finished releases pile up");
-    expect(fleet.state.forgotten_size() <= 2, "names of past releases pile up");
+    expect(fleet.state.releases_size() <= kRemembered, "finished releases accumulate");
+    expect(fleet.state.forgotten_size() <= 2, "names of forgotten releases accumulate");
     if (i == kReleases / 2) bytes_early = fleet.state.ByteSizeLong();
   }
-  expect(fleet.state.ByteSizeLong() < bytes_early + 64, "the state of the rollout grows with its history");
+  expect(fleet.state.ByteSizeLong() < bytes_early + 64,
+         "the rollout state grows with the number of past releases");
 }
 
-// A leader whose program does not know the marker meets a release that is in no list any more.
+// A leader with older software, which does not know the marker, does not restart a release that is in no
+// list.
 void withdrawn_stays_past() {
   TestFleet fleet;
   fleet.record("past", R"(,"express":"a trial")");
   fleet.tick(Duration(250));
-  auto* releases = fleet.state.mutable_releases();  // as if it had been forgotten, and its name dropped
+  auto* releases = fleet.state.mutable_releases();  // as if its progress and its name had been deleted
   releases->erase(std::remove_if(releases->begin(), releases->end(),
                                  [](auto& progress) { return progress.release() == "past"; }),
                   releases->end());
@@ -405,11 +410,12 @@
   fleet.feed(ReleaseRecorded{fleet.observation.releases.at("release/layout/past")});
   fleet.tick(Duration(250));
   for (auto& progress : fleet.state.releases())
-    if (progress.release() == "past") expect(progress.phase() == pb::WITHDRAWN, "a past release began anew");
-  expect(fleet.state.generation() == generation, "a past release was assigned anew");
+    if (progress.release() == "past")
+      expect(progress.phase() == pb::WITHDRAWN, "a past release was restarted");
+  expect(fleet.state.generation() == generation, "a past release was assigned again");
 }
 
-// Versions come and go; a service remembers its latest previous ones, and all that have backend instances.
+// A service keeps only its latest previous versions, and all that have backend instances.
 void previous_versions_are_bounded() {
   pb::ServiceState state;
   for (int i = 0; i < 1000; ++i) {
@@ -417,13 +423,13 @@
     prune_previous_versions(state, {{"v3", 2}, {"v500", 1}, {"v999", 0}});
   }
   expect(state.previous_versions_size() == 18,
-         fmt::format("{} previous versions are remembered", state.previous_versions_size()));
+         fmt::format("{} previous versions are kept", state.previous_versions_size()));
   expect(state.previous_versions(0) == "v3" && state.previous_versions(1) == "v500",
          "a version with backend instances was dropped");
   expect(state.previous_versions(17) == "v999", "the latest previous version was dropped");
 }
 
-// Until its marker is known everywhere a past release is not taken for a new one.
+// A past release is not treated as a new one while its marker is not known to all leaders yet.
 void unmarked_stays_past() {
   TestFleet fleet;
   for (int i = 0; i < 70; ++i) {
@@ -433,32 +439,33 @@
   expect(fleet.state.forgotten_size() > 0, "nothing was forgotten");
   auto known = fleet.state.releases_size();
   for (auto& [key, release] : fleet.observation.releases) fleet.feed(ReleaseRecorded{release});
-  expect(fleet.state.releases_size() == known, "a past release began anew");
+  expect(fleet.state.releases_size() == known, "a past release was restarted");
 }
 }  // namespace
 
 std::vector<Case> rollout_cases() {
   return {
-      {"rollout: one machine, one zone without it, then the rest zone by zone", ordinary},
-      {"rollout: those that keep state or a leadership change one by one", stateful_one_by_one},
+      {"rollout: one node, then another zone, then the remaining zones one by one", ordinary},
+      {"rollout: stateful nodes change one by one", stateful_one_by_one},
       {"rollout: a bad release stops in phase one", [] { bad_in(pb::ONE); }},
       {"rollout: a bad release stops in phase two", [] { bad_in(pb::TWO); }},
       {"rollout: a bad release stops in phase three", [] { bad_in(pb::THREE); }},
-      {"rollout: too little evidence holds until waived", too_little_evidence},
-      {"rollout: the phase-one machine lost is a failed check", lost_machine},
+      {"rollout: too little evidence blocks a release until waived", too_little_evidence},
+      {"rollout: the loss of the phase-one node is a failed check", lost_machine},
       {"rollout: a release that does not load is stopped", refused_load},
-      {"rollout: health checks and heartbeats of backend instances, against the others", compared_checks},
+      {"rollout: health checks and backend heartbeats are compared with those of other nodes",
+       compared_checks},
       {"rollout: quiet hours gate the start of each phase", quiet_hours},
-      {"rollout: a bad hour for all stops nothing", bad_hour_for_all},
-      {"rollout: a second of a kind waits, supersedes or is withdrawn", one_after_the_other},
-      {"rollout: express goes to all at once", express},
-      {"rollout: past releases leave little behind", history_leaves_little},
-      {"rollout: a past release does not begin anew", unmarked_stays_past},
+      {"rollout: failures on all nodes stop no release", bad_hour_for_all},
+      {"rollout: a second release of a kind waits, supersedes or is withdrawn", one_after_the_other},
+      {"rollout: an express release is assigned to all nodes at once", express},
+      {"rollout: the state stays bounded after many releases", history_leaves_little},
+      {"rollout: a past release is not restarted", unmarked_stays_past},
       {"rollout: a past release is withdrawn for older leaders", withdrawn_stays_past},
       {"moves: previous versions without backend instances are bounded", previous_versions_are_bounded},
       property("rollout: order and holds under any history", any_history),
-      {"moves: fifty bad answers on trial are the end", quarantine},
-      {"moves: promotion on evidence, and back when it turns bad", promotion},
+      {"moves: fifty bad responses put a canary into quarantine", quarantine},
+      {"moves: promotion on evidence, and return to the previous version when it turns bad", promotion},
   };
 }
 
--- a/test/unit/rollout/version_rollout_test.cpp
+++ b/test/unit/rollout/version_rollout_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Version rollouts with a deadline: the canary's statistics, its share, and the pure step under noise.
+/// Version rollouts with a deadline: the canary's statistics, its share, and the pure step with random
+/// failures.
 #include "rollout/version_rollout.hpp"
 
 #include <random>
@@ -13,10 +14,10 @@
 namespace {
 constexpr Duration kTick{250};
 constexpr Duration kUrgentTick{62};
-// After a switch began, until all nodes have said that they follow it.
+// The time from the start of a switch until all nodes have reported that they follow it.
 constexpr Duration kFollowed{400};
 
-/// A request that is sent at once: it earns its part of the share, and may then be the canary's.
+/// One request: adds its part of the share, and returns whether it goes to the canary.
 bool send_one(proxy::CanaryAdmission& admission, const std::string& service, const std::string& route,
               proxy::CanaryAdmission::ShareParameters parameters) {
   admission.earn(service, 1, "2", parameters);
@@ -25,19 +26,19 @@
 
 using ChanceByRoute = std::map<std::string, double>;
 
-// One service in miniature: each tick brings answers by route, drawn with the given chances.
+// A simulated service: each tick adds responses by route, drawn with the given probabilities.
 struct TestService {
   rollout::RolloutRules rules;
   pb::ServiceState state;
   std::mt19937_64 random;
   ChanceByRoute failing;             // of the canary
   ChanceByRoute slow;                // of the canary
-  ChanceByRoute failing_under_load;  // of the canary, beside `failing`, once it has all requests
+  ChanceByRoute failing_under_load;  // of the canary, once it receives all requests, if higher than `failing`
   double baseline_failing = 0;
   int per_second = 300;  // requests
   int warm_instances = 4;
   Duration bad_from{0};
-  bool exact_share = false;  // the share is kept as nodes keep it: by exact count, rarest routes first
+  bool exact_share = false;  // enforces the share like nodes do: by exact count, rarest routes first
   proxy::CanaryAdmission admission;
   std::vector<std::string> routes{"a", "b", "c"};
   Duration now{0};
@@ -45,7 +46,7 @@
   Duration warm_at{4000};
   canary::CanarySample sample;
   Duration tick_span = kTick;
-  bool nodes_report = true;  // each node says how far it is with a switch
+  bool nodes_report = true;  // every node reports whether it follows a switch
   int64_t canary_requests = 0;
   int64_t requests = 0;
 
@@ -116,7 +117,7 @@
   void run() {
     while (!state.canary().empty() && now < Duration(30000)) tick();
   }
-  // What follows the end of a rollout, as long as its requests count.
+  // Continues after the end of a rollout, up to `end`, as these requests count for its allowance, too.
   void run_until(Duration end) {
     while (now < end) {
       tick_span = std::min(kUrgentTick, end - now);
@@ -132,11 +133,12 @@
   service.run();
   expect(service.promoted() && service.state.outcome() == "completed",
          "a good version was not promoted: " + service.state.reason());
-  expect(service.now <= Duration(13500), fmt::format("it was completed only at {} ms", service.now.count()));
-  expect(service.state.previous_versions().empty(), "the old version is still open");
+  expect(service.now <= Duration(13500),
+         fmt::format("the rollout was completed only at {} ms", service.now.count()));
+  expect(service.state.previous_versions().empty(), "the old version is still in use");
 }
 
-// Both versions fail a few requests in a thousand: hardly ever is the new one taken for worse in the switch.
+// Both versions fail a few requests in a thousand. The switch must hardly ever judge the new one to be worse.
 void good_with_usual_failures() {
   constexpr int kDraws = 300;
   constexpr int kLeastPromoted = 297;
@@ -155,11 +157,11 @@
          fmt::format("{} of {} good versions were completed{}", promoted, kDraws, reasons));
 }
 
-// A bad version that answers like the old one, its share and the whole load alike, cannot be told from a good
-// one: it is completed, and is within its allowance only because the switch comes late enough.
+// A bad version that responds like the old one, under its share and under full load, cannot be distinguished
+// from a good one: its rollout is completed, and it stays within its allowance because the switch is late.
 void unseen_within_allowance() {
-  // The tenth of ten seconds is just what a switch takes: at many requests a second, that leaves no room for
-  // a trial.
+  // A tenth of ten seconds is just the duration of a switch: at a high request rate, that leaves nothing of
+  // the allowance for the canary.
   const Duration deadline(*rc::gen::inRange<int64_t>(12, 21) * 1000);
   TestService service(*rc::gen::arbitrary<uint64_t>(), deadline);
   service.exact_share = true;
@@ -171,8 +173,8 @@
   RC_ASSERT(service.canary_requests * 10 <= service.requests + 500);
 }
 
-// Half of the requests fail whoever answers them: what the new version adds cannot be told, so it does not
-// get the whole load.
+// Half of the requests fail on both versions. The failures that the new version adds cannot be distinguished,
+// so it must not receive all requests.
 void no_verdict_in_trouble() {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     TestService service(seed);
@@ -183,7 +185,7 @@
     service.run();
     while (service.now < Duration(14000)) service.tick();
     expect(!service.promoted() && service.canary_requests * 10 <= service.requests + 500,
-           fmt::format("seed {}: the canary got {} of {} requests", seed, service.canary_requests,
+           fmt::format("seed {}: the canary received {} of {} requests", seed, service.canary_requests,
                        service.requests));
   }
 }
@@ -203,11 +205,11 @@
       service.routes = busy_and_rare(400, rare);
       service.run();
       expect(service.promoted(),
-             fmt::format("{} rare routes held a good version back: {}", rare, service.state.reason()));
+             fmt::format("{} rare routes blocked a good version: {}", rare, service.state.reason()));
     }
 }
 
-// Each warm instance gets its turn once what had been saved is spent; a cold one gets none.
+// Once the initial credit is spent, canary requests go to the warm instances in turn; a cold one gets none.
 void instances_in_turn() {
   proxy::RoutingSnapshot snapshot;
   for (auto* name : {"i1", "i2", "i3", "i4", "i5"})
@@ -238,7 +240,7 @@
   const int even = (admitted - burst) / static_cast<int>(requests.size());
   expect(admitted >= 2000 * canary::kDeadlinePercent / 100, "the share was not used");
   for (auto& [name, count] : requests)
-    expect(count >= even - 1, fmt::format("{} had {} requests of {}", name, count, admitted));
+    expect(count >= even - 1, fmt::format("{} received {} of {} requests", name, count, admitted));
 }
 
 void few_instances() {
@@ -251,7 +253,8 @@
          service.state.reason());
 }
 
-// While some node is silent, until every permit has turned over and the longest request has ended.
+// While some node does not report, the switch lasts until every permit has expired or been renewed and the
+// longest request has ended.
 void switch_outlasts_silent_nodes() {
   TestService service(1);
   service.routes = {"a"};
@@ -260,13 +263,13 @@
   auto from = service.now;
   auto versions = proxy::eligible_versions(config::ServiceConfiguration{}, &service.state);
   expect(versions.open == std::vector<std::string>{"2"} && versions.canary.empty(),
-         "another version is open in the switch");
+         "another version is eligible during the switch");
   service.run();
-  expect(service.now - from >= Duration(2500), "completed before all permits had turned over");
+  expect(service.now - from >= Duration(2500), "completed before all permits had expired or been renewed");
 }
 
-// When all nodes say that they follow it: until it is due, which leaves the most time to judge the new
-// version under the whole load, and to go back.
+// When all nodes report that they follow it, the switch still lasts until it is due: that leaves the most
+// time to judge the new version under full load, and to roll back.
 void switch_ends_when_nodes_say_so() {
   for (const bool nodes_report : {true, false}) {
     TestService service(1);
@@ -281,10 +284,10 @@
     expect(service.promoted(), service.state.reason());
     if (nodes_report)
       expect(lasted >= kFollowed && service.now <= Duration(13700),
-             fmt::format("it lasted {} ms, until {} ms", lasted.count(), service.now.count()));
+             fmt::format("the switch lasted {} ms, until {} ms", lasted.count(), service.now.count()));
     else
       expect(lasted >= Duration(2500),
-             fmt::format("some node was silent, and it lasted {} ms", lasted.count()));
+             fmt::format("a node did not report, and the switch lasted only {} ms", lasted.count()));
   }
 }
 
@@ -294,13 +297,13 @@
   snapshot.backend_instances["s"] = {{"i1", "s", "1", "", "", 1}, {"i2", "s", "2", "", "", 1}};
   proxy::finalize_snapshot(snapshot);
   expect(proxy::eligible_versions(service, &snapshot.service_states["s"]).open.size() == 2,
-         "not all are open before one is in place");
-  snapshot.service_states["s"].Clear();  // each snapshot has its states read anew
+         "not all versions are eligible before one is in place");
+  snapshot.service_states["s"].Clear();  // each snapshot parses its states again
   snapshot.service_states["s"].set_current("1");
   proxy::finalize_snapshot(snapshot);
   expect(
       proxy::eligible_versions(service, &snapshot.service_states["s"]).open == std::vector<std::string>{"1"},
-      "a version that no rollout was requested of is open");
+      "a version without a requested rollout is eligible");
 }
 
 void rare_routes() {
@@ -324,15 +327,15 @@
   proxy::CanaryAdmission admission;
   int admitted = 0;
   for (int i = 0; i < 1000; ++i) admitted += send_one(admission, "s", "r", {.percent = 3});
-  same(admitted, 30, "requests while it is cold");
+  same(admitted, 30, "canary requests while its instances are cold");
   for (int i = 1; i <= 100; ++i) {
     admitted += send_one(admission, "s", "r", {.percent = 8, .initial_credit = kCredit, .is_warm = true});
     expect(admitted * 100 <= 1000 * 3 + i * 8 + kCredit * 100, "over the share");
   }
-  same(admitted, 30 + 8 + kCredit, "requests with the initial credit, given once");
+  same(admitted, 30 + 8 + kCredit, "canary requests including the initial credit, given once");
 }
 
-// Two or three requests a second and node, or many more.
+// Two or three requests per second and node, or many more.
 void share_over_nodes(int nodes) {
   constexpr int kSharePercent = 8;
   std::vector<std::unique_ptr<proxy::CanaryAdmission>> admissions;
@@ -355,14 +358,14 @@
     expect(admitted * 100 <= requests * kSharePercent + 100 * canary::kInitialCredit, "over the share");
   }
   expect(by_route["a"] >= 40 && by_route["b"] >= 40,
-         fmt::format("{} nodes: {} and {} requests of the canary", nodes, by_route["a"], by_route["b"]));
+         fmt::format("{} nodes: {} and {} canary requests", nodes, by_route["a"], by_route["b"]));
 }
 
 void many_nodes() {
   for (int nodes : {12, 88}) share_over_nodes(nodes);
 }
 
-// A case in which the canary is as bad as `spoil` makes it, by a drawn rate; it may never be promoted.
+// A case in which `spoil` makes the canary bad at a drawn rate; it must never be promoted.
 template <class Spoil>
 auto never_promoted(Spoil spoil) {
   return [spoil] {
@@ -382,9 +385,9 @@
 
 ChanceByRoute on_all_routes(double chance) { return {{"a", chance}, {"b", chance}, {"c", chance}}; }
 
-// Overloaded instances fail a few requests in a hundred, which the trial's share never showed. However few
-// fail, the allowance holds; where many fail within the half second until the old version would be halted,
-// the switch ends.
+// Overloaded instances fail a few requests in a hundred, which the canary's share did not reveal. The
+// allowance is kept however few fail; if many fail within the half second until the old version would be
+// stopped, the switch is rolled back.
 void fails_under_the_whole_load() {
   constexpr double kFailuresSeenInTime = 32;  // a second
   const auto seed = *rc::gen::arbitrary<uint64_t>();
@@ -438,18 +441,18 @@
 std::vector<Case> move_cases() {
   std::vector<Case> cases{
       {"moves: a good version is completed within its deadline", good_in_time},
-      {"moves: failures as usual don't hold a good version back", good_with_usual_failures},
+      {"moves: a usual rate of failures doesn't block a good version", good_with_usual_failures},
       {"moves: no version is promoted while the one in place fails", no_verdict_in_trouble},
-      {"moves: rare routes don't hold a good version back", good_with_rare_routes},
-      {"moves: too few new backend instances end in a roll-back", few_instances},
-      {"moves: the switch lasts until nothing can reach the old version", switch_outlasts_silent_nodes},
-      {"moves: the switch ends when all nodes say that nothing reaches the old version",
+      {"moves: rare routes don't block a good version", good_with_rare_routes},
+      {"moves: too few new backend instances lead to a rollback", few_instances},
+      {"moves: the switch lasts until no node can send to the old version", switch_outlasts_silent_nodes},
+      {"moves: the switch ends when all nodes report that they no longer send to the old version",
        switch_ends_when_nodes_say_so},
       {"moves: a configuration that names no version", any_version},
-      {"trial: every warm instance has its turn", instances_in_turn},
-      {"trial: rare routes have their evidence first", rare_routes},
+      {"trial: canary requests go to the warm instances in turn", instances_in_turn},
+      {"trial: the canary gets requests of rare routes first", rare_routes},
       {"trial: the initial credit is given once, when instances are warm", initial_credit},
-      {"trial: twelve nodes and eighty-eight keep the share and give evidence", many_nodes},
+      {"trial: 12 and 88 nodes keep the share and collect enough evidence", many_nodes},
   };
   for (auto& property_case : never_promoted_cases()) cases.push_back(std::move(property_case));
   return cases;
