--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -30,7 +30,7 @@
   node.zone = info.zone();
   node.present = !info.leaving();
   node.drained = info.drained();
-  node.keeps_state = info.replica() || node.name == lease.leader() || node.name == lease.standby();
+  node.is_stateful = info.replica() || node.name == lease.leader() || node.name == lease.standby();
   for (const auto& [kind, release] : info.running()) node.running[kind] = release;
   node.load_error = info.load_error();
 }
--- a/src/rollout/release_state_machine.hpp
+++ b/src/rollout/release_state_machine.hpp
@@ -24,7 +24,7 @@
   std::string zone;
   bool present = false;                        ///< its session has not expired, and it is not leaving
   bool drained = false;                        ///< receives no client requests, so it yields no evidence
-  bool keeps_state = false;                    ///< a replica, or the leader or its standby
+  bool is_stateful = false;                    ///< a replica, or the leader or its standby
   std::map<std::string, std::string> running;  ///< release by kind, as the node reports
   std::string load_error;                      ///< "kind/release: reason"; empty: no load has failed
   uint64_t requests = 0;
--- a/src/rollout/release_transitions.cpp
+++ b/src/rollout/release_transitions.cpp
@@ -86,7 +86,7 @@
   std::vector<const NodeObservation*> eligible;
   for (bool stateful : {false, true}) {
     for (const auto& node : observation_.nodes)
-      if (node.present && !node.drained && node.keeps_state == stateful && state_.nodes().count(node.name))
+      if (node.present && !node.drained && node.is_stateful == stateful && state_.nodes().count(node.name))
         eligible.push_back(&node);
     if (!eligible.empty()) break;
   }
@@ -118,7 +118,7 @@
     auto found = nodes_.find(name);
     const bool present = found != nodes_.end() && found->second->present;
     if (assigned_release(state_, name, progress.kind()) != progress.release()) {
-      const bool stateful = present && found->second->keeps_state;
+      const bool stateful = present && found->second->is_stateful;
       (stateful ? zone.pending_stateful : zone.pending_stateless).push_back(name);
       continue;
     }
--- a/test/unit/rollout/release_state_machine_test.cpp
+++ b/test/unit/rollout/release_state_machine_test.cpp
@@ -35,7 +35,7 @@
         node.zone = std::string(1, static_cast<char>('a' + zone));
         node.name = node.zone + std::to_string(i);
         node.present = true;
-        node.keeps_state = i == 0;
+        node.is_stateful = i == 0;
         observation.nodes.push_back(node);
       }
     record("base");
@@ -156,7 +156,7 @@
          "the release did not finish: " + fleet.progress("new").reason());
   same(fleet.assigned.size(), size_t(12), "nodes with the release");
   auto home = fleet.node(fleet.assigned[0].node).zone;
-  expect(!fleet.node(fleet.assigned[0].node).keeps_state, "the phase-one node is stateful");
+  expect(!fleet.node(fleet.assigned[0].node).is_stateful, "the phase-one node is stateful");
   expect(fleet.assigned[1].at - fleet.assigned[0].at >= minutes(15), "phase one was shorter than 15 minutes");
   auto zone = fleet.node(fleet.assigned[1].node).zone;
   expect(zone != home, "phase two is in the zone of the phase-one node");
@@ -174,13 +174,13 @@
 
 void stateful_one_by_one() {
   TestFleet fleet(3, 4);
-  for (auto& node : fleet.observation.nodes) node.keeps_state = node.name.back() < '2';
+  for (auto& node : fleet.observation.nodes) node.is_stateful = node.name.back() < '2';
   fleet.set_traffic(10);
   fleet.record("new");
   fleet.run(minutes(200));
   std::map<Duration, int> changed_at;
   for (auto& [at, name] : fleet.assigned)
-    if (fleet.node(name).keeps_state) same(++changed_at[at], 1, "stateful nodes changed at the same time");
+    if (fleet.node(name).is_stateful) same(++changed_at[at], 1, "stateful nodes changed at the same time");
   expect(fleet.progress("new").phase() == pb::DONE, "the release did not finish");
 }
 
