--- a/src/rollout/version_rollout.cpp
+++ b/src/rollout/version_rollout.cpp
@@ -14,9 +14,9 @@
 constexpr double kWorseSlack = 0.01;
 constexpr double kMsPerSecond = 1000;
 
-VersionTotals totals_of(const TotalsByVersion& totals, const std::string& version) {
+ResponseTotals totals_of(const TotalsByVersion& totals, const std::string& version) {
   auto found = totals.find(version);
-  return found == totals.end() ? VersionTotals{} : found->second;
+  return found == totals.end() ? ResponseTotals{} : found->second;
 }
 
 // One step of a service whose rollout has no deadline: judges the canary, and may revert the version in
@@ -46,9 +46,9 @@
  private:
   void add_canary_totals();
   void judge_canary();
-  bool has_evidence(const VersionTotals& canary) const;
-  void quarantine_canary(const VersionTotals& canary, const VersionTotals& baseline);
-  void promote_canary(const VersionTotals& canary);
+  bool has_evidence(const ResponseTotals& canary) const;
+  void quarantine_canary(const ResponseTotals& canary, const ResponseTotals& baseline);
+  void promote_canary(const ResponseTotals& canary);
   bool revert_promotion(const TotalsByVersion& totals);
   bool may_return_to(const std::string& version, const TotalsByVersion& totals) const;
   void quarantine(const std::string& version, const std::string& reason);
@@ -74,8 +74,8 @@
 }
 
 void ServiceStep::judge_canary() {
-  const VersionTotals canary{state_.good(), state_.bad()};
-  const VersionTotals baseline{state_.baseline_good(), state_.baseline_bad()};
+  const ResponseTotals canary{state_.good(), state_.bad()};
+  const ResponseTotals baseline{state_.baseline_good(), state_.baseline_bad()};
   if (canary.bad >= limit_ || observation_.aborted) return quarantine_canary(canary, baseline);
   if (!has_evidence(canary)) return;
   if (canary.is_worse_than(baseline))
@@ -84,21 +84,21 @@
 }
 
 // Whether the canary has had enough requests and time for a promotion.
-bool ServiceStep::has_evidence(const VersionTotals& canary) const {
+bool ServiceStep::has_evidence(const ResponseTotals& canary) const {
   const Duration least(
       static_cast<int64_t>(static_cast<double>(rules_.system.promote_seconds) * kMsPerSecond / rules_.scale));
   return canary.total() >= static_cast<uint64_t>(rules_.system.promote_requests) &&
          Duration(static_cast<int64_t>(state_.held_ms())) >= least;
 }
 
-void ServiceStep::quarantine_canary(const VersionTotals& canary, const VersionTotals& baseline) {
+void ServiceStep::quarantine_canary(const ResponseTotals& canary, const ResponseTotals& baseline) {
   const auto version = state_.canary();
   state_.clear_canary();
   quarantine(version, fmt::format("{} bad answers of {} on trial, against {} of {}", canary.bad,
                                   canary.total(), baseline.bad, baseline.total()));
 }
 
-void ServiceStep::promote_canary(const VersionTotals& canary) {
+void ServiceStep::promote_canary(const ResponseTotals& canary) {
   auto* previous = state_.mutable_previous_versions();
   previous->erase(std::remove(previous->begin(), previous->end(), state_.canary()), previous->end());
   if (std::find(previous->begin(), previous->end(), state_.current()) == previous->end())
@@ -141,14 +141,14 @@
 }
 }  // namespace
 
-VersionTotals& VersionTotals::operator+=(const VersionTotals& other) {
+ResponseTotals& ResponseTotals::operator+=(const ResponseTotals& other) {
   good += other.good;
   bad += other.bad;
   return *this;
 }
 
-bool VersionTotals::is_worse_than(const VersionTotals& other) const {
-  auto rate = [](const VersionTotals& totals) {
+bool ResponseTotals::is_worse_than(const ResponseTotals& other) const {
+  auto rate = [](const ResponseTotals& totals) {
     return totals.total() ? static_cast<double>(totals.bad) / static_cast<double>(totals.total()) : 0;
   };
   return rate(*this) > kWorseFactor * rate(other) + kWorseSlack;
--- a/src/rollout/version_rollout.hpp
+++ b/src/rollout/version_rollout.hpp
@@ -13,16 +13,16 @@
 namespace dunlinwing::rollout {
 
 /// Counts of good and bad responses of one version.
-struct VersionTotals {
+struct ResponseTotals {
   uint64_t good = 0;
   uint64_t bad = 0;
 
   uint64_t total() const { return good + bad; }
-  VersionTotals& operator+=(const VersionTotals& other);
+  ResponseTotals& operator+=(const ResponseTotals& other);
   /// Whether its rate of bad responses is above twice the other's plus 0.01.
-  bool is_worse_than(const VersionTotals& other) const;
+  bool is_worse_than(const ResponseTotals& other) const;
 };
-using TotalsByVersion = std::map<std::string, VersionTotals>;
+using TotalsByVersion = std::map<std::string, ResponseTotals>;
 
 /// One service as the leader sees it.
 struct VersionRolloutObservation {
--- a/src/rollout/version_rollout_driver.cpp
+++ b/src/rollout/version_rollout_driver.cpp
@@ -79,12 +79,12 @@
 }
 
 // The increase of the source's counters since its previous status, or since its restart.
-VersionTotals VersionRolloutDriver::take_increase(const pb::NodeStatus& status,
-                                                  const pb::VersionCounts& counts, ReportedByKey& latest) {
+ResponseTotals VersionRolloutDriver::take_increase(const pb::NodeStatus& status,
+                                                   const pb::VersionCounts& counts, ReportedByKey& latest) {
   const std::string key = counts.service() + "/" + counts.version() + "/" + counts.route();
   const ReportedTotals& known = reported_[status.source()][key];
-  const VersionTotals totals{counts.good(), counts.bad()};
-  VersionTotals increase = totals;
+  const ResponseTotals totals{counts.good(), counts.bad()};
+  ResponseTotals increase = totals;
   if (known.incarnation == status.version().incarnation()) {
     increase.good -= std::min(increase.good, known.totals.good);
     increase.bad -= std::min(increase.bad, known.totals.bad);
--- a/src/rollout/version_rollout_driver.hpp
+++ b/src/rollout/version_rollout_driver.hpp
@@ -33,7 +33,7 @@
   /// The response counts that a source last reported. They restart from zero with each incarnation.
   struct ReportedTotals {
     uint64_t incarnation = 0;
-    VersionTotals totals;
+    ResponseTotals totals;
   };
   /// By service/version/route.
   using ReportedByKey = std::map<std::string, ReportedTotals>;
@@ -42,7 +42,7 @@
     TimePoint at;
     std::string service;
     std::string version;
-    VersionTotals totals;
+    ResponseTotals totals;
   };
   /// The latest state of a service that this node knows.
   struct ServiceRecord {
@@ -52,8 +52,8 @@
   };
 
   void count_answers(TimePoint now, const Statuses& statuses, Observations& observations);
-  VersionTotals take_increase(const pb::NodeStatus& status, const pb::VersionCounts& counts,
-                              ReportedByKey& latest);
+  ResponseTotals take_increase(const pb::NodeStatus& status, const pb::VersionCounts& counts,
+                               ReportedByKey& latest);
   void sum_recent(TimePoint now, Observations& observations) const;
   double requests_per_second(TimePoint now, const std::string& service) const;
   void count_instances(TimePoint now, Observations& observations) const;
