--- a/src/rollout/version_rollout.cpp
+++ b/src/rollout/version_rollout.cpp
@@ -14,7 +14,7 @@
 constexpr double kWorseSlack = 0.01;
 constexpr double kMsPerSecond = 1000;
 
-ResponseTotals totals_of(const TotalsByVersion& totals, const std::string& version) {
+ResponseTotals totals_of(const ResponseTotalsByVersion& totals, const std::string& version) {
   auto found = totals.find(version);
   return found == totals.end() ? ResponseTotals{} : found->second;
 }
@@ -49,8 +49,8 @@
   bool has_evidence(const ResponseTotals& canary) const;
   void quarantine_canary(const ResponseTotals& canary, const ResponseTotals& baseline);
   void promote_canary(const ResponseTotals& canary);
-  bool revert_promotion(const TotalsByVersion& totals);
-  bool may_return_to(const std::string& version, const TotalsByVersion& totals) const;
+  bool revert_promotion(const ResponseTotalsByVersion& totals);
+  bool may_return_to(const std::string& version, const ResponseTotalsByVersion& totals) const;
   void quarantine(const std::string& version, const std::string& reason);
   void log(std::string message) { effects_.emplace_back(LogEffect{std::move(message)}); }
 
@@ -113,7 +113,7 @@
 
 // Goes back to the latest previous version with a better rate over the span of `totals`. Returns whether it
 // did.
-bool ServiceStep::revert_promotion(const TotalsByVersion& totals) {
+bool ServiceStep::revert_promotion(const ResponseTotalsByVersion& totals) {
   const auto current = totals_of(totals, state_.current());
   if (current.bad < limit_) return false;
   for (int i = state_.previous_versions_size() - 1; i >= 0; --i) {
@@ -128,7 +128,7 @@
   return false;
 }
 
-bool ServiceStep::may_return_to(const std::string& version, const TotalsByVersion& totals) const {
+bool ServiceStep::may_return_to(const std::string& version, const ResponseTotalsByVersion& totals) const {
   return !state_.quarantined().count(version) && instances_of(observation_.instances, version) != 0 &&
          totals_of(totals, state_.current()).is_worse_than(totals_of(totals, version));
 }
--- a/src/rollout/version_rollout.hpp
+++ b/src/rollout/version_rollout.hpp
@@ -22,16 +22,16 @@
   /// Whether its rate of bad responses is above twice the other's plus 0.01.
   bool is_worse_than(const ResponseTotals& other) const;
 };
-using TotalsByVersion = std::map<std::string, ResponseTotals>;
+using ResponseTotalsByVersion = std::map<std::string, ResponseTotals>;
 
 /// One service as the leader sees it.
 struct VersionRolloutObservation {
-  Duration elapsed{0};           ///< time observed under the lease since the previous observation
-  TotalsByVersion delta;         ///< since the previous observation
-  TotalsByVersion recent;        ///< over the last ten seconds
-  TotalsByVersion minute;        ///< over the last minute
-  InstancesByVersion instances;  ///< those that send heartbeats
-  bool aborted = false;          ///< some node has aborted the canary on its own
+  Duration elapsed{0};             ///< time observed under the lease since the previous observation
+  ResponseTotalsByVersion delta;   ///< since the previous observation
+  ResponseTotalsByVersion recent;  ///< over the last ten seconds
+  ResponseTotalsByVersion minute;  ///< over the last minute
+  InstancesByVersion instances;    ///< those that send heartbeats
+  bool aborted = false;            ///< some node has aborted the canary on its own
 
   // The remaining members are set only for a version rollout with a deadline.
   Duration since_requested{0};        ///< lower bound of the time since the rollout was requested
