--- a/src/rollout/version_rollout_driver.cpp
+++ b/src/rollout/version_rollout_driver.cpp
@@ -41,7 +41,7 @@
 void VersionRolloutDriver::tick(TimePoint now, Duration elapsed, const RolloutRules& rules) {
   Observations observations;
   const auto statuses = state_cache_.statuses().latest(now);
-  count_answers(now, statuses, observations);
+  count_responses(now, statuses, observations);
   urgent_ = false;
   observer_.update(now, state_cache_.last_good_pull(), state_cache_.chosen(), statuses,
                    state_cache_.statuses().backend_instances(now));
@@ -63,8 +63,8 @@
   }
 }
 
-void VersionRolloutDriver::count_answers(TimePoint now, const Statuses& statuses,
-                                         Observations& observations) {
+void VersionRolloutDriver::count_responses(TimePoint now, const Statuses& statuses,
+                                           Observations& observations) {
   for (const auto& [source, status] : statuses) {
     ReportedByKey latest;
     for (const auto& counts : status.version_counts()) {
--- a/src/rollout/version_rollout_driver.hpp
+++ b/src/rollout/version_rollout_driver.hpp
@@ -51,7 +51,7 @@
     TimePoint saved{0};      ///< time of the last write by this node
   };
 
-  void count_answers(TimePoint now, const Statuses& statuses, Observations& observations);
+  void count_responses(TimePoint now, const Statuses& statuses, Observations& observations);
   ResponseTotals take_increase(const pb::NodeStatus& status, const pb::VersionCounts& counts,
                                ReportedByKey& latest);
   void sum_recent(TimePoint now, Observations& observations) const;
