--- a/src/rollout/service_state.cpp
+++ b/src/rollout/service_state.cpp
@@ -9,7 +9,7 @@
 constexpr int kIdleVersions = 16;  // previous versions without backend instances that are kept
 }  // namespace
 
-int instances_of(const InstancesByVersion& instances, const std::string& version) {
+int instances_of(const InstanceCountsByVersion& instances, const std::string& version) {
   auto found = instances.find(version);
   return found == instances.end() ? 0 : found->second;
 }
@@ -47,7 +47,7 @@
   return state.requested().empty() ? std::string() : state.outcome();
 }
 
-void prune_previous_versions(pb::ServiceState& state, const InstancesByVersion& instances) {
+void prune_previous_versions(pb::ServiceState& state, const InstanceCountsByVersion& instances) {
   auto* versions = state.mutable_previous_versions();
   auto is_idle = [&](const std::string& version) { return instances_of(instances, version) == 0; };
   auto excess = std::count_if(versions->begin(), versions->end(), is_idle) - kIdleVersions;
--- a/src/rollout/service_state.hpp
+++ b/src/rollout/service_state.hpp
@@ -12,10 +12,10 @@
 namespace dunlinwing::rollout {
 
 /// Number of backend instances that send heartbeats, by the version that they report.
-using InstancesByVersion = std::map<std::string, int>;
+using InstanceCountsByVersion = std::map<std::string, int>;
 
 /// The number of instances of one version; 0 if there is no entry.
-int instances_of(const InstancesByVersion& instances, const std::string& version);
+int instances_of(const InstanceCountsByVersion& instances, const std::string& version);
 
 /// The register of a service's state.
 std::string service_key(const std::string& service);
@@ -34,6 +34,6 @@
 
 /// Drops the oldest previous versions without backend instances, so that at most sixteen such versions
 /// remain.
-void prune_previous_versions(pb::ServiceState& state, const InstancesByVersion& instances);
+void prune_previous_versions(pb::ServiceState& state, const InstanceCountsByVersion& instances);
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/version_initializer.cpp
+++ b/src/rollout/version_initializer.cpp
@@ -9,15 +9,15 @@
 constexpr base::Log logger("rollout");
 constexpr int kGoneBounds = 5;  // after the heartbeats have stopped: a crash of all instances may be shorter
 
-InstancesByVersion count_instances(const BackendInstances& instances, const std::string& service) {
-  InstancesByVersion counts;
+InstanceCountsByVersion count_instances(const BackendInstances& instances, const std::string& service) {
+  InstanceCountsByVersion counts;
   for (const auto& [name, instance] : instances)
     if (!instance.gone && instance.heartbeat.service() == service) ++counts[instance.heartbeat.version()];
   return counts;
 }
 
 // The first version with the highest count; empty if there is none.
-std::string most_common(const InstancesByVersion& counts) {
+std::string most_common(const InstanceCountsByVersion& counts) {
   auto most = std::max_element(counts.begin(), counts.end(),
                                [](auto& left, auto& right) { return left.second < right.second; });
   return most == counts.end() ? std::string() : most->first;
--- a/src/rollout/version_rollout.hpp
+++ b/src/rollout/version_rollout.hpp
@@ -26,18 +26,18 @@
 
 /// One service as the leader sees it.
 struct VersionRolloutObservation {
-  Duration elapsed{0};             ///< time observed under the lease since the previous observation
-  ResponseTotalsByVersion delta;   ///< since the previous observation
-  ResponseTotalsByVersion recent;  ///< over the last ten seconds
-  ResponseTotalsByVersion minute;  ///< over the last minute
-  InstancesByVersion instances;    ///< those that send heartbeats
-  bool aborted = false;            ///< some node has aborted the canary on its own
+  Duration elapsed{0};                ///< time observed under the lease since the previous observation
+  ResponseTotalsByVersion delta;      ///< since the previous observation
+  ResponseTotalsByVersion recent;     ///< over the last ten seconds
+  ResponseTotalsByVersion minute;     ///< over the last minute
+  InstanceCountsByVersion instances;  ///< those that send heartbeats
+  bool aborted = false;               ///< some node has aborted the canary on its own
 
   // The remaining members are set only for a version rollout with a deadline.
-  Duration since_requested{0};        ///< lower bound of the time since the rollout was requested
-  Duration since_switch{0};           ///< upper bound of the time since its switch was recorded
-  InstancesByVersion warm_instances;  ///< of `instances`, those that have warmed up
-  bool all_warm = false;              ///< all instances that the canary uses have been warm for a while
+  Duration since_requested{0};             ///< lower bound of the time since the rollout was requested
+  Duration since_switch{0};                ///< upper bound of the time since its switch was recorded
+  InstanceCountsByVersion warm_instances;  ///< of `instances`, those that have warmed up
+  bool all_warm = false;                   ///< all instances that the canary uses have been warm for a while
   canary::CanarySample sample;
   uint64_t sent_to_canary = 0;     ///< requests, whatever their outcome
   double requests_per_second = 0;  ///< recent request rate of the service
--- a/src/rollout/version_rollout_observer.hpp
+++ b/src/rollout/version_rollout_observer.hpp
@@ -39,14 +39,14 @@
     TimePoint requested{0};   ///< estimated from the times of pulls
     TimePoint warm_since{0};  ///< when all instances that the canary uses were warm; 0: some are not
     TimePoint switched{0};    ///< when the switch was first observed; 0: not yet
-    InstancesByVersion warm_instances;
+    InstanceCountsByVersion warm_instances;
     std::map<canary::ReportingProcess, uint64_t> sent_to_canary;  ///< the highest count that each reported
     bool all_follow_switch = false;
   };
   /// The backend instances of all services that are not gone.
   struct InstanceView {
     std::map<std::string, std::vector<membership::BackendInstance>> by_service;
-    std::map<std::string, InstancesByVersion> warm_by_service;
+    std::map<std::string, InstanceCountsByVersion> warm_by_service;
     std::set<std::string> cold;  ///< names of the instances that have not warmed up
   };
 
