--- a/src/rollout/service_state.cpp
+++ b/src/rollout/service_state.cpp
@@ -9,7 +9,7 @@
 constexpr int kIdleVersions = 16;  // previous versions without backend instances that are kept
 }  // namespace
 
-int instances_of(const InstanceCountsByVersion& instances, const std::string& version) {
+int instance_count(const InstanceCountsByVersion& instances, const std::string& version) {
   auto found = instances.find(version);
   return found == instances.end() ? 0 : found->second;
 }
@@ -49,7 +49,7 @@
 
 void prune_previous_versions(pb::ServiceState& state, const InstanceCountsByVersion& instances) {
   auto* versions = state.mutable_previous_versions();
-  auto is_idle = [&](const std::string& version) { return instances_of(instances, version) == 0; };
+  auto is_idle = [&](const std::string& version) { return instance_count(instances, version) == 0; };
   auto excess = std::count_if(versions->begin(), versions->end(), is_idle) - kIdleVersions;
   for (int i = 0; excess > 0 && i < versions->size();) {
     if (!is_idle(versions->Get(i))) {
--- a/src/rollout/service_state.hpp
+++ b/src/rollout/service_state.hpp
@@ -15,7 +15,7 @@
 using InstanceCountsByVersion = std::map<std::string, int>;
 
 /// The number of instances of one version; 0 if there is no entry.
-int instances_of(const InstanceCountsByVersion& instances, const std::string& version);
+int instance_count(const InstanceCountsByVersion& instances, const std::string& version);
 
 /// The register of a service's state.
 std::string service_key(const std::string& service);
--- a/src/rollout/version_rollout.cpp
+++ b/src/rollout/version_rollout.cpp
@@ -129,7 +129,7 @@
 }
 
 bool ServiceStep::may_return_to(const std::string& version, const ResponseTotalsByVersion& totals) const {
-  return !state_.quarantined().count(version) && instances_of(observation_.instances, version) != 0 &&
+  return !state_.quarantined().count(version) && instance_count(observation_.instances, version) != 0 &&
          totals_of(totals, state_.current()).is_worse_than(totals_of(totals, version));
 }
 
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -115,8 +115,8 @@
   if (!observation_.all_warm) return "its workers are not warm yet";
   if (auto blocker = canary::promotion_blocker(observation_.sample); !blocker.empty()) return blocker;
   // Warm instances of the new version must number three quarters of those in place, to take over their load.
-  const int warm = instances_of(observation_.warm_instances, version_);
-  const int in_place = instances_of(observation_.instances, state_.current());
+  const int warm = instance_count(observation_.warm_instances, version_);
+  const int in_place = instance_count(observation_.instances, state_.current());
   if (warm * 4 < std::max(1, in_place) * 3)
     return fmt::format("{} warm workers for {} of the version in place", warm, in_place);
   return {};
@@ -139,7 +139,7 @@
 }
 
 void DeadlineStep::step_in_switch() {
-  if (!instances_of(observation_.instances, version_))
+  if (!instance_count(observation_.instances, version_))
     return roll_back("its workers went away in the switch");
   if (auto regression = canary::regression_after_switch(observation_.sample); !regression.empty())
     return roll_back(regression);
