--- a/src/rollout/fleet_observer.hpp
+++ b/src/rollout/fleet_observer.hpp
@@ -36,7 +36,7 @@
   /// Observes the fleet. Counts are increases since the previous call.
   /// @param elapsed  time observed under the lease since the previous call
   /// @param state    of the releases
-  /// @return the observation, without its `forgotten_everywhere`
+  /// @return the observation, without its `removable_forgotten`
   FleetObservation observe(TimePoint now, Duration elapsed, const pb::RolloutState& state,
                            const config::QuietHours& quiet_hours);
 
--- a/src/rollout/release_state_machine.hpp
+++ b/src/rollout/release_state_machine.hpp
@@ -48,7 +48,7 @@
   std::map<std::string, config::Release> releases;             ///< by register name
   std::map<std::string, pb::OperatorAction> operator_actions;  ///< by the register name of the release
   /// Entries of RolloutState.forgotten whose marker (in the operator action) every leader must know by now.
-  std::set<std::string> forgotten_everywhere;
+  std::set<std::string> removable_forgotten;
 };
 
 /// This node has become the leader under a new term.
--- a/src/rollout/release_transitions.cpp
+++ b/src/rollout/release_transitions.cpp
@@ -221,7 +221,7 @@
 void ReleaseTransitions::forget_finished() {
   auto* names = state_.mutable_forgotten();
   names->erase(std::remove_if(names->begin(), names->end(),
-                              [&](auto& name) { return observation_.forgotten_everywhere.count(name) > 0; }),
+                              [&](auto& name) { return observation_.removable_forgotten.count(name) > 0; }),
                names->end());
   std::map<std::string, int> finished;  // by kind
   for (int i = state_.releases_size() - 1; i >= 0; --i) {
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -149,7 +149,7 @@
 
 FleetObservation RolloutController::Impl::observe(TimePoint now, Duration elapsed) {
   auto observation = observer_.observe(now, elapsed, store_.state(), rules_.system.quiet_hours);
-  observation.forgotten_everywhere = forgotten_.update(now, store_.state(), observation.operator_actions);
+  observation.removable_forgotten = forgotten_.update(now, store_.state(), observation.operator_actions);
   return observation;
 }
 
--- a/test/unit/rollout/release_state_machine_test.cpp
+++ b/test/unit/rollout/release_state_machine_test.cpp
@@ -378,10 +378,10 @@
     fleet.tick(Duration(250));
     for (int j = 0; j < 2; ++j) {  // like the controller: sets the marker, later reports it as known
       auto names = fleet.state.forgotten();
-      fleet.observation.forgotten_everywhere.clear();
+      fleet.observation.removable_forgotten.clear();
       for (auto& name : names) {
         auto& action = fleet.observation.operator_actions["release/" + name];
-        if (action.forgotten()) fleet.observation.forgotten_everywhere.insert(name);
+        if (action.forgotten()) fleet.observation.removable_forgotten.insert(name);
         action.set_forgotten(true);
       }
       fleet.tick(Duration(250));
