--- a/src/rollout/forgotten_releases.cpp
+++ b/src/rollout/forgotten_releases.cpp
@@ -18,15 +18,15 @@
 std::set<std::string> ForgottenReleases::update(TimePoint now, const pb::RolloutState& state,
                                                 const OperatorActionsByKey& actions) {
   std::map<std::string, TimePoint> marked_since;
-  std::set<std::string> known_everywhere;
+  std::set<std::string> removable;
   for (const auto& path : state.forgotten()) {
     if (!is_marked_forgotten(actions, release_key_of(path))) continue;
     auto before = marked_since_.find(path);
     const auto since = marked_since[path] = before == marked_since_.end() ? now : before->second;
-    if (now - since > bound_) known_everywhere.insert(path);
+    if (now - since > bound_) removable.insert(path);
   }
   marked_since_ = std::move(marked_since);
-  return known_everywhere;
+  return removable;
 }
 
 void ForgottenReleases::mark_next(const pb::RolloutState& state, const OperatorActionsByKey& actions) {
