--- a/src/rollout/switch_schedule.cpp
+++ b/src/rollout/switch_schedule.cpp
@@ -54,7 +54,7 @@
   const Duration affordable = affordable_span(observation, deadline - observation.since_requested, rules);
   const Duration planned = affordable >= deadline ? deadline : part_of(affordable, kPlannedPart);
   schedule.start = std::clamp(deadline - planned, earliest, latest);
-  schedule.give_up = latest + tick * kGiveUpTicks;
+  schedule.start_deadline = latest + tick * kGiveUpTicks;
   return schedule;
 }
 
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -37,7 +37,7 @@
       roll_back(failure);
     else if (state_.switching())
       step_in_switch();
-    else if (since_requested() >= schedule_.give_up)
+    else if (since_requested() >= schedule_.start_deadline)
       roll_back("no verdict in time: " +
                 (state_.reason().empty() ? std::string("nothing was seen") : state_.reason()));
     else
