--- a/src/rollout/switch_schedule.cpp
+++ b/src/rollout/switch_schedule.cpp
@@ -6,8 +6,8 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kWriteTicks = 3;   // to record a switch and propagate it to all nodes, if some are unresponsive
-constexpr int kGiveUpTicks = 1;  // after the latest start, to wait for the last evidence
+constexpr int kWriteTicks = 3;  // to record a switch and propagate it to all nodes, if some are unresponsive
+constexpr int kStartDeadlineTicks = 1;  // after the latest start, to wait for the last evidence
 // Parts of the bound: to record a switch and have all nodes confirm that they follow it; and the margin
 // before the deadline, so that operators can read in time that the rollout is completed.
 constexpr double kFollowPart = 0.2;
@@ -54,7 +54,7 @@
   const Duration affordable = affordable_span(observation, deadline - observation.since_requested, rules);
   const Duration planned = affordable >= deadline ? deadline : part_of(affordable, kPlannedPart);
   schedule.start = std::clamp(deadline - planned, earliest, latest);
-  schedule.start_deadline = latest + tick * kGiveUpTicks;
+  schedule.start_deadline = latest + tick * kStartDeadlineTicks;
   return schedule;
 }
 
