--- a/src/rollout/switch_schedule.cpp
+++ b/src/rollout/switch_schedule.cpp
@@ -47,9 +47,9 @@
   const Duration tick = rules.bound / kTicksPerBound;
   const Duration deadline = from_ms(state.deadline_ms());
   SwitchSchedule schedule;
-  schedule.clock_span = rules.bound + std::min(from_ms(state.longest_ms()), rules.bound);
+  schedule.max_follow_time = rules.bound + std::min(from_ms(state.longest_ms()), rules.bound);
   schedule.complete_by = deadline - part_of(rules.bound, kReadPart);
-  const Duration earliest = schedule.complete_by - schedule.clock_span - tick * kWriteTicks;
+  const Duration earliest = schedule.complete_by - schedule.max_follow_time - tick * kWriteTicks;
   const Duration latest = schedule.complete_by - part_of(rules.bound, kFollowPart);
   const Duration affordable = affordable_span(observation, deadline - observation.since_requested, rules);
   const Duration planned = affordable >= deadline ? deadline : part_of(affordable, kPlannedPart);
--- a/src/rollout/switch_schedule.hpp
+++ b/src/rollout/switch_schedule.hpp
@@ -11,14 +11,14 @@
 
 namespace dunlinwing::rollout {
 
-/// All times but `clock_span` are measured from the request.
+/// All times but `max_follow_time` are measured from the request.
 struct SwitchSchedule {
   Duration start{0};           ///< when the switch should start
   Duration start_deadline{0};  ///< from this time on the switch no longer starts
   Duration complete_by{0};     ///< when it should be completed
   /// Time after the switch is recorded from which no node, not even an unresponsive one, can still send to
   /// the old version.
-  Duration clock_span{0};
+  Duration max_follow_time{0};
 };
 
 [[nodiscard]] SwitchSchedule plan_switch(const pb::ServiceState& state,
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -151,7 +151,7 @@
 // serves at that time are not waited for, since the wait would use up the allowance.
 bool DeadlineStep::switch_has_ended() const {
   if (since_requested() < schedule_.complete_by) return false;
-  if (observation_.since_switch >= schedule_.clock_span) return true;
+  if (observation_.since_switch >= schedule_.max_follow_time) return true;
   return observation_.since_switch >= rules_.bound / kMinSwitchFraction && observation_.all_follow_switch;
 }
 
