--- a/src/rollout/switch_schedule.cpp
+++ b/src/rollout/switch_schedule.cpp
@@ -25,8 +25,8 @@
 
 // How long before the deadline the canary can receive all requests within the allowance. The allowance is a
 // share of all requests up to the deadline, so the expected ones are included.
-Duration affordable_span(const VersionRolloutObservation& observation, Duration remaining,
-                         const RolloutRules& rules) {
+Duration affordable_duration(const VersionRolloutObservation& observation, Duration remaining,
+                             const RolloutRules& rules) {
   const double rate = observation.requests_per_second;
   if (rate <= 0) return Duration::max();
   const auto canary = static_cast<double>(
@@ -51,7 +51,7 @@
   schedule.complete_by = deadline - part_of(rules.bound, kReadPart);
   const Duration earliest = schedule.complete_by - schedule.max_follow_time - tick * kWriteTicks;
   const Duration latest = schedule.complete_by - part_of(rules.bound, kFollowPart);
-  const Duration affordable = affordable_span(observation, deadline - observation.since_requested, rules);
+  const Duration affordable = affordable_duration(observation, deadline - observation.since_requested, rules);
   const Duration planned = affordable >= deadline ? deadline : part_of(affordable, kPlannedPart);
   schedule.start = std::clamp(deadline - planned, earliest, latest);
   schedule.start_deadline = latest + tick * kStartDeadlineTicks;
