--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -154,7 +154,7 @@
                                                          const config::Release& release,
                                                          const pb::OperatorAction& action) const {
   const Duration left =
-      rules_.hold(release, progress.phase()) - Duration(static_cast<int64_t>(progress.held_ms()));
+      rules_.hold_time(release, progress.phase()) - Duration(static_cast<int64_t>(progress.held_ms()));
   if (left > Duration(0))
     return fmt::format("holding: {} s of the phase are left",
                        (left.count() + kMsPerSecond - 1) / kMsPerSecond);
@@ -195,7 +195,7 @@
 }
 }  // namespace
 
-Duration RolloutRules::hold(const config::Release& release, pb::Phase phase) const {
+Duration RolloutRules::hold_time(const config::Release& release, pb::Phase phase) const {
   auto hold_ms = static_cast<double>((phase == pb::ONE ? release.holds.one : release.holds.two).count());
   if (phase == pb::THREE) hold_ms /= kZoneHoldFraction;
   return Duration(static_cast<int64_t>(hold_ms / scale));
--- a/src/rollout/release_state_machine.hpp
+++ b/src/rollout/release_state_machine.hpp
@@ -75,7 +75,7 @@
   config::SystemOptions system;
 
   /// The minimum time that a release stays in a phase; in phase three, in each zone.
-  Duration hold(const config::Release& release, pb::Phase phase) const;
+  Duration hold_time(const config::Release& release, pb::Phase phase) const;
   /// The minimum time that a zone runs the release before its next stateful node gets it.
   Duration settle_time() const { return bound; }
   /// How long the phase-one node may be absent; a software release restarts its machine.
