--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -67,7 +67,7 @@
 
 std::optional<std::string> check_load(const pb::ReleaseProgress& progress,
                                       const FleetObservation& observation, const pb::RolloutState& state) {
-  const auto prefix = release_path(progress.kind(), progress.release()) + ":";
+  const auto prefix = qualified_release_name(progress.kind(), progress.release()) + ":";
   std::optional<std::string> failure;  // of the last node with a load error
   for (const auto& node : observation.nodes)
     if (node.present && is_assigned(state, node.name, progress) && node.load_error.starts_with(prefix))
--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -176,7 +176,7 @@
 // Whether the release has progress, or had it before it was forgotten.
 bool is_known(const pb::RolloutState& state, const config::Release& release) {
   if (find_progress(state, release.kind, release.name)) return true;
-  const auto path = release_path(release.kind, release.name);
+  const auto path = qualified_release_name(release.kind, release.name);
   return std::find(state.forgotten().begin(), state.forgotten().end(), path) != state.forgotten().end();
 }
 
@@ -239,7 +239,9 @@
   });
 }
 
-std::string release_path(const std::string& kind, const std::string& name) { return kind + "/" + name; }
+std::string qualified_release_name(const std::string& kind, const std::string& name) {
+  return kind + "/" + name;
+}
 
 StepResult step(const pb::RolloutState& state, const Event& event, const RolloutRules& rules) {
   if (const auto* acquired = as<LeadershipAcquired>(event)) return acquire_leadership(state, acquired->term);
--- a/src/rollout/release_state_machine.hpp
+++ b/src/rollout/release_state_machine.hpp
@@ -110,6 +110,6 @@
 bool is_on_active_release(const pb::RolloutState& state, const std::string& node);
 
 /// The name of a release in RolloutState.forgotten: kind/name.
-std::string release_path(const std::string& kind, const std::string& name);
+std::string qualified_release_name(const std::string& kind, const std::string& name);
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/release_transitions.cpp
+++ b/src/rollout/release_transitions.cpp
@@ -227,7 +227,7 @@
   for (int i = state_.releases_size() - 1; i >= 0; --i) {
     const auto& progress = state_.releases(i);
     if (!is_finished(progress.phase()) || ++finished[progress.kind()] <= kFinishedReleases) continue;
-    names->Add(release_path(progress.kind(), progress.release()));
+    names->Add(qualified_release_name(progress.kind(), progress.release()));
     state_.mutable_releases()->DeleteSubrange(i, 1);
   }
 }
