--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -121,7 +121,7 @@
       progress.kind() == "layout" && !state.in_force().count("layout") && !state.nodes().empty();
   if (first_layout) return transitions_.deploy_everywhere(progress, "the fleet had no layout");
   if (!observation_.in_quiet_hours) return progress.set_reason("waiting for the quiet hours");
-  transitions_.begin(progress);
+  transitions_.enter_phase_one(progress);
 }
 
 // Runs one step of the active release.
--- a/src/rollout/release_transitions.cpp
+++ b/src/rollout/release_transitions.cpp
@@ -82,7 +82,7 @@
   return assignment;
 }
 
-void ReleaseTransitions::begin(pb::ReleaseProgress& progress) {
+void ReleaseTransitions::enter_phase_one(pb::ReleaseProgress& progress) {
   std::vector<const NodeObservation*> eligible;
   for (bool stateful : {false, true}) {
     for (const auto& node : observation_.nodes)
--- a/src/rollout/release_transitions.hpp
+++ b/src/rollout/release_transitions.hpp
@@ -22,7 +22,7 @@
   void add_new_nodes();
 
   /// WAITING to ONE: assigns the release to one node, a stateless one if there is any.
-  void begin(pb::ReleaseProgress& progress);
+  void enter_phase_one(pb::ReleaseProgress& progress);
 
   /// Assigns the release to more nodes of its zone: to all stateless ones at once (a software release: to a
   /// third of the zone at a time), then to the stateful nodes one by one.
