--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -36,13 +36,13 @@
 }
 }  // namespace
 
-void UsualHeartbeatRate::learn(double per_second) {
+void AverageHeartbeatRate::learn(double per_second) {
   ++observations_;
   per_second_ +=
       std::max(kLeastWeight, 1.0 / static_cast<double>(observations_)) * (per_second - per_second_);
 }
 
-bool UsualHeartbeatRate::is_known() const { return observations_ >= kLearningCount; }
+bool AverageHeartbeatRate::is_known() const { return observations_ >= kLearningCount; }
 
 FleetObserver::FleetObserver(membership::StateCache& state_cache, membership::Leadership& leadership,
                              HealthProber& prober, Duration bound)
--- a/src/rollout/fleet_observer.hpp
+++ b/src/rollout/fleet_observer.hpp
@@ -13,7 +13,7 @@
 using ReleasesByKey = std::map<std::string, config::Release>;  ///< by register name
 
 /// The usual rate of heartbeats that a node accepts: a moving average dominated by the latest two minutes.
-class UsualHeartbeatRate {
+class AverageHeartbeatRate {
  public:
   /// Adds the rate measured over one observation.
   void learn(double per_second);
@@ -50,7 +50,7 @@
     uint64_t requests = 0;
     uint64_t failures = 0;
     uint64_t heartbeats = 0;
-    UsualHeartbeatRate usual;  ///< measured while on no active release; kept across incarnations
+    AverageHeartbeatRate usual;  ///< measured while on no active release; kept across incarnations
   };
 
   std::vector<NodeObservation> observe_nodes(TimePoint now, const pb::RolloutState& state);
