--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -36,7 +36,7 @@
 }
 }  // namespace
 
-void AverageHeartbeatRate::learn(double per_second) {
+void AverageHeartbeatRate::add_sample(double per_second) {
   ++observations_;
   per_second_ +=
       std::max(kLeastWeight, 1.0 / static_cast<double>(observations_)) * (per_second - per_second_);
@@ -103,7 +103,7 @@
   }
   latest.usual = known.usual;
   const bool learns = !on_active_release && seconds > 0 && comparable;
-  if (learns) latest.usual.learn(static_cast<double>(node.heartbeats) / seconds);
+  if (learns) latest.usual.add_sample(static_cast<double>(node.heartbeats) / seconds);
   if ((on_active_release || learns) && latest.usual.is_known())
     node.heartbeats_usual = static_cast<uint64_t>(latest.usual.per_second() * seconds * kThousandths);
   known = latest;
--- a/src/rollout/fleet_observer.hpp
+++ b/src/rollout/fleet_observer.hpp
@@ -16,7 +16,7 @@
 class AverageHeartbeatRate {
  public:
   /// Adds the rate measured over one observation.
-  void learn(double per_second);
+  void add_sample(double per_second);
   /// Whether there are enough observations to use the average as the usual rate.
   bool is_known() const;
   double per_second() const { return per_second_; }
