--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -42,7 +42,7 @@
       std::max(kLeastWeight, 1.0 / static_cast<double>(observations_)) * (per_second - per_second_);
 }
 
-bool AverageHeartbeatRate::is_known() const { return observations_ >= kLearningCount; }
+bool AverageHeartbeatRate::has_enough_samples() const { return observations_ >= kLearningCount; }
 
 FleetObserver::FleetObserver(membership::StateCache& state_cache, membership::Leadership& leadership,
                              HealthProber& prober, Duration bound)
@@ -104,7 +104,7 @@
   latest.usual = known.usual;
   const bool learns = !on_active_release && seconds > 0 && comparable;
   if (learns) latest.usual.add_sample(static_cast<double>(node.heartbeats) / seconds);
-  if ((on_active_release || learns) && latest.usual.is_known())
+  if ((on_active_release || learns) && latest.usual.has_enough_samples())
     node.heartbeats_usual = static_cast<uint64_t>(latest.usual.per_second() * seconds * kThousandths);
   known = latest;
   const auto checks = prober_.take_counts(node.name);
--- a/src/rollout/fleet_observer.hpp
+++ b/src/rollout/fleet_observer.hpp
@@ -18,7 +18,7 @@
   /// Adds the rate measured over one observation.
   void add_sample(double per_second);
   /// Whether there are enough observations to use the average as the usual rate.
-  bool is_known() const;
+  bool has_enough_samples() const;
   double per_second() const { return per_second_; }
 
  private:
