--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -4,8 +4,8 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr double kLeastWeight = 0.002;    // of the latest observation in the average: a span of two minutes
-constexpr uint64_t kLearningCount = 240;  // observations (one minute) before the average counts as usual
+constexpr double kLeastWeight = 0.002;  // of the latest observation in the average: a span of two minutes
+constexpr uint64_t kMinSamples = 240;   // observations (one minute) before the average counts as usual
 constexpr double kMsPerSecond = 1000;
 constexpr double kThousandths = 1000;  // unit of usual heartbeats, since one observation may expect below one
 constexpr std::string_view kReleasePrefix = "release/";
@@ -42,7 +42,7 @@
       std::max(kLeastWeight, 1.0 / static_cast<double>(observations_)) * (per_second - per_second_);
 }
 
-bool AverageHeartbeatRate::has_enough_samples() const { return observations_ >= kLearningCount; }
+bool AverageHeartbeatRate::has_enough_samples() const { return observations_ >= kMinSamples; }
 
 FleetObserver::FleetObserver(membership::StateCache& state_cache, membership::Leadership& leadership,
                              HealthProber& prober, Duration bound)
