--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -4,8 +4,8 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr double kLeastWeight = 0.002;  // of the latest observation in the average: a span of two minutes
-constexpr uint64_t kMinSamples = 240;   // observations (one minute) before the average counts as usual
+constexpr double kMinWeight = 0.002;   // of the latest observation in the average: a span of two minutes
+constexpr uint64_t kMinSamples = 240;  // observations (one minute) before the average counts as usual
 constexpr double kMsPerSecond = 1000;
 constexpr double kThousandths = 1000;  // unit of usual heartbeats, since one observation may expect below one
 constexpr std::string_view kReleasePrefix = "release/";
@@ -38,8 +38,7 @@
 
 void AverageHeartbeatRate::add_sample(double per_second) {
   ++observations_;
-  per_second_ +=
-      std::max(kLeastWeight, 1.0 / static_cast<double>(observations_)) * (per_second - per_second_);
+  per_second_ += std::max(kMinWeight, 1.0 / static_cast<double>(observations_)) * (per_second - per_second_);
 }
 
 bool AverageHeartbeatRate::has_enough_samples() const { return observations_ >= kMinSamples; }
