--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -100,11 +100,12 @@
     node.failures = increase(known.failures, latest.failures);
     node.heartbeats = increase(known.heartbeats, latest.heartbeats);
   }
-  latest.usual = known.usual;
+  latest.heartbeat_rate = known.heartbeat_rate;
   const bool learns = !on_active_release && seconds > 0 && comparable;
-  if (learns) latest.usual.add_sample(static_cast<double>(node.heartbeats) / seconds);
-  if ((on_active_release || learns) && latest.usual.has_enough_samples())
-    node.heartbeats_usual = static_cast<uint64_t>(latest.usual.per_second() * seconds * kThousandths);
+  if (learns) latest.heartbeat_rate.add_sample(static_cast<double>(node.heartbeats) / seconds);
+  if ((on_active_release || learns) && latest.heartbeat_rate.has_enough_samples())
+    node.heartbeats_usual =
+        static_cast<uint64_t>(latest.heartbeat_rate.per_second() * seconds * kThousandths);
   known = latest;
   const auto checks = prober_.take_counts(node.name);
   node.checks_passed = checks.passed;
--- a/src/rollout/fleet_observer.hpp
+++ b/src/rollout/fleet_observer.hpp
@@ -50,7 +50,7 @@
     uint64_t requests = 0;
     uint64_t failures = 0;
     uint64_t heartbeats = 0;
-    AverageHeartbeatRate usual;  ///< measured while on no active release; kept across incarnations
+    AverageHeartbeatRate heartbeat_rate;  ///< measured while on no active release; kept across incarnations
   };
 
   std::vector<NodeObservation> observe_nodes(TimePoint now, const pb::RolloutState& state);
