--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -101,9 +101,9 @@
     node.heartbeats = increase(known.heartbeats, latest.heartbeats);
   }
   latest.heartbeat_rate = known.heartbeat_rate;
-  const bool learns = !on_active_release && seconds > 0 && comparable;
-  if (learns) latest.heartbeat_rate.add_sample(static_cast<double>(node.heartbeats) / seconds);
-  if ((on_active_release || learns) && latest.heartbeat_rate.has_enough_samples())
+  const bool updates_rate = !on_active_release && seconds > 0 && comparable;
+  if (updates_rate) latest.heartbeat_rate.add_sample(static_cast<double>(node.heartbeats) / seconds);
+  if ((on_active_release || updates_rate) && latest.heartbeat_rate.has_enough_samples())
     node.heartbeats_usual =
         static_cast<uint64_t>(latest.heartbeat_rate.per_second() * seconds * kThousandths);
   known = latest;
