--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -65,9 +65,9 @@
     nodes[name].zone = assignment.zone();
   }
   const double seconds =
-      observed_ == TimePoint(0)
+      last_observation_ == TimePoint(0)
           ? 0
-          : static_cast<double>(std::min<Duration>(now - observed_, bound_).count()) / kMsPerSecond;
+          : static_cast<double>(std::min<Duration>(now - last_observation_, bound_).count()) / kMsPerSecond;
   const auto lease = leadership_.known_lease();
   for (const auto& [name, status] : state_cache_.statuses().latest(now)) {
     if (status.node().zone().empty()) continue;
@@ -76,7 +76,7 @@
     describe(status, lease, node);
     count(status, seconds, is_on_active_release(state, name), node);
   }
-  observed_ = now;
+  last_observation_ = now;
   std::vector<NodeObservation> result;
   result.reserve(nodes.size());
   for (auto& [name, node] : nodes) result.push_back(std::move(node));
--- a/src/rollout/fleet_observer.hpp
+++ b/src/rollout/fleet_observer.hpp
@@ -62,7 +62,7 @@
   membership::Leadership& leadership_;
   HealthProber& prober_;
   Duration bound_;
-  TimePoint observed_{0};                         ///< time of the last observation; 0: none yet
+  TimePoint last_observation_{0};                 ///< time of the last observation; 0: none yet
   std::map<std::string, NodeCounters> counters_;  ///< by node
   ReleasesByKey releases_;                        ///< each is parsed once, since releases are immutable
 };
