--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -7,7 +7,7 @@
 namespace dunlinwing::rollout {
 namespace {
 constexpr double kSlack = 0.005;           // a failure rate this close to the baseline's proves nothing
-constexpr uint64_t kLeastFailures = 5;     // one failed request proves nothing
+constexpr uint64_t kMinFailures = 5;       // one failed request proves nothing
 constexpr uint64_t kLeastChecks = 10;      // minimum health checks before their failures are judged
 constexpr uint64_t kLeastHeartbeats = 16;  // of so many, fewer than a quarter hardly ever arrive by chance
 constexpr uint64_t kThousandths = 1000;    // unit of the usual heartbeats
@@ -76,7 +76,7 @@
 }
 
 std::optional<std::string> check_failures(const pb::Evidence& evidence, const RolloutRules& rules) {
-  if (evidence.failures() < kLeastFailures) return {};
+  if (evidence.failures() < kMinFailures) return {};
   auto rate = [](uint64_t failures, uint64_t requests) {
     return static_cast<double>(failures) / static_cast<double>(std::max<uint64_t>(requests, 1));
   };
