--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr double kSlack = 0.005;           // a failure rate this close to the baseline's proves nothing
 constexpr uint64_t kMinFailures = 5;       // one failed request proves nothing
-constexpr uint64_t kLeastChecks = 10;      // minimum health checks before their failures are judged
+constexpr uint64_t kMinHealthChecks = 10;  // minimum health checks before their failures are judged
 constexpr uint64_t kLeastHeartbeats = 16;  // of so many, fewer than a quarter hardly ever arrive by chance
 constexpr uint64_t kThousandths = 1000;    // unit of the usual heartbeats
 constexpr int kLeastLost = 2;              // a single node may be lost for a reason other than the release
@@ -92,7 +92,7 @@
 std::optional<std::string> check_health(const pb::Evidence& evidence) {
   const auto checks = evidence.checks_passed() + evidence.checks_failed();
   const auto others = evidence.baseline_checks_passed() + evidence.baseline_checks_failed();
-  if (checks < kLeastChecks || evidence.checks_failed() * 4 <= checks ||
+  if (checks < kMinHealthChecks || evidence.checks_failed() * 4 <= checks ||
       evidence.checks_failed() * others <= 2 * evidence.baseline_checks_failed() * checks)
     return {};
   return fmt::format("check probes: {} of {} failed, {} of {} elsewhere", evidence.checks_failed(), checks,
@@ -166,8 +166,8 @@
     return fmt::format("too little evidence: {} of {} requests seen in this phase", evidence.requests(),
                        least);
   const auto checks = evidence.checks_passed() + evidence.checks_failed();
-  if (checks < kLeastChecks && !is_waived(action, kHealthCheck))
-    return fmt::format("too little evidence: {} of {} probes seen in this phase", checks, kLeastChecks);
+  if (checks < kMinHealthChecks && !is_waived(action, kHealthCheck))
+    return fmt::format("too little evidence: {} of {} probes seen in this phase", checks, kMinHealthChecks);
   return {};
 }
 
