--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -6,12 +6,12 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr double kSlack = 0.005;           // a failure rate this close to the baseline's proves nothing
-constexpr uint64_t kMinFailures = 5;       // one failed request proves nothing
-constexpr uint64_t kMinHealthChecks = 10;  // minimum health checks before their failures are judged
-constexpr uint64_t kLeastHeartbeats = 16;  // of so many, fewer than a quarter hardly ever arrive by chance
-constexpr uint64_t kThousandths = 1000;    // unit of the usual heartbeats
-constexpr int kLeastLost = 2;              // a single node may be lost for a reason other than the release
+constexpr double kSlack = 0.005;              // a failure rate this close to the baseline's proves nothing
+constexpr uint64_t kMinFailures = 5;          // one failed request proves nothing
+constexpr uint64_t kMinHealthChecks = 10;     // minimum health checks before their failures are judged
+constexpr uint64_t kMinUsualHeartbeats = 16;  // of so many, fewer than a quarter hardly ever arrive by chance
+constexpr uint64_t kThousandths = 1000;       // unit of the usual heartbeats
+constexpr int kLeastLost = 2;                 // a single node may be lost for a reason other than the release
 
 bool is_waived(const pb::OperatorAction& action, const char* check) {
   return action.waived().count(check) > 0;
@@ -104,7 +104,7 @@
 std::optional<std::string> check_heartbeats(const pb::Evidence& evidence) {
   const auto usual = evidence.heartbeats_usual() / kThousandths;
   const auto baseline_usual = evidence.baseline_heartbeats_usual() / kThousandths;
-  const bool missing = usual >= kLeastHeartbeats && evidence.heartbeats() * 4 < usual;
+  const bool missing = usual >= kMinUsualHeartbeats && evidence.heartbeats() * 4 < usual;
   if (!missing || evidence.baseline_heartbeats() * 2 <= baseline_usual) return {};
   return fmt::format(
       "check worker-beats: {} came through nodes on it where {} were usual, {} of {} elsewhere",
