--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -11,7 +11,7 @@
 constexpr uint64_t kMinHealthChecks = 10;     // minimum health checks before their failures are judged
 constexpr uint64_t kMinUsualHeartbeats = 16;  // of so many, fewer than a quarter hardly ever arrive by chance
 constexpr uint64_t kThousandths = 1000;       // unit of the usual heartbeats
-constexpr int kLeastLost = 2;                 // a single node may be lost for a reason other than the release
+constexpr int kMinLostNodes = 2;              // a single node may be lost for a reason other than the release
 
 bool is_waived(const pb::OperatorAction& action, const char* check) {
   return action.waived().count(check) > 0;
@@ -59,7 +59,7 @@
   if (progress.phase() == pb::ONE && assigned.lost > 0 &&
       Duration(static_cast<int64_t>(progress.lost_ms())) >= rules.allowed_absence(progress.kind()))
     return "check beats: the phase-one machine is lost";
-  if (assigned.lost >= kLeastLost && assigned.lost * 3 > assigned.all &&
+  if (assigned.lost >= kMinLostNodes && assigned.lost * 3 > assigned.all &&
       assigned.lost * others.all > 2 * others.lost * assigned.all)
     return fmt::format("check beats: {} of {} nodes on it are lost", assigned.lost, assigned.all);
   return {};
