--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -40,7 +40,7 @@
   membership::Leadership& leadership_;
   RolloutRules rules_;
   membership::LeadershipFence fence_;
-  TimePoint led_{0};  // the last tick as leader under the current lease; 0: none yet
+  TimePoint last_leader_tick_{0};  // the last tick as leader under the current lease; 0: none yet
   RolloutStateStore store_;
   HealthProber prober_;
   FleetObserver observer_;
@@ -93,24 +93,26 @@
 void RolloutController::Impl::tick() {
   const auto now = ports_.clock.now();
   if (!state_cache_.has_read_lease()) {
-    led_ = TimePoint(0);
+    last_leader_tick_ = TimePoint(0);
     return;
   }
   const bool leads = leadership_.held();
   if (fence_.begin()) {
-    led_ = TimePoint(0);
+    last_leader_tick_ = TimePoint(0);
     store_.invalidate();
     version_initializer_.reset();
   }
   if (!leads) return follow(now);
-  const auto elapsed = led_ == TimePoint(0) ? Duration(0) : std::min<Duration>(now - led_, rules_.bound);
-  led_ = now;
+  const auto elapsed = last_leader_tick_ == TimePoint(0)
+                           ? Duration(0)
+                           : std::min<Duration>(now - last_leader_tick_, rules_.bound);
+  last_leader_tick_ = now;
   lead(now, elapsed);
 }
 
 // A tick of a node that does not lead.
 void RolloutController::Impl::follow(TimePoint now) {
-  led_ = TimePoint(0);
+  last_leader_tick_ = TimePoint(0);
   store_.follow(read_rollout_state(state_cache_.chosen()));
   version_initializer_.reset();
   observe(now, Duration(0));
