--- a/src/rollout/rollout_state_store.cpp
+++ b/src/rollout/rollout_state_store.cpp
@@ -47,7 +47,7 @@
 bool RolloutStateStore::apply(const Event& event, const RolloutRules& rules) {
   auto result = step(state_, event, rules);
   const auto required = required_persistence(result.effects);
-  if (required == Persistence::deferrable && clock_.now() - saved_ < flush_interval(rules)) {
+  if (required == Persistence::deferrable && clock_.now() - last_write_ < flush_interval(rules)) {
     state_ = std::move(result.state);
     return true;
   }
@@ -64,7 +64,7 @@
   }
   version_ = written->version;
   state_ = std::move(next);
-  saved_ = clock_.now();
+  last_write_ = clock_.now();
   return true;
 }
 
--- a/src/rollout/rollout_state_store.hpp
+++ b/src/rollout/rollout_state_store.hpp
@@ -50,9 +50,9 @@
   consensus::RegisterClient& registers_;
   const membership::LeadershipFence& fence_;
   pb::RolloutState state_;
-  uint64_t version_ = 0;  ///< of the register, as last read or written by this node
-  bool loaded_ = false;   ///< whether `version_` and `state_` are valid for the next step
-  TimePoint saved_{0};    ///< time of the last write by this node
+  uint64_t version_ = 0;     ///< of the register, as last read or written by this node
+  bool loaded_ = false;      ///< whether `version_` and `state_` are valid for the next step
+  TimePoint last_write_{0};  ///< time of the last write by this node
 };
 
 }  // namespace dunlinwing::rollout
