--- a/src/rollout/version_rollout_driver.cpp
+++ b/src/rollout/version_rollout_driver.cpp
@@ -140,7 +140,7 @@
   const auto required = required_persistence(result.effects);
   const bool takes_over = in_force < fence_.term();
   if (required == Persistence::deferrable && !takes_over &&
-      now - record.saved < flush_interval(result.state, bound_)) {
+      now - record.last_write < flush_interval(result.state, bound_)) {
     record.state = std::move(result.state);
     return;
   }
--- a/src/rollout/version_rollout_driver.hpp
+++ b/src/rollout/version_rollout_driver.hpp
@@ -46,9 +46,9 @@
   };
   /// The latest state of a service that this node knows.
   struct ServiceRecord {
-    uint64_t version = 0;    ///< of the register
-    pb::ServiceState state;  ///< of that version, or of a later step whose write is deferred
-    TimePoint saved{0};      ///< time of the last write by this node
+    uint64_t version = 0;     ///< of the register
+    pb::ServiceState state;   ///< of that version, or of a later step whose write is deferred
+    TimePoint last_write{0};  ///< time of the last write by this node
   };
 
   void count_responses(TimePoint now, const Statuses& statuses, Observations& observations);
