--- a/src/rollout/version_rollout_driver.cpp
+++ b/src/rollout/version_rollout_driver.cpp
@@ -133,19 +133,20 @@
 void VersionRolloutDriver::step_service(TimePoint now, const std::string& service, const RolloutRules& rules,
                                         const VersionRolloutObservation& observation) {
   auto& record = services_[service];
-  const auto in_force = record.state.term();
+  const auto recorded_term = record.state.term();
   auto result = step(service, record.state, observation, rules);
   urgent_ |= result.is_urgent;
   if (result.is_urgent) state_cache_.pull_soon();
   const auto required = required_persistence(result.effects);
-  const bool takes_over = in_force < fence_.term();
+  const bool takes_over = recorded_term < fence_.term();
   if (required == Persistence::deferrable && !takes_over &&
       now - record.last_write < flush_interval(result.state, bound_)) {
     record.state = std::move(result.state);
     return;
   }
   if (required != Persistence::none || takes_over) {
-    auto written = fence_.write(registers_, service_key(service), record.version, in_force, result.state);
+    auto written =
+        fence_.write(registers_, service_key(service), record.version, recorded_term, result.state);
     if (!written) return;  // the next pull returns the value in force
     record = {written->version, std::move(result.state), now};
   }
