--- a/src/rollout/version_rollout_observer.cpp
+++ b/src/rollout/version_rollout_observer.cpp
@@ -11,7 +11,7 @@
 constexpr int kSessionBounds = 2;     // at least a node's session timeout, see StateCacheConfig
 
 // Since when the condition has held continuously; 0: it does not hold now.
-TimePoint held_since(TimePoint before, bool holds, TimePoint now) {
+TimePoint condition_start(TimePoint before, bool holds, TimePoint now) {
   if (!holds) return TimePoint(0);
   return before == TimePoint(0) ? now : before;
 }
@@ -70,8 +70,8 @@
   const auto used = canary::canary_instances(view.by_service[service], state.canary(), true);
   const bool any_cold = std::any_of(used.begin(), used.end(),
                                     [&](auto& instance) { return view.cold.count(instance.instance) > 0; });
-  rollout.warm_since = held_since(rollout.warm_since, !used.empty() && !any_cold, now);
-  rollout.switched = held_since(rollout.switched, state.switching(), now);
+  rollout.warm_since = condition_start(rollout.warm_since, !used.empty() && !any_cold, now);
+  rollout.switched = condition_start(rollout.switched, state.switching(), now);
   rollout.warm_instances = view.warm_by_service[service];
 }
 
