--- a/src/rollout/version_rollout_observer.cpp
+++ b/src/rollout/version_rollout_observer.cpp
@@ -65,7 +65,7 @@
   if (rollout.canary_number != state.canary_number()) {
     rollout = ObservedRollout{};
     rollout.canary_number = state.canary_number();
-    rollout.requested = request_time(now, pulled_at, state);
+    rollout.requested_at = request_time(now, pulled_at, state);
   }
   const auto used = canary::canary_instances(view.by_service[service], state.canary(), true);
   const bool any_cold = std::any_of(used.begin(), used.end(),
@@ -110,7 +110,7 @@
   auto found = rollouts_.find(service);
   if (found == rollouts_.end() || found->second.canary_number != state.canary_number()) return;
   const auto& rollout = found->second;
-  observation.since_requested = now - rollout.requested;
+  observation.since_requested = now - rollout.requested_at;
   observation.since_switch = rollout.switched == TimePoint(0) ? Duration(0) : now - rollout.switched;
   observation.warm_instances = rollout.warm_instances;
   observation.all_warm = is_warm(now, rollout);
