--- a/src/rollout/version_rollout_observer.cpp
+++ b/src/rollout/version_rollout_observer.cpp
@@ -71,7 +71,7 @@
   const bool any_cold = std::any_of(used.begin(), used.end(),
                                     [&](auto& instance) { return view.cold.count(instance.instance) > 0; });
   rollout.warm_since = condition_start(rollout.warm_since, !used.empty() && !any_cold, now);
-  rollout.switched = condition_start(rollout.switched, state.switching(), now);
+  rollout.switch_observed_at = condition_start(rollout.switch_observed_at, state.switching(), now);
   rollout.warm_instances = view.warm_by_service[service];
 }
 
@@ -111,7 +111,8 @@
   if (found == rollouts_.end() || found->second.canary_number != state.canary_number()) return;
   const auto& rollout = found->second;
   observation.since_requested = now - rollout.requested_at;
-  observation.since_switch = rollout.switched == TimePoint(0) ? Duration(0) : now - rollout.switched;
+  observation.since_switch =
+      rollout.switch_observed_at == TimePoint(0) ? Duration(0) : now - rollout.switch_observed_at;
   observation.warm_instances = rollout.warm_instances;
   observation.all_warm = is_warm(now, rollout);
   observation.sample = statistics_.at(service);
--- a/src/rollout/version_rollout_observer.hpp
+++ b/src/rollout/version_rollout_observer.hpp
@@ -36,9 +36,9 @@
  private:
   struct ObservedRollout {
     uint64_t canary_number = 0;
-    TimePoint requested_at{0};  ///< estimated from the times of pulls
-    TimePoint warm_since{0};    ///< when all instances that the canary uses were warm; 0: some are not
-    TimePoint switched{0};      ///< when the switch was first observed; 0: not yet
+    TimePoint requested_at{0};        ///< estimated from the times of pulls
+    TimePoint warm_since{0};          ///< when all instances that the canary uses were warm; 0: some are not
+    TimePoint switch_observed_at{0};  ///< when the switch was first observed; 0: not yet
     InstanceCountsByVersion warm_instances;
     std::map<canary::ReportingProcess, uint64_t> sent_to_canary;  ///< the highest count that each reported
     bool all_follow_switch = false;
