--- a/src/rollout/version_initializer.cpp
+++ b/src/rollout/version_initializer.cpp
@@ -38,17 +38,17 @@
     : clock_(clock), registers_(registers), state_cache_(state_cache), fence_(fence), bound_(bound) {}
 
 void VersionInitializer::reset() {
-  completed_.clear();
+  completed_configuration_.clear();
   gone_since_.clear();
 }
 
 void VersionInitializer::tick(std::shared_ptr<const config::RoutingConfiguration> configuration) {
   if (!configuration) return;
   configuration_ = std::move(configuration);
-  if (completed_ != configuration_->name) {
+  if (completed_configuration_ != configuration_->name) {
     const auto progress = record_versions();
     if (progress != Progress::failed && clear_removed_services() && progress == Progress::complete)
-      completed_ = configuration_->name;
+      completed_configuration_ = configuration_->name;
   }
   const auto instances = state_cache_.statuses().backend_instances(clock_.now());
   for (const auto& [name, service] : configuration_->services)
--- a/src/rollout/version_initializer.hpp
+++ b/src/rollout/version_initializer.hpp
@@ -58,7 +58,8 @@
   const membership::LeadershipFence& fence_;
   Duration bound_;
   std::shared_ptr<const config::RoutingConfiguration> configuration_;  ///< of the current tick
-  std::string completed_;  ///< name of the configuration whose services all have a version in place
+  std::string
+      completed_configuration_;  ///< name of the configuration whose services all have a version in place
   std::map<std::string, TimePoint> gone_since_;  ///< by service: when its version in place was found gone
 };
 
