--- a/src/rollout/health_prober.cpp
+++ b/src/rollout/health_prober.cpp
@@ -6,7 +6,7 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr size_t kOthers = 3;  // nodes on no active release that are checked for comparison
+constexpr size_t kComparisonNodes = 3;  // nodes on no active release that are checked for comparison
 }  // namespace
 
 HealthProber::HealthProber(base::Ports& ports, membership::StateCache& state_cache, Duration bound)
@@ -19,7 +19,7 @@
     (is_on_active_release(state, member.name) ? checked : others).push_back(std::move(member));
   }
   if (checked.empty()) return;
-  const auto count = std::min(kOthers, others.size());
+  const auto count = std::min(kComparisonNodes, others.size());
   for (size_t i = 0; i < count; ++i) checked.push_back(others[next_other_++ % others.size()]);
   for (const auto& member : checked) start_check(member);
 }
