--- a/src/rollout/health_prober.cpp
+++ b/src/rollout/health_prober.cpp
@@ -20,7 +20,7 @@
   }
   if (checked.empty()) return;
   const auto count = std::min(kComparisonNodes, others.size());
-  for (size_t i = 0; i < count; ++i) checked.push_back(others[next_other_++ % others.size()]);
+  for (size_t i = 0; i < count; ++i) checked.push_back(others[next_comparison_++ % others.size()]);
   for (const auto& member : checked) start_check(member);
 }
 
--- a/src/rollout/health_prober.hpp
+++ b/src/rollout/health_prober.hpp
@@ -33,7 +33,7 @@
   base::Ports& ports_;
   membership::StateCache& state_cache_;
   Duration bound_;
-  size_t next_other_ = 0;                 ///< round-robin position among the nodes for comparison
+  size_t next_comparison_ = 0;            ///< round-robin position among the nodes for comparison
   std::shared_ptr<CountsByNode> counts_;  ///< shared with the checks in flight
 };
 
