--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -41,8 +41,8 @@
 }
 
 struct NodeCount {
-  int all = 0;
-  int lost = 0;  // of `all`, those not present
+  int total = 0;
+  int lost = 0;  // of `total`, those not present
 };
 
 // Fails when the phase-one node is lost, or at least two nodes and more than a third of those on the release,
@@ -53,15 +53,15 @@
   NodeCount assigned, others;
   for (const auto& node : observation.nodes) {
     auto& count = is_assigned(state, node.name, progress) ? assigned : others;
-    ++count.all;
+    ++count.total;
     count.lost += !node.present;
   }
   if (progress.phase() == pb::ONE && assigned.lost > 0 &&
       Duration(static_cast<int64_t>(progress.lost_ms())) >= rules.allowed_absence(progress.kind()))
     return "check beats: the phase-one machine is lost";
-  if (assigned.lost >= kMinLostNodes && assigned.lost * 3 > assigned.all &&
-      assigned.lost * others.all > 2 * others.lost * assigned.all)
-    return fmt::format("check beats: {} of {} nodes on it are lost", assigned.lost, assigned.all);
+  if (assigned.lost >= kMinLostNodes && assigned.lost * 3 > assigned.total &&
+      assigned.lost * others.total > 2 * others.lost * assigned.total)
+    return fmt::format("check beats: {} of {} nodes on it are lost", assigned.lost, assigned.total);
   return {};
 }
 
