--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -38,8 +38,8 @@
   void run_kind(const std::string& kind);
   Candidates find_candidates(const std::string& kind);
   bool resolve_waiting(const std::string& kind, Candidates& candidates);
-  void start(pb::ReleaseProgress& progress);
-  void drive(pb::ReleaseProgress& progress);
+  void start_waiting(pb::ReleaseProgress& progress);
+  void step_active(pb::ReleaseProgress& progress);
   bool is_deployed(pb::ReleaseProgress& progress);
   std::optional<std::string> next_phase_blocker(const pb::ReleaseProgress& progress,
                                                 const config::Release& release,
@@ -67,9 +67,9 @@
   auto candidates = find_candidates(kind);
   if (resolve_waiting(kind, candidates)) return;
   if (candidates.active)
-    drive(*candidates.active);
+    step_active(*candidates.active);
   else if (candidates.next && candidates.next->phase() == pb::WAITING)
-    start(*candidates.next);
+    start_waiting(*candidates.next);
 }
 
 Candidates FleetStep::find_candidates(const std::string& kind) {
@@ -114,7 +114,7 @@
 }
 
 // Starts a waiting release, if it may start now.
-void FleetStep::start(pb::ReleaseProgress& progress) {
+void FleetStep::start_waiting(pb::ReleaseProgress& progress) {
   if (!find_release(progress)) return;
   const auto& state = transitions_.state();
   const bool first_layout =
@@ -125,7 +125,7 @@
 }
 
 // Runs one step of the active release.
-void FleetStep::drive(pb::ReleaseProgress& progress) {
+void FleetStep::step_active(pb::ReleaseProgress& progress) {
   const auto* release = find_release(progress);
   if (!release) return;
   auto action = operator_action(progress);
