--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -29,13 +29,13 @@
 
   StepResult run() {
     transitions_.add_new_nodes();
-    for (const auto* kind : config::kReleaseKinds) run_kind(kind);
+    for (const auto* kind : config::kReleaseKinds) step_kind(kind);
     transitions_.forget_finished();
     return transitions_.finish(before_);
   }
 
  private:
-  void run_kind(const std::string& kind);
+  void step_kind(const std::string& kind);
   Candidates find_candidates(const std::string& kind);
   bool resolve_waiting(const std::string& kind, Candidates& candidates);
   void start_waiting(pb::ReleaseProgress& progress);
@@ -63,7 +63,7 @@
   return found == observation_.operator_actions.end() ? pb::OperatorAction() : found->second;
 }
 
-void FleetStep::run_kind(const std::string& kind) {
+void FleetStep::step_kind(const std::string& kind) {
   auto candidates = find_candidates(kind);
   if (resolve_waiting(kind, candidates)) return;
   if (candidates.active)
