--- a/test/unit/rollout/release_state_machine_test.cpp
+++ b/test/unit/rollout/release_state_machine_test.cpp
@@ -253,7 +253,7 @@
   same(fleet.assigned.size(), size_t(1), "nodes with the release");
 }
 
-void bad_hour_for_all() {
+void fleet_wide_failures() {
   TestFleet fleet;
   fleet.set_traffic(10, 3, 3);
   fleet.record("new");
@@ -456,7 +456,7 @@
       {"rollout: health checks and backend heartbeats are compared with those of other nodes",
        compared_checks},
       {"rollout: quiet hours gate the start of each phase", quiet_hours},
-      {"rollout: failures on all nodes stop no release", bad_hour_for_all},
+      {"rollout: failures on all nodes stop no release", fleet_wide_failures},
       {"rollout: a second release of a kind waits, supersedes or is withdrawn", one_after_the_other},
       {"rollout: an express release is assigned to all nodes at once", express},
       {"rollout: the state stays bounded after many releases", history_leaves_little},
