--- a/test/unit/rollout/release_state_machine_test.cpp
+++ b/test/unit/rollout/release_state_machine_test.cpp
@@ -368,7 +368,7 @@
 }
 
 // The rollout state stays bounded after hundreds of finished releases.
-void history_leaves_little() {
+void state_stays_bounded() {
   constexpr int kReleases = 400;
   constexpr int kRemembered = 65;  // 64 finished releases, and the latest one
   TestFleet fleet;
@@ -459,7 +459,7 @@
       {"rollout: failures on all nodes stop no release", fleet_wide_failures},
       {"rollout: a second release of a kind waits, supersedes or is withdrawn", one_after_the_other},
       {"rollout: an express release is assigned to all nodes at once", express},
-      {"rollout: the state stays bounded after many releases", history_leaves_little},
+      {"rollout: the state stays bounded after many releases", state_stays_bounded},
       {"rollout: a past release is not restarted", unmarked_stays_past},
       {"rollout: a past release is withdrawn for older leaders", withdrawn_stays_past},
       {"moves: previous versions without backend instances are bounded", previous_versions_are_bounded},
