--- a/test/unit/rollout/version_rollout_test.cpp
+++ b/test/unit/rollout/version_rollout_test.cpp
@@ -270,7 +270,7 @@
 
 // When all nodes report that they follow it, the switch still lasts until it is due: that leaves the most
 // time to judge the new version under full load, and to roll back.
-void switch_ends_when_nodes_say_so() {
+void switch_ends_when_nodes_confirm() {
   for (const bool nodes_report : {true, false}) {
     TestService service(1);
     service.exact_share = true;
@@ -447,7 +447,7 @@
       {"moves: too few new backend instances lead to a rollback", few_instances},
       {"moves: the switch lasts until no node can send to the old version", switch_outlasts_silent_nodes},
       {"moves: the switch ends when all nodes report that they no longer send to the old version",
-       switch_ends_when_nodes_say_so},
+       switch_ends_when_nodes_confirm},
       {"moves: a configuration that names no version", any_version},
       {"trial: canary requests go to the warm instances in turn", instances_in_turn},
       {"trial: the canary gets requests of rare routes first", rare_routes},
