--- a/test/unit/rollout/release_state_machine_test.cpp
+++ b/test/unit/rollout/release_state_machine_test.cpp
@@ -262,7 +262,7 @@
          "failures on all nodes stopped a release: " + fleet.progress("new").reason());
 }
 
-void one_after_the_other() {
+void second_release_of_kind() {
   TestFleet fleet;
   fleet.set_traffic(10);
   fleet.record("new");
@@ -457,7 +457,7 @@
        compared_checks},
       {"rollout: quiet hours gate the start of each phase", quiet_hours},
       {"rollout: failures on all nodes stop no release", fleet_wide_failures},
-      {"rollout: a second release of a kind waits, supersedes or is withdrawn", one_after_the_other},
+      {"rollout: a second release of a kind waits, supersedes or is withdrawn", second_release_of_kind},
       {"rollout: an express release is assigned to all nodes at once", express},
       {"rollout: the state stays bounded after many releases", state_stays_bounded},
       {"rollout: a past release is not restarted", unmarked_stays_past},
