--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -13,8 +13,7 @@
 
 uint64_t increase(uint64_t before, uint64_t now) { return now > before ? now - before : 0; }
 
-// The wall-clock time of the fleet: the median of the replicas' clocks, so that one wrong clock has no
-// effect.
+// The wall-clock time of the fleet: the median of the replicas' clocks, which tolerates one wrong clock.
 std::optional<int64_t> median_wall_clock(const std::vector<membership::Member>& members) {
   std::vector<int64_t> clocks;
   for (const auto& member : members)
--- a/src/rollout/forgotten_releases.cpp
+++ b/src/rollout/forgotten_releases.cpp
@@ -43,8 +43,7 @@
   action.ParseFromString(value->data);
   if (action.forgotten()) return;  // the next pull returns it
   action.set_forgotten(true);
-  // A leader with older software does not know the marker; the withdrawal keeps it from restarting the
-  // release.
+  // A leader with older software does not know the marker; the withdrawal prevents a restart there, too.
   if (action.withdrawn().empty()) action.set_withdrawn("its course has ended and is no longer kept");
   registers_.write(key, value->version, action.SerializeAsString());
 }
--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -45,8 +45,8 @@
   int lost = 0;  // of `total`, those not present
 };
 
-// Fails when the phase-one node is lost, or at least two nodes and more than a third of those on the release,
-// and the lost part is more than twice that of the other nodes.
+// Fails when the phase-one node is lost, or when at least two nodes and more than a third of those on the
+// release are lost, and that part is more than twice the baseline's.
 std::optional<std::string> check_presence(const pb::ReleaseProgress& progress,
                                           const FleetObservation& observation, const pb::RolloutState& state,
                                           const RolloutRules& rules) {
--- a/src/rollout/release_state_machine.hpp
+++ b/src/rollout/release_state_machine.hpp
@@ -18,7 +18,7 @@
 
 inline constexpr int kTicksPerBound = 8;  ///< observations and steps of the leader in each bound
 
-/// One node as the leader sees it. Counts are those since the previous observation.
+/// The leader's view of one node. Counts are increases since the previous observation.
 struct NodeObservation {
   std::string name;
   std::string zone;
@@ -26,7 +26,7 @@
   bool drained = false;                        ///< receives no client requests, so it yields no evidence
   bool is_stateful = false;                    ///< a replica, or the leader or its standby
   std::map<std::string, std::string> running;  ///< release by kind, as the node reports
-  std::string load_error;                      ///< "kind/release: reason"; empty: no load has failed
+  std::string load_error;                      ///< "kind/release: reason"; empty: all assigned are loaded
   uint64_t requests = 0;
   uint64_t failures = 0;  ///< of `requests`
   uint64_t checks_passed = 0;
@@ -40,7 +40,7 @@
   config::Release release;
 };
 
-/// The fleet as the leader sees it.
+/// The leader's view of the fleet.
 struct FleetObservation {
   Duration elapsed{0};  ///< time observed under the lease since the previous observation
   bool in_quiet_hours = true;
--- a/src/rollout/release_transitions.hpp
+++ b/src/rollout/release_transitions.hpp
@@ -51,8 +51,7 @@
   /// Whether any zone has a node that is not assigned the release.
   bool has_remaining_zones(const pb::ReleaseProgress& progress) const;
 
-  /// Returns the result of the step that began with the state `before`. The object must not be used
-  /// afterwards.
+  /// Returns the result of the step that began with the state `before`. Do not use the object afterwards.
   StepResult finish(const pb::RolloutState& before);
 
  private:
@@ -62,7 +61,7 @@
   struct ZoneStatus {
     size_t nodes = 0;
     size_t unavailable = 0;                      ///< assigned the release, but absent or not running it
-    bool all_running = true;                     ///< all nodes that are present and assigned it run it
+    bool all_running = true;                     ///< all present nodes assigned the release run it
     std::vector<std::string> pending_stateless;  ///< nodes not assigned it that are stateless or absent
     std::vector<std::string> pending_stateful;   ///< nodes not assigned it that are stateful
   };
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -1,5 +1,4 @@
-// Calls the other components of this folder in sequence; the order of the calls determines that of the
-// writes.
+// Calls the other components of this folder in sequence; the order of the steps is that of their writes.
 #include "rollout/rollout_controller.hpp"
 
 #include <algorithm>
--- a/src/rollout/rollout_state_store.cpp
+++ b/src/rollout/rollout_state_store.cpp
@@ -6,8 +6,8 @@
 
 namespace dunlinwing::rollout {
 namespace {
-// The longest delay of a write of counts alone. What is lost with a leader has to be counted again. The delay
-// is divided by the scale, since hold times are short in test fleets.
+// The longest delay of a write of counts alone. What is lost with a leader has to be counted again. In test
+// fleets hold times are short, so the delay is, too.
 constexpr int kFlushBounds = 5;
 constexpr double kFlushMs = 45000;
 
--- a/src/rollout/rollout_state_store.hpp
+++ b/src/rollout/rollout_state_store.hpp
@@ -24,8 +24,7 @@
   RolloutStateStore(base::Clock& clock, consensus::RegisterClient& registers,
                     const membership::LeadershipFence& fence);
 
-  /// The state after the last step, or the one last passed to follow(). A deferred step may not be recorded
-  /// yet.
+  /// The state after the last step or follow(). A deferred step may not be recorded yet.
   const pb::RolloutState& state() const { return state_; }
 
   /// Replaces the state by the one that a follower has pulled.
--- a/src/rollout/version_rollout.cpp
+++ b/src/rollout/version_rollout.cpp
@@ -19,8 +19,7 @@
   return found == totals.end() ? ResponseTotals{} : found->second;
 }
 
-// One step of a service whose rollout has no deadline: judges the canary, and may revert the version in
-// place.
+// One step of a service without a deadline: judges the canary, and may revert the version in place.
 class ServiceStep {
  public:
   ServiceStep(const std::string& service, const pb::ServiceState& state,
@@ -111,8 +110,7 @@
   effects_.emplace_back(PersistEffect{true});
 }
 
-// Goes back to the latest previous version with a better rate over the span of `totals`. Returns whether it
-// did.
+// Goes back to the latest previous version with a better rate over the span of `totals`; true if it did.
 bool ServiceStep::revert_promotion(const ResponseTotalsByVersion& totals) {
   const auto current = totals_of(totals, state_.current());
   if (current.bad < limit_) return false;
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -122,7 +122,8 @@
   return {};
 }
 
-// Lowers the share once there is enough evidence, to save the rest of the allowance for the switch.
+// Raises the share once the canary is warm, and lowers it once there is enough evidence: the rest of the
+// allowance is for the switch.
 void DeadlineStep::adjust_share() {
   const bool is_enough = canary::promotion_blocker(observation_.sample).empty();
   const uint32_t percent = is_enough ? canary::kWatchPercent : canary::kDeadlinePercent;
--- a/src/rollout/version_rollout_driver.cpp
+++ b/src/rollout/version_rollout_driver.cpp
@@ -20,8 +20,7 @@
   return false;
 }
 
-// The longest delay of a write of counts alone; shorter with a deadline, since a new leader needs them
-// sooner.
+// The longest delay of a write of counts alone; with a deadline, a new leader needs them sooner.
 Duration flush_interval(const pb::ServiceState& state, Duration bound) {
   return state.deadline_ms() ? bound / 2 : bound;
 }
--- a/test/unit/rollout/release_state_machine_test.cpp
+++ b/test/unit/rollout/release_state_machine_test.cpp
@@ -88,8 +88,7 @@
     throw Failed("no progress of release " + name);
   }
   bool is_on_new(const std::string& node) const { return assigned_release(state, node, "layout") == "new"; }
-  // Sets the requests of each node in a tick, and how many of them fail on nodes with release "new" and on
-  // others.
+  // Sets the requests of each node in a tick, and how many of them fail with release "new" and without it.
   void set_traffic(uint64_t requests, uint64_t failures = 0, uint64_t baseline_failures = 0) {
     for (auto& node : observation.nodes) {
       node.requests = requests;
@@ -394,8 +393,7 @@
          "the rollout state grows with the number of past releases");
 }
 
-// A leader with older software, which does not know the marker, does not restart a release that is in no
-// list.
+// A leader with older software, which ignores the marker, does not restart a release that is in no list.
 void withdrawn_stays_past() {
   TestFleet fleet;
   fleet.record("past", R"(,"express":"a trial")");
