--- a/src/cache/cache.cpp
+++ b/src/cache/cache.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The entries and the fetches under way stand under one lock, each fetch's state under its own.
-/// Neither is held while the other is taken or while waiting.
+/// One lock guards the entries and the map of running fetches; each fetch's state has its own lock. Neither
+/// is held while the other is taken or while waiting.
 #include "cache/cache.hpp"
 
 #include <list>
@@ -8,33 +8,33 @@
 
 namespace dunlinwing::cache {
 namespace {
-/// Bytes counted for each entry beside its key and body: headers and bookkeeping, as an estimate.
+/// Estimated size of an entry in addition to its key and body: headers and bookkeeping.
 constexpr size_t kEntryOverheadBytes = 512;
-/// For so many lifetimes a response is held: past the first one it may still be confirmed as the current one.
+/// The number of lifetimes for which a response is kept: after the first one it can still be revalidated.
 constexpr int kHeldLifetimes = 2;
 }  // namespace
 
 struct Cache::Fetch {
   std::mutex mutex;
   bool done = false;
-  FetchEnd end;                                              ///< meaningful once done
-  std::vector<std::shared_ptr<base::Condition>> conditions;  ///< of those who wait; empty once done
+  FetchEnd end;                                              ///< valid once done
+  std::vector<std::shared_ptr<base::Condition>> conditions;  ///< of the waiting requests; empty once done
   const base::CancellationPtr cancellation = std::make_shared<base::Cancellation>();
-  int participants = 0;  ///< who began it or joined and has not left; guarded by the cache's mutex
+  int participants = 0;  ///< number of requests that use it; guarded by the cache's mutex
 };
 
 struct Cache::Impl {
   struct Entry {
     CachedResponsePtr cached;
     size_t bytes;
-    std::list<std::string>::iterator use;  ///< its place in `uses`
+    std::list<std::string>::iterator use;  ///< its position in `uses`
   };
   using Entries = std::map<std::string, Entry>;
 
   mutable std::mutex mutex;     ///< guards all below
   Entries entries;              ///< by key
   std::list<std::string> uses;  ///< the keys of all entries, the most recently used first
-  std::map<std::string, std::shared_ptr<Fetch>> fetches;  ///< those under way, by key
+  std::map<std::string, std::shared_ptr<Fetch>> fetches;  ///< the running ones, by key
   size_t bytes = 0;                                       ///< the sum over the entries
 
   void erase(Entries::iterator entry) {
--- a/src/cache/cache.hpp
+++ b/src/cache/cache.hpp
@@ -1,31 +1,31 @@
 /// @file
-/// The cache of responses, and the fetches under way so that requests for one object wait for one
+/// The cache of responses, and the running fetches, so that concurrent requests for one object wait for one
 /// fetch (request collapsing).
 ///
-/// The cache is bounded by bytes; the least recently used response goes first.
+/// The cache is bounded by bytes; the least recently used response is evicted first.
 /// Threads: every function may be called from any thread. No lock is held while waiting.
 #pragma once
 #include "base/ports.hpp"
 
 namespace dunlinwing::cache {
 
-/// A response as it is kept, with what decides whether it may still be used.
+/// A cached response, with the data that determines whether it may still be used.
 struct CachedResponse {
   base::Response response;
-  std::string service;            ///< whose response it is
-  std::string version;            ///< the version of the backend instance that gave it
+  std::string service;            ///< the service that sent it
+  std::string version;            ///< the version of the backend instance that sent it
   std::vector<std::string> tags;  ///< by which it can be purged
-  TimePoint generated_at{0};      ///< before the fetch began, less the Age it came with
+  TimePoint generated_at{0};      ///< the time just before the fetch, minus the response's Age
   Duration lifetime{0};
   uint64_t purge_number = 0;  ///< the purge number known when the fetch began
 };
 using CachedResponsePtr = std::shared_ptr<const CachedResponse>;
 
-/// How a fetch ended for those who wait for it.
+/// The result of a fetch for the requests that wait for it.
 struct FetchEnd {
-  CachedResponsePtr cached;  ///< null when what came back may not be shared
-  bool rejected = false;     ///< nothing was executed, and who waits would be rejected alike
-  Duration retry_after{0};   ///< when it makes sense to ask again, if it was rejected
+  CachedResponsePtr cached;  ///< null when there is no response that may be shared
+  bool rejected = false;     ///< not executed, and the rejection applies to the waiting requests too
+  Duration retry_after{0};   ///< minimum delay before a rejected request should be retried
 };
 
 class Cache {
@@ -33,46 +33,46 @@
   Cache();
   ~Cache();
 
-  /// The response under the key, or null; counts as a use of it.
+  /// The response under the key, or null. Marks it as most recently used.
   CachedResponsePtr find(const std::string& key);
 
-  /// Keeps a response in place of the one under the key, if any.
+  /// Caches a response under the key, replacing the previous one.
   /// @param cached     not null
-  /// @param max_bytes  least recently used responses go until all together take no more; a response
-  ///                   that takes more by itself is not kept
+  /// @param max_bytes  size limit of the cache: least recently used responses are evicted to meet it; a
+  ///                   response that exceeds it alone is not cached
   void put(const std::string& key, CachedResponsePtr cached, size_t max_bytes);
 
-  /// Bytes of all that is kept, keys and bookkeeping included.
+  /// The estimated size of all entries, keys and bookkeeping included.
   size_t bytes() const;
 
-  /// Drops what is so far past its freshness lifetime that it is hardly worth a conditional request.
+  /// Evicts responses that expired so long ago that revalidation is hardly worthwhile.
   void evict_expired(TimePoint now);
 
-  /// One fetch under way, from join_fetch() to finish_fetch().
+  /// A running fetch, from join_fetch() to finish_fetch().
   struct Fetch;
 
   struct JoinedFetch {
     std::shared_ptr<Fetch> fetch;
-    bool leads = false;  ///< this caller has to fetch and to finish_fetch(); the others await_fetch()
+    bool leads = false;  ///< the caller must fetch and call finish_fetch(); other callers call await_fetch()
   };
 
-  /// Joins the fetch under way for the key, or begins one. One that was cancelled is not joined.
+  /// Joins the running fetch of the key, or begins one. A cancelled fetch is not joined.
   JoinedFetch join_fetch(const std::string& key);
 
-  /// One who had joined a fetch does not wait for it any more. When that was the last one, the fetch is
+  /// Removes a request that joined a fetch and no longer waits for it. When no request is left, the fetch is
   /// cancelled.
   void leave_fetch(const std::shared_ptr<Fetch>& fetch);
 
-  /// Tells whoever carries a fetch out that nobody waits for it any more.
+  /// The cancellation of a fetch, triggered when no request waits for it any more.
   static base::CancellationPtr cancellation(const std::shared_ptr<Fetch>& fetch);
 
-  /// Ends a fetch and wakes all who wait for it.
+  /// Ends a fetch and wakes all waiting requests.
   void finish_fetch(const std::string& key, const std::shared_ptr<Fetch>& fetch, FetchEnd end);
 
-  /// Waits until a fetch has ended; who waited has then left it.
-  /// @param condition     one of the caller's own; not used again
-  /// @param cancellation  ends the waiting
-  /// @return what finish_fetch() was given, nothing when the time ran out or the waiting was cancelled
+  /// Waits until a fetch has ended. The caller has then left the fetch.
+  /// @param condition     owned by the caller; must not be reused
+  /// @param cancellation  ends the wait
+  /// @return the argument of finish_fetch(); nothing on timeout or when the wait was cancelled
   std::optional<FetchEnd> await_fetch(const std::shared_ptr<Fetch>& fetch,
                                       const std::shared_ptr<base::Condition>& condition, Duration limit,
                                       const base::CancellationPtr& cancellation = {});
--- a/src/cache/cacheability.cpp
+++ b/src/cache/cacheability.cpp
@@ -5,11 +5,11 @@
 
 namespace dunlinwing::cache {
 namespace {
-using Directives = std::map<std::string, std::string>;  ///< of Cache-Control, by name in lower case
+using Directives = std::map<std::string, std::string>;  ///< of Cache-Control, by lower-case name
 
-constexpr int64_t kMaxLifetimeSeconds = 31536000;  ///< a year; longer lifetimes and ages count as that
+constexpr int64_t kMaxLifetimeSeconds = 31536000;  ///< one year, the maximum of lifetimes and ages
 
-/// The number that a whole text is; nothing for any other text and for negative numbers.
+/// Parses a complete text as a non-negative number; nothing if it is not one.
 std::optional<int64_t> number(std::string_view text) {
   int64_t value = 0;
   const auto* end = text.data() + text.size();
@@ -25,7 +25,7 @@
   return quoted ? value.substr(1, value.size() - 2) : value;
 }
 
-/// The values of all headers of one name, as one list.
+/// The values of all headers with one name, as a comma-separated list.
 std::string joined(const base::Headers& headers, std::string_view name) {
   std::string list;
   for (const auto& [key, value] : headers) {
