--- a/src/proxy/admission_queue.cpp
+++ b/src/proxy/admission_queue.cpp
@@ -4,7 +4,7 @@
 
 namespace dunlinwing::proxy {
 namespace {
-constexpr double kLatencyWeight = 1.0 / 16;  // of the latest request in the mean
+constexpr double kLatencyWeight = 1.0 / 16;  // weight of the latest request in the mean
 }  // namespace
 
 double AdmissionQueues::Queue::drain_ms() const {
--- a/src/proxy/admission_queue.hpp
+++ b/src/proxy/admission_queue.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Admission control: each service has a bound of requests that run at once on this node and a bounded
-/// queue of those that wait, so that a crowd at one service does not starve another.
+/// Admission control: per service, this node bounds the number of concurrent requests and the length of the
+/// queue of waiting requests, so that overload of one service does not starve another.
 ///
-/// Invariants: first come, first served. A request that could not run by its start deadline behind those
-/// that wait is rejected at once; one that has waited until then is rejected then.
+/// Invariants: the queue is FIFO. A request is rejected at once if the queue is expected to delay it beyond
+/// its start deadline, and is rejected while waiting when its start deadline passes.
 /// Threads: every function may be called from any fiber; admit() may suspend it, without holding the lock.
 #pragma once
 #include <deque>
@@ -16,11 +16,11 @@
 enum class AdmissionResult {
   admitted,
   queue_full,
-  too_late,   ///< it could not run by its start deadline
-  cancelled,  ///< its client has left
+  too_late,   ///< the request could not start by its start deadline
+  cancelled,  ///< the client has disconnected
 };
 
-/// How many requests a service has on this node.
+/// The number of a service's requests on this node.
 struct ServiceLoad {
   int running = 0;
   int waiting = 0;
@@ -30,24 +30,24 @@
  public:
   explicit AdmissionQueues(base::Ports& ports) : ports_(ports) {}
 
-  /// Waits until the request may run. Whoever is admitted has to release().
-  /// @param max_running  requests of the service that may run at once
-  /// @param max_waiting  requests of the service that may wait at once
-  /// @param start_by     after which running it makes no more sense
-  /// @param cancellation of the request; ends the waiting
+  /// Waits until the request may run. The caller must call release() for each admitted request.
+  /// @param max_running  limit of the service's concurrent requests
+  /// @param max_waiting  limit of the service's waiting requests
+  /// @param start_by     the start deadline
+  /// @param cancellation of the request; ends the wait
   [[nodiscard]] AdmissionResult admit(const std::string& service, int max_running, int max_waiting,
                                       TimePoint start_by, const base::CancellationPtr& cancellation = {});
 
-  /// Ends a request that was admitted, and admits those who wait.
-  /// @param latency  how long it ran
+  /// Ends an admitted request and admits waiting requests.
+  /// @param latency  how long the request ran
   void release(const std::string& service, Duration latency);
 
-  /// How long it will take until all that wait now have begun, by the latency of late.
+  /// The estimated time until all requests that wait now have started, from the recent latency.
   Duration drain_time(const std::string& service);
 
   ServiceLoad load(const std::string& service);
 
-  /// Requests of all services, running or waiting.
+  /// The number of requests of all services, running or waiting.
   int running_requests();
 
  private:
@@ -57,11 +57,11 @@
   };
   struct Queue {
     int running = 0;
-    int limit = 1;          // of those that run at once, as last given to admit()
+    int limit = 1;          // of concurrent requests, as last passed to admit()
     double latency_ms = 0;  // exponentially weighted mean
     std::deque<std::shared_ptr<Waiter>> waiters;
 
-    // How long one more request would wait, in milliseconds.
+    // The estimated wait of one more request, in milliseconds.
     [[nodiscard]] double drain_ms() const;
   };
 
@@ -73,7 +73,7 @@
   std::map<std::string, Queue> queues_;  // by service; guarded by mutex_
 };
 
-/// Releases an admitted request at the end of its scope.
+/// Releases an admitted request at the end of the scope.
 class AdmissionGuard {
  public:
   /// @param service  outlives the guard
--- a/src/proxy/attempt_decision.cpp
+++ b/src/proxy/attempt_decision.cpp
@@ -5,14 +5,14 @@
 
 namespace dunlinwing::proxy {
 namespace {
-constexpr int kMaxAttempts = 8;  // instances chosen for one request, whether something is sent or not
+constexpr int kMaxAttempts = 8;  // per request, including attempts whose connection fails
 
-// How many times the latency target a response may be expected to take while it still has some worth to the
-// client, by the route's priority; the last is for all that follow.
+// The expected latency, as a multiple of the latency target, up to which a response is still useful to the
+// client, by the route's priority; the last entry applies to all higher numbers.
 constexpr double kTargetMultiples[] = {3.0, 2.0, 1.3};
 
-constexpr size_t kMinSubset = 6;          // instances of a service that a node uses, at least
-constexpr size_t kNodesPerInstance = 12;  // nodes that use one instance, about
+constexpr size_t kMinSubset = 6;          // minimum number of a service's instances that a node uses
+constexpr size_t kNodesPerInstance = 12;  // approximate number of nodes that use one instance
 }  // namespace
 
 AttemptClass classify_attempt(const AttemptReply& reply, const ProtocolAdapter& adapter,
@@ -48,7 +48,7 @@
 
 NextStep RetryState::decide_next(AttemptClass attempt) {
   ++attempts_;
-  // Nothing was sent, so the next attempt sends nothing again.
+  // Nothing was sent, so the next attempt does not count as a retry.
   if (attempt == AttemptClass::not_sent) return NextStep::retry;
   ++sent_attempts_;
   const bool refused = is_refused(attempt);
--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -16,15 +16,15 @@
   });
 }
 
-// A response to GET, as the response to HEAD.
+// Turns a response to GET into one to HEAD if the request's method is HEAD.
 void shape_head(base::Response& response, const base::Request& request) {
   if (request.method != "HEAD") return;
   response.headers.emplace_back("Content-Length", std::to_string(response.body.size()));
   response.body.clear();
 }
 
-// A cached response as the response to this request: with its age, reduced to the range that was asked for,
-// or only confirmed when the client has the same already.
+// Builds the response to a request from a cached response: with its age, reduced to the requested range, or
+// as 304 if the request's If-None-Match names the cached entity tag.
 base::Response shape_cached(const cache::CachedResponse& cached, const base::Request& request, TimePoint now,
                             bool with_age) {
   const auto known_tag = base::header(request.headers, "If-None-Match");
@@ -52,8 +52,8 @@
   return response;
 }
 
-// No part of a key can hold the line break that separates them. The host counts also where the route takes
-// any: an object of one host is not another's.
+// The parts cannot contain the line break that separates them. The host is part of the key even if the route
+// accepts any host: objects of different hosts are distinct.
 std::string cache_key(const RequestContext& context) {
   auto host = base::header(context.request.headers, "Host");
   std::transform(host.begin(), host.end(), host.begin(),
@@ -61,7 +61,7 @@
   return context.service->name + "\n" + host + "\n" + context.request.target;
 }
 
-// The request for the whole object.
+// The request for the complete object.
 RequestContext whole_object_request(const RequestContext& context) {
   RequestContext whole = context;
   whole.request.method = "GET";
@@ -69,8 +69,8 @@
   return whole;
 }
 
-// Whether whoever waits for a fetch that came to this would be rejected alike. A rejection for want of time
-// is the one request's own.
+// Whether a fetch's rejection applies to all requests that wait for it. A rejection because of a deadline or
+// latency target applies only to the request that was rejected.
 bool is_shared_rejection(const RequestOutcome& outcome) {
   return outcome.execution_status == ExecutionStatus::not_executed &&
          outcome.execution_state == ExecutionState::not_sent && !outcome.superseded &&
@@ -79,7 +79,7 @@
           outcome.reason == RejectionReason::link_saturated);
 }
 
-// Ends a fetch at the end of the scope, with what it came to for others.
+// Finishes a fetch at the end of the scope and passes its result to the waiting requests.
 class FetchGuard {
  public:
   FetchGuard(cache::Cache& cache, std::string key, std::shared_ptr<cache::Cache::Fetch> fetch)
@@ -107,8 +107,8 @@
       rules_(node_),
       shield_client_(node_, upstream_client, counters) {}
 
-// @param held          a response that is to be confirmed if it is still the current one; may be null
-// @param cancellation  of the fetch, for which more than this request may wait
+// @param held          a cached response to revalidate; may be null
+// @param cancellation  of the fetch, for which other requests may wait too
 FetchResult CachedRequestHandler::fetch(const RequestContext& context, const std::string& key,
                                         const cache::CachedResponsePtr& held,
                                         const base::CancellationPtr& cancellation) {
@@ -127,7 +127,7 @@
   if (held)
     conditional.request.headers.emplace_back("If-None-Match", base::header(held->response.headers, "ETag"));
   auto result = upstream_client_.execute(conditional);
-  if (context.is_retry) result.execution = ExecutionState::possibly_executed;  // by the earlier way
+  if (context.is_retry) result.execution = ExecutionState::possibly_executed;  // on an earlier path
   if (result.outcome != UpstreamOutcome::responded) return {outcomes_.from(std::move(result)), nullptr};
   const bool confirmed = held && confirms(result.response, held->response);
   counters_.confirmed += confirmed;
@@ -147,14 +147,14 @@
 
 RequestOutcome CachedRequestHandler::respond_from_cache(const cache::CachedResponsePtr& cached,
                                                         const RequestContext& context) {
-  // A lifetime that the route states is not the origin's, so an age would say nothing to the client.
+  // A lifetime configured for the route is not the origin's, so an Age header would mislead the client.
   const bool with_age = context.route->cache_lifetime <= Duration(0);
   RequestOutcome outcome{shape_cached(*cached, context.request, node_.ports.clock.now(), with_age)};
   outcome.cached = cached;
   return outcome;
 }
 
-// When to come back, if the link cannot carry a body of this size in a time that is of use to the client.
+// The Retry-After delay if the link cannot carry a body of this size in time for the client.
 std::optional<Duration> CachedRequestHandler::link_retry_after(const RequestContext& context, size_t bytes,
                                                                bool is_fetched) const {
   const auto* link = node_.ports.link;
@@ -170,8 +170,8 @@
                               context.deadline - now);
 }
 
-// Half of the request's time is for the other's fetch, half for one of its own: what the other got may be for
-// that request alone.
+// Half of the request's time budget is for the other request's fetch, half for a fetch by this one: the
+// other's response may not be shareable.
 RequestOutcome CachedRequestHandler::await_other_fetch(const RequestContext& context, const std::string& key,
                                                        const cache::CachedResponsePtr& held,
                                                        const std::shared_ptr<cache::Cache::Fetch>& fetch) {
@@ -187,7 +187,7 @@
   return respond_from_cache(end->cached, context);
 }
 
-// The response out of what was fetched, which is kept if it may be.
+// Builds the response from a fetch's result, and caches the result if that is allowed.
 RequestOutcome CachedRequestHandler::respond(const RequestContext& context, const std::string& key,
                                              FetchResult fetched) {
   if (!fetched.cached) {
--- a/src/proxy/cached_request_handler.hpp
+++ b/src/proxy/cached_request_handler.hpp
@@ -1,14 +1,13 @@
 /// @file
-/// The way of a request that may be answered from the cache: a cached response, the fetch of another request
-/// for the same object (request collapsing), or a fetch of its own, through a shield or from a backend
-/// instance. And how outcomes become responses to clients, on any way.
+/// Handles cacheable requests: from a cached response, from the fetch of another request for the same object
+/// (request collapsing), or by a new fetch through a shield or from a backend instance.
 ///
-/// A fetch that fails at its shield goes to the next one and then to an instance; a fetch that is rejected is
-/// rejected for all who wait for it.
+/// A fetch that fails at one shield is retried at the next one and then at an instance. When a fetch is
+/// rejected, all requests that wait for it are rejected.
 ///
-/// Invariants: a cached response is used only within its lifetime, not past a purge that names it, not when
-/// its version is quarantined, not under a superseded configuration and not without a read lease; also when
-/// it came from a shield or from another request's fetch.
+/// Invariants: a cached response is used only within its lifetime, while no later purge matches it and its
+/// version is not quarantined, under a configuration in force and with a read lease; also when it came from a
+/// shield or from another request's fetch.
 /// Threads: every function but set_cache_limit() may be called from any fiber; handle() may suspend it. The
 /// locks (the selector's, the cache's, a fetch's) are leaves: none is held while another is taken or a fiber
 /// is suspended.
@@ -19,13 +18,13 @@
 
 class CachedRequestHandler {
  public:
-  /// @param upstream_client  outlives the handler, as do the counters
+  /// @param upstream_client  must outlive the handler, as must the counters
   CachedRequestHandler(NodeContext node, UpstreamClient& upstream_client, RequestCounters& counters);
 
-  /// Answers a request that is cacheable by its method and headers.
+  /// Handles a request that is cacheable by its method and headers.
   RequestOutcome handle(const RequestContext& context);
 
-  /// Bounds the cache beside the configuration's own bound. Only before the first request.
+  /// Sets a size limit in addition to the configured one. To be called before the first request.
   void set_cache_limit(size_t bytes) { max_bytes_ = bytes; }
   void evict_expired() { cache_.evict_expired(node_.ports.clock.now()); }
   size_t bytes() const { return cache_.bytes(); }
--- a/src/proxy/cached_response_rules.cpp
+++ b/src/proxy/cached_response_rules.cpp
@@ -4,11 +4,11 @@
 
 namespace dunlinwing::proxy {
 namespace {
-// The last part of a lifetime, in which a shield fetches anew for others and no longer hands its own copy on.
+// In the last 1/8 of a lifetime a shield fetches the object again for other nodes and does not send its copy.
 constexpr int kRefreshPart = 8;
 constexpr int kOk = 200;
 constexpr int kNotModified = 304;
-constexpr std::string_view kWeakPrefix = "W/";  // such a tag does not promise the same bytes
+constexpr std::string_view kWeakPrefix = "W/";  // weak tags do not guarantee identical bytes
 
 std::string strong_tag(const base::Response& response) {
   auto tag = base::header(response.headers, "ETag");
@@ -34,8 +34,8 @@
   if (!cached) return false;
   if (is_superseded(*node_.snapshot(), context.entry_node, context.generation)) return false;
   const Duration lifetime = std::min(cached->lifetime, configured_lifetime(context));
-  // A copy for another node has to be of use there after the way, and longer than the copy that has just
-  // ended.
+  // A copy sent to another node must still be fresh after the transfer, and stay fresh longer than the copy
+  // that has just expired there.
   const Duration usable_for = context.is_forwarded ? lifetime - lifetime / kRefreshPart : lifetime;
   return now - cached->generated_at < usable_for && !is_quarantined(*cached, context) &&
          !is_purged(*cached, context) && node_.has_read_lease();
@@ -65,7 +65,7 @@
          base::header(response.headers, "ETag") == strong_tag(held);
 }
 
-// Nothing else is taken over: what names the body's maker stays as it came with the body.
+// No other header is taken from the 304: headers that identify the instance which generated the body stay.
 base::Response refreshed(const base::Response& held, const base::Response& confirmation) {
   base::Response response = held;
   for (const char* name : {"Age", "Cache-Control", "Date", "Expires"}) {
--- a/src/proxy/cached_response_rules.hpp
+++ b/src/proxy/cached_response_rules.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// When a cached response may answer a request, and when one that may no longer is still worth a conditional
-/// request (RFC 9110, section 13).
+/// Whether a cached response may be used for a request, and whether one that may not can be revalidated by a
+/// conditional request (RFC 9110, section 13).
 ///
-/// Invariant: whatever is used is within its lifetime, not named by a later purge, of a version that is not
-/// quarantined, under a configuration in force, and under a read lease.
+/// Invariant: a response that is used is within its lifetime, not matched by a later purge, of a version that
+/// is not quarantined, under a configuration in force, and under a read lease.
 /// Threads: every function may be called from any fiber.
 #pragma once
 #include "cache/cache.hpp"
@@ -15,20 +15,20 @@
  public:
   explicit CachedResponseRules(NodeContext node) : node_(std::move(node)) {}
 
-  /// Whether a response, which may be null, may answer the request.
+  /// Whether a cached response, which may be null, may be used for the request.
   bool is_usable(const cache::CachedResponsePtr& cached, const RequestContext& context, TimePoint now) const;
 
-  /// Whether a purge that is newer than the response names it.
+  /// Whether a purge newer than the response matches it.
   bool is_purged(const cache::CachedResponse& cached, const RequestContext& context) const;
 
-  /// Whether a held response, which may be null, may be asked about: one of the same entity tag is the same
-  /// body to the byte. Whoever confirms it says that it is current.
+  /// Whether a cached response, which may be null, can be revalidated. That takes a strong entity tag: equal
+  /// tags mean byte-identical bodies.
   bool may_be_confirmed(const cache::CachedResponsePtr& held, const RequestContext& context) const;
 
-  /// The entry for a fetch that begins now, without its response.
+  /// Creates the cache entry for a fetch that begins now, without the response.
   std::shared_ptr<cache::CachedResponse> begin_entry(const RequestContext& context) const;
 
-  /// How long responses may be cached by the configuration at most; 0: not at all.
+  /// The maximum cache lifetime in the configuration; 0: responses are not cached.
   static Duration configured_lifetime(const RequestContext& context);
 
  private:
@@ -37,10 +37,10 @@
   NodeContext node_;
 };
 
-/// Whether the response is the word that the body of the entity tag `held` is the current one.
+/// Whether the response confirms `held` as current: a 304 with the same strong entity tag.
 bool confirms(const base::Response& response, const base::Response& held);
 
-/// The held response with what its confirmation says of freshness (RFC 9111, section 4.3.4).
+/// The cached response with the freshness headers of its 304 response (RFC 9111, section 4.3.4).
 base::Response refreshed(const base::Response& held, const base::Response& confirmation);
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/canary_admission.cpp
+++ b/src/proxy/canary_admission.cpp
@@ -51,7 +51,8 @@
   return warm.empty() ? canaries : warm;
 }
 
-// Nothing while the initial credit lasts. Nodes that get few canary requests begin at different instances.
+// Nothing until the initial credit is spent. The rank makes nodes that send few canary requests start at
+// different instances.
 std::optional<uint64_t> CanaryAdmission::next_warm_instance(const std::string& service, int rank) {
   const std::lock_guard lock(mutex_);
   auto& share = shares_[service];
@@ -88,7 +89,7 @@
   }
   const bool has_fewest = std::all_of(share.requests_by_route.begin(), share.requests_by_route.end(),
                                       [&](const auto& entry) { return requests_of_route <= entry.second; });
-  // One request of the share is left for a route that had fewer.
+  // One request of the share is reserved for a route with fewer canary requests.
   if (!has_fewest && share.earned < 2 * kOneRequest) return false;
   share.earned -= kOneRequest;
   ++requests_of_route;
--- a/src/proxy/canary_admission.hpp
+++ b/src/proxy/canary_admission.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Which requests go to a service's canary, and to which of its backend instances. Each node counts
-/// its share by itself and exactly, so that the share holds over the fleet.
+/// Decides which requests are sent to a service's canary, and to which of its instances. Each node counts its
+/// own share exactly, so that the share over the fleet is exact too.
 ///
-/// A share is earned request by request and spent whole, so a node that restarts begins with nothing but its
-/// part of what may be spent ahead.
+/// Each request earns a fraction of a canary request, and each canary request spends a whole one. After a
+/// restart a node starts with nothing earned except its part of the initial credit.
 /// Threads: every function may be called from any thread; the one lock is a leaf.
 #pragma once
 #include <mutex>
@@ -16,34 +16,33 @@
 
 class CanaryAdmission {
  public:
-  /// Counts a request that was sent to an instance of the service for the first time: it earns a part of a
-  /// canary request. One that is refused, for its deadline or its latency target, reaches no instance and
-  /// earns nothing.
+  /// Counts a request when it is first sent to an instance of the service: it earns a fraction of a canary
+  /// request. A request rejected because of its deadline or latency target is not sent and earns nothing.
   void record_request(const RoutingSnapshot& snapshot, const std::string& service);
 
   /// Decides on one request of the service, and counts it against the share.
-  /// @param version  the canary's; empty: no canary
-  /// @param route    the request's, by label
-  /// @return the instances among which the request goes to one; empty: it does not go to the canary.
-  ///         Once the initial credit of a rollout with a deadline is spent, this is one warm instance after
-  ///         the other.
+  /// @param version  of the canary; empty: no canary
+  /// @param route    the label of the request's route
+  /// @return the instances to choose from; empty: the request is not sent to the canary. Once the initial
+  ///         credit of a rollout with a deadline is spent, this is a single warm instance, in round-robin
+  ///         order.
   std::vector<membership::BackendInstance> admit(const RoutingSnapshot& snapshot, const std::string& service,
                                                  const std::string& version, const std::string& route);
 
-  /// What the share is made of.
+  /// The parameters of a share.
   struct ShareParameters {
     int percent = 0;         ///< of the service's requests
-    int initial_credit = 0;  ///< requests that may be sent ahead of it, given once
-    bool is_warm = false;    ///< the canary's instances are; the initial credit is due
+    int initial_credit = 0;  ///< canary requests that may be sent before they are earned; granted once
+    bool is_warm = false;    ///< the canary's instances are warm: the initial credit is granted
   };
 
-  /// The share alone: canary request n needs n requests' worth of it earned before, but for the initial
-  /// credit. Routes that had few canary requests come first; others get what those leave.
-  /// @param number  of the rollout; with another number or version the count starts anew
+  /// The share alone: n canary requests must be earned before the n-th is admitted, except for the initial
+  /// credit. Routes with the fewest canary requests have priority; the others use the remainder.
+  /// @param number  of the rollout; a new number or version resets the count
   bool admit(const std::string& service, uint64_t number, const std::string& version,
              const std::string& route, ShareParameters parameters);
 
-  /// As record_request(), for the share alone.
+  /// Like record_request(), for the share alone.
   void earn(const std::string& service, uint64_t number, const std::string& version,
             ShareParameters parameters);
 
@@ -51,10 +50,10 @@
   struct Share {
     uint64_t number = 0;  // of the rollout
     std::string version;
-    int64_t earned = 0;  // hundredths of a request, not yet spent
+    int64_t earned = 0;  // in hundredths of a request, not spent yet
     bool initial_credit_given = false;
     bool initial_credit_spent = false;
-    uint64_t next_warm_instance = 0;  // counts up, once the initial credit is spent
+    uint64_t next_warm_instance = 0;  // round-robin counter, once the initial credit is spent
     std::map<std::string, uint64_t> requests_by_route;
   };
   static ShareParameters share_parameters(const RoutingSnapshot& snapshot, const std::string& service,
--- a/src/proxy/forwarded_request_handler.cpp
+++ b/src/proxy/forwarded_request_handler.cpp
@@ -13,7 +13,7 @@
   return response;
 }
 
-// In place of a confirmation that may not be used: who asked has nothing to put under it then.
+// Replaces a 304 by the complete response: the forwarding node accepts a 304 only if it is cacheable.
 void set_whole(pb::ForwardResponse& response, const base::Response& whole) {
   response.set_status(static_cast<uint32_t>(whole.status));
   response.set_body(whole.body);
@@ -34,15 +34,15 @@
   response.set_body(outcome.response.body);
 }
 
-// Whether the node that forwards the request knows of a purge of its service that this one does not.
+// Whether the forwarding node knows a purge of the request's service that this node does not.
 bool lacks_purge(const RoutingSnapshot& current, const pb::ForwardRequest& forward) {
   const uint64_t known_there = forward.known_purge_number();
   return min_purge_number(purge_number(current, forward.service()), known_there) != known_there;
 }
 
-// The configuration under which a forwarded request is handled: the one it names, or, where configurations
-// are numbered, the one in force here. The entry node has decided under its own that the service gets the
-// request; that the one here lets it too is looked at with its route.
+// The configuration for a forwarded request: the one that the request names, or, with numbered
+// configurations, the one in force here. The entry node has chosen the service under its own configuration;
+// route() checks that the configuration here allows that service too.
 std::shared_ptr<const config::RoutingConfiguration> configuration_for(const pb::ForwardRequest& forward,
                                                                       const RoutingSnapshot& current) {
   if (current.configuration_number) return current.configuration;
@@ -130,7 +130,7 @@
   response.set_body_bytes(cached.response.body.size());
 }
 
-// Leaves only the first part of a long body in the response.
+// Leaves only the first part of a long body in the response and begins a transfer for the rest.
 void ForwardedRequestHandler::hold_back_rest(pb::ForwardResponse& response, uint64_t max_bytes) {
   if (!max_bytes || response.body().size() <= max_bytes) return;
   auto body = std::make_shared<const std::string>(std::move(*response.mutable_body()));
--- a/src/proxy/forwarded_request_handler.hpp
+++ b/src/proxy/forwarded_request_handler.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// The shield's side of a request that another node forwards: routes it under this node's configuration, has
-/// it answered from the cache or by a fetch, and says how long and under which conditions the response may be
-/// kept there.
+/// The shield's side of a request that another node forwards: routes it under this node's configuration,
+/// serves it from the cache or by a fetch, and reports how long and under which conditions the other node may
+/// cache the response.
 ///
-/// Invariants: what is handed on as cacheable is usable here at that moment. A response that only confirms a
-/// body is given to those alone who hold that body.
+/// Invariants: a response reported as cacheable is usable here at that moment. A 304 is sent only to a node
+/// that has the body cached.
 /// Threads: every function may be called from any fiber; handle() suspends it.
 #pragma once
 #include "proxy/cached_request_handler.hpp"
@@ -14,24 +14,24 @@
 
 class ForwardedRequestHandler {
  public:
-  /// @param draining  whether new requests are rejected. All arguments outlive the handler.
+  /// @param draining  whether new requests are rejected. All arguments must outlive the handler.
   ForwardedRequestHandler(NodeContext node, UpstreamClient& upstream_client,
                           CachedRequestHandler& cached_requests, RejectionCounters& rejections,
                           const std::atomic<bool>& draining);
 
   pb::ForwardResponse handle(const pb::ForwardRequest& forward, const base::CancellationPtr& cancellation);
 
-  /// A further part of a body whose first part handle() gave.
+  /// A further part of a body whose first part was in the response of handle().
   pb::BodyPart read_body(const pb::ReadBody& request);
 
-  /// Whether the node that forwards a request knows of a configuration or a purge that this one does not.
+  /// Whether the forwarding node knows a configuration or a purge that this node does not.
   bool is_behind(const pb::ForwardRequest& forward) const;
 
-  /// Ends the transfers of bodies that nobody reads any more.
+  /// Ends idle transfers of bodies.
   void evict_transfers() { transfers_.evict_idle(now()); }
 
  private:
-  using Routed = std::variant<RequestContext, const char*>;  ///< or why this node does not take the request
+  using Routed = std::variant<RequestContext, const char*>;  ///< or the reason of a rejection
 
   TimePoint now() const { return node_.ports.clock.now(); }
   Routed route(const pb::ForwardRequest& forward, const RoutingSnapshotPtr& current) const;
--- a/src/proxy/load_balancer.cpp
+++ b/src/proxy/load_balancer.cpp
@@ -9,22 +9,22 @@
 using membership::BackendInstance;
 using InstancePointers = std::vector<const BackendInstance*>;
 
-// Outlier detection: failures one after the other until an instance is ejected. A refused connection says
-// more than a bad response.
+// Outlier detection: consecutive failures until an instance is ejected. A failed connection is stronger
+// evidence than a bad response.
 constexpr int kFailuresToEject = 5;
 constexpr int kConnectFailuresToEject = 2;
 constexpr Duration kBaseEjection{500};
-constexpr int kMaxDoublings = 4;  // of kBaseEjection, one with each ejection in a row
+constexpr int kMaxDoublings = 4;  // of kBaseEjection, one per consecutive ejection
 
-constexpr double kLatencyWeight = 0.15;       // of the latest response in the mean
-constexpr double kReportedLoadDecayMs = 800;  // in which a reported load falls to 1/e
-constexpr double kDefaultLatencyMs = 50;      // while nothing is known
-constexpr double kColdFactor = 2.0;           // how much slower an instance is that has just started
-constexpr double kZoneUtilization = 0.6;  // of its slots: beyond it instances of other zones are looked at
-constexpr double kFullSlowdown = 0.35;    // how much slower an instance is when all its slots are taken
+constexpr double kLatencyWeight = 0.15;       // weight of the latest response in the mean
+constexpr double kReportedLoadDecayMs = 800;  // time in which a reported load decays to 1/e
+constexpr double kDefaultLatencyMs = 50;      // while no latency is known
+constexpr double kColdFactor = 2.0;           // latency factor of an instance that has just started
+constexpr double kZoneUtilization = 0.6;      // above this utilization other zones' instances are considered
+constexpr double kFullSlowdown = 0.35;        // relative latency increase of an instance at full utilization
 
-// An instance from which nothing has come for so many times its latency, and for so long at least, is
-// probably stuck: it counts as so many times slower.
+// An instance that has not responded for kStalledLatencies times its latency, and at least for kMinStall, is
+// probably stuck: its expected latency is multiplied by kStalledFactor.
 constexpr double kStalledLatencies = 6;
 constexpr Duration kMinStall{400};
 constexpr double kStalledFactor = 16;
@@ -33,14 +33,14 @@
 
 struct InstanceState {
   int running = 0;           // attempts of this node
-  int failures = 0;          // one after the other
-  int connect_failures = 0;  // one after the other
-  int ejections = 0;         // one after the other
-  bool probing = false;      // an attempt tries whether it is well again
+  int failures = 0;          // consecutive
+  int connect_failures = 0;  // consecutive
+  int ejections = 0;         // consecutive
+  bool probing = false;      // an attempt is probing whether the instance has recovered
   double reported_load = 0;  // requests running and waiting there, at `reported_at`
-  int slots = 0;             // requests that it runs at once, as reported; 0: not reported
+  int slots = 0;             // the instance's concurrent requests, as reported; 0: not reported
   double latency_ms = 0;     // weighted mean; 0 while unknown
-  uint64_t subset_hash = 0;  // of this node's and its name; 0: not computed yet
+  uint64_t subset_hash = 0;  // of this node's name and the instance's; 0: not computed yet
   TimePoint reported_at{0};
   TimePoint progressed_at{0};  // when it last responded, or the first of the running attempts began
   TimePoint ejected_until{0};
@@ -79,20 +79,20 @@
     return found == latencies_ms.end() ? 0 : found->second;
   }
 
-  // Requests that run at an instance, with one more.
+  // The estimated number of requests at an instance, plus one.
   static double load_with_one_more(const InstanceState& state, TimePoint now) {
     double age_ms = static_cast<double>((now - state.reported_at).count());
     double reported = state.reported_load * std::exp(-age_ms / kReportedLoadDecayMs);
     return std::max(reported, static_cast<double>(state.running)) + 1;
   }
 
-  // The part of its slots that would be taken, with one more request; above 1 requests wait.
+  // The utilization of the instance's slots with one more request; above 1 requests wait.
   double utilization(const BackendInstance& instance, TimePoint now) {
     const auto& state = states[instance.instance];
     return load_with_one_more(state, now) / std::max(state.slots ? state.slots : instance.capacity, 1);
   }
 
-  // Of one request that has an idle instance for itself.
+  // The latency of a request at an idle instance.
   double latency_ms(const BackendInstance& instance, TimePoint now) {
     double latency = states[instance.instance].latency_ms;
     if (latency <= 0) latency = service_latency_ms(instance.service);
@@ -114,7 +114,7 @@
     return expected;
   }
 
-  // The instances that may be chosen: those that are not ejected, or, when all are, those.
+  // The eligible instances: those that are not ejected, or all of them if every one is ejected.
   InstancePointers candidates(const std::vector<BackendInstance>& instances,
                               const std::vector<std::string>& versions, const std::vector<std::string>& tried,
                               TimePoint now) {
@@ -129,7 +129,7 @@
     return healthy.empty() ? ejected : healthy;
   }
 
-  // Leaves this node's subset: the instances of the lowest hashes.
+  // Reduces the instances to this node's subset: those with the lowest hashes.
   void reduce_to_subset(InstancePointers& instances, size_t size) {
     if (instances.size() <= size) return;
     std::nth_element(instances.begin(), instances.begin() + static_cast<std::ptrdiff_t>(size),
@@ -138,8 +138,8 @@
     instances.resize(size);
   }
 
-  // The fastest of a few drawn at random: the fastest of all would be every node's choice at once.
-  // Changes the order of the instances.
+  // The fastest of a few instances drawn at random; if each node chose the fastest of all, all nodes would
+  // choose the same instance. Changes the order of the instances.
   const BackendInstance* fastest_of_some(InstancePointers& instances, TimePoint now) {
     const BackendInstance* best = nullptr;
     double least_ms = 0;
@@ -153,7 +153,7 @@
     return best;
   }
 
-  // Counts a failure; ejects the instance when that was one too many.
+  // Counts a failure and ejects the instance if the limit is reached.
   void count_failure(InstanceState& state, AttemptHealth health, TimePoint now) {
     bool eject = health == AttemptHealth::unreachable ? ++state.connect_failures >= kConnectFailuresToEject
                                                       : ++state.failures >= kFailuresToEject;
@@ -210,7 +210,7 @@
   if (report.health == AttemptHealth::unknown) return;
   if (healthy || load) state.progressed_at = now;
   if (load) {
-    // The report may or may not count the request that it came with.
+    // The report may or may not include the request that it answers.
     state.reported_load = std::max(0, load->running + load->waiting - 1);
     state.reported_at = now;
     if (load->slots > 0) state.slots = load->slots;
--- a/src/proxy/outgoing_transfers.cpp
+++ b/src/proxy/outgoing_transfers.cpp
@@ -2,7 +2,7 @@
 
 namespace dunlinwing::proxy {
 namespace {
-constexpr Duration kMaxIdle(10000);  // whoever waits longer for its link has given the request up
+constexpr Duration kMaxIdle(10000);  // a node that waits longer for its link has abandoned the request
 }
 
 uint64_t OutgoingTransfers::begin(std::shared_ptr<const std::string> body, TimePoint now) {
--- a/src/proxy/outgoing_transfers.hpp
+++ b/src/proxy/outgoing_transfers.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// The bodies that other nodes have begun to fetch from this one and read part by part.
+/// The transfers of bodies that other nodes read from this node part by part.
 ///
-/// Invariants: a transfer's body never changes, whatever becomes of the cache meanwhile. Numbers are not used
-/// twice, and start at a random one, so that none of an earlier process is taken for one of this.
+/// Invariants: a transfer's body never changes, even if its cache entry is replaced or evicted. Transfer
+/// numbers are not reused and start at a random one, so that a number issued before a restart is not valid
+/// after it.
 /// Threads: every function may be called from any thread; the one lock is a leaf.
 #pragma once
 #include <map>
@@ -20,11 +21,11 @@
   /// @return the number of the transfer; never 0
   uint64_t begin(std::shared_ptr<const std::string> body, TimePoint now);
 
-  /// The part that is asked for; it is shorter where the body ends. A transfer is over once its last part was
-  /// read.
+  /// Returns the requested part, which is shorter at the end of the body. Reading the last part ends the
+  /// transfer.
   pb::BodyPart read(const pb::ReadBody& request, TimePoint now);
 
-  /// Ends the transfers that nobody has read of for a while.
+  /// Ends the transfers whose last read is longer ago than the idle timeout.
   void evict_idle(TimePoint now);
 
  private:
--- a/src/proxy/protocol_adapter.cpp
+++ b/src/proxy/protocol_adapter.cpp
@@ -9,7 +9,7 @@
 
 namespace dunlinwing::proxy {
 namespace {
-// Headers of this protocol. None that a client or backend instance sends under such a name is passed on.
+// Headers of this protocol. They are removed from the messages of clients and backend instances.
 constexpr std::string_view kPrefix = "Dunlinwing-";
 constexpr const char* kRequest = "Dunlinwing-Request";
 constexpr const char* kService = "Dunlinwing-Service";
@@ -50,7 +50,7 @@
   return base::header(response.headers, name) == value;
 }
 
-// Whether the body is the one of the SHA-256 digest that the response names; true when it names none.
+// Whether the body matches the SHA-256 digest in the response; true when there is none.
 bool body_matches_digest(const base::Response& response) {
   auto digest = base::header(response.headers, "Content-Digest");
   auto begin = digest.find(kSha256);
@@ -116,7 +116,7 @@
     if (execution != ExecutionStatus::none)
       response.headers.emplace_back(kOutcome,
                                     execution == ExecutionStatus::not_executed ? kNotExecuted : kUnknown);
-    if (retry_after)  // in whole seconds, rounded up, one at least
+    if (retry_after)  // in whole seconds, rounded up, at least one
       response.headers.emplace_back(
           "Retry-After", std::to_string(std::max<int64_t>(1, (retry_after->count() + 999) / 1000)));
     response.body = fmt::format("{{\"defect\":{}}}\n", base::quote(reason));
@@ -134,8 +134,8 @@
   }
 
  private:
-  // Whether an instance, whichever it is, says that it did not execute this very request. A 421 that names
-  // no instance, or another request, may come from a program that executed it.
+  // Whether any instance reports that it did not execute this request. A 421 without an instance name, or for
+  // another request, may be sent by a server that executed the request.
   bool is_refusal(const base::Response& response, const base::Request& request) const {
     return is_response_to(response, request.id) && !base::header(response.headers, kInstance).empty() &&
            has_value(response, kOutcome, kNotExecuted);
@@ -144,7 +144,7 @@
 }  // namespace
 
 void strip_hop_by_hop(base::Headers& headers) {
-  std::vector<std::string> named;  // in Connection
+  std::vector<std::string> named;  // listed in Connection
   for (const auto& [name, value] : headers)
     if (base::equals_ignore_case(name, "Connection"))
       for (auto& word : base::split_list(value, ',')) named.push_back(std::move(word));
--- a/src/proxy/rejection.hpp
+++ b/src/proxy/rejection.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Why requests are rejected, and how often: one count for each reason, service and route.
+/// The reasons for which requests are rejected, and a count per reason, service and route.
 ///
-/// Invariant: what is kept by route is bounded by the routes in force; the rest is folded into counts that
-/// name no route and never fall.
+/// Invariant: the number of counters by route is bounded by the routes in force; counts of other routes are
+/// added to counters without route, which never decrease.
 /// Threads: every function may be called from any thread; the one lock is a leaf.
 #pragma once
 #include <cstdint>
@@ -14,45 +14,45 @@
 
 namespace dunlinwing::proxy {
 
-/// Why a request was not executed, or why nobody can tell whether it was.
+/// Why a request was not executed, or why it is unknown whether it was.
 enum class RejectionReason {
-  none,                   ///< it was not rejected
-  draining,               ///< this node is about to end
+  none,                   ///< the request was not rejected
+  draining,               ///< this node is shutting down
   not_ready,              ///< this node has no configuration, or no valid read lease
-  body_too_long,          ///< for the configuration
-  no_route,               ///< leads there
-  method_not_allowed,     ///< by the routes that lead there
-  no_weight,              ///< no service of its route has any
-  queue_full,             ///< of the service's admission queue
-  deadline_unreachable,   ///< behind what waits in the admission queue
-  deadline_passed,        ///< while it waited
+  body_too_long,          ///< the body exceeds the configured limit
+  no_route,               ///< no route matches
+  method_not_allowed,     ///< no route for this target allows the method
+  no_weight,              ///< no service of the route has a positive weight
+  queue_full,             ///< the service's admission queue is full
+  deadline_unreachable,   ///< the wait in the admission queue would exceed the start deadline
+  deadline_passed,        ///< the deadline passed while the request waited
   rate_limited,           ///< this node's quota of the service's rate is used up
-  retry_budget_spent,     ///< and its first attempt here would be a retry
+  retry_budget_spent,     ///< the first attempt here would be a retry, and the retry budget is used up
   superseded,             ///< a newer configuration is in force
-  latency_target_missed,  ///< an answer would come too late to be of use
-  stale_state,            ///< the read lease lapsed while it waited
-  no_instance,            ///< of an allowed version is known
+  latency_target_missed,  ///< a response would be too late to be useful
+  stale_state,            ///< the read lease expired while the request waited
+  no_instance,            ///< no instance of an allowed version is known
   unreachable,            ///< no instance could be reached
-  declined,               ///< an instance said that it did not execute it, and no other took it
-  no_response,            ///< no complete response came
-  invalid_response,       ///< what came was not the instance's own complete response
-  fetch_rejected,         ///< the fetch of another request for the same object was
-  shield_rejected,        ///< an origin shield rejected it for the origin
+  declined,               ///< an instance reported that it did not execute it, and no other accepted it
+  no_response,            ///< no complete response was received
+  invalid_response,       ///< the response was incomplete or not of the addressed instance
+  fetch_rejected,         ///< another request's fetch of the same object was rejected
+  shield_rejected,        ///< an origin shield rejected it on behalf of the origin
   link_saturated,         ///< this node's network link cannot carry the response in time
-  earlier_attempt,        ///< it is rejected now, but an earlier way may have executed it
+  earlier_attempt,        ///< rejected now, but an earlier attempt may have executed it
 };
 
-/// For people: a part of the response.
+/// The human-readable text in the response.
 const char* describe(RejectionReason reason);
 
-/// For machines: the label of the metric.
+/// The label of the metric.
 const char* label(RejectionReason reason);
 
-/// What rejections are counted by.
+/// The key by which rejections are counted.
 struct RejectionKey {
   RejectionReason reason = RejectionReason::none;
-  std::string service;  ///< empty: it was rejected before it had one
-  std::string route;    ///< by label; empty: none, or one that is no longer in force
+  std::string service;  ///< empty: the request was rejected before a service was selected
+  std::string route;    ///< the route's label; empty: none, or a route no longer in force
   bool operator<(const RejectionKey& other) const {
     return std::tie(reason, service, route) < std::tie(other.reason, other.service, other.route);
   }
@@ -62,10 +62,10 @@
  public:
   void record(const RejectionKey& key);
 
-  /// Since the start of the process.
+  /// The counts since the process started.
   std::map<RejectionKey, uint64_t> counts() const;
 
-  /// Counts those of all other routes without their names.
+  /// Adds the counts of all other routes to counters without route.
   /// @param labels  of the routes in force
   void retain_routes(const std::set<std::string>& labels);
 
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -8,17 +8,17 @@
 
 namespace dunlinwing::proxy {
 namespace {
-constexpr uint64_t kWeightSteps = 1 << 20;  // in which services are drawn by weight
+constexpr uint64_t kWeightSteps = 1 << 20;  // resolution of the random choice of a service by weight
 
-// A client's request, and what ways that were superseded may have done with it.
+// A client's request with its execution state over all superseded passes.
 struct ClientRequest {
   const base::Request& request;
   TimePoint arrived{0};
-  std::optional<Duration> remaining;  // that the client will wait, when it says so
+  std::optional<Duration> remaining;  // how long the client will wait, if the request states it
   ExecutionState execution_state = ExecutionState::not_sent;
 };
 
-// Whether a response counts against the release that decided it.
+// Whether a response counts as a failure of the release in force.
 bool is_failure(int status) { return status >= 500 || status == 404 || status == 405 || status == 413; }
 
 bool is_cacheable(const RequestContext& context) {
@@ -28,8 +28,8 @@
          cache::is_cacheable_request(context.request, context.route->cache_lifetime > Duration(0));
 }
 
-// Whether requests of a service that is being switched go to its canary alone. A configuration that does not
-// allow the version keeps it out.
+// Whether, during a service's switch, requests are sent only to its canary. They are not if the configuration
+// does not allow the canary's version.
 bool sends_to_canary_alone(const RoutingSnapshot& snapshot, const std::string& service,
                            const pb::ServiceState& state) {
   if (!snapshot.configuration) return true;
@@ -61,7 +61,7 @@
   RoutingSnapshotPtr current_snapshot() const { return std::atomic_load(&snapshot); }
   TimePoint now() const { return node.ports.clock.now(); }
 
-  // Why new requests are rejected.
+  // The reason why new requests are rejected; none: the node is ready.
   RejectionReason unready_reason(const RoutingSnapshot& current) const {
     if (draining) return RejectionReason::draining;
     if (!node.has_read_lease() || !current.configuration ||
@@ -70,7 +70,7 @@
     return RejectionReason::none;
   }
 
-  // One of the route's services, by weight; null when none has any.
+  // One of the route's services, chosen by weight; null when no weight is positive.
   const config::ServiceConfiguration* select_service(const config::RoutingConfiguration& configuration,
                                                      const config::RouteConfiguration& route) const {
     double sum = 0;
@@ -82,13 +82,13 @@
     const std::string* selected = nullptr;
     for (const auto& [service, weight] : route.weighted_services) {
       if (weight > 0 && drawn < weight) return &configuration.services.at(service);
-      if (weight > 0 && !selected) selected = &service;  // for what rounding leaves over
+      if (weight > 0 && !selected) selected = &service;  // the fallback for rounding errors
       drawn -= weight;
     }
     return selected ? &configuration.services.at(*selected) : nullptr;
   }
 
-  // The request with its route, service and deadline, or the outcome when it has none.
+  // The request with its route, service and deadline, or the rejection if there is no route or service.
   std::variant<RequestContext, RequestOutcome> route_request(const ClientRequest& client,
                                                              const RoutingSnapshotPtr& current) const {
     const auto& request = client.request;
@@ -124,7 +124,7 @@
   }
 
   // Counts the outcome and completes the response.
-  // @param current  the snapshot that decided it; null: none did
+  // @param current  the snapshot under which the outcome was decided; null: none
   base::Response conclude(const base::Request& request, RequestOutcome outcome,
                           const RoutingSnapshot* current) {
     if (outcome.abandoned) {
@@ -150,8 +150,8 @@
     if (failure) ++counters.failures;
   }
 
-  // One entry for the whole life of the process: a rollout looks at what the sum over all entries rises by,
-  // and every node tells its status to every other, so nothing in it may grow with what was ever in force.
+  // A single entry since the process started: a rollout uses the increase of the sum over all entries, and
+  // every node sends its status to all others, so its size must not grow with past configurations.
   void report_requests(pb::NodeStatus& status) const {
     if (!counters.requests) return;
     auto* reported = status.add_release_counts();
@@ -174,7 +174,7 @@
     }
   }
 
-  // Forgets what was counted on routes that are no longer in force.
+  // Removes the per-route counts of routes that are no longer in force.
   void retain_counts(const RoutingSnapshot& next) {
     const auto previous = current_snapshot();
     if (!next.configuration || next.configuration == previous->configuration) return;
@@ -249,7 +249,7 @@
     auto outcome = context ? impl.dispatch(*context) : std::get<RequestOutcome>(std::move(routed));
     client.execution_state = std::max(client.execution_state, outcome.execution_state);
     if (outcome.superseded) continue;  // a newer configuration came into force while it waited
-    // What was rejected now may have been executed by an earlier way.
+    // The request is rejected now, but an earlier attempt may have executed it.
     if (client.execution_state == ExecutionState::possibly_executed &&
         outcome.execution_status == ExecutionStatus::not_executed)
       outcome = impl.outcomes.unknown(RejectionReason::earlier_attempt);
--- a/src/proxy/request_handler.hpp
+++ b/src/proxy/request_handler.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// The way of a client's request through a node: readiness, route, service, then the cache or a backend
-/// instance, again when a newer configuration supersedes it meanwhile; and the shield's side of requests that
-/// other nodes forward.
+/// Processes a client's request: checks readiness, selects route and service, then uses the cache or a
+/// backend instance, and starts over when a newer configuration supersedes the one used. Also handles the
+/// requests that other nodes forward to this one as a shield.
 ///
-/// Invariants: each response is decided under one snapshot. A client is told "not executed" only when no way
-/// that the request went can have had it executed.
+/// Invariants: each response is decided under one snapshot. "Not executed" is reported to a client only when
+/// no attempt, direct or through a shield, can have executed the request.
 /// Threads: handle(), handle_forwarded() and unreachable_services() run in fibers, any number at once; the
 /// snapshot is replaced atomically. No lock is held while another is taken or a fiber is suspended.
 #pragma once
@@ -14,26 +14,26 @@
 
 class RequestHandler {
  public:
-  /// @param ports           outlive the handler, as does the adapter
-  /// @param has_read_lease  whether what this node knows is recent enough to act on
+  /// @param ports           must outlive the handler, as must the adapter
+  /// @param has_read_lease  whether this node's state is recent enough to act on
   RequestHandler(base::Ports& ports, const ProtocolAdapter& adapter, std::string node_name, std::string zone,
                  std::function<bool()> has_read_lease);
   ~RequestHandler();
 
-  /// Answers a client's request, by its deadline at the latest. Sets the request's id.
+  /// Handles a client's request by its deadline. Sets the request's id.
   base::Response handle(base::Request& request);
 
-  /// Answers a request for an object that another node forwards to this one as its shield.
+  /// Handles a request that another node forwards to this one as the object's shield.
   pb::ForwardResponse handle_forwarded(const pb::ForwardRequest& forward,
                                        const base::CancellationPtr& cancellation = {});
 
-  /// A further part of a body whose first part handle_forwarded() gave.
+  /// A further part of a body whose first part was in the response of handle_forwarded().
   pb::BodyPart read_body(const pb::ReadBody& request);
 
-  /// Whether the node that forwards a request knows of a configuration or a purge that this one does not.
+  /// Whether the forwarding node knows a configuration or a purge that this node does not.
   bool is_behind(const pb::ForwardRequest& forward) const;
 
-  /// The services that have backend instances of which none accepts a connection. No byte is sent.
+  /// The services that have backend instances but none that accepts a connection. No byte is sent.
   /// @param limit  for each connection
   std::vector<std::string> unreachable_services(Duration limit);
 
@@ -43,10 +43,10 @@
   std::vector<pb::FollowedSwitch> switches() const;
   RoutingSnapshotPtr snapshot() const;
 
-  /// From now on every new request is rejected.
+  /// Makes the node reject all new requests.
   void start_draining();
 
-  /// Requests at backend instances or waiting for one.
+  /// The number of requests that run at backend instances or wait for one.
   int running_requests();
 
   /// Adds the counts of this node's requests to its heartbeat.
@@ -57,9 +57,9 @@
   UpstreamClient& upstream_client();
   const UpstreamClient& upstream_client() const;
   size_t cache_bytes() const;
-  /// Bounds the cache beside the configuration's own bound. Only before the first request.
+  /// Sets a cache size limit in addition to the configured one. To be called before the first request.
   void set_cache_limit(size_t bytes);
-  /// Drops cached responses that are past their lifetime.
+  /// Removes cached responses that expired long ago, and ends idle transfers.
   void evict_expired();
 
  private:
--- a/src/proxy/request_outcome.cpp
+++ b/src/proxy/request_outcome.cpp
@@ -3,8 +3,8 @@
 namespace dunlinwing::proxy {
 namespace {
 constexpr uint64_t kMinRetrySpreadMs = 100;
-// The status, widely used though in no standard, for a client that closed its connection. Whoever only closed
-// its sending side may still read it.
+// The non-standard but widely used status for a client that closed its connection. A client that closed only
+// its sending side can still receive it.
 constexpr int kClientClosedRequest = 499;
 }  // namespace
 
--- a/src/proxy/routing_snapshot.cpp
+++ b/src/proxy/routing_snapshot.cpp
@@ -6,7 +6,7 @@
 
 namespace dunlinwing::proxy {
 namespace {
-// The two counts within a number of purge_number().
+// The two counts within a result of purge_number().
 constexpr uint64_t kServiceCountMask = 0xffffffff;
 constexpr int kAllServicesShift = 32;
 
@@ -14,14 +14,14 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// Whether the configuration and the recorded state let a version serve at all.
+// Whether the configuration and the recorded state allow a version to serve requests.
 bool is_allowed(const config::ServiceConfiguration& service, const pb::ServiceState* state,
                 const std::string& version) {
   return !version.empty() && (service.versions.empty() || contains(service.versions, version)) &&
          !(state && state->quarantined().count(version));
 }
 
-// The first version that the configuration names, for a service without a current version; empty: none.
+// The first allowed version in the configuration, for a service without a current version; empty: none.
 std::string configured_version(const config::ServiceConfiguration& service, const pb::ServiceState* state) {
   for (const auto& version : service.versions)
     if (is_allowed(service, state, version) && !(state && state->canary() == version)) return version;
@@ -74,7 +74,7 @@
     eligible.open.push_back(state->canary());
     return eligible;
   }
-  // Once a version is current, a configuration that leaves it out brings no other into service.
+  // Once a version is current, a configuration that does not list it does not put another into service.
   bool has_current = state && !state->current().empty();
   std::string preferred = has_current && allowed(state->current()) ? state->current() : std::string();
   if (!has_current) preferred = configured_version(service, state);
--- a/src/proxy/routing_snapshot.hpp
+++ b/src/proxy/routing_snapshot.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// What the request path needs to know of the fleet, as one snapshot that is replaced as a whole after
-/// each successful pull of the registers; and the pure decisions that follow from it alone: which versions
-/// may serve a request, whether a configuration was superseded, what was purged.
+/// The state of the fleet that the request path needs, as one snapshot that is replaced after each successful
+/// pull of the registers; and the pure decisions based on it: which versions may serve a request, whether a
+/// configuration was superseded, what was purged.
 ///
-/// Invariants: a snapshot never changes once it is published. A request holds the one it began under.
+/// Invariants: a published snapshot never changes. A request keeps the snapshot under which it began.
 /// Threads: the functions are pure; a published snapshot may be read from any thread.
 #pragma once
 #include <set>
@@ -17,14 +17,14 @@
 
 namespace dunlinwing::proxy {
 
-/// A node through which others fetch what may be cached, to spare the origin.
+/// A node through which other nodes fetch cacheable objects, to reduce the load on the origin.
 struct Shield {
   std::string name;
   std::string address;  ///< IP:port
 };
 
 struct RoutingSnapshot {
-  /// This node's part of the service's requests over the fleet; nothing while it is not known.
+  /// This node's share of the service's requests over the fleet; nothing while unknown.
   std::optional<limits::DemandShare> demand_share(const std::string& service) const {
     const auto found = demand_shares.find(service);
     if (found == demand_shares.end()) return {};
@@ -32,68 +32,68 @@
   }
 
   uint64_t generation = 0;            ///< of the assignment that is in force on this node
-  uint64_t configuration_number = 0;  ///< of the numbered configuration; 0: configurations come by releases
+  uint64_t configuration_number = 0;  ///< of the numbered configuration; 0: configurations are in releases
   std::map<std::string, uint64_t> assigned_generations;  ///< by node: the latest one written for it
   std::shared_ptr<const config::RoutingConfiguration> configuration;  ///< this node's own; null: none yet
-  /// By release name, also those that only other nodes run: for forwarded requests.
+  /// By release name, including those that only other nodes run; for forwarded requests.
   std::map<std::string, std::shared_ptr<const config::RoutingConfiguration>> configurations;
   std::map<std::string, std::vector<membership::BackendInstance>> backend_instances;  ///< by service
   std::map<std::string, pb::ServiceState> service_states;                             ///< by service
-  std::set<std::string> aborted_canaries;      ///< services whose canary this node has stopped by itself
+  std::set<std::string> aborted_canaries;      ///< services whose canary this node itself has stopped
   std::map<std::string, pb::PurgeSet> purges;  ///< by service, or kAllServices
-  std::map<std::string, double> rate_quotas;   ///< by service: requests a second that this node may send
-  std::map<std::string, limits::DemandShare> demand_shares;  ///< by service: this node's part of its requests
-  /// This node's part of what is fetched for others, if it is a dedicated shield: what is expected of it
-  /// while the demand is not known.
+  std::map<std::string, double> rate_quotas;   ///< by service: requests per second that this node may send
+  std::map<std::string, limits::DemandShare> demand_shares;  ///< by service: this node's share of requests
+  /// A dedicated shield's share of the fetches for other nodes: its expected share while the demand is
+  /// unknown.
   std::optional<double> shield_share;
-  std::vector<Shield> shields;  ///< the nodes that fetch for others
-  int nodes = 1;                ///< among how many nodes the allowances of the fleet are shared
+  std::vector<Shield> shields;  ///< the nodes that fetch for other nodes
+  int nodes = 1;                ///< number of nodes that share the fleet's allowances
   int rank = 0;                 ///< of this node among them, from 0
   config::SystemOptions system;
 };
 
 using RoutingSnapshotPtr = std::shared_ptr<const RoutingSnapshot>;
 
-/// Completes the service states of a new snapshot, before it is published. Where no version is current
-/// yet, every version that sends heartbeats is open to configurations that name none; a service whose
-/// canary this node has stopped is not being switched to it.
+/// Completes the service states of a new snapshot before it is published. While a service has no current
+/// version, all versions that send heartbeats are eligible for configurations that list no versions. A
+/// service whose canary this node has stopped is not switched to that canary.
 void finalize_snapshot(RoutingSnapshot& snapshot);
 
-/// The versions of a service that may get a request.
+/// The versions of a service to which a request may be sent.
 struct EligibleVersions {
-  std::vector<std::string> open;  ///< the preferred one first
+  std::vector<std::string> open;  ///< without restriction; the preferred version first
   std::string canary;             ///< only within its share of requests; empty: no canary
 };
 
-/// A service whose configuration names no versions may use any, once a rollout or the first backend
-/// instances have made one current. During a switch the canary alone is open.
-/// @param state  null: nothing is recorded for the service
+/// If the configuration lists no versions of a service, every version is eligible once a rollout or the first
+/// backend instances have made one current. During a switch only the canary is open.
+/// @param state  null: no state is recorded for the service
 EligibleVersions eligible_versions(const config::ServiceConfiguration& service,
                                    const pb::ServiceState* state);
 
-/// Whether a request that entered at `node_name` under `generation` has been superseded by a newer
-/// assignment of that node or a newer numbered configuration.
+/// Whether a request received by `node_name` under `generation` has been superseded by a newer assignment of
+/// that node or a newer numbered configuration.
 bool is_superseded(const RoutingSnapshot& snapshot, const std::string& node_name, uint64_t generation);
 
-/// The key of the purges that name no service.
+/// The key of the purges that apply to all services.
 inline constexpr const char* kAllServices = "*";
 
-/// The purges known for a service, as one number: the count of its own purges in the low 32 bits, that of
-/// the purges of all services in the high 32. Both only rise.
+/// The purges known for a service, as one number: the number of its own purges in the low 32 bits, and the
+/// number of purges of all services in the high 32. Both only increase.
 uint64_t purge_number(const RoutingSnapshot& snapshot, const std::string& service);
 
-/// The purges that two numbers of purge_number() have in common.
+/// The purges that two results of purge_number() have in common.
 uint64_t min_purge_number(uint64_t first, uint64_t second);
 
-/// By what a purge may name a response. Refers to its parts; it does not own them.
+/// The properties of a response that purges match. Keeps references to them.
 struct PurgeTarget {
   std::string_view service;
-  std::string_view host;    ///< empty when the route takes any host
+  std::string_view host;    ///< empty when the route accepts any host
   std::string_view target;  ///< path and query
   const std::vector<std::string>* tags = nullptr;
 };
 
-/// Whether a purge later than `since` (a number of purge_number()) names the response.
+/// Whether a purge later than `since` (a result of purge_number()) matches the response.
 bool purged(const RoutingSnapshot& snapshot, const PurgeTarget& response, uint64_t since);
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -4,22 +4,22 @@
 
 namespace dunlinwing::proxy {
 namespace {
-constexpr size_t kMaxShields = 2;  // asked for one request, one after the other
-// Part of the remaining time that a shield has: the rest is for the next one, or a fetch of this node's own.
+constexpr size_t kMaxShields = 2;  // per request, one after the other
+// A shield gets 1/2 of the remaining time; the rest is for the next shield or a fetch by this node.
 constexpr int kShieldPart = 2;
-// A shield that takes so many times the latency target is given up sooner, so that the next one can still
-// respond while that is of use; but not before kMinShieldTime.
+// The timeout of a shield is limited to this multiple of the latency target, but not below kMinShieldTime, so
+// that the response of the next shield can still be useful.
 constexpr int kShieldTargets = 3;
 constexpr Duration kMinShieldTime{500};
-// Of the time for which its response is waited for, the part that a shield is told: it is to say what became
-// of the request before nobody listens any more.
+// The part of the timeout that is sent to the shield as the remaining time: the shield must report the
+// outcome before this node stops waiting.
 constexpr double kToldPart = 0.9;
-// Beside a body: what a response's head and a confirmation take.
+// The size of a response's head, and of a 304 response.
 constexpr size_t kHeadBytes = 1 << 10;
 constexpr int kOk = 200;
 constexpr int kNotModified = 304;
 
-// How long a shield's response is waited for.
+// The timeout of a call to a shield.
 Duration shield_time(const RequestContext& context, TimePoint now) {
   const Duration longest = (context.deadline - now) / kShieldPart;
   const Duration target = context.route->latency_target;
@@ -66,7 +66,7 @@
         held_(client.rules_.may_be_confirmed(held, context) ? held : nullptr),
         inbound_(client.node_.ports.link ? &client.node_.ports.link->inbound : nullptr) {}
 
-  /// Nothing when another way has to be tried.
+  /// Returns nothing when the next shield or a backend instance must be tried.
   std::optional<FetchResult> run() {
     const auto entry = client_.rules_.begin_entry(context_);
     const size_t first_bytes = first_part_bytes();
@@ -78,7 +78,7 @@
       if (!read_rest(*response)) return failure_;
       if (auto result = accept(*response, entry)) return result;
     }
-    // The shield speaks for the origin: what it rejects is not tried around it.
+    // The shield rejects on behalf of the origin, so the request must not bypass it.
     if (response->rejected())
       return rejected(RejectionReason::shield_rejected,
                       Duration(static_cast<int64_t>(response->retry_after_ms())));
@@ -113,7 +113,7 @@
     return rejected(RejectionReason::link_saturated, inbound_->expected_time(bytes));
   }
 
-  // The shield's response; nothing, with `failure_`, when there is none.
+  // The shield's response; nothing when there is none, with `failure_` set if the client has disconnected.
   std::optional<pb::ForwardResponse> call(uint64_t known_purge_number, size_t first_bytes) {
     const TimePoint sent_at = now();
     const Duration limit = shield_time(context_, sent_at);
@@ -138,7 +138,8 @@
     return {};
   }
 
-  // Of a call that failed: whether the shield is set aside, and what is left to say when the client has left.
+  // Records whether a call succeeded. A failed call backs the shield off, or, if the client has disconnected,
+  // sets `failure_`.
   void note(const base::PeerError* error, TimePoint sent_at) {
     if (!error) return client_.shields_.record_response(shield_.address);
     if (context_.client_has_left())
@@ -147,7 +148,7 @@
       client_.shields_.record_failure(shield_.address, sent_at);
   }
 
-  // Completes the body; false when the shield no longer has it or the time is over.
+  // Reads the rest of the body; false when the transfer has ended at the shield or the deadline has passed.
   bool read_rest(pb::ForwardResponse& response) {
     if (!response.transfer()) return true;
     std::string& body = *response.mutable_body();
@@ -161,7 +162,7 @@
   bool read_part(uint64_t transfer, size_t size, std::string& body) {
     const size_t bytes = std::min(size - body.size(), inbound_ ? inbound_->part_bytes() : size);
     if (!acquire(bytes, size - body.size(), context_.deadline)) {
-      // Another way would only be longer in the queue of the same link.
+      // Another path would use the same saturated link.
       context_.is_retry = true;
       failure_ = rejected_for_link(bytes);
       return false;
@@ -186,8 +187,8 @@
     return true;
   }
 
-  // Nothing when the response may not be used: the shield may have had it cached, and this node may have been
-  // suspended since it asked.
+  // Returns nothing when the response may not be used: the shield may have sent a cached response, and this
+  // node may have been suspended since it sent the request.
   std::optional<FetchResult> accept(pb::ForwardResponse& forwarded,
                                     const std::shared_ptr<cache::CachedResponse>& entry) {
     entry->response = {static_cast<int>(forwarded.status()), headers_of(forwarded),
@@ -206,7 +207,7 @@
     return FetchResult{{std::move(entry->response)}, nullptr};
   }
 
-  // Puts the held body under a response that confirms it; false when a confirmation is of no use.
+  // Adds the cached body to a 304 response that confirms it; false when the 304 may not be used.
   bool restore_held(const pb::ForwardResponse& forwarded, cache::CachedResponse& entry) const {
     if (!held_ || !confirms(entry.response, held_->response) || !forwarded.cacheable() ||
         forwarded.body_bytes() != held_->response.body.size())
@@ -219,7 +220,7 @@
 
   FetchResult rejected(RejectionReason reason, Duration retry_after) const {
     auto outcome = client_.outcomes_.rejected(503, reason, retry_after);
-    // What another shield may have had executed is not promised not to have been.
+    // Another shield may have had the request executed, so "not executed" must not be reported.
     if (context_.is_retry) outcome.execution_state = ExecutionState::possibly_executed;
     return {std::move(outcome), nullptr};
   }
@@ -227,11 +228,11 @@
   ShieldClient& client_;
   RequestContext& context_;
   const Shield& shield_;
-  const cache::CachedResponsePtr held_;  // null: the whole body is asked for
-  link::Pacer* const inbound_;           // null: the link's rate is not known
+  const cache::CachedResponsePtr held_;  // null: the complete body is requested
+  link::Pacer* const inbound_;           // null: the link's rate is unknown
   const TimePoint began_ = now();
   std::optional<FetchResult>
-      failure_;  // what ends the request, if the fetch fails; else another way is tried
+      failure_;  // the request's final result if the fetch fails; nothing: another path is tried
 };
 
 ShieldClient::ShieldClient(NodeContext node, UpstreamClient& upstream_client, RequestCounters& counters)
@@ -242,8 +243,8 @@
       counters_(counters),
       shields_(node_.ports.clock, node_.node_name) {}
 
-// That this node fetches in the place of a shield that failed is no demand of its own: what the node may send
-// to the origin is not to follow it.
+// A fetch in place of a failed shield does not count as this node's demand: it must not change this node's
+// share of the origin's capacity.
 std::optional<FetchResult> ShieldClient::fetch(RequestContext& context, const std::string& key,
                                                const cache::CachedResponsePtr& held) {
   std::vector<std::string> tried;
--- a/src/proxy/shield_client.hpp
+++ b/src/proxy/shield_client.hpp
@@ -1,13 +1,12 @@
 /// @file
-/// Fetches an object through the nodes that fetch for others: the object's shield, and if that one fails the
-/// next.
+/// Fetches an object through its shield, or through the next one if that shield fails.
 ///
-/// A body comes part by part, each when the inbound link has room for it, so that many bodies at once never
-/// stand in the way of control and of small responses. A body that this node holds already is only confirmed.
+/// A body is read part by part, each when the inbound link has capacity, so that many concurrent bodies do
+/// not delay control traffic and small responses. A body that is cached here is only revalidated.
 ///
-/// Invariants: all parts of a body come from the one response whose head came first, by the transfer that
-/// this response named; a fetch that breaks off leaves nothing. What another node had cached is judged anew
-/// here, at the end of the transfer.
+/// Invariants: all parts of a body belong to one response and are read by the transfer number in that
+/// response; an incomplete fetch is discarded. Whether a response that another node had cached may be used is
+/// checked again on this node at the end of the transfer.
 /// Threads: fetch() may be called from any fiber and suspends it.
 #pragma once
 #include "link/link.hpp"
@@ -17,21 +16,21 @@
 
 namespace dunlinwing::proxy {
 
-/// What a fetch came to.
+/// The result of a fetch.
 struct FetchResult {
-  RequestOutcome outcome;           ///< unless there is a cached response
-  cache::CachedResponsePtr cached;  ///< null when the response may not be cached
+  RequestOutcome outcome;           ///< used when `cached` is null
+  cache::CachedResponsePtr cached;  ///< null when there is no response that may be cached
 };
 
 class ShieldClient {
  public:
-  /// @param counters  outlive the client, as does all else that is referred to
+  /// @param counters  must outlive the client, as must all other referenced objects
   ShieldClient(NodeContext node, UpstreamClient& upstream_client, RequestCounters& counters);
 
-  /// @param context  of the whole object; marked as a retry when a shield may have had it executed
+  /// @param context  of the complete object; marked as a retry when a shield may have had it executed
   /// @param key      of the object
-  /// @param held     a response that is to be confirmed if it is still the current one; may be null
-  /// @return nothing when this node has to fetch by itself
+  /// @param held     a cached response to revalidate; may be null
+  /// @return nothing when this node must fetch from a backend instance
   std::optional<FetchResult> fetch(RequestContext& context, const std::string& key,
                                    const cache::CachedResponsePtr& held);
 
--- a/src/proxy/shield_selector.cpp
+++ b/src/proxy/shield_selector.cpp
@@ -6,7 +6,7 @@
 
 namespace dunlinwing::proxy {
 namespace {
-// A shield that failed is not used for about as long as the fleet takes to notice that a node is gone.
+// A failed shield is not used for about the time in which the fleet detects that a node is gone.
 constexpr Duration kBackoff{2000};
 
 size_t rank(const Shield& shield, const std::string& key) {
--- a/src/proxy/shield_selector.hpp
+++ b/src/proxy/shield_selector.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Which node fetches an object for the fleet. Of the nodes that fetch for others the one of the highest hash
-/// of its name and the object's key is the object's shield, so that all nodes choose alike (rendezvous
-/// hashing); when it fails, the one of the next highest hash is.
+/// Selects the shield of an object: among the nodes that fetch for others, the one with the highest hash of
+/// its name and the object's key, so that all nodes select the same one (rendezvous hashing). If it fails,
+/// the node with the next highest hash is selected.
 ///
 /// Threads: every function may be called from any thread; the one lock is a leaf.
 #pragma once
@@ -15,20 +15,20 @@
 
 class ShieldSelector {
  public:
-  /// @param clock  has to outlive the selector
+  /// @param clock  must outlive the selector
   ShieldSelector(base::Clock& clock, std::string node_name)
       : clock_(clock), node_name_(std::move(node_name)) {}
 
-  /// @param tried  names of shields that are not to be chosen again
-  /// @return nothing when this node is to fetch by itself
+  /// @param tried  names of shields that must not be selected again
+  /// @return nothing when this node must fetch from a backend instance
   std::optional<Shield> select(const RoutingSnapshot& snapshot, const std::string& key,
                                const std::vector<std::string>& tried) const;
 
-  /// A shield has responded, well or not.
+  /// Records any response of a shield.
   void record_response(const std::string& address);
 
-  /// A call of a shield has failed. It is set aside for a while, unless it has responded to another call
-  /// since: then it is slow with this one, or this node is.
+  /// Records a failed call of a shield and backs the shield off, unless it has responded to another call
+  /// since: then only this call is slow, or this node is.
   /// @param sent_at  when the call began
   void record_failure(const std::string& address, TimePoint sent_at);
 
--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -11,18 +11,18 @@
 
 namespace dunlinwing::proxy {
 namespace {
-constexpr int kFirstAttemptPart = 8;    // of the time budget must remain for a first attempt: more than 1/8
-constexpr int kConnectPart = 4;         // of the remaining time, for a connection to be made: 1/4
-constexpr double kForwardedPart = 0.5;  // of what a request earns, for each of the two nodes on its way
-constexpr int kNotModified = 304;       // no sample of the latency: nothing was made
+constexpr int kFirstAttemptPart = 8;    // a first attempt needs more than 1/8 of the time budget remaining
+constexpr int kConnectPart = 4;         // the connect timeout is 1/4 of the remaining time
+constexpr double kForwardedPart = 0.5;  // share of a request's retry credit for each of the two nodes
+constexpr int kNotModified = 304;       // not a latency sample: no content was generated
 constexpr int kProbes = 2;              // instances tried by can_reach()
 
-// A good response is slow when it takes so many times the usual latency, and so long at least.
+// A good response is slow if its latency exceeds both this multiple of the mean latency and this minimum.
 constexpr int kSlowMultiple = 4;
 constexpr Duration kMinSlow{20};
 
-// A client that leaves so shortly before the end of its time gave up on the instance: its own time and the
-// attempt's end together.
+// A client that disconnects within this margin before the deadline has timed out waiting for the instance:
+// its own timeout and the attempt's coincide.
 constexpr Duration kDeadlineMargin{25};
 
 UpstreamResult rejected(RejectionReason reason, Duration retry_after = Duration(0)) {
@@ -94,7 +94,7 @@
     load_balancer.set_node_name(node.node_name);
   }
 
-  // Waits in the admission queue. Nothing when the request may run.
+  // Waits in the admission queue. Returns nothing when the request may run.
   std::optional<UpstreamResult> admit(const RequestContext& context) {
     const auto& service = *context.service;
     switch (admission_queues.admit(service.name, service.max_in_flight, service.max_waiting,
@@ -123,7 +123,7 @@
         snapshot->system.retry_allowance, {snapshot->nodes, snapshot->rank, snapshot->demand_share(service)});
   }
 
-  // Connections to each instance that this node may have open; 0: no bound.
+  // The maximum number of this node's open connections to each instance; 0: no limit.
   int max_connections(const config::ServiceConfiguration& service) const {
     if (service.max_connections <= 0) return 0;
     const auto snapshot = node.snapshot();
@@ -141,8 +141,8 @@
     return found == snapshot->rate_quotas.end() ? 0 : found->second;
   }
 
-  // Waits until the rate limit lets one more request through, or the client has left. When that would be too
-  // late: how long it would have taken.
+  // Waits until the rate limit allows the request or the client disconnects. If the wait would be too long,
+  // returns its duration instead.
   std::optional<Duration> await_rate_limit(const RequestContext& context) {
     const TimePoint began = node.ports.clock.now();
     auto retry_after = await_reservation(context);
@@ -156,7 +156,7 @@
     const Duration target = context.route->latency_target;
     for (;;) {
       Duration longest = context.start_deadline() - node.ports.clock.now();
-      // A quarter of the latency target is left for the attempt itself.
+      // A quarter of the latency target is reserved for the attempt itself.
       if (target > Duration(0)) longest = std::min(longest, target * 3 / 4);
       auto reserved = rate_limiter.reserve(service, rate_quota(service), longest);
       auto* reservation = std::get_if<limits::RateReservation>(&reserved);
@@ -168,9 +168,9 @@
     }
   }
 
-  // By the latest snapshot: an instance that has left since the request entered is not chosen.
-  // @param tried   instances that are not to be chosen again
-  // @param canary  whether the request counts for the canary's share
+  // Uses the latest snapshot, so that instances removed after the request arrived are not chosen.
+  // @param tried   instances that must not be chosen again
+  // @param canary  whether the request may use the canary and counts against its share
   std::optional<BackendSelection> select_backend(const RequestContext& context,
                                                  const std::vector<std::string>& tried, bool canary) {
     const auto& service = *context.service;
@@ -211,7 +211,7 @@
   }
 };
 
-// One admitted request: the steps of its attempts, and what they came to so far.
+// The execution of one admitted request: the steps of its attempts and the result so far.
 class UpstreamClient::Impl::Execution {
  public:
   Execution(Impl& client, const RequestContext& context)
@@ -238,8 +238,8 @@
  private:
   TimePoint now() const { return client_.node.ports.clock.now(); }
 
-  // Each step returns whether the request goes on; if it does not, the result says why. Once something was
-  // sent, what came of that stays the result.
+  // Each step returns whether to continue with the request; if not, the result contains the reason. Once an
+  // attempt was sent, its outcome remains the result.
 
   bool acquire_retry() {
     if (!retry_state_.next_is_retry() || client_.try_acquire_retry(context_.service->name)) return true;
@@ -327,13 +327,13 @@
     return rules;
   }
 
-  // Whether the attempt ended because the client has left, and not because its time was up.
+  // Whether the attempt ended because the client disconnected, and not because of the deadline.
   bool was_broken_off(const AttemptReply& reply, Duration latency, Duration remaining) const {
     return context_.may_break_off() && context_.client_has_left() &&
            std::holds_alternative<base::AttemptError>(reply) && latency < remaining - kDeadlineMargin;
   }
 
-  // Counts an attempt that was sent. The first one of a request earns a part of a retry and of a canary's
+  // Counts an attempt that was sent. The first one of a request adds to the retry budget and to the canary's
   // share.
   void record_sent(const membership::BackendInstance& instance, AttemptClass attempt_class) {
     if (attempt_class == AttemptClass::not_sent) return;
@@ -347,8 +347,8 @@
     client_.canary_admission.record_request(*snapshot, context_.service->name);
   }
 
-  // It tells nothing of the instance, unless it had taken long enough to be a slow one whenever it ended:
-  // clients that lose patience with a slow version must not hide it.
+  // A cancelled attempt is no evidence about its instance, unless it had already taken long enough to count
+  // as slow: clients that disconnect from a slow version must not hide its latency.
   void record_broken_off(const membership::BackendInstance& instance, AttemptClass attempt_class,
                          Duration latency) {
     record_sent(instance, attempt_class);
@@ -357,7 +357,7 @@
       client_.count_outcome(context_, instance, true, latency);
   }
 
-  // Tells the parts that learn from attempts.
+  // Reports the attempt to the load balancer and the counters.
   void record(const membership::BackendInstance& instance, AttemptClass attempt_class,
               const AttemptReply& reply, Duration latency) {
     const bool sent = attempt_class != AttemptClass::not_sent;
--- a/src/proxy/upstream_client.hpp
+++ b/src/proxy/upstream_client.hpp
@@ -1,13 +1,13 @@
 /// @file
-/// Has one request executed by a backend instance: admission, retry budget, rate limit, choice of the
-/// instance, the attempt, and the checks on its response. Reports truthfully whether the request may have
-/// been executed.
+/// Sends one request to a backend instance: admission, retry budget, rate limit, choice of the instance, the
+/// attempt, and the checks on its response. Reports whether the request may have been executed.
 ///
 /// Invariants: nothing is sent without a valid read lease, under a superseded configuration, to a version
-/// that may not serve, or for a client that has left. Only idempotent requests are sent again when an
-/// instance may have executed them, and each retry comes out of the budget. "Not executed" is reported only
-/// when no instance can have executed it. Threads: every function may be called from any fiber; execute() and
-/// can_reach() may suspend it. No lock is held while another is taken, nor while a fiber is suspended.
+/// that is not eligible, or for a client that has disconnected. Only idempotent requests are sent again when
+/// an instance may have executed them, and each retry uses the budget. "Not executed" is reported only when
+/// no instance can have executed the request.
+/// Threads: every function may be called from any fiber; execute() and can_reach() may suspend it. No lock is
+/// held while another is taken, nor while a fiber is suspended.
 #pragma once
 #include "limits/limit_counters.hpp"
 #include "proxy/admission_queue.hpp"
@@ -18,39 +18,39 @@
 
 namespace dunlinwing::proxy {
 
-/// What the parts of one node's request path share. What it refers to outlives them.
+/// The objects shared by the components of a node's request path. Referenced objects must outlive them.
 struct NodeContext {
   base::Ports& ports;
   const ProtocolAdapter& adapter;
   std::string node_name;
   std::string zone;
-  std::function<bool()> has_read_lease;          ///< whether what this node knows is recent enough to act on
+  std::function<bool()> has_read_lease;          ///< whether this node's state is recent enough to act on
   std::function<RoutingSnapshotPtr()> snapshot;  ///< the latest; never null
 };
 
-/// A request with all that was decided on it when it entered.
+/// A request with the decisions made when the node received it.
 struct RequestContext {
   RoutingSnapshotPtr snapshot;
   std::shared_ptr<const config::RoutingConfiguration> configuration;
   const config::ServiceConfiguration* service = nullptr;  ///< of `configuration`
   const config::RouteConfiguration* route = nullptr;      ///< of `configuration`
   base::Request request;
-  std::string host;  ///< by which purges may name the response; empty when the route takes any
+  std::string host;  ///< the host that purges match; empty when the route accepts any host
   TimePoint arrived{0};
   TimePoint deadline{0};
-  std::string entry_node;   ///< the node where it entered
-  uint64_t generation = 0;  ///< of the assignment there
-  bool is_retry = false;    ///< it was sent by another way before: the first attempt needs the retry budget
-  bool counts_as_demand = true;  ///< for the service, by which what this node may send to it is decided
-  bool is_forwarded = false;     ///< another node forwarded it to this one, which fetches it by itself
+  std::string entry_node;        ///< the node that received the request from the client
+  uint64_t generation = 0;       ///< of that node's assignment
+  bool is_retry = false;         ///< already sent on another path: the first attempt uses the retry budget
+  bool counts_as_demand = true;  ///< counts for the service's demand, which determines this node's limits
+  bool is_forwarded = false;     ///< forwarded by another node: this node fetches without another shield
 
   Duration time_budget() const { return deadline - arrived; }
-  /// No first attempt after it, so that clients are rejected early rather than late.
+  /// The latest start of the first attempt, so that clients are rejected early rather than late.
   TimePoint start_deadline() const { return deadline - time_budget() / 2; }
   /// Whether it may be executed more than once.
   bool is_idempotent() const;
-  /// Whether an attempt may be broken off when the client has left. What may not be sent twice, or is sent
-  /// again under its own key, has to come to an end.
+  /// Whether an attempt may be cancelled when the client disconnects. A request that is not idempotent, or
+  /// that has an Idempotency-Key, must be completed.
   bool may_break_off() const;
   bool client_has_left() const { return base::is_cancelled(request.cancellation); }
 };
@@ -59,25 +59,25 @@
   responded,
   not_executed,  ///< no instance executed it
   unknown,       ///< an instance may have executed it
-  superseded,    ///< a newer configuration came into force: the request is to be routed anew under it
-  abandoned,     ///< the client has left: the outcome is for nobody, and an instance may have executed it
+  superseded,    ///< a newer configuration came into force: the request must be routed again
+  abandoned,     ///< the client has disconnected; an instance may have executed the request
 };
 
 struct UpstreamResult {
   UpstreamOutcome outcome = UpstreamOutcome::not_executed;
-  base::Response response;                         ///< when it responded
+  base::Response response;                         ///< if an instance responded
   std::string version;                             ///< of the instance that responded
-  RejectionReason reason = RejectionReason::none;  ///< when it did not respond
-  /// How far attempts got that did not settle the request; not_sent when the last one did, by its response.
+  RejectionReason reason = RejectionReason::none;  ///< if no instance responded
+  /// The execution state over the attempts without a final response; not_sent when the last one had one.
   ExecutionState execution = ExecutionState::not_sent;
-  Duration retry_after{0};  ///< when it makes sense to send a rejected request again
+  Duration retry_after{0};  ///< minimum delay before a rejected request should be retried
 };
 
-/// What one node may use of a service at present.
+/// The current limits of one node's use of a service.
 struct ServiceLimits {
-  double rate = 0;          ///< requests a second; 0: none, or the service has no stated rate
-  int connections = 0;      ///< to each instance; 0: no bound
-  int retry_allowance = 0;  ///< retries that may be saved up
+  double rate = 0;          ///< requests per second; 0: none, or the service has no configured rate
+  int connections = 0;      ///< to each instance; 0: no limit
+  int retry_allowance = 0;  ///< maximum number of retries that can accumulate in the budget
 };
 
 class UpstreamClient {
@@ -85,34 +85,34 @@
   explicit UpstreamClient(NodeContext node);
   ~UpstreamClient();
 
-  /// Has the request executed, in as many attempts as it may take. Returns by its deadline.
+  /// Executes the request, with retries if needed and allowed. Returns by the request's deadline.
   [[nodiscard]] UpstreamResult execute(const RequestContext& context);
 
-  /// Counts a client's request that goes the way over another node: it earns a part of a retry at both, and
-  /// at both together no more than a request that this node sends by itself.
+  /// Counts a client's request that is forwarded between nodes: it adds to the retry budget of both nodes, in
+  /// total no more than a request that one node sends directly.
   void record_forwarded(const std::string& service);
 
-  /// Whether some instance would accept a connection for the request. No byte is sent.
+  /// Whether an instance accepts a connection for the request. No byte is sent.
   bool can_reach(const RequestContext& context, Duration limit);
 
-  /// How attempts ended.
+  /// Counts of the outcomes of attempts.
   OutcomeCounters& outcomes();
-  /// Requests by service, since the start of the process.
+  /// The number of requests by service since the process started.
   std::map<std::string, uint64_t> demand() const;
-  /// Forgets the demand for all other services.
+  /// Removes the demand of all other services.
   void retain_services(const std::set<std::string>& services);
   ServiceLoad load(const std::string& service);
-  /// Requests of all services, running or waiting.
+  /// The number of requests of all services, running or waiting.
   int running_requests();
-  /// The latency that is usual for the service; 0 while nothing is known.
+  /// The mean latency of the service; 0 while unknown.
   Duration typical_latency(const std::string& service) const;
-  /// What this node's limits granted and denied.
+  /// Counts of what this node's limits granted and denied.
   const limits::LimitCounters& limit_counters() const;
-  /// What this node may use of a service at present.
+  /// The current limits of this node's use of a service.
   ServiceLimits limits_of(const config::ServiceConfiguration& service) const;
-  /// Bounds the instances of one service that this node uses; 0: no bound.
+  /// Limits the number of a service's instances that this node uses; 0: no limit.
   void set_max_instances(int max_instances);
-  /// Forgets the latency and health of all other instances.
+  /// Removes the latency and health of all other instances without a running attempt.
   void retain_instances(const std::vector<std::string>& instances);
 
  private:
