--- a/test/unit/proxy/attempt_decision_test.cpp
+++ b/test/unit/proxy/attempt_decision_test.cpp
@@ -1,4 +1,4 @@
-// What an attempt came to, what follows from it, and which queues and instances a request is worth.
+// Classification of attempts, retry decisions, overload rejection and the size of instance subsets.
 #include "proxy/attempt_decision.hpp"
 
 #include "unit/unit_cases.hpp"
@@ -42,19 +42,19 @@
 
 void classifies_responses() {
   expect(classify(response(200)) == AttemptClass::good, "200");
-  expect(classify(response(404)) == AttemptClass::good, "404 is the instance's word");
+  expect(classify(response(404)) == AttemptClass::good, "404 is a valid response");
   expect(classify(response(500)) == AttemptClass::failed, "500");
   expect(classify(response(503, {{"Dunlinwing-Outcome", "not-run"}})) == AttemptClass::not_executed, "503");
   expect(classify(response(421, {{"Dunlinwing-Outcome", "not-run"}})) == AttemptClass::wrong_instance, "421");
-  expect(classify(response(421)) == AttemptClass::invalid_response, "a bare 421");
+  expect(classify(response(421)) == AttemptClass::invalid_response, "a 421 without an outcome header");
   expect(classify(base::Response{200, {}, "body"}) == AttemptClass::invalid_response, "no headers");
 }
 
 void classifies_unrequested_parts() {
-  expect(classify(response(206)) == AttemptClass::invalid_response, "a part");
+  expect(classify(response(206)) == AttemptClass::invalid_response, "an unrequested part");
   expect(classify(response(206), {{"Range", "bytes=0-1"}}) == AttemptClass::good, "a requested part");
-  expect(classify(response(304)) == AttemptClass::invalid_response, "a confirmation");
-  expect(classify(response(304), {{"If-None-Match", "x"}}) == AttemptClass::good, "a requested confirmation");
+  expect(classify(response(304)) == AttemptClass::invalid_response, "an unrequested 304");
+  expect(classify(response(304), {{"If-None-Match", "x"}}) == AttemptClass::good, "a requested 304");
 }
 
 void classifies_errors() {
@@ -84,9 +84,10 @@
     RetryState not_idempotent(kNotIdempotent, 4, kFirst);
     expect(idempotent.decide_next(row.attempt) == row.idempotent, name + ", idempotent");
     expect(not_idempotent.decide_next(row.attempt) == row.not_idempotent, name + ", not idempotent");
-    expect(idempotent.execution() == row.execution, name + ": how far it got");
-    expect(idempotent.next_is_retry() == (row.attempt != AttemptClass::not_sent), name + ": the budget");
-    expect(!idempotent.is_first_attempt(), name + ": it was an attempt");
+    expect(idempotent.execution() == row.execution, name + ": execution state");
+    expect(idempotent.next_is_retry() == (row.attempt != AttemptClass::not_sent),
+           name + ": whether the next attempt is a retry");
+    expect(!idempotent.is_first_attempt(), name + ": counted as an attempt");
   }
 }
 
@@ -94,20 +95,20 @@
   RetryState sent(kIdempotent, 2, kFirst);
   expect(sent.may_attempt() && sent.decide_next(AttemptClass::failed) == NextStep::retry, "the first");
   expect(sent.may_attempt() && sent.decide_next(AttemptClass::failed) == NextStep::respond, "the last");
-  expect(!sent.may_attempt(), "sent to more instances than the route allows");
+  expect(!sent.may_attempt(), "more attempts sent than the route allows");
   RetryState unsent(kIdempotent, 2, kFirst);
   for (int i = 0; i < 8; ++i) {
-    expect(unsent.may_attempt(), "connections that failed counted as sent");
+    expect(unsent.may_attempt(), "failed connections were counted as sent attempts");
     unsent.decide_next(AttemptClass::not_sent);
   }
-  expect(!unsent.may_attempt() && unsent.nothing_sent(), "there is no end of connections");
+  expect(!unsent.may_attempt() && unsent.nothing_sent(), "the number of failed connections is not limited");
 }
 
 void retry_of_another_way() {
   RetryState state(kIdempotent, 2, kRetry);
-  expect(state.next_is_retry() && state.is_first_attempt() && state.nothing_sent(), "at the start");
+  expect(state.next_is_retry() && state.is_first_attempt() && state.nothing_sent(), "initial state");
   state.decide_next(AttemptClass::not_sent);
-  expect(state.next_is_retry(), "a failed connection made the next one free");
+  expect(state.next_is_retry(), "after a failed connection the next attempt was no longer a retry");
 }
 
 void not_idempotent_is_executed_once() {
@@ -131,39 +132,41 @@
   const proxy::ExpectedLatency busy{Duration(400), Duration(300)};
   expect(!proxy::overload_retry_after(route, busy, Duration(10)), "a route without a latency target");
   route.latency_target = Duration(100);
-  route.priority = 0;  // 300 ms in all, so 200 ms in the queue
+  route.priority = 0;  // at most 300 ms in total, so 200 ms in the queue
   same(proxy::overload_retry_after(route, busy, Duration(1000)).value_or(Duration(-1)).count(), int64_t(150),
-       "the queue beyond what is worth it, and half an execution");
-  expect(!proxy::overload_retry_after(route, {Duration(300), Duration(200)}, Duration(1000)), "just right");
+       "the queueing above the limit, and half an execution");
+  expect(!proxy::overload_retry_after(route, {Duration(300), Duration(200)}, Duration(1000)),
+         "queueing at the limit");
   expect(proxy::overload_retry_after(route, {Duration(300), Duration(200)}, Duration(300)).has_value(),
-         "it would end after its deadline");
-  route.priority = 7;  // as the lowest that is told apart: 130 ms, so 100 ms, one execution, in the queue
+         "the response would be after the deadline");
+  route.priority =
+      7;  // like the lowest distinct priority: 130 ms in total, but one execution (100 ms) queued
   expect(!proxy::overload_retry_after(route, {Duration(200), Duration(100)}, Duration(1000)),
-         "one execution");
+         "queueing of one execution");
   expect(proxy::overload_retry_after(route, {Duration(201), Duration(101)}, Duration(1000)).has_value(),
          "low priority");
 }
 
 void subsets_of_instances() {
-  same(proxy::subset_size(4, 1, 0), size_t(48), "a lone node has no bound that matters");
-  same(proxy::subset_size(100, 100, 0), size_t(12), "twelve nodes for each instance");
-  same(proxy::subset_size(100, 1000, 0), size_t(6), "six at least");
-  same(proxy::subset_size(100, 100, 8), size_t(8), "bounded by the node");
-  same(proxy::subset_size(100, 100, 1), size_t(6), "six at least, though bounded");
+  same(proxy::subset_size(4, 1, 0), size_t(48), "a single node's subset exceeds the number of instances");
+  same(proxy::subset_size(100, 100, 0), size_t(12), "twelve nodes per instance");
+  same(proxy::subset_size(100, 1000, 0), size_t(6), "at least six");
+  same(proxy::subset_size(100, 100, 8), size_t(8), "limited by max_instances");
+  same(proxy::subset_size(100, 100, 1), size_t(6), "at least six despite a lower max_instances");
 }
 }  // namespace
 
 std::vector<Case> attempt_decision_cases() {
   return {
       {"attempt: classes of responses", classifies_responses},
-      {"attempt: a part that nobody asked for is no response", classifies_unrequested_parts},
+      {"attempt: an unrequested part is an invalid response", classifies_unrequested_parts},
       {"attempt: classes of errors", classifies_errors},
-      {"attempt: what follows each class", decides_after_one_attempt},
-      {"attempt: bounds of attempts and of connections", bounds_attempts},
-      {"attempt: a retry of another way stays one", retry_of_another_way},
-      property("attempt: what is not idempotent is executed once at most", not_idempotent_is_executed_once),
-      {"attempt: queues that are too long to join", rejects_long_queues},
-      {"attempt: the subset of instances of a node", subsets_of_instances},
+      {"attempt: next step after each class", decides_after_one_attempt},
+      {"attempt: limits on attempts and connections", bounds_attempts},
+      {"attempt: a request sent on another path remains a retry", retry_of_another_way},
+      property("attempt: a non-idempotent request is executed at most once", not_idempotent_is_executed_once),
+      {"attempt: requests are rejected when the queue is too long", rejects_long_queues},
+      {"attempt: size of a node's subset of instances", subsets_of_instances},
   };
 }
 
--- a/test/unit/proxy/canary_admission_test.cpp
+++ b/test/unit/proxy/canary_admission_test.cpp
@@ -1,4 +1,4 @@
-// The share of requests that a canary gets.
+// The share of requests that is sent to a canary.
 #include "proxy/canary_admission.hpp"
 
 #include "unit/unit_cases.hpp"
@@ -19,7 +19,8 @@
 }  // namespace
 
 std::vector<Case> canary_admission_cases() {
-  return {property("trial: by count, never over its share, also at the first request", never_over_its_share)};
+  return {property("trial: a canary never exceeds its share by count, from the first request on",
+                   never_over_its_share)};
 }
 
 }  // namespace dunlinwing::test
--- a/test/unit/proxy/rejection_test.cpp
+++ b/test/unit/proxy/rejection_test.cpp
@@ -1,4 +1,4 @@
-// Refusals by reason, route and service: what is kept does not grow with routes that come and go.
+// Rejection counts by reason, route and service, which must not grow as routes are added and removed.
 #include "proxy/rejection.hpp"
 
 #include "unit/unit_cases.hpp"
@@ -29,7 +29,7 @@
   const auto counts = counters.counts();
   same(counts.size(), size_t{2}, "kinds of rejections after many routes");
   same(counts.at({RejectionReason::rate_limited, "app", ""}), uint64_t{kRoutes - 1},
-       "those of routes that went");
+       "the count of removed routes");
 }
 
 void each_reason_has_its_label() {
@@ -43,8 +43,8 @@
 
 std::vector<Case> rejection_cases() {
   return {{"rejections: are counted by reason, service and route", counts_by_reason_and_route},
-          {"rejections: do not grow with the routes that were in force", forgets_names_of_routes},
-          {"rejections: each reason has a label of its own", each_reason_has_its_label}};
+          {"rejections: counters do not grow with past routes", forgets_names_of_routes},
+          {"rejections: each reason has a distinct label", each_reason_has_its_label}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/unit/proxy/request_handler_test.cpp
+++ b/test/unit/proxy/request_handler_test.cpp
@@ -1,4 +1,4 @@
-// What a node reports of the requests it has handled.
+// The request counts in a node's status report.
 #include "proxy/request_handler.hpp"
 
 #include "support/manual_ports.hpp"
@@ -6,7 +6,7 @@
 
 namespace dunlinwing::test {
 namespace {
-/// An instance of any service that answers each request well.
+/// A backend instance of any service that responds to each request with 200.
 class WillingOrigin final : public base::Origin {
  public:
   bool can_connect(const std::string& /*address*/, Duration /*limit*/) override { return true; }
@@ -20,7 +20,7 @@
   }
 };
 
-/// A node that takes one configuration after the other; each adds a route and drops the one before it.
+/// A node that applies configurations in sequence; each adds a route and removes the previously added one.
 struct ChangingNode {
   ManualClock clock;
   CountingRandom random;
@@ -91,9 +91,8 @@
 }  // namespace
 
 std::vector<Case> request_handler_cases() {
-  return {{"status: does not grow with the configurations that were in force",
-           status_does_not_grow_with_configurations},
-          {"status: counts the requests under all configurations", status_counts_all_requests}};
+  return {{"status: does not grow with past configurations", status_does_not_grow_with_configurations},
+          {"status: counts the requests of all configurations", status_counts_all_requests}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/unit/proxy/routing_snapshot_test.cpp
+++ b/test/unit/proxy/routing_snapshot_test.cpp
@@ -1,4 +1,4 @@
-// Purges and the versions that may serve.
+// Purges and the eligible versions of a service.
 #include "proxy/routing_snapshot.hpp"
 
 #include "control_api/purge_writer.hpp"
@@ -30,12 +30,13 @@
   purge.set_name("a");
   purge.set_kind("service");
   control_api::add_purge(purges, purge);
-  expect(control_api::add_purge(purges, purge).known && purges.number() == 1, "it was taken twice");
-  expect(!control_api::add_purge(purges, purge).conflict, "the same document clashed");
+  expect(control_api::add_purge(purges, purge).known && purges.number() == 1,
+         "the same purge was counted twice");
+  expect(!control_api::add_purge(purges, purge).conflict, "the same document was reported as a conflict");
   purge.set_kind("prefix");
   purge.set_path("/c/");
   expect(control_api::add_purge(purges, purge).conflict && purges.number() == 1,
-         "another document under a known name was taken as done");
+         "a different document under a known name was accepted");
 }
 
 void purge_numbers_of_both_counts() {
@@ -45,7 +46,8 @@
   const auto known = proxy::purge_number(snapshot, "s");
   same(proxy::purge_number(snapshot, "other"), uint64_t(3) << 32, "the purges of all services alone");
   same(known, (uint64_t(3) << 32) + 7, "both counts");
-  same(proxy::min_purge_number(known, (uint64_t(9) << 32) + 2), (uint64_t(3) << 32) + 2, "what both know");
+  same(proxy::min_purge_number(known, (uint64_t(9) << 32) + 2), (uint64_t(3) << 32) + 2,
+       "purges known to both");
 }
 
 void versions_that_may_serve() {
@@ -55,25 +57,27 @@
   state.set_current("2");
   state.add_previous_versions("1");
   auto eligible = proxy::eligible_versions(service, &state);
-  expect(eligible.open.size() == 2 && eligible.open[0] == "2", "promoted and kept");
+  expect(eligible.open.size() == 2 && eligible.open[0] == "2", "the current and the previous version");
   (*state.mutable_quarantined())["2"] = "bad";
   eligible = proxy::eligible_versions(service, &state);
   expect(eligible.open.size() == 1 && eligible.open[0] == "1", "quarantined");
   service.versions = {"3"};
   eligible = proxy::eligible_versions(service, &state);
-  expect(eligible.open.empty(), "a layout took the service to a version never on trial");
+  expect(eligible.open.empty(), "a configuration put a version into service without a canary");
   state.clear_current();
   eligible = proxy::eligible_versions(service, &state);
-  expect(eligible.open.size() == 1 && eligible.open[0] == "3", "a service that is new");
+  expect(eligible.open.size() == 1 && eligible.open[0] == "3", "a new service");
 }
 }  // namespace
 
 std::vector<Case> routing_snapshot_cases() {
   return {
-      property("purge: folding keeps the list short and forgets no purge", folding_forgets_no_purge),
-      {"purge: the same name twice is one purge", same_name_is_one_purge},
-      {"purge: one number holds the counts of a service and of all", purge_numbers_of_both_counts},
-      {"versions: a move holds only while the layout allows it, quarantine always", versions_that_may_serve},
+      property("purge: folding bounds the list and loses no purge", folding_forgets_no_purge),
+      {"purge: repeated requests with one name are one purge", same_name_is_one_purge},
+      {"purge: one number contains the counts of a service and of all services",
+       purge_numbers_of_both_counts},
+      {"versions: the configuration limits the current version, quarantine always applies",
+       versions_that_may_serve},
   };
 }
 
--- a/test/unit/proxy/shield_selector_test.cpp
+++ b/test/unit/proxy/shield_selector_test.cpp
@@ -1,4 +1,4 @@
-// Who fetches an object for the fleet: one node by all nodes' choice, the next one when that fails.
+// The selection of an object's shield: all nodes select the same one, and the next one if it fails.
 #include "proxy/shield_selector.hpp"
 
 #include "support/manual_ports.hpp"
@@ -43,7 +43,7 @@
   const auto all = snapshot_of({"s1", "s2", "s3"}), without = snapshot_of({"s1", "s3"});
   for (int i = 0; i < kKeys; ++i)
     if (const auto before = selected(selector, all, i); before != "s2")
-      same(selected(selector, without, i), before, "the shield of an object that did not have to move");
+      same(selected(selector, without, i), before, "the shield of an object of another shield");
 }
 
 void the_next_one_stands_in() {
@@ -54,10 +54,10 @@
   const auto other = first == "s1" ? "s2" : "s1";
   same(selected(selector, snapshot, 1, {first}), std::string(other), "the shield after one that was tried");
   selector.record_failure(first + ":7", clock.now());
-  same(selected(selector, snapshot, 1), std::string(other), "the shield while the first is set aside");
+  same(selected(selector, snapshot, 1), std::string(other), "the shield while the first is backed off");
   constexpr Duration kLonger{3000};
   clock.sleep(kLonger);
-  same(selected(selector, snapshot, 1), first, "the shield some seconds later");
+  same(selected(selector, snapshot, 1), first, "the shield after the backoff");
 }
 
 void a_slow_call_is_no_failure_of_its_shield() {
@@ -71,7 +71,8 @@
   selector.record_response(first + ":7");
   clock.sleep(kLater);
   selector.record_failure(first + ":7", sent_at);
-  same(selected(selector, snapshot, 1), first, "the shield, which has responded to another call meanwhile");
+  same(selected(selector, snapshot, 1), first,
+       "the shield that has responded to another call in the meantime");
 }
 
 void a_shield_fetches_by_itself() {
@@ -80,7 +81,7 @@
   const auto snapshot = snapshot_of({"s1", "s2"});
   int own = 0;
   for (int i = 0; i < kKeys; ++i) own += selected(selector, snapshot, i).empty();
-  expect(own > kKeys / 4 && own < kKeys * 3 / 4, fmt::format("{} objects are its own", own));
+  expect(own > kKeys / 4 && own < kKeys * 3 / 4, fmt::format("the shield fetches {} objects itself", own));
   auto small = snapshot;
   small.nodes = kNodes / 2;
   same(selected(proxy::ShieldSelector(clock, "n1"), small, 1), std::string(), "the shield in a small fleet");
@@ -88,11 +89,12 @@
 }  // namespace
 
 std::vector<Case> shield_selector_cases() {
-  return {{"shields: all nodes choose alike", all_nodes_choose_alike},
-          {"shields: one that goes moves its own objects alone", one_that_goes_moves_its_objects_alone},
-          {"shields: the next one stands in for one that fails", the_next_one_stands_in},
-          {"shields: a slow call is no failure of its shield", a_slow_call_is_no_failure_of_its_shield},
-          {"shields: a node fetches by itself what is its own", a_shield_fetches_by_itself}};
+  return {
+      {"shields: all nodes select the same shield", all_nodes_choose_alike},
+      {"shields: removing a shield moves only its objects", one_that_goes_moves_its_objects_alone},
+      {"shields: the next shield replaces a failed one", the_next_one_stands_in},
+      {"shields: a slow call does not back off a responsive shield", a_slow_call_is_no_failure_of_its_shield},
+      {"shields: a shield fetches its own objects from the origin", a_shield_fetches_by_itself}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/unit/proxy/transfer_test.cpp
+++ b/test/unit/proxy/transfer_test.cpp
@@ -1,4 +1,4 @@
-// Bodies that go from node to node part by part, and those that are only confirmed.
+// Transfers of bodies between nodes part by part, and revalidation of cached bodies.
 #include "proxy/cached_response_rules.hpp"
 #include "proxy/outgoing_transfers.hpp"
 #include "support/manual_ports.hpp"
@@ -30,7 +30,7 @@
 void parts_are_of_the_body_that_was_begun() {
   Bench bench;
   const auto first = bench.begin("0123456789"), second = bench.begin("abcdefghij");
-  expect(first != second, "each transfer has a number of its own");
+  expect(first != second, "transfer numbers are unique");
   same(bench.read(first, 2, 4).data(), std::string("2345"), "a part of the first");
   same(bench.read(second, 2, 4).data(), std::string("cdef"), "a part of the second");
   same(bench.read(first, 6, 100).data(), std::string("6789"), "the end");
@@ -40,7 +40,7 @@
 void nothing_is_read_of_an_unknown_transfer() {
   Bench bench;
   const auto known = bench.begin("0123456789");
-  expect(bench.read(known + 1, 0, 4).unknown_transfer(), "a number that was never given");
+  expect(bench.read(known + 1, 0, 4).unknown_transfer(), "a number that was never issued");
   expect(bench.read(known, 11, 4).unknown_transfer(), "beyond the end");
 }
 
@@ -50,8 +50,8 @@
   bench.clock.sleep(Duration(20000));
   const auto young = bench.begin("0123456789");
   bench.transfers.evict_idle(bench.clock.now());
-  expect(bench.read(idle, 0, 4).unknown_transfer(), "nobody read it");
-  expect(!bench.read(young, 0, 4).unknown_transfer(), "one that has just begun stays");
+  expect(bench.read(idle, 0, 4).unknown_transfer(), "an idle transfer ends");
+  expect(!bench.read(young, 0, 4).unknown_transfer(), "a new transfer remains");
 }
 
 void only_the_same_strong_tag_confirms() {
@@ -61,25 +61,27 @@
   expect(!proxy::confirms({304, {{"ETag", "\"v2\""}}, {}}, held), "another tag");
   expect(!proxy::confirms({304, {}, {}}, held), "no tag");
   expect(!proxy::confirms({200, {{"ETag", "\"v1\""}}, "body"}, held), "a response with a body");
-  expect(!proxy::confirms({304, {{"ETag", "W/\"v1\""}}, {}}, weak), "a weak tag promises no bytes");
+  expect(!proxy::confirms({304, {{"ETag", "W/\"v1\""}}, {}}, weak),
+         "a weak tag does not guarantee identical bytes");
 }
 void a_confirmation_refreshes_without_growing() {
   const base::Response held{200, {{"ETag", "\"v1\""}, {"Via", "1.1 a"}, {"Age", "7"}}, "body"};
   const base::Response confirmation{304, {{"ETag", "\"v1\""}, {"Cache-Control", "max-age=9"}}, {}};
   const auto once = proxy::refreshed(held, confirmation), twice = proxy::refreshed(once, confirmation);
   same(twice.headers.size(), once.headers.size(), "headers after a second confirmation");
-  same(base::header(once.headers, "Cache-Control"), std::string("max-age=9"), "what the confirmation says");
-  same(base::header(once.headers, "Age"), std::string(), "an age that was of the body's first response");
+  same(base::header(once.headers, "Cache-Control"), std::string("max-age=9"),
+       "the value in the 304 response");
+  same(base::header(once.headers, "Age"), std::string(), "the Age of the first response is removed");
   same(once.body, held.body, "the body");
 }
 }  // namespace
 
 std::vector<Case> transfer_cases() {
-  return {{"transfer: parts are of the body that was begun", parts_are_of_the_body_that_was_begun},
-          {"transfer: nothing is read of one that is not known", nothing_is_read_of_an_unknown_transfer},
-          {"transfer: one that nobody reads ends", idle_transfers_end},
+  return {{"transfer: all parts belong to the body for which it began", parts_are_of_the_body_that_was_begun},
+          {"transfer: reads of an unknown transfer are rejected", nothing_is_read_of_an_unknown_transfer},
+          {"transfer: an idle transfer ends", idle_transfers_end},
           {"cache: only the same strong tag confirms a body", only_the_same_strong_tag_confirms},
-          {"cache: a confirmation refreshes a response without growing it",
+          {"cache: revalidation updates a response without adding headers",
            a_confirmation_refreshes_without_growing}};
 }
 
--- a/test/unit/proxy/upstream_client_test.cpp
+++ b/test/unit/proxy/upstream_client_test.cpp
@@ -1,4 +1,5 @@
-// What the request path counts for a canary's share: what reached the service, not what was asked for.
+// Which requests count for a canary's share (only those that were sent), and how attempts are counted whose
+// clients disconnect.
 #include "proxy/upstream_client.hpp"
 
 #include "canary/canary_share.hpp"
@@ -10,7 +11,7 @@
 constexpr Duration kBetweenRequests{2};
 constexpr Duration kTimeBudget{1000};
 
-/// Backend instances that answer at once and tell how many requests they have.
+/// Backend instances that respond at once and report their load.
 class LoadedOrigin final : public base::Origin {
  public:
   bool can_connect(const std::string& /*address*/, Duration /*limit*/) override { return true; }
@@ -31,13 +32,13 @@
                           "body"};
   }
 
-  /// Runs in each attempt and may end it, as a client's leaving does; null: the instance answers at once.
+  /// Called in each attempt; an error ends it, as a client's disconnection does. Null: responds at once.
   std::function<std::optional<base::AttemptError>()> interrupted;
-  std::map<std::string, int> load;      ///< that each instance tells, by version
-  std::map<std::string, int> requests;  ///< that came, by version
+  std::map<std::string, int> load;      ///< reported by each instance, by version
+  std::map<std::string, int> requests;  ///< received, by version
 };
 
-/// One node that sends to a service of which version 2 is a canary with a deadline.
+/// A node that sends requests to a service whose version 2 is a canary with a deadline.
 struct CanaryNode {
   ManualClock clock;
   CountingRandom random;
@@ -83,16 +84,16 @@
 
 void canary_share_counts_what_was_sent() {
   CanaryNode node;
-  node.origin.load["1"] = 50;  // far more than its capacity: most requests are refused for their aim
+  node.origin.load["1"] = 50;  // far above its capacity: most requests are rejected for their latency target
   int refused = 0;
   constexpr int kRequests = 3000;
   for (int i = 0; i < kRequests; ++i)
     refused += node.request(std::to_string(i)).outcome == proxy::UpstreamOutcome::not_executed;
   const int to_canary = node.origin.requests["2"];
   const int sent = to_canary + node.origin.requests["1"];
-  expect(refused > kRequests / 2, fmt::format("only {} were refused", refused));
+  expect(refused > kRequests / 2, fmt::format("only {} were rejected", refused));
   expect(to_canary * 10 <= sent + static_cast<int>(canary::kInitialCredit) * 10,
-         fmt::format("the canary got {} of {} requests that were sent", to_canary, sent));
+         fmt::format("the canary received {} of {} requests that were sent", to_canary, sent));
 }
 
 void canary_share_is_used() {
@@ -101,9 +102,9 @@
   for (int i = 0; i < kRequests; ++i) node.request(std::to_string(i));
   const int to_canary = node.origin.requests["2"];
   expect(to_canary >= kRequests * canary::kDeadlinePercent / 100 - 2,
-         fmt::format("the canary got {} of {} requests", to_canary, kRequests));
+         fmt::format("the canary received {} of {} requests", to_canary, kRequests));
 }
-/// Has clients leave while their attempts run, each after the same time.
+/// Sends requests whose clients disconnect during the attempt, each after the same time.
 void leave_after(CanaryNode& node, Duration time, int requests) {
   for (int i = 0; i < requests; ++i) {
     const auto cancellation = std::make_shared<base::Cancellation>();
@@ -113,7 +114,7 @@
       return base::AttemptError::unknown;
     };
     const auto result = node.request(fmt::format("left-{}", i), cancellation);
-    expect(result.outcome == proxy::UpstreamOutcome::abandoned, "it was not abandoned");
+    expect(result.outcome == proxy::UpstreamOutcome::abandoned, "the request was not abandoned");
   }
   node.origin.interrupted = nullptr;
 }
@@ -127,7 +128,7 @@
 constexpr Duration kUsual{10};
 constexpr int kRequests = 40;
 
-/// A node whose service answers as usual.
+/// A node with a measured mean latency of its service.
 std::unique_ptr<CanaryNode> accustomed_node() {
   auto node = std::make_unique<CanaryNode>();
   node->origin.interrupted = [clock = &node->clock]() -> std::optional<base::AttemptError> {
@@ -143,21 +144,24 @@
   const auto node = accustomed_node();
   leave_after(*node, kUsual, kRequests);
   const auto counts = all_outcomes(*node);
-  same(counts.total(), uint64_t{kRequests}, "outcomes, of which none is a leaver's");
-  same(counts.failed_or_slow(), uint64_t{0}, "poor ones");
-  same(node->request("after").outcome == proxy::UpstreamOutcome::responded, true, "an instance still serves");
+  same(counts.total(), uint64_t{kRequests}, "outcomes, none of a disconnected client");
+  same(counts.failed_or_slow(), uint64_t{0}, "failed or slow outcomes");
+  same(node->request("after").outcome == proxy::UpstreamOutcome::responded, true,
+       "an instance is still used");
 }
 
 void late_leavers_show_a_slow_version() {
   const auto node = accustomed_node();
   leave_after(*node, kUsual * 10, kRequests);
-  same(all_outcomes(*node).slow, uint64_t{kRequests}, "attempts that were slow when their clients left");
+  same(all_outcomes(*node).slow, uint64_t{kRequests},
+       "attempts that were slow when their clients disconnected");
 }
 
 void leavers_at_the_deadline_show_a_silent_instance() {
   const auto node = accustomed_node();
   leave_after(*node, kTimeBudget - Duration(1), kRequests);
-  same(all_outcomes(*node).bad, uint64_t{kRequests}, "attempts that failed as their time and clients ended");
+  same(all_outcomes(*node).bad, uint64_t{kRequests},
+       "attempts that failed when their clients disconnected at the deadline");
 }
 
 void leavers_get_nothing_sent() {
@@ -172,14 +176,15 @@
 }  // namespace
 
 std::vector<Case> upstream_client_cases() {
-  return {{"upstream: a client that has left gets nothing sent", leavers_get_nothing_sent},
-          {"upstream: clients that leave early say nothing of an instance", early_leavers_say_nothing},
-          {"upstream: clients that leave late show a slow version", late_leavers_show_a_slow_version},
-          {"upstream: clients that leave at their deadline show a silent instance",
+  return {{"upstream: nothing is sent for a disconnected client", leavers_get_nothing_sent},
+          {"upstream: early disconnections do not count against an instance", early_leavers_say_nothing},
+          {"upstream: late disconnections count as slow responses of the version",
+           late_leavers_show_a_slow_version},
+          {"upstream: disconnections at the deadline count as failures of the instance",
            leavers_at_the_deadline_show_a_silent_instance},
-          {"upstream: a canary's share is that of the requests which were sent",
+          {"upstream: a canary's share is computed from the requests that were sent",
            canary_share_counts_what_was_sent},
-          {"upstream: without refusals a canary gets its whole share", canary_share_is_used}};
+          {"upstream: without rejections a canary receives its full share", canary_share_is_used}};
 }
 
 }  // namespace dunlinwing::test
