--- a/src/proxy/protocol_adapter.cpp
+++ b/src/proxy/protocol_adapter.cpp
@@ -109,13 +109,13 @@
 
   std::vector<std::string> cache_tags(const base::Response& /*response*/) const override { return {}; }
 
-  base::Response local_response(int status, const std::string& reason, ExecutionStatus execution,
+  base::Response local_response(int status, const std::string& reason, ReportedExecution execution,
                                 std::optional<Duration> retry_after) const override {
     base::Response response{
         status, {{"Content-Type", "application/json"}, {"Cache-Control", "no-store"}}, {}};
-    if (execution != ExecutionStatus::none)
+    if (execution != ReportedExecution::none)
       response.headers.emplace_back(kOutcome,
-                                    execution == ExecutionStatus::not_executed ? kNotExecuted : kUnknown);
+                                    execution == ReportedExecution::not_executed ? kNotExecuted : kUnknown);
     if (retry_after)  // in whole seconds, rounded up, at least one
       response.headers.emplace_back(
           "Retry-After", std::to_string(std::max<int64_t>(1, (retry_after->count() + 999) / 1000)));
--- a/src/proxy/request_outcome.cpp
+++ b/src/proxy/request_outcome.cpp
@@ -14,8 +14,8 @@
     spread = retry_after +
              Duration(ports.random.below(static_cast<uint64_t>(retry_after.count()) + kMinRetrySpreadMs));
   RequestOutcome outcome{
-      adapter.local_response(status, describe(reason), ExecutionStatus::not_executed, spread),
-      ExecutionStatus::not_executed};
+      adapter.local_response(status, describe(reason), ReportedExecution::not_executed, spread),
+      ReportedExecution::not_executed};
   outcome.reason = reason;
   outcome.retry_after = retry_after;
   return outcome;
@@ -23,14 +23,14 @@
 
 RequestOutcome OutcomeBuilder::abandoned() const {
   RequestOutcome outcome{
-      adapter.local_response(kClientClosedRequest, "the client has left", ExecutionStatus::unknown, {})};
+      adapter.local_response(kClientClosedRequest, "the client has left", ReportedExecution::unknown, {})};
   outcome.abandoned = true;
   return outcome;
 }
 
 RequestOutcome OutcomeBuilder::unknown(RejectionReason reason) const {
-  RequestOutcome outcome{adapter.local_response(502, describe(reason), ExecutionStatus::unknown, {}),
-                         ExecutionStatus::unknown};
+  RequestOutcome outcome{adapter.local_response(502, describe(reason), ReportedExecution::unknown, {}),
+                         ReportedExecution::unknown};
   outcome.reason = reason;
   return outcome;
 }
--- a/test/unit/platform/translation_test.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -230,10 +230,11 @@
 
 void local_and_stored_responses() {
   auto adapter = platform::protocol_adapter();
-  auto response = adapter->local_response(503, "full", proxy::ExecutionStatus::not_executed, Duration(1250));
+  auto response =
+      adapter->local_response(503, "full", proxy::ReportedExecution::not_executed, Duration(1250));
   expect(response.status == 503 && base::header(response.headers, "Retry-After") == "1.250",
          "fractions of a second");
-  expect(base::header(adapter->local_response(502, "x", proxy::ExecutionStatus::unknown, {}).headers,
+  expect(base::header(adapter->local_response(502, "x", proxy::ReportedExecution::unknown, {}).headers,
                       "Retry-After")
              .empty(),
          "none when it does not help");
