--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -72,7 +72,7 @@
 // Whether a fetch's rejection applies to all requests that wait for it. A rejection because of a deadline or
 // latency target applies only to the request that was rejected.
 bool is_shared_rejection(const RequestOutcome& outcome) {
-  return outcome.execution_status == ReportedExecution::not_executed &&
+  return outcome.reported_execution == ReportedExecution::not_executed &&
          outcome.execution_state == ExecutionState::not_sent && !outcome.superseded &&
          (outcome.reason == RejectionReason::rate_limited ||
           outcome.reason == RejectionReason::shield_rejected ||
--- a/src/proxy/forwarded_request_handler.cpp
+++ b/src/proxy/forwarded_request_handler.cpp
@@ -22,10 +22,10 @@
 void set_outcome(pb::ForwardResponse& response, const RequestOutcome& outcome) {
   const bool possibly_sent = outcome.execution_state != ExecutionState::not_sent;
   response.set_status(static_cast<uint32_t>(outcome.response.status));
-  response.set_not_executed(outcome.execution_status == ReportedExecution::not_executed && !possibly_sent);
+  response.set_not_executed(outcome.reported_execution == ReportedExecution::not_executed && !possibly_sent);
   response.set_rejected(response.not_executed() && !outcome.superseded);
   response.set_retry_after_ms(static_cast<uint64_t>(outcome.retry_after.count()));
-  response.set_outcome_unknown(outcome.execution_status == ReportedExecution::unknown || possibly_sent);
+  response.set_outcome_unknown(outcome.reported_execution == ReportedExecution::unknown || possibly_sent);
   for (const auto& [name, value] : outcome.response.headers) {
     auto* header = response.add_headers();
     header->set_name(name);
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -132,8 +132,8 @@
       return std::move(outcome.response);
     }
     if (!current) rejections.record({outcome.reason, {}, {}});
-    if (outcome.execution_status == ReportedExecution::not_executed) ++counters.rejected;
-    if (outcome.execution_status == ReportedExecution::unknown) ++counters.unknown;
+    if (outcome.reported_execution == ReportedExecution::not_executed) ++counters.rejected;
+    if (outcome.reported_execution == ReportedExecution::unknown) ++counters.unknown;
     const uint64_t generation = current ? current->generation : 0;
     if (generation) count_response(is_failure(outcome.response.status));
     node.adapter.finish_response(outcome.response, request.id, generation);
@@ -251,7 +251,7 @@
     if (outcome.superseded) continue;  // a newer configuration came into force while it waited
     // The request is rejected now, but an earlier attempt may have executed it.
     if (client.execution_state == ExecutionState::possibly_executed &&
-        outcome.execution_status == ReportedExecution::not_executed)
+        outcome.reported_execution == ReportedExecution::not_executed)
       outcome = impl.outcomes.unknown(RejectionReason::earlier_attempt);
     if (context) impl.count_rejection(outcome, *context);
     return impl.conclude(request, std::move(outcome), current.get());
--- a/src/proxy/request_outcome.hpp
+++ b/src/proxy/request_outcome.hpp
@@ -26,7 +26,7 @@
 /// The outcome of a request under one configuration.
 struct RequestOutcome {
   base::Response response;
-  ReportedExecution execution_status = ReportedExecution::none;  ///< reported to the client
+  ReportedExecution reported_execution = ReportedExecution::none;  ///< reported to the client
   /// The execution state over the attempts without a final response; not_sent when an attempt had one.
   ExecutionState execution_state = ExecutionState::not_sent;
   bool superseded = false;  ///< the request must be routed again; the response is not used
