--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -179,7 +179,7 @@
       cache_.await_fetch(fetch, node_.ports.tasks.condition(),
                          std::max<Duration>(context.start_deadline() - node_.ports.clock.now(), Duration(0)),
                          context.request.cancellation);
-  if (context.client_has_left()) return outcomes_.abandoned();
+  if (context.client_has_disconnected()) return outcomes_.abandoned();
   if (end && end->rejected) return outcomes_.rejected(503, RejectionReason::fetch_rejected, end->retry_after);
   if (!end || !rules_.is_usable(end->cached, context, node_.ports.clock.now()))
     return respond(context, key, this->fetch(context, key, held, context.request.cancellation));
--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -109,7 +109,7 @@
   }
 
   FetchResult rejected_for_link(size_t bytes) const {
-    if (context_.client_has_left()) return {client_.outcomes_.abandoned(), nullptr};
+    if (context_.client_has_disconnected()) return {client_.outcomes_.abandoned(), nullptr};
     return rejected(RejectionReason::link_saturated, inbound_->expected_time(bytes));
   }
 
@@ -142,7 +142,7 @@
   // sets `failure_`.
   void note(const base::PeerError* error, TimePoint sent_at) {
     if (!error) return client_.shields_.record_response(shield_.address);
-    if (context_.client_has_left())
+    if (context_.client_has_disconnected())
       failure_ = FetchResult{client_.outcomes_.abandoned(), nullptr};
     else
       client_.shields_.record_failure(shield_.address, sent_at);
--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -163,7 +163,7 @@
       if (!reservation) return std::get<Duration>(reserved);
       if (reservation->wait > Duration(0))
         base::sleep(node.ports, reservation->wait, context.request.cancellation);
-      if (context.client_has_left()) return {};
+      if (context.client_has_disconnected()) return {};
       if (rate_limiter.is_valid(*reservation, rate_quota(service))) return {};
     }
   }
@@ -220,7 +220,7 @@
         retry_state_(context.is_idempotent(), context.route->max_attempts, context.is_retry) {}
 
   UpstreamResult run() {
-    while (!context_.client_has_left() && retry_state_.may_attempt()) {
+    while (!context_.client_has_disconnected() && retry_state_.may_attempt()) {
       if (!acquire_retry() || !await_rate_limit() || !check_configuration()) break;
       auto selection = select_backend();
       if (!selection) break;
@@ -230,7 +230,7 @@
       if (next == NextStep::respond) return std::move(result_);
       if (next == NextStep::stop) break;
     }
-    if (context_.client_has_left()) result_ = abandoned();
+    if (context_.client_has_disconnected()) result_ = abandoned();
     result_.execution = retry_state_.execution();
     return std::move(result_);
   }
@@ -250,7 +250,7 @@
   bool await_rate_limit() {
     if (context_.service->rate <= 0) return true;
     auto retry_after = client_.await_rate_limit(context_);
-    if (!retry_after) return !context_.client_has_left();
+    if (!retry_after) return !context_.client_has_disconnected();
     if (retry_state_.nothing_sent()) result_ = rejected(RejectionReason::rate_limited, *retry_after);
     return false;
   }
@@ -329,7 +329,7 @@
 
   // Whether the attempt ended because the client disconnected, and not because of the deadline.
   bool was_broken_off(const AttemptReply& reply, Duration latency, Duration remaining) const {
-    return context_.may_break_off() && context_.client_has_left() &&
+    return context_.may_break_off() && context_.client_has_disconnected() &&
            std::holds_alternative<base::AttemptError>(reply) && latency < remaining - kDeadlineMargin;
   }
 
--- a/src/proxy/upstream_client.hpp
+++ b/src/proxy/upstream_client.hpp
@@ -52,7 +52,7 @@
   /// Whether an attempt may be cancelled when the client disconnects. A request that is not idempotent, or
   /// that has an Idempotency-Key, must be completed.
   bool may_break_off() const;
-  bool client_has_left() const { return base::is_cancelled(request.cancellation); }
+  bool client_has_disconnected() const { return base::is_cancelled(request.cancellation); }
 };
 
 enum class UpstreamOutcome {
