--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -67,7 +67,7 @@
   return route->kind != config::RequestKind::unsafe;
 }
 
-bool RequestContext::may_break_off() const {
+bool RequestContext::is_cancellable() const {
   return is_idempotent() && base::header(request.headers, "Idempotency-Key").empty();
 }
 
@@ -311,7 +311,7 @@
   base::AttemptRules attempt_rules(const base::Request& request, Duration remaining) const {
     const auto& adapter = client_.node.adapter;
     base::AttemptRules rules(remaining);
-    if (context_.may_break_off()) rules.cancellation = context_.request.cancellation;
+    if (context_.is_cancellable()) rules.cancellation = context_.request.cancellation;
     rules.connect_timeout = remaining / kConnectPart;
     rules.idempotent = context_.is_idempotent();
     rules.is_own_response = [&adapter, &request](const base::Response& response) {
@@ -329,7 +329,7 @@
 
   // Whether the attempt ended because the client disconnected, and not because of the deadline.
   bool was_broken_off(const AttemptReply& reply, Duration latency, Duration remaining) const {
-    return context_.may_break_off() && context_.client_has_disconnected() &&
+    return context_.is_cancellable() && context_.client_has_disconnected() &&
            std::holds_alternative<base::AttemptError>(reply) && latency < remaining - kDeadlineMargin;
   }
 
--- a/src/proxy/upstream_client.hpp
+++ b/src/proxy/upstream_client.hpp
@@ -51,7 +51,7 @@
   bool is_idempotent() const;
   /// Whether an attempt may be cancelled when the client disconnects. A request that is not idempotent, or
   /// that has an Idempotency-Key, must be completed.
-  bool may_break_off() const;
+  bool is_cancellable() const;
   bool client_has_disconnected() const { return base::is_cancelled(request.cancellation); }
 };
 
