--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -299,8 +299,8 @@
     auto reply = client_.node.ports.origin.send(instance.address, request, attempt_rules(request, remaining));
     const Duration latency = now() - sent_at;
     const AttemptClass attempt_class = classify_attempt(reply, client_.node.adapter, instance, request);
-    if (was_broken_off(reply, latency, remaining))
-      record_broken_off(instance, attempt_class, latency);
+    if (was_cancelled(reply, latency, remaining))
+      record_cancelled(instance, attempt_class, latency);
     else
       record(instance, attempt_class, reply, latency);
     const NextStep next = retry_state_.decide_next(attempt_class);
@@ -328,7 +328,7 @@
   }
 
   // Whether the attempt ended because the client disconnected, and not because of the deadline.
-  bool was_broken_off(const AttemptReply& reply, Duration latency, Duration remaining) const {
+  bool was_cancelled(const AttemptReply& reply, Duration latency, Duration remaining) const {
     return context_.is_cancellable() && context_.client_has_disconnected() &&
            std::holds_alternative<base::AttemptError>(reply) && latency < remaining - kDeadlineMargin;
   }
@@ -349,8 +349,8 @@
 
   // A cancelled attempt is no evidence about its instance, unless it had already taken long enough to count
   // as slow: clients that disconnect from a slow version must not hide its latency.
-  void record_broken_off(const membership::BackendInstance& instance, AttemptClass attempt_class,
-                         Duration latency) {
+  void record_cancelled(const membership::BackendInstance& instance, AttemptClass attempt_class,
+                        Duration latency) {
     record_sent(instance, attempt_class);
     client_.load_balancer.attempt_finished(instance, {AttemptHealth::unknown, {}, Duration(0)});
     if (attempt_class != AttemptClass::not_sent && client_.is_slow(instance.service, latency))
