--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -117,7 +117,7 @@
   whole.request.cancellation = cancellation;
   if (!context.is_forwarded)
     if (auto result = shield_client_.fetch(whole, key, held)) return std::move(*result);
-  return fetch_from_backend(whole, rules_.may_be_confirmed(held, whole) ? held : nullptr);
+  return fetch_from_backend(whole, rules_.can_be_revalidated(held, whole) ? held : nullptr);
 }
 
 FetchResult CachedRequestHandler::fetch_from_backend(const RequestContext& context,
--- a/src/proxy/cached_response_rules.cpp
+++ b/src/proxy/cached_response_rules.cpp
@@ -41,8 +41,8 @@
          !is_purged(*cached, context) && node_.has_read_lease();
 }
 
-bool CachedResponseRules::may_be_confirmed(const cache::CachedResponsePtr& held,
-                                           const RequestContext& context) const {
+bool CachedResponseRules::can_be_revalidated(const cache::CachedResponsePtr& held,
+                                             const RequestContext& context) const {
   return held && held->response.status == kOk && !strong_tag(held->response).empty() &&
          !is_quarantined(*held, context);
 }
--- a/src/proxy/cached_response_rules.hpp
+++ b/src/proxy/cached_response_rules.hpp
@@ -23,7 +23,7 @@
 
   /// Whether a cached response, which may be null, can be revalidated. That takes a strong entity tag: equal
   /// tags mean byte-identical bodies.
-  bool may_be_confirmed(const cache::CachedResponsePtr& held, const RequestContext& context) const;
+  bool can_be_revalidated(const cache::CachedResponsePtr& held, const RequestContext& context) const;
 
   /// Creates the cache entry for a fetch that begins now, without the response.
   std::shared_ptr<cache::CachedResponse> begin_entry(const RequestContext& context) const;
--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -63,7 +63,7 @@
       : client_(client),
         context_(context),
         shield_(shield),
-        held_(client.rules_.may_be_confirmed(held, context) ? held : nullptr),
+        held_(client.rules_.can_be_revalidated(held, context) ? held : nullptr),
         inbound_(client.node_.ports.link ? &client.node_.ports.link->inbound : nullptr) {}
 
   /// Returns nothing when the next shield or a backend instance must be tried.
