--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -129,7 +129,7 @@
   auto result = upstream_client_.execute(conditional);
   if (context.is_retry) result.execution = ExecutionState::possibly_executed;  // on an earlier path
   if (result.outcome != UpstreamOutcome::responded) return {outcomes_.from(std::move(result)), nullptr};
-  const bool confirmed = held && confirms(result.response, held->response);
+  const bool confirmed = held && revalidates(result.response, held->response);
   counters_.confirmed += confirmed;
   if (confirmed) result.response = refreshed(held->response, result.response);
   auto lifetime = context.route->cache_lifetime > Duration(0)
--- a/src/proxy/cached_response_rules.cpp
+++ b/src/proxy/cached_response_rules.cpp
@@ -60,7 +60,7 @@
                                                      : Duration(context.service->cache_lifetime_s * 1000);
 }
 
-bool confirms(const base::Response& response, const base::Response& held) {
+bool revalidates(const base::Response& response, const base::Response& held) {
   return response.status == kNotModified && !strong_tag(held).empty() &&
          base::header(response.headers, "ETag") == strong_tag(held);
 }
--- a/src/proxy/cached_response_rules.hpp
+++ b/src/proxy/cached_response_rules.hpp
@@ -37,8 +37,8 @@
   NodeContext node_;
 };
 
-/// Whether the response confirms `held` as current: a 304 with the same strong entity tag.
-bool confirms(const base::Response& response, const base::Response& held);
+/// Whether the response revalidates `held` as current: a 304 with the same strong entity tag.
+bool revalidates(const base::Response& response, const base::Response& held);
 
 /// The cached response with the freshness headers of its 304 response (RFC 9111, section 4.3.4).
 base::Response refreshed(const base::Response& held, const base::Response& confirmation);
--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -207,9 +207,9 @@
     return FetchResult{{std::move(entry->response)}, nullptr};
   }
 
-  // Adds the cached body to a 304 response that confirms it; false when the 304 may not be used.
+  // Adds the cached body to a 304 response that revalidates it; false when the 304 may not be used.
   bool restore_held(const pb::ForwardResponse& forwarded, cache::CachedResponse& entry) const {
-    if (!held_ || !confirms(entry.response, held_->response) || !forwarded.cacheable() ||
+    if (!held_ || !revalidates(entry.response, held_->response) || !forwarded.cacheable() ||
         forwarded.body_bytes() != held_->response.body.size())
       return false;
     ++client_.counters_.confirmed;
--- a/test/unit/proxy/transfer_test.cpp
+++ b/test/unit/proxy/transfer_test.cpp
@@ -57,11 +57,11 @@
 void only_the_same_strong_tag_confirms() {
   const base::Response held{200, {{"ETag", "\"v1\""}}, "body"};
   const base::Response weak{200, {{"ETag", "W/\"v1\""}}, "body"};
-  expect(proxy::confirms({304, {{"ETag", "\"v1\""}}, {}}, held), "the same tag");
-  expect(!proxy::confirms({304, {{"ETag", "\"v2\""}}, {}}, held), "another tag");
-  expect(!proxy::confirms({304, {}, {}}, held), "no tag");
-  expect(!proxy::confirms({200, {{"ETag", "\"v1\""}}, "body"}, held), "a response with a body");
-  expect(!proxy::confirms({304, {{"ETag", "W/\"v1\""}}, {}}, weak),
+  expect(proxy::revalidates({304, {{"ETag", "\"v1\""}}, {}}, held), "the same tag");
+  expect(!proxy::revalidates({304, {{"ETag", "\"v2\""}}, {}}, held), "another tag");
+  expect(!proxy::revalidates({304, {}, {}}, held), "no tag");
+  expect(!proxy::revalidates({200, {{"ETag", "\"v1\""}}, "body"}, held), "a response with a body");
+  expect(!proxy::revalidates({304, {{"ETag", "W/\"v1\""}}, {}}, weak),
          "a weak tag does not guarantee identical bytes");
 }
 void a_confirmation_refreshes_without_growing() {
