--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -107,31 +107,31 @@
       rules_(node_),
       shield_client_(node_, upstream_client, counters) {}
 
-// @param held          a cached response to revalidate; may be null
+// @param stored          a cached response to revalidate; may be null
 // @param cancellation  of the fetch, for which other requests may wait too
 FetchResult CachedRequestHandler::fetch(const RequestContext& context, const std::string& key,
-                                        const cache::CachedResponsePtr& held,
+                                        const cache::CachedResponsePtr& stored,
                                         const base::CancellationPtr& cancellation) {
   ++counters_.cache_fetches;
   RequestContext whole = whole_object_request(context);
   whole.request.cancellation = cancellation;
   if (!context.is_forwarded)
-    if (auto result = shield_client_.fetch(whole, key, held)) return std::move(*result);
-  return fetch_from_backend(whole, rules_.can_be_revalidated(held, whole) ? held : nullptr);
+    if (auto result = shield_client_.fetch(whole, key, stored)) return std::move(*result);
+  return fetch_from_backend(whole, rules_.can_be_revalidated(stored, whole) ? stored : nullptr);
 }
 
 FetchResult CachedRequestHandler::fetch_from_backend(const RequestContext& context,
-                                                     const cache::CachedResponsePtr& held) {
+                                                     const cache::CachedResponsePtr& stored) {
   const auto entry = rules_.begin_entry(context);
   RequestContext conditional = context;
-  if (held)
-    conditional.request.headers.emplace_back("If-None-Match", base::header(held->response.headers, "ETag"));
+  if (stored)
+    conditional.request.headers.emplace_back("If-None-Match", base::header(stored->response.headers, "ETag"));
   auto result = upstream_client_.execute(conditional);
   if (context.is_retry) result.execution = ExecutionState::possibly_executed;  // on an earlier path
   if (result.outcome != UpstreamOutcome::responded) return {outcomes_.from(std::move(result)), nullptr};
-  const bool confirmed = held && revalidates(result.response, held->response);
+  const bool confirmed = stored && revalidates(result.response, stored->response);
   counters_.confirmed += confirmed;
-  if (confirmed) result.response = refreshed(held->response, result.response);
+  if (confirmed) result.response = refreshed(stored->response, result.response);
   auto lifetime = context.route->cache_lifetime > Duration(0)
                       ? cache::configured_lifetime(result.response, context.route->cache_lifetime)
                       : cache::response_lifetime(context.request, result.response);
@@ -173,7 +173,7 @@
 // Half of the request's time budget is for the other request's fetch, half for a fetch by this one: the
 // other's response may not be shareable.
 RequestOutcome CachedRequestHandler::await_other_fetch(const RequestContext& context, const std::string& key,
-                                                       const cache::CachedResponsePtr& held,
+                                                       const cache::CachedResponsePtr& stored,
                                                        const std::shared_ptr<cache::Cache::Fetch>& fetch) {
   const auto end =
       cache_.await_fetch(fetch, node_.ports.tasks.condition(),
@@ -182,7 +182,7 @@
   if (context.client_has_disconnected()) return outcomes_.abandoned();
   if (end && end->rejected) return outcomes_.rejected(503, RejectionReason::fetch_rejected, end->retry_after);
   if (!end || !rules_.is_usable(end->cached, context, node_.ports.clock.now()))
-    return respond(context, key, this->fetch(context, key, held, context.request.cancellation));
+    return respond(context, key, this->fetch(context, key, stored, context.request.cancellation));
   ++counters_.cache_hits;
   return respond_from_cache(end->cached, context);
 }
@@ -201,23 +201,23 @@
 
 RequestOutcome CachedRequestHandler::handle(const RequestContext& context) {
   const auto key = cache_key(context);
-  const auto held = cache_.find(key);
-  const bool usable = rules_.is_usable(held, context, node_.ports.clock.now());
-  if (auto retry_after = link_retry_after(context, held ? held->response.body.size() : 0, !held))
+  const auto stored = cache_.find(key);
+  const bool usable = rules_.is_usable(stored, context, node_.ports.clock.now());
+  if (auto retry_after = link_retry_after(context, stored ? stored->response.body.size() : 0, !stored))
     return outcomes_.rejected(503, RejectionReason::link_saturated, *retry_after);
   if (usable) {
     ++counters_.cache_hits;
-    return respond_from_cache(held, context);
+    return respond_from_cache(stored, context);
   }
   auto fetch_key = fmt::format("{}|{}|{}", key, context.configuration->name,
                                purge_number(*node_.snapshot(), context.service->name));
   const auto joined = cache_.join_fetch(fetch_key);
   const auto& fetch_under_way = joined.fetch;
-  if (!joined.leads) return await_other_fetch(context, key, held, fetch_under_way);
+  if (!joined.leads) return await_other_fetch(context, key, stored, fetch_under_way);
   FetchGuard guard(cache_, std::move(fetch_key), fetch_under_way);
   const base::CancellationSubscription leaving(context.request.cancellation,
                                                [&] { cache_.leave_fetch(fetch_under_way); });
-  auto fetched = fetch(context, key, held, cache::Cache::cancellation(fetch_under_way));
+  auto fetched = fetch(context, key, stored, cache::Cache::cancellation(fetch_under_way));
   guard.share(
       {fetched.cached, !fetched.cached && is_shared_rejection(fetched.outcome), fetched.outcome.retry_after});
   return respond(context, key, std::move(fetched));
--- a/src/proxy/cached_request_handler.hpp
+++ b/src/proxy/cached_request_handler.hpp
@@ -31,12 +31,12 @@
 
  private:
   FetchResult fetch(const RequestContext& context, const std::string& key,
-                    const cache::CachedResponsePtr& held, const base::CancellationPtr& cancellation);
-  FetchResult fetch_from_backend(const RequestContext& context, const cache::CachedResponsePtr& held);
+                    const cache::CachedResponsePtr& stored, const base::CancellationPtr& cancellation);
+  FetchResult fetch_from_backend(const RequestContext& context, const cache::CachedResponsePtr& stored);
   std::optional<Duration> link_retry_after(const RequestContext& context, size_t bytes,
                                            bool is_fetched) const;
   RequestOutcome await_other_fetch(const RequestContext& context, const std::string& key,
-                                   const cache::CachedResponsePtr& held,
+                                   const cache::CachedResponsePtr& stored,
                                    const std::shared_ptr<cache::Cache::Fetch>& fetch);
   RequestOutcome respond(const RequestContext& context, const std::string& key, FetchResult fetched);
   RequestOutcome respond_from_cache(const cache::CachedResponsePtr& cached, const RequestContext& context);
--- a/src/proxy/cached_response_rules.cpp
+++ b/src/proxy/cached_response_rules.cpp
@@ -41,10 +41,10 @@
          !is_purged(*cached, context) && node_.has_read_lease();
 }
 
-bool CachedResponseRules::can_be_revalidated(const cache::CachedResponsePtr& held,
+bool CachedResponseRules::can_be_revalidated(const cache::CachedResponsePtr& stored,
                                              const RequestContext& context) const {
-  return held && held->response.status == kOk && !strong_tag(held->response).empty() &&
-         !is_quarantined(*held, context);
+  return stored && stored->response.status == kOk && !strong_tag(stored->response).empty() &&
+         !is_quarantined(*stored, context);
 }
 
 std::shared_ptr<cache::CachedResponse> CachedResponseRules::begin_entry(const RequestContext& context) const {
@@ -60,14 +60,14 @@
                                                      : Duration(context.service->cache_lifetime_s * 1000);
 }
 
-bool revalidates(const base::Response& response, const base::Response& held) {
-  return response.status == kNotModified && !strong_tag(held).empty() &&
-         base::header(response.headers, "ETag") == strong_tag(held);
+bool revalidates(const base::Response& response, const base::Response& stored) {
+  return response.status == kNotModified && !strong_tag(stored).empty() &&
+         base::header(response.headers, "ETag") == strong_tag(stored);
 }
 
 // No other header is taken from the 304: headers that identify the instance which generated the body stay.
-base::Response refreshed(const base::Response& held, const base::Response& confirmation) {
-  base::Response response = held;
+base::Response refreshed(const base::Response& stored, const base::Response& confirmation) {
+  base::Response response = stored;
   for (const char* name : {"Age", "Cache-Control", "Date", "Expires"}) {
     std::erase_if(response.headers,
                   [&](const auto& header) { return base::equals_ignore_case(header.name, name); });
--- a/src/proxy/cached_response_rules.hpp
+++ b/src/proxy/cached_response_rules.hpp
@@ -23,7 +23,7 @@
 
   /// Whether a cached response, which may be null, can be revalidated. That takes a strong entity tag: equal
   /// tags mean byte-identical bodies.
-  bool can_be_revalidated(const cache::CachedResponsePtr& held, const RequestContext& context) const;
+  bool can_be_revalidated(const cache::CachedResponsePtr& stored, const RequestContext& context) const;
 
   /// Creates the cache entry for a fetch that begins now, without the response.
   std::shared_ptr<cache::CachedResponse> begin_entry(const RequestContext& context) const;
@@ -37,10 +37,10 @@
   NodeContext node_;
 };
 
-/// Whether the response revalidates `held` as current: a 304 with the same strong entity tag.
-bool revalidates(const base::Response& response, const base::Response& held);
+/// Whether the response revalidates `stored` as current: a 304 with the same strong entity tag.
+bool revalidates(const base::Response& response, const base::Response& stored);
 
 /// The cached response with the freshness headers of its 304 response (RFC 9111, section 4.3.4).
-base::Response refreshed(const base::Response& held, const base::Response& confirmation);
+base::Response refreshed(const base::Response& stored, const base::Response& confirmation);
 
 }  // namespace dunlinwing::proxy
--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -59,11 +59,11 @@
 class ShieldClient::Fetch {
  public:
   Fetch(ShieldClient& client, RequestContext& context, const Shield& shield,
-        const cache::CachedResponsePtr& held)
+        const cache::CachedResponsePtr& stored)
       : client_(client),
         context_(context),
         shield_(shield),
-        held_(client.rules_.can_be_revalidated(held, context) ? held : nullptr),
+        stored_(client.rules_.can_be_revalidated(stored, context) ? stored : nullptr),
         inbound_(client.node_.ports.link ? &client.node_.ports.link->inbound : nullptr) {}
 
   /// Returns nothing when the next shield or a backend instance must be tried.
@@ -90,7 +90,7 @@
   TimePoint now() const { return client_.node_.ports.clock.now(); }
 
   size_t first_part_bytes() const {
-    if (held_) return kHeadBytes;
+    if (stored_) return kHeadBytes;
     return inbound_ ? inbound_->part_bytes() / 2 : 0;
   }
 
@@ -120,10 +120,10 @@
     const Duration told(static_cast<int64_t>(static_cast<double>(limit.count()) * kToldPart));
     auto request = forward_request(context_, known_purge_number, told);
     request.mutable_forward()->set_max_body_bytes(first_bytes);
-    if (held_) {
+    if (stored_) {
       auto* condition = request.mutable_forward()->add_headers();
       condition->set_name("If-None-Match");
-      condition->set_value(base::header(held_->response.headers, "ETag"));
+      condition->set_value(base::header(stored_->response.headers, "ETag"));
     }
     ++client_.counters_.forwarded;
     auto reply =
@@ -209,12 +209,12 @@
 
   // Adds the cached body to a 304 response that revalidates it; false when the 304 may not be used.
   bool restore_held(const pb::ForwardResponse& forwarded, cache::CachedResponse& entry) const {
-    if (!held_ || !revalidates(entry.response, held_->response) || !forwarded.cacheable() ||
-        forwarded.body_bytes() != held_->response.body.size())
+    if (!stored_ || !revalidates(entry.response, stored_->response) || !forwarded.cacheable() ||
+        forwarded.body_bytes() != stored_->response.body.size())
       return false;
     ++client_.counters_.confirmed;
     entry.response.status = kOk;
-    entry.response.body = held_->response.body;
+    entry.response.body = stored_->response.body;
     return true;
   }
 
@@ -228,8 +228,8 @@
   ShieldClient& client_;
   RequestContext& context_;
   const Shield& shield_;
-  const cache::CachedResponsePtr held_;  // null: the complete body is requested
-  link::Pacer* const inbound_;           // null: the link's rate is unknown
+  const cache::CachedResponsePtr stored_;  // null: the complete body is requested
+  link::Pacer* const inbound_;             // null: the link's rate is unknown
   const TimePoint began_ = now();
   std::optional<FetchResult>
       failure_;  // the request's final result if the fetch fails; nothing: another path is tried
@@ -246,12 +246,12 @@
 // A fetch in place of a failed shield does not count as this node's demand: it must not change this node's
 // share of the origin's capacity.
 std::optional<FetchResult> ShieldClient::fetch(RequestContext& context, const std::string& key,
-                                               const cache::CachedResponsePtr& held) {
+                                               const cache::CachedResponsePtr& stored) {
   std::vector<std::string> tried;
   while (tried.size() < kMaxShields) {
     const auto shield = shields_.select(*node_.snapshot(), key, tried);
     if (!shield) return {};
-    if (auto result = Fetch(*this, context, *shield, held).run()) return result;
+    if (auto result = Fetch(*this, context, *shield, stored).run()) return result;
     tried.push_back(shield->name);
     context.counts_as_demand = false;
   }
--- a/test/unit/proxy/transfer_test.cpp
+++ b/test/unit/proxy/transfer_test.cpp
@@ -55,24 +55,24 @@
 }
 
 void only_the_same_strong_tag_confirms() {
-  const base::Response held{200, {{"ETag", "\"v1\""}}, "body"};
+  const base::Response stored{200, {{"ETag", "\"v1\""}}, "body"};
   const base::Response weak{200, {{"ETag", "W/\"v1\""}}, "body"};
-  expect(proxy::revalidates({304, {{"ETag", "\"v1\""}}, {}}, held), "the same tag");
-  expect(!proxy::revalidates({304, {{"ETag", "\"v2\""}}, {}}, held), "another tag");
-  expect(!proxy::revalidates({304, {}, {}}, held), "no tag");
-  expect(!proxy::revalidates({200, {{"ETag", "\"v1\""}}, "body"}, held), "a response with a body");
+  expect(proxy::revalidates({304, {{"ETag", "\"v1\""}}, {}}, stored), "the same tag");
+  expect(!proxy::revalidates({304, {{"ETag", "\"v2\""}}, {}}, stored), "another tag");
+  expect(!proxy::revalidates({304, {}, {}}, stored), "no tag");
+  expect(!proxy::revalidates({200, {{"ETag", "\"v1\""}}, "body"}, stored), "a response with a body");
   expect(!proxy::revalidates({304, {{"ETag", "W/\"v1\""}}, {}}, weak),
          "a weak tag does not guarantee identical bytes");
 }
 void a_confirmation_refreshes_without_growing() {
-  const base::Response held{200, {{"ETag", "\"v1\""}, {"Via", "1.1 a"}, {"Age", "7"}}, "body"};
+  const base::Response stored{200, {{"ETag", "\"v1\""}, {"Via", "1.1 a"}, {"Age", "7"}}, "body"};
   const base::Response confirmation{304, {{"ETag", "\"v1\""}, {"Cache-Control", "max-age=9"}}, {}};
-  const auto once = proxy::refreshed(held, confirmation), twice = proxy::refreshed(once, confirmation);
+  const auto once = proxy::refreshed(stored, confirmation), twice = proxy::refreshed(once, confirmation);
   same(twice.headers.size(), once.headers.size(), "headers after a second confirmation");
   same(base::header(once.headers, "Cache-Control"), std::string("max-age=9"),
        "the value in the 304 response");
   same(base::header(once.headers, "Age"), std::string(), "the Age of the first response is removed");
-  same(once.body, held.body, "the body");
+  same(once.body, stored.body, "the body");
 }
 }  // namespace
 
