--- a/src/cache/cache.cpp
+++ b/src/cache/cache.cpp
@@ -11,7 +11,7 @@
 /// Estimated size of an entry in addition to its key and body: headers and bookkeeping.
 constexpr size_t kEntryOverheadBytes = 512;
 /// The number of lifetimes for which a response is kept: after the first one it can still be revalidated.
-constexpr int kHeldLifetimes = 2;
+constexpr int kRetainedLifetimes = 2;
 }  // namespace
 
 struct Cache::Fetch {
@@ -72,7 +72,7 @@
   for (auto it = impl_->entries.begin(); it != impl_->entries.end();) {
     auto entry = it++;
     const auto& kept = *entry->second.cached;
-    if (now - kept.generated_at > kept.lifetime * kHeldLifetimes) impl_->erase(entry);
+    if (now - kept.generated_at > kept.lifetime * kRetainedLifetimes) impl_->erase(entry);
   }
 }
 
