--- a/src/proxy/protocol_adapter.cpp
+++ b/src/proxy/protocol_adapter.cpp
@@ -82,7 +82,7 @@
     return has_value(response, kRequest, id);
   }
 
-  bool names_no_request(const base::Response& response) const override {
+  bool lacks_request_id(const base::Response& response) const override {
     return base::header(response.headers, kRequest).empty();
   }
 
--- a/src/proxy/protocol_adapter.hpp
+++ b/src/proxy/protocol_adapter.hpp
@@ -71,7 +71,7 @@
   virtual bool is_response_to(const base::Response& response, const std::string& id) const = 0;
 
   /// Whether the response has no request id.
-  virtual bool names_no_request(const base::Response& response) const = 0;
+  virtual bool lacks_request_id(const base::Response& response) const = 0;
 
   /// @return nothing when the response reports no load
   virtual std::optional<BackendLoad> reported_load(const base::Response& response) const = 0;
--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -318,7 +318,7 @@
       return adapter.is_response_to(response, request.id);
     };
     rules.is_anonymous = [&adapter](const base::Response& response) {
-      return adapter.names_no_request(response);
+      return adapter.lacks_request_id(response);
     };
     rules.max_connections = client_.max_connections(*context_.service);
     rules.on_connection_wait = [this](bool granted) {
