--- a/src/proxy/cached_response_rules.cpp
+++ b/src/proxy/cached_response_rules.cpp
@@ -26,7 +26,7 @@
 bool CachedResponseRules::is_purged(const cache::CachedResponse& cached,
                                     const RequestContext& context) const {
   const PurgeTarget target{context.service->name, context.host, context.request.target, &cached.tags};
-  return purged(*node_.snapshot(), target, cached.purge_number);
+  return is_purged_since(*node_.snapshot(), target, cached.purge_number);
 }
 
 bool CachedResponseRules::is_usable(const cache::CachedResponsePtr& cached, const RequestContext& context,
--- a/src/proxy/routing_snapshot.cpp
+++ b/src/proxy/routing_snapshot.cpp
@@ -107,7 +107,7 @@
          (std::min(first >> kAllServicesShift, second >> kAllServicesShift) << kAllServicesShift);
 }
 
-bool purged(const RoutingSnapshot& snapshot, const PurgeTarget& response, uint64_t since) {
+bool is_purged_since(const RoutingSnapshot& snapshot, const PurgeTarget& response, uint64_t since) {
   const auto* own = find_purges(snapshot, std::string(response.service));
   const auto* all = find_purges(snapshot, kAllServices);
   return (own && is_named(*own, response, since & kServiceCountMask)) ||
--- a/src/proxy/routing_snapshot.hpp
+++ b/src/proxy/routing_snapshot.hpp
@@ -94,6 +94,6 @@
 };
 
 /// Whether a purge later than `since` (a result of purge_number()) matches the response.
-bool purged(const RoutingSnapshot& snapshot, const PurgeTarget& response, uint64_t since);
+bool is_purged_since(const RoutingSnapshot& snapshot, const PurgeTarget& response, uint64_t since);
 
 }  // namespace dunlinwing::proxy
--- a/test/unit/proxy/routing_snapshot_test.cpp
+++ b/test/unit/proxy/routing_snapshot_test.cpp
@@ -21,7 +21,7 @@
   proxy::RoutingSnapshot snapshot;
   snapshot.purges["s"] = purges;
   for (const auto& [path, number] : done)
-    RC_ASSERT(proxy::purged(snapshot, {"s", "", path, nullptr}, number - 1));
+    RC_ASSERT(proxy::is_purged_since(snapshot, {"s", "", path, nullptr}, number - 1));
 }
 
 void same_name_is_one_purge() {
