--- a/src/proxy/routing_snapshot.cpp
+++ b/src/proxy/routing_snapshot.cpp
@@ -41,7 +41,7 @@
   return purge.kind() == "tag" && response.tags && contains(*response.tags, purge.path());
 }
 
-bool is_named(const pb::PurgeSet& purges, const PurgeTarget& response, uint64_t since) {
+bool matches_any(const pb::PurgeSet& purges, const PurgeTarget& response, uint64_t since) {
   if (purges.number() <= since) return false;
   const auto path = response.target.substr(0, response.target.find('?'));
   for (const auto& purge : purges.purges()) {
@@ -110,8 +110,8 @@
 bool is_purged_since(const RoutingSnapshot& snapshot, const PurgeTarget& response, uint64_t since) {
   const auto* own = find_purges(snapshot, std::string(response.service));
   const auto* all = find_purges(snapshot, kAllServices);
-  return (own && is_named(*own, response, since & kServiceCountMask)) ||
-         (all && is_named(*all, response, since >> kAllServicesShift));
+  return (own && matches_any(*own, response, since & kServiceCountMask)) ||
+         (all && matches_any(*all, response, since >> kAllServicesShift));
 }
 
 }  // namespace dunlinwing::proxy
