--- a/src/cache/cache.cpp
+++ b/src/cache/cache.cpp
@@ -17,7 +17,7 @@
 struct Cache::Fetch {
   std::mutex mutex;
   bool done = false;
-  FetchEnd end;                                              ///< valid once done
+  SharedFetchResult end;                                     ///< valid once done
   std::vector<std::shared_ptr<base::Condition>> conditions;  ///< of the waiting requests; empty once done
   const base::CancellationPtr cancellation = std::make_shared<base::Cancellation>();
   int participants = 0;  ///< number of requests that use it; guarded by the cache's mutex
@@ -100,7 +100,7 @@
 
 base::CancellationPtr Cache::cancellation(const std::shared_ptr<Fetch>& fetch) { return fetch->cancellation; }
 
-void Cache::finish_fetch(const std::string& key, const std::shared_ptr<Fetch>& fetch, FetchEnd end) {
+void Cache::finish_fetch(const std::string& key, const std::shared_ptr<Fetch>& fetch, SharedFetchResult end) {
   {
     std::lock_guard lock(impl_->mutex);
     auto found = impl_->fetches.find(key);
@@ -113,9 +113,10 @@
   fetch->conditions.clear();
 }
 
-std::optional<FetchEnd> Cache::await_fetch(const std::shared_ptr<Fetch>& fetch,
-                                           const std::shared_ptr<base::Condition>& condition, Duration limit,
-                                           const base::CancellationPtr& cancellation) {
+std::optional<SharedFetchResult> Cache::await_fetch(const std::shared_ptr<Fetch>& fetch,
+                                                    const std::shared_ptr<base::Condition>& condition,
+                                                    Duration limit,
+                                                    const base::CancellationPtr& cancellation) {
   {
     std::lock_guard lock(fetch->mutex);
     if (fetch->done) return fetch->end;
--- a/src/cache/cache.hpp
+++ b/src/cache/cache.hpp
@@ -22,7 +22,7 @@
 using CachedResponsePtr = std::shared_ptr<const CachedResponse>;
 
 /// The result of a fetch for the requests that wait for it.
-struct FetchEnd {
+struct SharedFetchResult {
   CachedResponsePtr cached;  ///< null when there is no response that may be shared
   bool rejected = false;     ///< not executed, and the rejection applies to the waiting requests too
   Duration retry_after{0};   ///< minimum delay before a rejected request should be retried
@@ -67,15 +67,16 @@
   static base::CancellationPtr cancellation(const std::shared_ptr<Fetch>& fetch);
 
   /// Ends a fetch and wakes all waiting requests.
-  void finish_fetch(const std::string& key, const std::shared_ptr<Fetch>& fetch, FetchEnd end);
+  void finish_fetch(const std::string& key, const std::shared_ptr<Fetch>& fetch, SharedFetchResult end);
 
   /// Waits until a fetch has ended. The caller has then left the fetch.
   /// @param condition     owned by the caller; must not be reused
   /// @param cancellation  ends the wait
   /// @return the argument of finish_fetch(); nothing on timeout or when the wait was cancelled
-  std::optional<FetchEnd> await_fetch(const std::shared_ptr<Fetch>& fetch,
-                                      const std::shared_ptr<base::Condition>& condition, Duration limit,
-                                      const base::CancellationPtr& cancellation = {});
+  std::optional<SharedFetchResult> await_fetch(const std::shared_ptr<Fetch>& fetch,
+                                               const std::shared_ptr<base::Condition>& condition,
+                                               Duration limit,
+                                               const base::CancellationPtr& cancellation = {});
 
  private:
   struct Impl;
--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -88,13 +88,13 @@
   FetchGuard(const FetchGuard&) = delete;
   FetchGuard& operator=(const FetchGuard&) = delete;
 
-  void share(cache::FetchEnd end) { end_ = std::move(end); }
+  void share(cache::SharedFetchResult end) { end_ = std::move(end); }
 
  private:
   cache::Cache& cache_;
   std::string key_;
   std::shared_ptr<cache::Cache::Fetch> fetch_;
-  cache::FetchEnd end_;
+  cache::SharedFetchResult end_;
 };
 }  // namespace
 
