--- a/src/cache/cache.cpp
+++ b/src/cache/cache.cpp
@@ -84,10 +84,10 @@
 Cache::JoinedFetch Cache::join_fetch(const std::string& key) {
   std::lock_guard lock(impl_->mutex);
   auto& fetch = impl_->fetches[key];
-  const bool leads = !fetch || fetch->participants == 0;
-  if (leads) fetch = std::make_shared<Fetch>();
+  const bool must_fetch = !fetch || fetch->participants == 0;
+  if (must_fetch) fetch = std::make_shared<Fetch>();
   ++fetch->participants;
-  return {fetch, leads};
+  return {fetch, must_fetch};
 }
 
 void Cache::leave_fetch(const std::shared_ptr<Fetch>& fetch) {
--- a/src/cache/cache.hpp
+++ b/src/cache/cache.hpp
@@ -53,7 +53,8 @@
 
   struct JoinedFetch {
     std::shared_ptr<Fetch> fetch;
-    bool leads = false;  ///< the caller must fetch and call finish_fetch(); other callers call await_fetch()
+    bool must_fetch =
+        false;  ///< the caller must fetch and call finish_fetch(); other callers call await_fetch()
   };
 
   /// Joins the running fetch of the key, or begins one. A cancelled fetch is not joined.
--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -213,7 +213,7 @@
                                purge_number(*node_.snapshot(), context.service->name));
   const auto joined = cache_.join_fetch(fetch_key);
   const auto& fetch_under_way = joined.fetch;
-  if (!joined.leads) return await_other_fetch(context, key, stored, fetch_under_way);
+  if (!joined.must_fetch) return await_other_fetch(context, key, stored, fetch_under_way);
   FetchGuard guard(cache_, std::move(fetch_key), fetch_under_way);
   const base::CancellationSubscription leaving(context.request.cancellation,
                                                [&] { cache_.leave_fetch(fetch_under_way); });
