--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -128,7 +128,8 @@
     conditional.request.headers.emplace_back("If-None-Match", base::header(stored->response.headers, "ETag"));
   auto result = upstream_client_.execute(conditional);
   if (context.is_retry) result.execution = ExecutionState::possibly_executed;  // on an earlier path
-  if (result.outcome != UpstreamOutcome::responded) return {outcomes_.from(std::move(result)), nullptr};
+  if (result.outcome != UpstreamOutcome::responded)
+    return {outcomes_.from_upstream(std::move(result)), nullptr};
   const bool confirmed = stored && revalidates(result.response, stored->response);
   counters_.confirmed += confirmed;
   if (confirmed) result.response = refreshed(stored->response, result.response);
@@ -138,7 +139,8 @@
   entry->generated_at -= cache::age_header(result.response);
   entry->version = result.version;
   entry->tags = node_.adapter.cache_tags(result.response);
-  auto response = confirmed ? std::move(result.response) : outcomes_.from(std::move(result)).response;
+  auto response =
+      confirmed ? std::move(result.response) : outcomes_.from_upstream(std::move(result)).response;
   if (!lifetime) return {{std::move(response)}, nullptr};
   entry->response = std::move(response);
   entry->lifetime = *lifetime;
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -120,7 +120,7 @@
 
   RequestOutcome dispatch(const RequestContext& context) {
     if (is_cacheable(context)) return cached_requests.handle(context);
-    return outcomes.from(upstream_client.execute(context));
+    return outcomes.from_upstream(upstream_client.execute(context));
   }
 
   // Counts the outcome and completes the response.
--- a/src/proxy/request_outcome.cpp
+++ b/src/proxy/request_outcome.cpp
@@ -35,7 +35,7 @@
   return outcome;
 }
 
-RequestOutcome OutcomeBuilder::from(UpstreamResult&& result) const {
+RequestOutcome OutcomeBuilder::from_upstream(UpstreamResult&& result) const {
   RequestOutcome outcome;
   if (result.outcome == UpstreamOutcome::responded) {
     adapter.strip_internal_headers(result.response);
--- a/src/proxy/request_outcome.hpp
+++ b/src/proxy/request_outcome.hpp
@@ -53,7 +53,7 @@
   /// The outcome of a request that may have been executed.
   RequestOutcome unknown(RejectionReason reason) const;
 
-  RequestOutcome from(UpstreamResult&& result) const;
+  RequestOutcome from_upstream(UpstreamResult&& result) const;
 };
 
 }  // namespace dunlinwing::proxy
