--- a/src/proxy/forwarded_request_handler.cpp
+++ b/src/proxy/forwarded_request_handler.cpp
@@ -14,7 +14,7 @@
 }
 
 // Replaces a 304 by the complete response: the forwarding node accepts a 304 only if it is cacheable.
-void set_whole(pb::ForwardResponse& response, const base::Response& whole) {
+void set_full_response(pb::ForwardResponse& response, const base::Response& whole) {
   response.set_status(static_cast<uint32_t>(whole.status));
   response.set_body(whole.body);
 }
@@ -114,7 +114,8 @@
     set_cached(response, *outcome.cached);
   } else {
     response.set_purge_number(purge_number(*current, forward.service()));
-    if (response.status() == kNotModified && outcome.cached) set_whole(response, outcome.cached->response);
+    if (response.status() == kNotModified && outcome.cached)
+      set_full_response(response, outcome.cached->response);
   }
   hold_back_rest(response, forward.max_body_bytes());
   return response;
