--- a/src/proxy/forwarded_request_handler.cpp
+++ b/src/proxy/forwarded_request_handler.cpp
@@ -117,7 +117,7 @@
     if (response.status() == kNotModified && outcome.cached)
       set_full_response(response, outcome.cached->response);
   }
-  hold_back_rest(response, forward.max_body_bytes());
+  move_rest_to_transfer(response, forward.max_body_bytes());
   return response;
 }
 
@@ -132,7 +132,7 @@
 }
 
 // Leaves only the first part of a long body in the response and begins a transfer for the rest.
-void ForwardedRequestHandler::hold_back_rest(pb::ForwardResponse& response, uint64_t max_bytes) {
+void ForwardedRequestHandler::move_rest_to_transfer(pb::ForwardResponse& response, uint64_t max_bytes) {
   if (!max_bytes || response.body().size() <= max_bytes) return;
   auto body = std::make_shared<const std::string>(std::move(*response.mutable_body()));
   response.set_body(body->substr(0, max_bytes));
--- a/src/proxy/forwarded_request_handler.hpp
+++ b/src/proxy/forwarded_request_handler.hpp
@@ -36,7 +36,7 @@
   TimePoint now() const { return node_.ports.clock.now(); }
   Routed route(const pb::ForwardRequest& forward, const RoutingSnapshotPtr& current) const;
   void set_cached(pb::ForwardResponse& response, const cache::CachedResponse& cached) const;
-  void hold_back_rest(pb::ForwardResponse& response, uint64_t max_bytes);
+  void move_rest_to_transfer(pb::ForwardResponse& response, uint64_t max_bytes);
   void count_rejection(const RequestOutcome& outcome, const RequestContext& context);
 
   NodeContext node_;
