--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -13,7 +13,7 @@
 constexpr Duration kMinShieldTime{500};
 // The part of the timeout that is sent to the shield as the remaining time: the shield must report the
 // outcome before this node stops waiting.
-constexpr double kToldPart = 0.9;
+constexpr double kForwardedTimeFraction = 0.9;
 // The size of a response's head, and of a 304 response.
 constexpr size_t kHeadBytes = 1 << 10;
 constexpr int kOk = 200;
@@ -117,8 +117,9 @@
   std::optional<pb::ForwardResponse> call(uint64_t known_purge_number, size_t first_bytes) {
     const TimePoint sent_at = now();
     const Duration limit = shield_time(context_, sent_at);
-    const Duration told(static_cast<int64_t>(static_cast<double>(limit.count()) * kToldPart));
-    auto request = forward_request(context_, known_purge_number, told);
+    const Duration remaining(
+        static_cast<int64_t>(static_cast<double>(limit.count()) * kForwardedTimeFraction));
+    auto request = forward_request(context_, known_purge_number, remaining);
     request.mutable_forward()->set_max_body_bytes(first_bytes);
     if (stored_) {
       auto* condition = request.mutable_forward()->add_headers();
