--- a/src/proxy/cached_response_rules.cpp
+++ b/src/proxy/cached_response_rules.cpp
@@ -5,7 +5,7 @@
 namespace dunlinwing::proxy {
 namespace {
 // In the last 1/8 of a lifetime a shield fetches the object again for other nodes and does not send its copy.
-constexpr int kRefreshPart = 8;
+constexpr int kRefreshDivisor = 8;
 constexpr int kOk = 200;
 constexpr int kNotModified = 304;
 constexpr std::string_view kWeakPrefix = "W/";  // weak tags do not guarantee identical bytes
@@ -36,7 +36,7 @@
   const Duration lifetime = std::min(cached->lifetime, configured_lifetime(context));
   // A copy sent to another node must still be fresh after the transfer, and stay fresh longer than the copy
   // that has just expired there.
-  const Duration usable_for = context.is_forwarded ? lifetime - lifetime / kRefreshPart : lifetime;
+  const Duration usable_for = context.is_forwarded ? lifetime - lifetime / kRefreshDivisor : lifetime;
   return now - cached->generated_at < usable_for && !is_quarantined(*cached, context) &&
          !is_purged(*cached, context) && node_.has_read_lease();
 }
