--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -11,11 +11,11 @@
 
 namespace dunlinwing::proxy {
 namespace {
-constexpr int kFirstAttemptPart = 8;    // a first attempt needs more than 1/8 of the time budget remaining
-constexpr int kConnectPart = 4;         // the connect timeout is 1/4 of the remaining time
-constexpr double kForwardedPart = 0.5;  // share of a request's retry credit for each of the two nodes
-constexpr int kNotModified = 304;       // not a latency sample: no content was generated
-constexpr int kProbes = 2;              // instances tried by can_reach()
+constexpr int kFirstAttemptDivisor = 8;  // a first attempt needs more than 1/8 of the time budget remaining
+constexpr int kConnectPart = 4;          // the connect timeout is 1/4 of the remaining time
+constexpr double kForwardedPart = 0.5;   // share of a request's retry credit for each of the two nodes
+constexpr int kNotModified = 304;        // not a latency sample: no content was generated
+constexpr int kProbes = 2;               // instances tried by can_reach()
 
 // A good response is slow if its latency exceeds both this multiple of the mean latency and this minimum.
 constexpr int kSlowMultiple = 4;
@@ -278,7 +278,7 @@
 
   bool check_deadline(Duration remaining) {
     const Duration needed =
-        retry_state_.nothing_sent() ? context_.time_budget() / kFirstAttemptPart : Duration(0);
+        retry_state_.nothing_sent() ? context_.time_budget() / kFirstAttemptDivisor : Duration(0);
     if (remaining > needed) return true;
     if (retry_state_.nothing_sent()) result_.reason = RejectionReason::deadline_passed;
     return false;
