--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -12,7 +12,7 @@
 namespace dunlinwing::proxy {
 namespace {
 constexpr int kFirstAttemptDivisor = 8;  // a first attempt needs more than 1/8 of the time budget remaining
-constexpr int kConnectPart = 4;          // the connect timeout is 1/4 of the remaining time
+constexpr int kConnectDivisor = 4;       // the connect timeout is 1/4 of the remaining time
 constexpr double kForwardedPart = 0.5;   // share of a request's retry credit for each of the two nodes
 constexpr int kNotModified = 304;        // not a latency sample: no content was generated
 constexpr int kProbes = 2;               // instances tried by can_reach()
@@ -312,7 +312,7 @@
     const auto& adapter = client_.node.adapter;
     base::AttemptRules rules(remaining);
     if (context_.is_cancellable()) rules.cancellation = context_.request.cancellation;
-    rules.connect_timeout = remaining / kConnectPart;
+    rules.connect_timeout = remaining / kConnectDivisor;
     rules.idempotent = context_.is_idempotent();
     rules.is_own_response = [&adapter, &request](const base::Response& response) {
       return adapter.is_response_to(response, request.id);
