--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -13,9 +13,9 @@
 namespace {
 constexpr int kFirstAttemptDivisor = 8;  // a first attempt needs more than 1/8 of the time budget remaining
 constexpr int kConnectDivisor = 4;       // the connect timeout is 1/4 of the remaining time
-constexpr double kForwardedPart = 0.5;   // share of a request's retry credit for each of the two nodes
-constexpr int kNotModified = 304;        // not a latency sample: no content was generated
-constexpr int kProbes = 2;               // instances tried by can_reach()
+constexpr double kForwardedCreditShare = 0.5;  // share of a request's retry credit for each of the two nodes
+constexpr int kNotModified = 304;              // not a latency sample: no content was generated
+constexpr int kProbes = 2;                     // instances tried by can_reach()
 
 // A good response is slow if its latency exceeds both this multiple of the mean latency and this minimum.
 constexpr int kSlowMultiple = 4;
@@ -414,7 +414,8 @@
 }
 
 void UpstreamClient::record_forwarded(const std::string& service) {
-  impl_->retry_budget.record_request(service, impl_->node.snapshot()->system.retry_ratio * kForwardedPart);
+  impl_->retry_budget.record_request(service,
+                                     impl_->node.snapshot()->system.retry_ratio * kForwardedCreditShare);
 }
 
 OutcomeCounters& UpstreamClient::outcomes() { return impl_->outcomes; }
