--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -132,7 +132,7 @@
     const auto* error = std::get_if<base::PeerError>(&reply);
     const bool reached = !error || *error != base::PeerError::unreachable;
     if (reached && !context_.is_retry) client_.upstream_client_.record_forwarded(context_.service->name);
-    note(error, sent_at);
+    record_call(error, sent_at);
     auto* response = std::get_if<pb::PeerResponse>(&reply);
     if (response && response->has_forward()) return std::move(*response->mutable_forward());
     context_.is_retry |= reached;
@@ -141,7 +141,7 @@
 
   // Records whether a call succeeded. A failed call backs the shield off, or, if the client has disconnected,
   // sets `failure_`.
-  void note(const base::PeerError* error, TimePoint sent_at) {
+  void record_call(const base::PeerError* error, TimePoint sent_at) {
     if (!error) return client_.shields_.record_response(shield_.address);
     if (context_.client_has_disconnected())
       failure_ = FetchResult{client_.outcomes_.abandoned(), nullptr};
@@ -176,7 +176,7 @@
     const TimePoint sent_at = now();
     auto reply = client_.node_.ports.peers.call(
         shield_.address, request, {shield_time(context_, sent_at), context_.request.cancellation});
-    note(std::get_if<base::PeerError>(&reply), sent_at);
+    record_call(std::get_if<base::PeerError>(&reply), sent_at);
     const auto* response = std::get_if<pb::PeerResponse>(&reply);
     const bool is_part =
         response && response->has_body_part() && response->body_part().data().size() == bytes;
