--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -17,7 +17,7 @@
 }
 
 // Turns a response to GET into one to HEAD if the request's method is HEAD.
-void shape_head(base::Response& response, const base::Request& request) {
+void apply_head_method(base::Response& response, const base::Request& request) {
   if (request.method != "HEAD") return;
   response.headers.emplace_back("Content-Length", std::to_string(response.body.size()));
   response.body.clear();
@@ -48,7 +48,7 @@
         "Content-Range", fmt::format("bytes {}-{}/{}", part.first, part.first + part.size - 1, whole_size));
   }
   response.body = cached.response.body.substr(part.first, part.size);
-  shape_head(response, request);
+  apply_head_method(response, request);
   return response;
 }
 
@@ -193,7 +193,7 @@
 RequestOutcome CachedRequestHandler::respond(const RequestContext& context, const std::string& key,
                                              FetchResult fetched) {
   if (!fetched.cached) {
-    shape_head(fetched.outcome.response, context.request);
+    apply_head_method(fetched.outcome.response, context.request);
     return std::move(fetched.outcome);
   }
   cache_.put(key, fetched.cached,
