--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -25,8 +25,8 @@
 
 // Builds the response to a request from a cached response: with its age, reduced to the requested range, or
 // as 304 if the request's If-None-Match names the cached entity tag.
-base::Response shape_cached(const cache::CachedResponse& cached, const base::Request& request, TimePoint now,
-                            bool with_age) {
+base::Response make_cached_response(const cache::CachedResponse& cached, const base::Request& request,
+                                    TimePoint now, bool with_age) {
   const auto known_tag = base::header(request.headers, "If-None-Match");
   const auto range = base::header(request.headers, "Range");
   base::Response response{cached.response.status, cached.response.headers, {}};
@@ -151,7 +151,7 @@
                                                         const RequestContext& context) {
   // A lifetime configured for the route is not the origin's, so an Age header would mislead the client.
   const bool with_age = context.route->cache_lifetime <= Duration(0);
-  RequestOutcome outcome{shape_cached(*cached, context.request, node_.ports.clock.now(), with_age)};
+  RequestOutcome outcome{make_cached_response(*cached, context.request, node_.ports.clock.now(), with_age)};
   outcome.cached = cached;
   return outcome;
 }
