--- a/test/unit/proxy/attempt_decision_test.cpp
+++ b/test/unit/proxy/attempt_decision_test.cpp
@@ -104,7 +104,7 @@
   expect(!unsent.may_attempt() && unsent.nothing_sent(), "the number of failed connections is not limited");
 }
 
-void retry_of_another_way() {
+void retry_on_another_path() {
   RetryState state(kIdempotent, 2, kRetry);
   expect(state.next_is_retry() && state.is_first_attempt() && state.nothing_sent(), "initial state");
   state.decide_next(AttemptClass::not_sent);
@@ -163,7 +163,7 @@
       {"attempt: classes of errors", classifies_errors},
       {"attempt: next step after each class", decides_after_one_attempt},
       {"attempt: limits on attempts and connections", bounds_attempts},
-      {"attempt: a request sent on another path remains a retry", retry_of_another_way},
+      {"attempt: a request sent on another path remains a retry", retry_on_another_path},
       property("attempt: a non-idempotent request is executed at most once", not_idempotent_is_executed_once),
       {"attempt: requests are rejected when the queue is too long", rejects_long_queues},
       {"attempt: size of a node's subset of instances", subsets_of_instances},
--- a/test/unit/proxy/protocol_adapter_test.cpp
+++ b/test/unit/proxy/protocol_adapter_test.cpp
@@ -22,7 +22,7 @@
   same(lifetime_ms({}), int64_t(-1), "no Cache-Control");
 }
 
-void headers_that_do_not_pass() {
+void headers_that_are_not_forwarded() {
   base::Response response;
   auto& headers = response.headers;
   headers = {{"connection", "close, X-Mine"}, {"X-Mine", "1"},          {"TE", "trailers"},
@@ -37,7 +37,7 @@
 std::vector<Case> protocol_adapter_cases() {
   return {
       {"cache: lifetimes by RFC 9111", lifetimes_by_headers},
-      {"headers: hop-by-hop and Dunlinwing- headers are not forwarded", headers_that_do_not_pass},
+      {"headers: hop-by-hop and Dunlinwing- headers are not forwarded", headers_that_are_not_forwarded},
   };
 }
 
--- a/test/unit/proxy/request_handler_test.cpp
+++ b/test/unit/proxy/request_handler_test.cpp
@@ -7,7 +7,7 @@
 namespace dunlinwing::test {
 namespace {
 /// A backend instance of any service that responds to each request with 200.
-class WillingOrigin final : public base::Origin {
+class HealthyOrigin final : public base::Origin {
  public:
   bool can_connect(const std::string& /*address*/, Duration /*limit*/) override { return true; }
   std::variant<base::Response, base::AttemptError> send(const std::string& /*address*/,
@@ -26,7 +26,7 @@
   CountingRandom random;
   NoTasks tasks;
   NoPeers peers;
-  WillingOrigin origin;
+  HealthyOrigin origin;
   base::Ports ports{clock, random, tasks, peers, origin};
   std::unique_ptr<proxy::ProtocolAdapter> adapter = proxy::native_protocol_adapter();
   proxy::RequestHandler handler{ports, *adapter, "n1", "a", [] { return true; }};
--- a/test/unit/proxy/shield_selector_test.cpp
+++ b/test/unit/proxy/shield_selector_test.cpp
@@ -37,7 +37,7 @@
     expect(objects[name] > kKeys / 6, fmt::format("{} has {} objects", name, objects[name]));
 }
 
-void one_that_goes_moves_its_objects_alone() {
+void removed_shield_moves_only_its_objects() {
   ManualClock clock;
   const proxy::ShieldSelector selector(clock, "n1");
   const auto all = snapshot_of({"s1", "s2", "s3"}), without = snapshot_of({"s1", "s3"});
@@ -46,7 +46,7 @@
       same(selected(selector, without, i), before, "the shield of an object of another shield");
 }
 
-void the_next_one_stands_in() {
+void next_shield_replaces_failed_one() {
   ManualClock clock;
   proxy::ShieldSelector selector(clock, "n1");
   const auto snapshot = snapshot_of({"s1", "s2"});
@@ -91,8 +91,8 @@
 std::vector<Case> shield_selector_cases() {
   return {
       {"shields: all nodes select the same shield", all_nodes_choose_alike},
-      {"shields: removing a shield moves only its objects", one_that_goes_moves_its_objects_alone},
-      {"shields: the next shield replaces a failed one", the_next_one_stands_in},
+      {"shields: removing a shield moves only its objects", removed_shield_moves_only_its_objects},
+      {"shields: the next shield replaces a failed one", next_shield_replaces_failed_one},
       {"shields: a slow call does not back off a responsive shield", a_slow_call_is_no_failure_of_its_shield},
       {"shields: a shield fetches its own objects from the origin", a_shield_fetches_by_itself}};
 }
--- a/test/unit/proxy/transfer_test.cpp
+++ b/test/unit/proxy/transfer_test.cpp
@@ -14,7 +14,7 @@
   return request;
 }
 
-struct Bench {
+struct TransferFixture {
   ManualClock clock;
   CountingRandom random;
   proxy::OutgoingTransfers transfers{random};
@@ -28,30 +28,30 @@
 };
 
 void parts_are_of_the_body_that_was_begun() {
-  Bench bench;
-  const auto first = bench.begin("0123456789"), second = bench.begin("abcdefghij");
+  TransferFixture fixture;
+  const auto first = fixture.begin("0123456789"), second = fixture.begin("abcdefghij");
   expect(first != second, "transfer numbers are unique");
-  same(bench.read(first, 2, 4).data(), std::string("2345"), "a part of the first");
-  same(bench.read(second, 2, 4).data(), std::string("cdef"), "a part of the second");
-  same(bench.read(first, 6, 100).data(), std::string("6789"), "the end");
-  expect(bench.read(first, 6, 4).unknown_transfer(), "a transfer is over after its last part");
+  same(fixture.read(first, 2, 4).data(), std::string("2345"), "a part of the first");
+  same(fixture.read(second, 2, 4).data(), std::string("cdef"), "a part of the second");
+  same(fixture.read(first, 6, 100).data(), std::string("6789"), "the end");
+  expect(fixture.read(first, 6, 4).unknown_transfer(), "a transfer is over after its last part");
 }
 
 void nothing_is_read_of_an_unknown_transfer() {
-  Bench bench;
-  const auto known = bench.begin("0123456789");
-  expect(bench.read(known + 1, 0, 4).unknown_transfer(), "a number that was never issued");
-  expect(bench.read(known, 11, 4).unknown_transfer(), "beyond the end");
+  TransferFixture fixture;
+  const auto known = fixture.begin("0123456789");
+  expect(fixture.read(known + 1, 0, 4).unknown_transfer(), "a number that was never issued");
+  expect(fixture.read(known, 11, 4).unknown_transfer(), "beyond the end");
 }
 
 void idle_transfers_end() {
-  Bench bench;
-  const auto idle = bench.begin("0123456789");
-  bench.clock.sleep(Duration(20000));
-  const auto young = bench.begin("0123456789");
-  bench.transfers.evict_idle(bench.clock.now());
-  expect(bench.read(idle, 0, 4).unknown_transfer(), "an idle transfer ends");
-  expect(!bench.read(young, 0, 4).unknown_transfer(), "a new transfer remains");
+  TransferFixture fixture;
+  const auto idle = fixture.begin("0123456789");
+  fixture.clock.sleep(Duration(20000));
+  const auto young = fixture.begin("0123456789");
+  fixture.transfers.evict_idle(fixture.clock.now());
+  expect(fixture.read(idle, 0, 4).unknown_transfer(), "an idle transfer ends");
+  expect(!fixture.read(young, 0, 4).unknown_transfer(), "a new transfer remains");
 }
 
 void only_the_same_strong_tag_confirms() {
--- a/test/unit/proxy/upstream_client_test.cpp
+++ b/test/unit/proxy/upstream_client_test.cpp
@@ -105,7 +105,7 @@
          fmt::format("the canary received {} of {} requests", to_canary, kRequests));
 }
 /// Sends requests whose clients disconnect during the attempt, each after the same time.
-void leave_after(CanaryNode& node, Duration time, int requests) {
+void disconnect_after(CanaryNode& node, Duration time, int requests) {
   for (int i = 0; i < requests; ++i) {
     const auto cancellation = std::make_shared<base::Cancellation>();
     node.origin.interrupted = [&]() -> std::optional<base::AttemptError> {
@@ -129,7 +129,7 @@
 constexpr int kRequests = 40;
 
 /// A node with a measured mean latency of its service.
-std::unique_ptr<CanaryNode> accustomed_node() {
+std::unique_ptr<CanaryNode> node_with_known_latency() {
   auto node = std::make_unique<CanaryNode>();
   node->origin.interrupted = [clock = &node->clock]() -> std::optional<base::AttemptError> {
     clock->sleep(kUsual);
@@ -140,9 +140,9 @@
   return node;
 }
 
-void early_leavers_say_nothing() {
-  const auto node = accustomed_node();
-  leave_after(*node, kUsual, kRequests);
+void early_disconnections_do_not_count() {
+  const auto node = node_with_known_latency();
+  disconnect_after(*node, kUsual, kRequests);
   const auto counts = all_outcomes(*node);
   same(counts.total(), uint64_t{kRequests}, "outcomes, none of a disconnected client");
   same(counts.failed_or_slow(), uint64_t{0}, "failed or slow outcomes");
@@ -150,22 +150,22 @@
        "an instance is still used");
 }
 
-void late_leavers_show_a_slow_version() {
-  const auto node = accustomed_node();
-  leave_after(*node, kUsual * 10, kRequests);
+void late_disconnections_count_as_slow() {
+  const auto node = node_with_known_latency();
+  disconnect_after(*node, kUsual * 10, kRequests);
   same(all_outcomes(*node).slow, uint64_t{kRequests},
        "attempts that were slow when their clients disconnected");
 }
 
-void leavers_at_the_deadline_show_a_silent_instance() {
-  const auto node = accustomed_node();
-  leave_after(*node, kTimeBudget - Duration(1), kRequests);
+void disconnections_at_the_deadline_count_as_failures() {
+  const auto node = node_with_known_latency();
+  disconnect_after(*node, kTimeBudget - Duration(1), kRequests);
   same(all_outcomes(*node).bad, uint64_t{kRequests},
        "attempts that failed when their clients disconnected at the deadline");
 }
 
-void leavers_get_nothing_sent() {
-  const auto node = accustomed_node();
+void nothing_is_sent_after_disconnection() {
+  const auto node = node_with_known_latency();
   const int sent = node->origin.requests["1"] + node->origin.requests["2"];
   const auto cancellation = std::make_shared<base::Cancellation>();
   cancellation->cancel();
@@ -176,15 +176,16 @@
 }  // namespace
 
 std::vector<Case> upstream_client_cases() {
-  return {{"upstream: nothing is sent for a disconnected client", leavers_get_nothing_sent},
-          {"upstream: early disconnections do not count against an instance", early_leavers_say_nothing},
-          {"upstream: late disconnections count as slow responses of the version",
-           late_leavers_show_a_slow_version},
-          {"upstream: disconnections at the deadline count as failures of the instance",
-           leavers_at_the_deadline_show_a_silent_instance},
-          {"upstream: a canary's share is computed from the requests that were sent",
-           canary_share_counts_what_was_sent},
-          {"upstream: without rejections a canary receives its full share", canary_share_is_used}};
+  return {
+      {"upstream: nothing is sent for a disconnected client", nothing_is_sent_after_disconnection},
+      {"upstream: early disconnections do not count against an instance", early_disconnections_do_not_count},
+      {"upstream: late disconnections count as slow responses of the version",
+       late_disconnections_count_as_slow},
+      {"upstream: disconnections at the deadline count as failures of the instance",
+       disconnections_at_the_deadline_count_as_failures},
+      {"upstream: a canary's share is computed from the requests that were sent",
+       canary_share_counts_what_was_sent},
+      {"upstream: without rejections a canary receives its full share", canary_share_is_used}};
 }
 
 }  // namespace dunlinwing::test
