--- a/src/cache/cache.hpp
+++ b/src/cache/cache.hpp
@@ -53,8 +53,7 @@
 
   struct JoinedFetch {
     std::shared_ptr<Fetch> fetch;
-    bool must_fetch =
-        false;  ///< the caller must fetch and call finish_fetch(); other callers call await_fetch()
+    bool must_fetch = false;  ///< this caller must fetch and finish_fetch(); others await_fetch()
   };
 
   /// Joins the running fetch of the key, or begins one. A cancelled fetch is not joined.
--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -107,7 +107,7 @@
       rules_(node_),
       shield_client_(node_, upstream_client, counters) {}
 
-// @param stored          a cached response to revalidate; may be null
+// @param stored        a cached response to revalidate; may be null
 // @param cancellation  of the fetch, for which other requests may wait too
 FetchResult CachedRequestHandler::fetch(const RequestContext& context, const std::string& key,
                                         const cache::CachedResponsePtr& stored,
--- a/src/proxy/cached_response_rules.hpp
+++ b/src/proxy/cached_response_rules.hpp
@@ -37,7 +37,7 @@
   NodeContext node_;
 };
 
-/// Whether the response revalidates `stored` as current: a 304 with the same strong entity tag.
+/// Whether the response confirms that `stored` is current: a 304 with the same strong entity tag.
 bool revalidates(const base::Response& response, const base::Response& stored);
 
 /// The cached response with the freshness headers of its 304 response (RFC 9111, section 4.3.4).
--- a/src/proxy/protocol_adapter.hpp
+++ b/src/proxy/protocol_adapter.hpp
@@ -101,7 +101,7 @@
 std::unique_ptr<ProtocolAdapter> native_protocol_adapter();
 
 /// Whether a response is partial content (206) or not modified (304) although the request was neither a range
-/// request nor conditional, so that it does not replace the complete response.
+/// request nor conditional, and so is not a complete response.
 bool is_unrequested_partial(const base::Request& request, const base::Response& response);
 
 /// Removes the hop-by-hop headers: the known ones and those listed in Connection.
--- a/src/proxy/shield_client.hpp
+++ b/src/proxy/shield_client.hpp
@@ -29,7 +29,7 @@
 
   /// @param context  of the complete object; marked as a retry when a shield may have had it executed
   /// @param key      of the object
-  /// @param stored     a cached response to revalidate; may be null
+  /// @param stored   a cached response to revalidate; may be null
   /// @return nothing when this node must fetch from a backend instance
   std::optional<FetchResult> fetch(RequestContext& context, const std::string& key,
                                    const cache::CachedResponsePtr& stored);
--- a/src/proxy/upstream_client.hpp
+++ b/src/proxy/upstream_client.hpp
@@ -47,7 +47,7 @@
   Duration time_budget() const { return deadline - arrived; }
   /// The latest start of the first attempt, so that clients are rejected early rather than late.
   TimePoint start_deadline() const { return deadline - time_budget() / 2; }
-  /// Whether it may be executed more than once.
+  /// Whether the request may be executed more than once.
   bool is_idempotent() const;
   /// Whether an attempt may be cancelled when the client disconnects. A request that is not idempotent, or
   /// that has an Idempotency-Key, must be completed.
--- a/test/unit/proxy/attempt_decision_test.cpp
+++ b/test/unit/proxy/attempt_decision_test.cpp
@@ -140,7 +140,7 @@
   expect(proxy::overload_retry_after(route, {Duration(300), Duration(200)}, Duration(300)).has_value(),
          "the response would be after the deadline");
   route.priority =
-      7;  // like the lowest distinct priority: 130 ms in total, but one execution (100 ms) queued
+      7;  // like the lowest distinct priority: 130 ms in total, but 100 ms (one execution) queued
   expect(!proxy::overload_retry_after(route, {Duration(200), Duration(100)}, Duration(1000)),
          "queueing of one execution");
   expect(proxy::overload_retry_after(route, {Duration(201), Duration(101)}, Duration(1000)).has_value(),
