--- a/src/proxy/attempt_decision.hpp
+++ b/src/proxy/attempt_decision.hpp
@@ -70,7 +70,7 @@
   bool next_is_retry() const { return next_is_retry_; }
 
   bool nothing_sent() const { return execution_ == ExecutionState::not_sent; }
-  ExecutionState execution() const { return execution_; }
+  ExecutionState execution_state() const { return execution_; }
 
   /// Counts an attempt and decides the next step.
   NextStep decide_next(AttemptClass attempt);
--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -127,7 +127,7 @@
   if (stored)
     conditional.request.headers.emplace_back("If-None-Match", base::header(stored->response.headers, "ETag"));
   auto result = upstream_client_.execute(conditional);
-  if (context.is_retry) result.execution = ExecutionState::possibly_executed;  // on an earlier path
+  if (context.is_retry) result.execution_state = ExecutionState::possibly_executed;  // on an earlier path
   if (result.outcome != UpstreamOutcome::responded)
     return {outcomes_.from_upstream(std::move(result)), nullptr};
   const bool confirmed = stored && revalidates(result.response, stored->response);
--- a/src/proxy/request_outcome.cpp
+++ b/src/proxy/request_outcome.cpp
@@ -49,7 +49,7 @@
   }
   outcome.retry_after = result.retry_after;
   outcome.superseded = result.outcome == UpstreamOutcome::superseded;
-  outcome.execution_state = result.execution;
+  outcome.execution_state = result.execution_state;
   return outcome;
 }
 
--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -231,7 +231,7 @@
       if (next == NextStep::stop) break;
     }
     if (context_.client_has_disconnected()) result_ = abandoned();
-    result_.execution = retry_state_.execution();
+    result_.execution_state = retry_state_.execution_state();
     return std::move(result_);
   }
 
@@ -381,7 +381,7 @@
     }
     result_ = rejected(failure_reason(attempt_class),
                        client_.load_balancer.typical_latency(context_.service->name));
-    if (retry_state_.execution() == ExecutionState::possibly_executed)
+    if (retry_state_.execution_state() == ExecutionState::possibly_executed)
       result_.outcome = UpstreamOutcome::unknown;
   }
 
--- a/src/proxy/upstream_client.hpp
+++ b/src/proxy/upstream_client.hpp
@@ -69,7 +69,7 @@
   std::string version;                             ///< of the instance that responded
   RejectionReason reason = RejectionReason::none;  ///< if no instance responded
   /// The execution state over the attempts without a final response; not_sent when the last one had one.
-  ExecutionState execution = ExecutionState::not_sent;
+  ExecutionState execution_state = ExecutionState::not_sent;
   Duration retry_after{0};  ///< minimum delay before a rejected request should be retried
 };
 
--- a/test/unit/proxy/attempt_decision_test.cpp
+++ b/test/unit/proxy/attempt_decision_test.cpp
@@ -84,7 +84,7 @@
     RetryState not_idempotent(kNotIdempotent, 4, kFirst);
     expect(idempotent.decide_next(row.attempt) == row.idempotent, name + ", idempotent");
     expect(not_idempotent.decide_next(row.attempt) == row.not_idempotent, name + ", not idempotent");
-    expect(idempotent.execution() == row.execution, name + ": execution state");
+    expect(idempotent.execution_state() == row.execution, name + ": execution state");
     expect(idempotent.next_is_retry() == (row.attempt != AttemptClass::not_sent),
            name + ": whether the next attempt is a retry");
     expect(!idempotent.is_first_attempt(), name + ": counted as an attempt");
@@ -119,8 +119,8 @@
     const auto attempt = *rc::gen::elementOf(kAllClasses);
     possible_executions += attempt != AttemptClass::not_sent && !proxy::is_refused(attempt);
     const auto next = state.decide_next(attempt);
-    RC_ASSERT(state.execution() >= highest);
-    highest = state.execution();
+    RC_ASSERT(state.execution_state() >= highest);
+    highest = state.execution_state();
     if (next != NextStep::retry) break;
   }
   RC_ASSERT(possible_executions <= 1);
