--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -20,7 +20,7 @@
 constexpr int kNotModified = 304;
 
 // The timeout of a call to a shield.
-Duration shield_time(const RequestContext& context, TimePoint now) {
+Duration shield_timeout(const RequestContext& context, TimePoint now) {
   const Duration longest = (context.deadline - now) / kShieldTimeDivisor;
   const Duration target = context.route->latency_target;
   if (target <= Duration(0)) return longest;
@@ -116,7 +116,7 @@
   // The shield's response; nothing when there is none, with `failure_` set if the client has disconnected.
   std::optional<pb::ForwardResponse> call(uint64_t known_purge_number, size_t first_bytes) {
     const TimePoint sent_at = now();
-    const Duration limit = shield_time(context_, sent_at);
+    const Duration limit = shield_timeout(context_, sent_at);
     const Duration remaining(
         static_cast<int64_t>(static_cast<double>(limit.count()) * kForwardedTimeFraction));
     auto request = forward_request(context_, known_purge_number, remaining);
@@ -175,7 +175,7 @@
     read.set_bytes(bytes);
     const TimePoint sent_at = now();
     auto reply = client_.node_.ports.peers.call(
-        shield_.address, request, {shield_time(context_, sent_at), context_.request.cancellation});
+        shield_.address, request, {shield_timeout(context_, sent_at), context_.request.cancellation});
     record_call(std::get_if<base::PeerError>(&reply), sent_at);
     const auto* response = std::get_if<pb::PeerResponse>(&reply);
     const bool is_part =
