--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -7,10 +7,10 @@
 constexpr size_t kMaxShields = 2;  // per request, one after the other
 // A shield gets 1/2 of the remaining time; the rest is for the next shield or a fetch by this node.
 constexpr int kShieldTimeDivisor = 2;
-// The timeout of a shield is limited to this multiple of the latency target, but not below kMinShieldTime, so
-// that the response of the next shield can still be useful.
+// The timeout of a shield is limited to this multiple of the latency target, but not below kMinShieldTimeout,
+// so that the response of the next shield can still be useful.
 constexpr int kShieldTargets = 3;
-constexpr Duration kMinShieldTime{500};
+constexpr Duration kMinShieldTimeout{500};
 // The part of the timeout that is sent to the shield as the remaining time: the shield must report the
 // outcome before this node stops waiting.
 constexpr double kForwardedTimeFraction = 0.9;
@@ -24,7 +24,7 @@
   const Duration longest = (context.deadline - now) / kShieldTimeDivisor;
   const Duration target = context.route->latency_target;
   if (target <= Duration(0)) return longest;
-  return std::min(longest, std::max(target * kShieldTargets, kMinShieldTime));
+  return std::min(longest, std::max(target * kShieldTargets, kMinShieldTimeout));
 }
 
 pb::PeerRequest forward_request(const RequestContext& context, uint64_t known_purge_number,
