--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr size_t kMaxShields = 2;  // per request, one after the other
 // A shield gets 1/2 of the remaining time; the rest is for the next shield or a fetch by this node.
-constexpr int kShieldTimeDivisor = 2;
+constexpr int kShieldTimeoutDivisor = 2;
 // The timeout of a shield is limited to this multiple of the latency target, but not below kMinShieldTimeout,
 // so that the response of the next shield can still be useful.
 constexpr int kShieldTargets = 3;
@@ -21,7 +21,7 @@
 
 // The timeout of a call to a shield.
 Duration shield_timeout(const RequestContext& context, TimePoint now) {
-  const Duration longest = (context.deadline - now) / kShieldTimeDivisor;
+  const Duration longest = (context.deadline - now) / kShieldTimeoutDivisor;
   const Duration target = context.route->latency_target;
   if (target <= Duration(0)) return longest;
   return std::min(longest, std::max(target * kShieldTargets, kMinShieldTimeout));
