--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -9,7 +9,7 @@
 constexpr int kShieldTimeoutDivisor = 2;
 // The timeout of a shield is limited to this multiple of the latency target, but not below kMinShieldTimeout,
 // so that the response of the next shield can still be useful.
-constexpr int kShieldTargets = 3;
+constexpr int kShieldTargetMultiple = 3;
 constexpr Duration kMinShieldTimeout{500};
 // The part of the timeout that is sent to the shield as the remaining time: the shield must report the
 // outcome before this node stops waiting.
@@ -24,7 +24,7 @@
   const Duration longest = (context.deadline - now) / kShieldTimeoutDivisor;
   const Duration target = context.route->latency_target;
   if (target <= Duration(0)) return longest;
-  return std::min(longest, std::max(target * kShieldTargets, kMinShieldTimeout));
+  return std::min(longest, std::max(target * kShieldTargetMultiple, kMinShieldTimeout));
 }
 
 pb::PeerRequest forward_request(const RequestContext& context, uint64_t known_purge_number,
