--- a/src/proxy/forwarded_request_handler.cpp
+++ b/src/proxy/forwarded_request_handler.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr int kNotModified = 304;
 
-pb::ForwardResponse refuse_forwarded(const char* reason) {
+pb::ForwardResponse reject_forwarded(const char* reason) {
   pb::ForwardResponse response;
   response.set_not_executed(true);
   response.set_reason(reason);
@@ -102,7 +102,7 @@
                                                     const base::CancellationPtr& cancellation) {
   const auto current = node_.snapshot();
   auto routed = route(forward, current);
-  if (const auto* reason = std::get_if<const char*>(&routed)) return refuse_forwarded(*reason);
+  if (const auto* reason = std::get_if<const char*>(&routed)) return reject_forwarded(*reason);
   auto& context = std::get<RequestContext>(routed);
   context.request.cancellation = cancellation;
   if (!context.is_retry) upstream_client_.record_forwarded(context.service->name);
