--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -19,7 +19,7 @@
 
 // A good response is slow if its latency exceeds both this multiple of the mean latency and this minimum.
 constexpr int kSlowMultiple = 4;
-constexpr Duration kMinSlow{20};
+constexpr Duration kMinSlowLatency{20};
 
 // A client that disconnects within this margin before the deadline has timed out waiting for the instance:
 // its own timeout and the attempt's coincide.
@@ -196,7 +196,7 @@
 
   bool is_slow(const std::string& service, Duration latency) const {
     const auto usual = load_balancer.typical_latency(service);
-    return usual > Duration(0) && latency > std::max(usual * kSlowMultiple, kMinSlow);
+    return usual > Duration(0) && latency > std::max(usual * kSlowMultiple, kMinSlowLatency);
   }
 
   // Counts an attempt that its instance may have executed.
