--- a/src/proxy/rejection.hpp
+++ b/src/proxy/rejection.hpp
@@ -24,7 +24,7 @@
   method_not_allowed,     ///< no route for this target allows the method
   no_weight,              ///< no service of the route has a positive weight
   queue_full,             ///< the service's admission queue is full
-  deadline_unreachable,   ///< the wait in the admission queue would exceed the start deadline
+  deadline_unreachable,   ///< the wait in the admission queue exceeds the start deadline
   deadline_passed,        ///< the deadline passed while the request waited
   rate_limited,           ///< this node's quota of the service's rate is used up
   retry_budget_spent,     ///< the first attempt here would be a retry, and the retry budget is used up
--- a/src/proxy/shield_client.cpp
+++ b/src/proxy/shield_client.cpp
@@ -14,7 +14,7 @@
 // The part of the timeout that is sent to the shield as the remaining time: the shield must report the
 // outcome before this node stops waiting.
 constexpr double kForwardedTimeFraction = 0.9;
-// The size of a response's head, and of a 304 response.
+// The link capacity reserved for a response without its body: its head, or a 304.
 constexpr size_t kHeadBytes = 1 << 10;
 constexpr int kOk = 200;
 constexpr int kNotModified = 304;
