--- a/src/node/application.cpp
+++ b/src/node/application.cpp
@@ -11,13 +11,13 @@
 namespace dunlinwing::node {
 namespace {
 constexpr base::Log logger("relay");
-constexpr size_t kResponseBodyBytes = 16U << 20;  // of a backend instance's response, at most
-constexpr Duration kForwardCheck(1000);           // how soon a wait for a forwarded request begins anew
+constexpr size_t kResponseBodyBytes = 16U << 20;  // limit of a backend instance's response
+constexpr Duration kForwardCheck(1000);  // at most between two checks whether a forwarded request is done
 
 bool is_for_platform(const Settings& settings) { return settings.protocol_adapter == "platform"; }
 }  // namespace
 
-/// The signals that the process heeds.
+/// The signals that the process handles.
 struct Application::Signals {
   boost::asio::signal_set stop;
   boost::asio::signal_set reload;
@@ -54,8 +54,8 @@
 std::optional<std::string> Application::prepare() {
   NodeConfig& config = settings_.node;
   if (config.scale > 1)
-    logger.warn("{}: HOLDS ARE DIVIDED BY {}. This is for trials, never for real machines.", config.name,
-                config.scale);
+    logger.warn("{}: ROLLOUT HOLD TIMES ARE DIVIDED BY {}. For tests only, never for production.",
+                config.name, config.scale);
   if (auto error = open_disk()) return error;
   if (is_for_platform(settings_)) config.protocol_adapter = platform::protocol_adapter();
   node_ = std::make_unique<Node>(ports_, config, disk_.get());
@@ -109,7 +109,7 @@
   return ports;
 }
 
-// At most a third of the nodes may be out at once.
+// At most a third of the nodes may be unavailable at once.
 bool Application::too_many_restarting() {
   const size_t members = node_->state_cache().statuses().members(clock_.now()).size();
   const auto snapshot = node_->request_handler().snapshot();
@@ -140,7 +140,8 @@
   return response;
 }
 
-// Forwarded requests are traffic: they run on a traffic thread, not on control's. Suspends the calling fiber.
+// Runs a forwarded request on a traffic thread, not on the control thread, since it is client traffic.
+// Suspends the calling fiber.
 pb::ForwardResponse Application::forward_on_traffic_thread(const pb::ForwardRequest& forward,
                                                            const base::CancellationPtr& cancellation) {
   const auto condition = pool_.condition();
@@ -156,7 +157,7 @@
   return std::move(*response);
 }
 
-// The limits of clients' connections are those of the configuration in force.
+// Applies the client connection limits of the active configuration whenever it changes.
 void Application::follow_client_limits() {
   std::shared_ptr<const config::RoutingConfiguration> applied;
   for (;; clock_.sleep(settings_.node.bound / 8)) {
@@ -178,8 +179,9 @@
 
 void Application::run() {
   const NodeConfig& config = settings_.node;
-  logger.info("{}: relay {} in zone {}; clients {}, control {}, peers {}.", config.name, kSoftware,
-              config.zone, settings_.client_address, settings_.control_address, config.peer_address);
+  logger.info("{}: relay {} starting in zone {}; clients at {}, control API at {}, peers at {}.", config.name,
+              kSoftware, config.zone, settings_.client_address, settings_.control_address,
+              config.peer_address);
   pool_.run([this] {
     node_->start();
     artifacts_->start();
--- a/src/node/application.hpp
+++ b/src/node/application.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// One process: a node with its sockets, disk, software and control API. Holds what the node's parts are
-/// built over and ends the process in good order.
+/// The relay process: owns the node, its sockets, disk, software management and control API, and shuts the
+/// process down gracefully.
 ///
-/// Invariant: destroyed only when it could not start; a process that runs ends by EventLoopPool::stop().
+/// Invariant: destroyed only when startup failed; a running process exits through EventLoopPool::stop().
 /// Threads: prepare() and run() on the main thread, which becomes the control thread.
 #pragma once
 #include "control_api/router.hpp"
@@ -20,7 +20,7 @@
 /// How the process was started.
 struct CommandLine {
   std::string settings_path;
-  std::string program;  ///< the file name of the program that runs
+  std::string program;  ///< file name of the running executable
 };
 
 class Application {
@@ -31,10 +31,10 @@
   ~Application();
 
   /// Opens the disk, builds the node and listens.
-  /// @return why the process can't start
+  /// @return the error that prevents the start; empty when there is none
   [[nodiscard]] std::optional<std::string> prepare();
 
-  /// Serves until a signal or new software ends the process.
+  /// Serves requests until a signal or a software update ends the process.
   [[noreturn]] void run();
 
  private:
@@ -65,8 +65,8 @@
   base::Ports ports_{clock_, random_, pool_, peer_client_, http_client_, &link_};
   std::unique_ptr<storage::AsyncDisk> disk_;  ///< null on a machine that stores no state
   std::unique_ptr<Node> node_;
-  std::unique_ptr<storage::ArtifactFiles> artifact_files_;    ///< null likewise
-  std::unique_ptr<storage::DiskExecutor> artifact_executor_;  ///< does the work on artifacts' files
+  std::unique_ptr<storage::ArtifactFiles> artifact_files_;    ///< null on a machine that stores no state
+  std::unique_ptr<storage::DiskExecutor> artifact_executor_;  ///< runs file operations on artifacts
   std::unique_ptr<software::Artifacts> artifacts_;
   std::unique_ptr<software::Stager> stager_;
   std::unique_ptr<control_api::Router> router_;
@@ -74,7 +74,7 @@
   std::unique_ptr<ShutdownSequence> shutdown_;
   std::unique_ptr<SettingsReloader> settings_reloader_;
   std::unique_ptr<Signals> signals_;
-  int last_traffic_thread_ = 0;  ///< that a forwarded request was given to
+  int last_traffic_thread_ = 0;  ///< that ran the previous forwarded request
 };
 
 }  // namespace dunlinwing::node
--- a/src/node/assignment_loader.cpp
+++ b/src/node/assignment_loader.cpp
@@ -16,7 +16,7 @@
   return found == assignment.releases().end() ? std::string() : found->second;
 }
 
-/// A release out of its register; nothing when it is not known here or can't be read.
+/// Reads a release from its register; nothing when this node does not have it or can't parse it.
 std::optional<config::Release> read_release(const char* kind, const std::string& name,
                                             const membership::ChosenValues& chosen) {
   const auto found = chosen.find(config::release_key(kind, name));
@@ -37,7 +37,7 @@
   return "unreadable";
 }
 
-/// As read_configuration(); what was parsed before is not parsed again.
+/// As read_configuration(), with `parsed` as a cache.
 ConfigurationOrError find_configuration(const std::string& name, const membership::ChosenValues& chosen,
                                         ConfigurationMap& parsed) {
   if (const auto found = parsed.find(name); found != parsed.end()) return found->second;
@@ -87,7 +87,7 @@
   }
   load_error_.clear();
   if (assignment.generation() > generation_)
-    logger.info("{}: generation {} puts configuration {} in force here.", node_name_, assignment.generation(),
+    logger.info("{}: activated generation {} with configuration {}.", node_name_, assignment.generation(),
                 configuration_release.empty() ? "(none)" : configuration_release);
   running = {configuration, *system, assignment.generation()};
   generation_ = assignment.generation();
@@ -102,7 +102,7 @@
     const std::string& release, const membership::ChosenValues& chosen,
     const config::SystemOptions& previous) {
   const auto running = running_releases_.find("system");
-  // Releases do not change, so one that runs need not be read again.
+  // Releases are immutable, so the running one need not be read again.
   if (running != running_releases_.end() && running->second == release) return previous;
   if (release.empty()) return defaults_;
   const auto parsed = read_release("system", release, chosen);
@@ -115,14 +115,14 @@
   const config::ActiveConfiguration& active = numbered_configuration_.read(chosen);
   if (active.number == 0) return;
   if (active.number > previous_number)
-    logger.info("{}: configuration {} is in force here.", node_name_, active.number);
+    logger.info("{}: activated numbered configuration {}.", node_name_, active.number);
   running.configuration_number = running.generation = active.number;
   running.configuration = active.configuration;
   load_error_ =
       active.configuration ? "" : config::numbered_configuration_name(active.number) + ": unreadable";
 }
 
-// Software runs here when its version is this program's.
+// The assigned software runs on this node when its version is that of this executable.
 void AssignmentLoader::update_wanted_software(const std::string& release,
                                               const membership::ChosenValues& chosen) {
   const std::string previous = wanted_software_ ? wanted_software_->name : std::string();
--- a/src/node/heartbeat_table.cpp
+++ b/src/node/heartbeat_table.cpp
@@ -2,9 +2,9 @@
 
 namespace dunlinwing::node {
 namespace {
-// For how long an instance is reported after its last heartbeat: long after it counts as gone, so that no
-// late report of another node brings it back.
-constexpr int kReportedPeriods = 20;  // of its own heartbeats, and
+// An instance is reported for this many heartbeat periods plus this many bounds after its last heartbeat:
+// long after it counts as gone, so that a late report of another node does not revive it.
+constexpr int kReportedPeriods = 20;
 constexpr int kReportedBounds = 10;
 
 bool says_the_same(const pb::Heartbeat& known, const pb::Heartbeat& heartbeat) {
--- a/src/node/heartbeat_table.hpp
+++ b/src/node/heartbeat_table.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The heartbeats of backend instances that this node itself has received, as it reports them to the fleet.
+/// The heartbeats that this node has received directly from backend instances and reports to the fleet.
 ///
-/// Invariants: of an instance only the heartbeat with the highest sequence number is stored; one that has
-/// said that it leaves stays leaving.
+/// Invariants: only the heartbeat with the highest sequence number of each instance is stored; an instance
+/// that has reported that it is leaving stays leaving.
 /// Threads: used by the control thread only.
 #pragma once
 #include "base/common.hpp"
@@ -16,14 +16,14 @@
   explicit HeartbeatTable(Duration bound) : bound_(bound) {}
 
   /// Stores a heartbeat, unless a later one of the same instance is stored.
-  /// @return whether the fleet has heard the same from this node before: nothing but the time has changed
+  /// @return whether it repeats the stored heartbeat, so that only the time has changed for the fleet
   bool record(const pb::Heartbeat& heartbeat, TimePoint now);
 
   /// Counts a heartbeat that was answered.
   /// @param accepted  whether it was acknowledged
   void count(bool accepted) { ++(accepted ? accepted_ : rejected_); }
 
-  /// Adds the heartbeats with their ages, and the counts; removes what is too old to be reported.
+  /// Adds the heartbeats with their ages and the counts to the status; removes those too old to be reported.
   void report(TimePoint now, pb::NodeStatus& status);
 
  private:
@@ -35,7 +35,7 @@
   Duration bound_;
   std::map<std::string, Entry> entries_;  ///< by instance
   uint64_t accepted_ = 0;                 ///< heartbeats acknowledged since the start
-  uint64_t rejected_ = 0;                 ///< heartbeats turned away since the start
+  uint64_t rejected_ = 0;                 ///< heartbeats rejected since the start
 };
 
 }  // namespace dunlinwing::node
--- a/src/node/link_log.cpp
+++ b/src/node/link_log.cpp
@@ -28,7 +28,7 @@
   for (size_t i = 0; i < counts.size(); ++i) {
     const double rate = static_cast<double>(counts[i].bytes - logged[i].bytes) * per_second;
     const uint64_t class_waits = counts[i].waits - logged[i].waits;
-    classes += fmt::format(" {} {:.0f} KB/s, {} waits of {} ms in all, {} given up;",
+    classes += fmt::format(" {} {:.0f} KB/s, {} waits totalling {} ms, {} given up;",
                            link::label(static_cast<link::TrafficClass>(i)), rate / kKilobyte, class_waits,
                            counts[i].wait_ms - logged[i].wait_ms, counts[i].given_up - logged[i].given_up);
     sum += rate;
@@ -36,7 +36,7 @@
   }
   logged = counts;
   if (waits == 0 && sum < pacer.link_rate() * kNotableShare) return;
-  logger.info("{}: {} {:.0f} of {:.0f} KB/s:{}", node_name_, direction, sum / kKilobyte,
+  logger.info("{}: link traffic {} {:.0f} of {:.0f} KB/s:{}", node_name_, direction, sum / kKilobyte,
               pacer.link_rate() / kKilobyte, classes);
 }
 
--- a/src/node/link_log.hpp
+++ b/src/node/link_log.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// Logs what the machine's link carries, by direction and class against its rate, so that an operator sees in
-/// the logs what stood in the way of what.
-/// Threads: used by the thread that runs control only.
+/// Logs the traffic on the machine's network link by direction and class, relative to the link's rate, so
+/// that operators can see which traffic class delayed others. Threads: used by the control thread only.
 #pragma once
 #include "link/link.hpp"
 
@@ -9,11 +8,11 @@
 
 class LinkLog {
  public:
-  /// @param link  outlives the log; null: nothing is logged
+  /// @param link  must outlive the log; null: nothing is logged
   LinkLog(std::string node_name, const link::Link* link) : node_name_(std::move(node_name)), link_(link) {}
 
-  /// Logs a line for each direction that was used to a good part, or in which something waited, since the
-  /// last line, at most every ten seconds.
+  /// At most every ten seconds, logs a line for each direction in which transfers had to wait or the traffic
+  /// reached half of the link's rate since the previous check.
   void update(TimePoint now);
 
  private:
--- a/src/node/listeners.cpp
+++ b/src/node/listeners.cpp
@@ -2,8 +2,8 @@
 
 namespace dunlinwing::node {
 namespace {
-constexpr size_t kBodyBytes = 8U << 20;   // of one request, until a configuration states it
-constexpr double kBodiesShare = 1.0 / 4;  // of the machine's memory, for all requests' bodies
+constexpr size_t kBodyBytes = 8U << 20;   // limit for one request, until a configuration sets it
+constexpr double kBodiesShare = 1.0 / 4;  // of the machine's memory, for the bodies of all requests
 constexpr double kBytesPerMegabyte = 1 << 20;
 }  // namespace
 
@@ -32,7 +32,7 @@
   return clients_->listen(settings_.client_address, pool_.size() > 1 ? 1 : 0, pool_.size());
 }
 
-// Control runs on thread 0 alone.
+// The control API runs on thread 0 only.
 std::optional<std::string> Listeners::listen_for_control(const net::HttpHandler& handler) {
   control_ = std::make_unique<net::HttpServer>(pool_, "control", http_limits(sockets_.operators), handler,
                                                link::LinkUse{&link_, link::TrafficClass::control});
--- a/src/node/listeners.hpp
+++ b/src/node/listeners.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// The addresses at which a process takes connections: of peers, of clients, of operators, and of whoever
-/// asks whether it is ready.
+/// The listening sockets of a process: for peers, for clients, for the control API and for readiness checks.
 ///
 /// Threads: start() before the event loops run; the other functions on the control thread.
 #pragma once
@@ -11,7 +10,7 @@
 
 namespace dunlinwing::node {
 
-/// What answers the requests. Each is called in a fiber of its own.
+/// The request handlers. Each request is handled in a fiber of its own.
 struct ListenerHandlers {
   net::PeerHandler peers;
   net::HttpHandler clients;
@@ -20,26 +19,26 @@
 
 class Listeners {
  public:
-  /// All arguments have to outlive the listeners.
+  /// All arguments must outlive the listeners.
   Listeners(net::EventLoopPool& pool, const Settings& settings, const SocketBudget& sockets,
             link::Link& link);
 
-  /// Listens on all addresses that the settings state.
-  /// @return why an address can't be had
+  /// Listens on all configured addresses.
+  /// @return why listening failed; empty on success
   [[nodiscard]] std::optional<std::string> start(const ListenerHandlers& handlers);
 
-  /// Takes over the limits for clients' connections that a configuration states.
+  /// Applies the limits of a configuration to client connections.
   void set_client_limits(const config::RoutingConfiguration& configuration);
 
   bool serves_clients() const { return clients_ != nullptr; }
 
-  /// Requests of clients that are being read, answered or written.
+  /// Client requests that are being read, handled or answered.
   int running_client_requests() const { return clients_ ? clients_->running_requests() : 0; }
 
-  /// From now on each response is the last on its client's connection.
+  /// Closes each client connection after its next response.
   void drain_clients();
 
-  /// Takes no new connections of clients and ends the idle ones.
+  /// Stops accepting client connections and closes the idle ones.
   void close_clients();
 
  private:
@@ -50,9 +49,9 @@
   const Settings& settings_;
   const SocketBudget& sockets_;
   link::Link& link_;
-  std::unique_ptr<net::HttpServer> clients_;    ///< null when the settings state no address for them
-  std::unique_ptr<net::HttpServer> control_;    ///< likewise
-  std::unique_ptr<net::HttpServer> readiness_;  ///< likewise
+  std::unique_ptr<net::HttpServer> clients_;    ///< null when no address is configured
+  std::unique_ptr<net::HttpServer> control_;    ///< null when no address is configured
+  std::unique_ptr<net::HttpServer> readiness_;  ///< null when no address is configured
 };
 
 }  // namespace dunlinwing::node
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,4 +1,4 @@
-// The program `relay`, one for all machines: its flags and settings.
+// Entry point of `relay`, the one executable of all nodes: flags and settings.
 #include <gflags/gflags.h>
 
 #include <csignal>
@@ -26,7 +26,7 @@
 
 std::optional<std::string> read_settings_file() {
   if (FLAGS_config.empty()) {
-    std::cerr << "relay: --config names no file\n";
+    std::cerr << "relay: --config requires a file name\n";
     return {};
   }
   std::ifstream file(FLAGS_config);
@@ -39,7 +39,7 @@
   return text.str();
 }
 
-/// The settings file with the flags' overrides; nothing, once the errors are printed, when it is not valid.
+/// Reads the settings file and applies the flags; prints the errors and returns nothing when it is not valid.
 std::optional<dw::node::Settings> load_settings() {
   const auto text = read_settings_file();
   if (!text) return {};
@@ -56,7 +56,7 @@
   if (!FLAGS_log_level.empty()) settings.log_level = FLAGS_log_level;
   dw::base::Level level{};
   if (!dw::base::parse_level(settings.log_level, level)) {
-    std::cerr << "relay: --log_level is none of debug, info, warn, error\n";
+    std::cerr << "relay: --log_level must be one of debug, info, warn, error\n";
     return {};
   }
   dw::base::set_level(level);
@@ -68,7 +68,7 @@
   gflags::SetVersionString(dw::kSoftware);
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   if (argc > 1) {
-    std::cerr << "relay: what is \"" << argv[1] << "\"? See relay --help\n";
+    std::cerr << "relay: unexpected argument \"" << argv[1] << "\"; see relay --help\n";
     return kBadSettings;
   }
   const auto settings = load_settings();
@@ -89,7 +89,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::signal(SIGHUP, SIG_IGN);  // until the process heeds it: it would end one that has just started
+  // Until Application handles it: the default action would end a process that has just started.
+  std::signal(SIGHUP, SIG_IGN);
   try {
     return run(argc, argv);
   } catch (const std::exception& error) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -1,5 +1,5 @@
-// After each good pull the routing snapshot of the data plane is built anew from the chosen values and
-// swapped as a whole.
+// After each successful pull the node rebuilds the routing snapshot of the data plane from the chosen values
+// and replaces the old one atomically.
 #include "node/node.hpp"
 
 #include <atomic>
@@ -19,15 +19,15 @@
 namespace {
 constexpr base::Log logger("relay");
 
-// Of the descriptors that the process may have open, the part for connections to one service's instances.
+// A node uses at most one instance of each service for this many sockets that the process may open.
 constexpr int kInstancesPerSocket = 8;
 
-// How often in a bound a node looks, while a service is switched to another version, whether it has news of
-// it.
+// How often in a bound a node checks, while a service switches to another version, for progress to report.
+// Every kChecksPerPull-th check also pulls.
 constexpr int kSwitchChecksPerBound = 64;
 constexpr int kChecksPerPull = 4;
 
-// The part of a bound for which a forwarded request waits for what this node does not know yet.
+// A forwarded request that needs newer state waits for a pull for up to a bound divided by this.
 constexpr int kCatchUpPart = 8;
 
 NodeConfig with_protocol_adapter(NodeConfig config) {
@@ -60,7 +60,7 @@
   rollout::RolloutController rollout_controller;
   proxy::RequestHandler request_handler;
   std::atomic<bool> leaving{false};  ///< the process is about to end
-  std::atomic<bool> drained{false};  ///< by operators; clients are sent elsewhere
+  std::atomic<bool> drained{false};  ///< by operators; clients are directed to other nodes
   HeartbeatTable heartbeats;
   AssignmentLoader assignment_loader;
   software::Artifacts* artifacts = nullptr;
@@ -69,9 +69,9 @@
   RejectionLog rejection_log;
   LinkLog link_log;
   TimePoint cache_swept{0};
-  bool following_switches = false;                ///< a fiber does
+  bool following_switches = false;                ///< a fiber of follow_switches() runs
   std::vector<std::string> unreachable_services;  ///< as of `reachability_checked`
-  TimePoint reachability_checked{0};              ///< at most once in half a bound
+  TimePoint reachability_checked{0};              ///< at most once per half a bound
 
   Impl(base::Ports& ports_of_node, NodeConfig configured, base::Disk* disk)
       : ports(ports_of_node),
@@ -110,7 +110,7 @@
         config.max_sockets > 0 ? config.max_sockets / kInstancesPerSocket : 0);
   }
 
-  /// What this node says of itself in a pull.
+  /// Fills in the status that this node reports in a pull.
   void fill_own_status(pb::NodeStatus& status) {
     describe_node(*status.mutable_node());
     heartbeats.report(ports.clock.now(), status);
@@ -150,11 +150,11 @@
     const bool was_drained = drained.exchange(is_drained_by_operator());
     if (was_drained != drained)
       logger.info("{}: {}.", config.name,
-                  drained ? "drained; clients are sent elsewhere" : "no longer drained");
+                  drained ? "drained by operators, not ready for clients" : "no longer drained");
     leadership.set_passive(drained);
   }
 
-  /// Runs after each good pull.
+  /// Runs after each successful pull.
   void apply_state() {
     const TimePoint now = ports.clock.now();
     const membership::ChosenValues& chosen = state_cache.chosen();
@@ -191,8 +191,8 @@
         [](const auto& entry) { return entry.second.switching() || entry.second.switch_is_near(); });
   }
 
-  /// Whoever completes the switch of a service waits for all nodes. So while one is near this node pulls
-  /// often, and during it states each of its steps as soon as it is taken.
+  /// A service's switch completes only when all nodes have followed it. So while a switch is near this node
+  /// pulls often, and during the switch it reports each of its steps at once.
   void follow_switches() {
     if (following_switches || !has_switch()) return;
     following_switches = true;
@@ -303,7 +303,7 @@
 base::Response Node::handle(base::Request& request) { return impl_->request_handler.handle(request); }
 pb::ForwardResponse Node::handle_forwarded(const pb::ForwardRequest& forward,
                                            const base::CancellationPtr& cancellation) {
-  // The node that forwards may know more than this one: a pull brings it here within a few milliseconds.
+  // The forwarding node may have newer state: a pull fetches it within a few milliseconds.
   if (impl_->request_handler.is_behind(forward))
     impl_->state_cache.await_pull(impl_->config.bound / kCatchUpPart);
   return impl_->request_handler.handle_forwarded(forward, cancellation);
@@ -314,7 +314,7 @@
     impl_->heartbeats.count(false);
     return false;
   }
-  // What the fleet has heard of this instance before need not be waited for again.
+  // A heartbeat with the same content was reported to the fleet before, so there is no need to wait again.
   const bool known = impl_->heartbeats.record(heartbeat, impl_->ports.clock.now());
   const bool accepted =
       (!heartbeat.leaving() || membership::deregister(impl_->registers, heartbeat.instance())) &&
@@ -334,7 +334,8 @@
 void Node::begin_shutdown() {
   impl_->leaving = true;
   impl_->leadership.transfer();
-  impl_->state_cache.await_pull(impl_->config.bound / 2);  // tells the others that this node leaves
+  impl_->state_cache.await_pull(impl_->config.bound /
+                                2);  // notifies the other nodes that this one is leaving
 }
 
 bool Node::can_transfer_replica() const {
--- a/src/node/rejection_log.cpp
+++ b/src/node/rejection_log.cpp
@@ -32,11 +32,9 @@
   const auto allowed = handler_.upstream_client().limits_of(configuration->services.at(service));
   const auto used = handler_.upstream_client().limit_counters().counts()[service];
   logger.info(
-      "{}: {} rejected{} with a quota of {:.1f} a second and {} connections to each instance; in all the "
-      "rate "
-      "granted {} and denied {}, retries were granted {} and denied {}, {} waited for a connection and {} "
-      "got "
-      "none.",
+      "{}: service {} rejected requests:{} quota {:.1f} requests/s, {} connections per instance; since the "
+      "start: rate limit granted {} and denied {}, retries granted {} and denied {}, {} waits for a "
+      "connection and {} connections denied.",
       node_name_, service, reasons, allowed.rate, allowed.connections, used.rate_granted, used.rate_denied,
       used.retries_granted, used.retries_denied, used.connection_waits, used.connections_denied);
 }
--- a/src/node/rejection_log.hpp
+++ b/src/node/rejection_log.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Logs what a node has rejected of late and by which of its limits, so that an operator sees in the logs why
-/// clients were refused.
-/// Threads: used by the thread that runs control only.
+/// Logs how many requests a node has recently rejected, and by which limit, so that operators can see in the
+/// logs why.
+/// Threads: used by the control thread only.
 #pragma once
 #include "proxy/request_handler.hpp"
 
@@ -9,7 +9,7 @@
 
 class RejectionLog {
  public:
-  /// @param handler  outlives the log
+  /// @param handler  must outlive the log
   RejectionLog(std::string node_name, const proxy::RequestHandler& handler)
       : node_name_(std::move(node_name)), handler_(handler) {}
 
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -10,16 +10,16 @@
 
 namespace dunlinwing::node {
 namespace {
-// Of the descriptors some are for files that the system opens beside ours.
+// Descriptors reserved for our files and those that the system opens; the rest are for sockets.
 constexpr int kFileDescriptors = 200;
-// Of a machine's memory a quarter may be stored responses, and a quarter bodies of requests (see Listeners).
+// A quarter of a machine's memory may hold cached responses, and a quarter request bodies (see Listeners).
 constexpr double kCacheShare = 1.0 / 4;
 constexpr double kBytesPerMegabyte = 1 << 20;
 constexpr int64_t kDefaultBoundMs = 2000;
 
 Duration seconds(const base::Json& value) { return Duration(static_cast<int64_t>(value.real_or() * 1000)); }
 
-/// Reads one settings file, a method for each part of it. Errors are collected on the way.
+/// Parses one settings file, with a method for each section, and collects all errors.
 class SettingsParser {
  public:
   explicit SettingsParser(const base::Json& json) : json_(json) {}
@@ -40,7 +40,7 @@
   }
 
  private:
-  /// The text, which has to be empty or an address; `pointer` is its place in the file.
+  /// Returns `text` and adds an error at `pointer` unless it is empty or an address.
   std::string address(const std::string& pointer, const std::string& text) {
     if (!text.empty() && !net::split_address(text)) errors_.push_back({pointer, "is not IP:port"});
     return text;
@@ -51,7 +51,7 @@
     settings_.client_address = address("/listen/callers", listen.at("callers").string_or());
     settings_.control_address = address("/listen/control", listen.at("control").string_or());
     settings_.node.peer_address = address("/listen/peers", listen.at("peers").string_or());
-    settings_.node.http_address = settings_.control_address;  // empty on a machine that takes no requests
+    settings_.node.http_address = settings_.control_address;  // empty on a machine without a control API
   }
 
   void read_readiness_address() {
@@ -75,7 +75,7 @@
     int index = 0;
     for (const auto& seed : json_.at("seeds").strings())
       node.seeds.push_back(address(fmt::format("/seeds/{}", index++), seed));
-    // A set that the settings name is the operators' to change, unless they say what to tolerate.
+    // Only operators change a replica set that the settings name, unless `tolerate` is set.
     node.initial_boot = json_.at("first_start").bool_or(!node.replicas.empty());
     node.tolerate = static_cast<int>(json_.at("tolerate").integer_or(node.replicas.empty() ? 1 : 0));
     node.bound = Duration(json_.at("bound_ms").integer_or(kDefaultBoundMs));
@@ -96,7 +96,7 @@
   void read_bounds() {
     if (!json_.has("bounds")) return;
     const auto bounds = json_.at("bounds");
-    // One bound serves all that must be heeded everywhere: the shortest of them.
+    // A single bound covers all changes that must reach every node: the shortest of those configured.
     auto shortest = Duration::max();
     for (const char* key : {"layout_s", "leave_s", "purge_s"})
       if (bounds.has(key)) shortest = std::min(shortest, seconds(bounds.at(key)));
@@ -136,9 +136,9 @@
     const bool is_replica = std::any_of(node.replicas.begin(), node.replicas.end(),
                                         [&](const auto& replica) { return replica.name == node.name; });
     if (is_replica && settings_.data_directory.empty())
-      errors_.push_back({"/holders/" + node.name, "a holder needs /data"});
+      errors_.push_back({"/holders/" + node.name, "a holder requires /data"});
     if (node.replicas.size() % 2 == 0 && !node.replicas.empty())
-      errors_.push_back({"/holders", "an odd number is needed"});
+      errors_.push_back({"/holders", "must have an odd number of entries"});
   }
 
   const base::Json& json_;
--- a/src/node/settings_reloader.cpp
+++ b/src/node/settings_reloader.cpp
@@ -12,7 +12,7 @@
 namespace {
 constexpr base::Log logger("relay");
 
-/// By what a changed file is recognised without reading it.
+/// Attributes that show a change of a file without reading it.
 struct FileStamp {
   int64_t seconds = 0;
   int64_t nanoseconds = 0;
@@ -35,7 +35,7 @@
   return text.str();
 }
 
-/// The texts of the values, by key.
+/// The values as JSON text, by key.
 std::map<std::string, std::string> values_by_key(std::string_view text) {
   std::map<std::string, std::string> values;
   const auto parsed = base::Json::parse(text);
@@ -61,7 +61,7 @@
 struct SettingsReloader::Impl {
   std::string path;
   ApplySeeds apply_seeds;
-  std::optional<FileStamp> stamp;  ///< of the file as it was read last, or as its reading failed
+  std::optional<FileStamp> stamp;  ///< of the file at the last attempt to read it
   std::string text;                ///< of the last valid settings
 
   void check(bool requested) {
@@ -73,7 +73,7 @@
     const auto parsed = parse_settings(*new_text);
     if (const auto* errors = std::get_if<std::vector<base::ValidationError>>(&parsed)) {
       for (const auto& error : *errors)
-        logger.error("{}: {} {}; the settings read before stay in force.", path,
+        logger.error("{}: {} {}; keeping the previous settings.", path,
                      error.pointer.empty() ? "/" : error.pointer, error.message);
       return;
     }
@@ -85,12 +85,12 @@
     text = new_text;
     const bool new_seeds = std::erase(changed, "seeds") > 0;
     if (!changed.empty())
-      logger.warn("{}: changed, and in force only from the next start: {}.", path, fmt::join(changed, ", "));
+      logger.warn("{}: changed keys that take effect at the next start: {}.", path, fmt::join(changed, ", "));
     if (!new_seeds) {
-      if (requested) logger.info("{}: read again; the seeds are unchanged.", path);
+      if (requested) logger.info("{}: reloaded; the seeds are unchanged.", path);
       return;
     }
-    logger.info("{}: there are new seeds, {} of them.", path, settings.node.seeds.size());
+    logger.info("{}: seeds changed, now {} addresses.", path, settings.node.seeds.size());
     apply_seeds(settings.node.seeds);
   }
 };
--- a/src/node/shutdown_sequence.cpp
+++ b/src/node/shutdown_sequence.cpp
@@ -5,13 +5,13 @@
 namespace dunlinwing::node {
 namespace {
 constexpr base::Log logger("relay");
-constexpr Duration kBusyCheck(10);  // how soon it is checked again whether requests run
-constexpr Duration kParked(1000);   // period of a fiber that only waits for the end of the process
+constexpr Duration kBusyCheck(10);  // period of the checks for running requests
+constexpr Duration kParked(1000);   // sleep period of a fiber that only waits for the process to exit
 }  // namespace
 
-// What still runs in the last sixth of the grace may be cut. What ends before it is answered, which takes a
-// while: its backend instance's response has to come, and to go on to the client over a link that may be
-// full.
+// Requests that still run in the last sixth of the grace period may be aborted. Those that end before must be
+// answered, which takes a while: the backend instance's response has to arrive and to be sent to the client
+// over a link that may be saturated.
 ShutdownTimes shutdown_times(Duration grace, Duration bound) {
   if (grace > Duration(0)) return {grace * 9 / 20, grace * 11 / 12};
   return {bound * 5 / 8, bound * 2};
@@ -24,11 +24,11 @@
   while (begun_) clock_.sleep(kParked);
   begun_ = true;
   const TimePoint begin = clock_.now();
-  logger.info("{}: asked to stop; draining.", node_.config().name);
+  logger.info("{}: shutdown requested; draining.", node_.config().name);
   listeners_.drain_clients();
   node_.begin_shutdown();
-  // The platform asks each second whether this node is ready, so clients go on coming for as long; they are
-  // served until it has heard that the node is not.
+  // The platform checks every second whether this node is ready and sends clients until it learns that the
+  // node is not; until then they are served.
   const TimePoint stop_serving = begin + times_.stop_serving;
   if (clock_.now() < stop_serving) clock_.sleep(stop_serving - clock_.now());
   node_.request_handler().start_draining();
--- a/src/node/shutdown_sequence.hpp
+++ b/src/node/shutdown_sequence.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The orderly end of a process: it is not ready, then takes no new requests, then waits for those that run.
+/// Graceful shutdown of a process: it reports not ready, then rejects new requests, then waits for running
+/// ones.
 ///
 /// Threads: used by the control thread only.
 #pragma once
@@ -8,22 +9,22 @@
 
 namespace dunlinwing::node {
 
-/// The times of a shutdown, each from its begin.
+/// The times of a shutdown, relative to its start.
 struct ShutdownTimes {
-  Duration stop_serving{0};  ///< until then new requests are answered: the platform still sends them
-  Duration give_up{0};       ///< then requests that still run are cut
+  Duration stop_serving{0};  ///< until then new requests are served: the platform still sends them
+  Duration give_up{0};       ///< requests still running then are aborted
 };
 
-/// @param grace  from the signal to stop until the process must have ended; 0: the times follow from the
+/// @param grace  from the stop signal until the process must have exited; 0: the times are derived from the
 /// bound
 ShutdownTimes shutdown_times(Duration grace, Duration bound);
 
 class ShutdownSequence {
  public:
-  /// All arguments have to outlive the sequence.
+  /// All arguments must outlive the sequence.
   ShutdownSequence(base::Clock& clock, Node& node, Listeners& listeners, ShutdownTimes times);
 
-  /// Suspends the calling fiber until the node may end. Only the first call returns.
+  /// Suspends the calling fiber until the process may exit. Only the first call returns.
   void run();
 
  private:
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -4,23 +4,23 @@
 
 namespace dunlinwing::node {
 namespace {
-// Registers are named after what they are for, then by service.
+// A register's name consists of a prefix for its purpose and the service.
 constexpr std::string_view kServiceStatePrefix = "service/";
 constexpr std::string_view kRateQuotaPrefix = "share/";
 constexpr std::string_view kPurgePrefix = "purge/";
 
 constexpr double kMilli = 1000;
 
-// A link is fast when it is at least this part of the fastest one.
+// A link counts as fast from this fraction of the fastest one's rate.
 constexpr double kFastLinkPart = 0.5;
 
-/// The rest of a key that begins with the prefix.
+/// The key without the prefix; nothing when it does not begin with it.
 std::optional<std::string> without_prefix(const std::string& key, std::string_view prefix) {
   if (!key.starts_with(prefix)) return {};
   return key.substr(prefix.size());
 }
 
-/// The age of the youngest heartbeat from each address.
+/// The age of the most recent heartbeat from each address.
 std::map<std::string, Duration> youngest_heartbeats(
     const std::map<std::string, membership::BackendInstanceStatus>& instances) {
   std::map<std::string, Duration> youngest;
--- a/src/node/snapshot_builder.hpp
+++ b/src/node/snapshot_builder.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Builds the routing snapshot of the data plane out of what a node knows of the fleet. Pure: it reads no
-/// clock and calls nobody, and every input is an argument.
+/// Builds the routing snapshot of the data plane from a node's view of the fleet. Pure: no clock, no I/O, and
+/// every input is an argument.
 ///
 /// Threads: each builder is used by one fiber.
 #pragma once
@@ -14,34 +14,34 @@
   /// @param node_name  the node that the snapshot is for
   SnapshotBuilder(std::string node_name, TimePoint now);
 
-  /// What is in force on this node.
+  /// Sets the active configuration and options of this node.
   void set_running(const RunningConfiguration& running);
 
-  /// The latest generation of each node, and this node's place among them.
+  /// Sets the latest generation of each node, and this node's rank among them.
   void set_rollout(const pb::RolloutState& rollout);
 
-  /// The configurations that forwarded requests may name; the running one is added by build().
+  /// Sets the configurations that forwarded requests may name; build() adds the running one.
   void set_configurations(ConfigurationMap configurations);
 
-  /// The instances that are alive. Of several at one address only those with the youngest heartbeat count:
-  /// the earlier owners of the address have ended.
+  /// Adds the live instances. Of several at one address only those with the most recent heartbeat count: the
+  /// earlier owners of the address have terminated.
   /// @param instances  by instance
   void add_backend_instances(const std::map<std::string, membership::BackendInstanceStatus>& instances);
 
-  /// The states of the services, the rate quotas of this node and the purges out of their registers.
+  /// Adds the states of the services, the rate quotas of this node and the purges from their registers.
   void add_register_values(const membership::ChosenValues& chosen);
 
-  /// The members that fetch for others: dedicated shields that are ready; without any, the ready nodes with
-  /// the fastest links, so that an object is fetched once for the fleet in any case.
+  /// Adds the members that fetch for other nodes: ready dedicated shields; without any, the ready nodes with
+  /// the fastest links, so that an object is fetched once for the fleet in either case.
   void add_shields(const std::vector<membership::Member>& members);
 
-  /// This node's parts of what is sent to the services.
+  /// Sets this node's shares of the demand on the services.
   void set_demand_shares(std::map<std::string, limits::DemandShare> shares);
 
-  /// By service; as the registers state them until build().
+  /// The service states by service, as read from the registers; to be used before build().
   const std::map<std::string, pb::ServiceState>& service_states() const { return snapshot_->service_states; }
 
-  /// The names of the instances that add_backend_instances() has found alive.
+  /// The names of the live instances that add_backend_instances() has found.
   const std::vector<std::string>& live_instances() const { return live_instances_; }
 
   /// The finished snapshot. The builder may not be used afterwards.
