--- a/src/canary/canary_statistics.cpp
+++ b/src/canary/canary_statistics.cpp
@@ -8,40 +8,41 @@
 
 namespace dunlinwing::canary {
 namespace {
-// Clearly worse: at least so many failed or slow responses, and their rate beyond the baseline's by both.
+// Clearly worse: at least this many failed or slow responses, and a rate above the baseline's by both the
+// excess and the factor.
 constexpr uint64_t kMinClearFailures = 8;
 constexpr double kClearRateExcess = 0.2;
 constexpr double kClearRateFactor = 2;
 
-// Worse since the switch: at least so many failed or slow responses, and so many times what as many of the
-// baseline would have brought, with some slack. The trial's share says little of the whole load, and what a
-// version spoils under that counts against the same allowance, at ten times the rate: a few responses have to
-// be enough, and fewer once the share that the allowance rests on is used up.
+// Worse since the switch: at least this many failed or slow responses, and more than the factor times those
+// expected of the baseline, plus some slack. The canary's share predicts little about the whole load, and
+// failures under the whole load count against the same allowance at ten times the rate. So a few responses
+// must be enough, and fewer once the share that the allowance is based on is used up.
 constexpr uint64_t kMinFailuresWithinShare = 4, kMinFailuresBeyondShare = 3;
 constexpr double kFactorAfterSwitch = 3;
 constexpr double kSlackAfterSwitch = 2.5;
-constexpr uint64_t kTenth = 10;  // of a service's requests: the share that the allowance rests on
+constexpr uint64_t kTenth = 10;  // of a service's requests: the share that the allowance is based on
 
-// Evidence on a route is so many responses; fewer are enough when few of them failed or were slow. None of
-// twelve: a version of which a third fails gives that once in a hundred. Six more for each that failed or was
-// slow leave the same uncertainty.
+// Responses needed as evidence on a route; fewer are enough when few of them failed or were slow. A version
+// that fails on a third of its requests has no failure in twelve once in a hundred times. Six more responses
+// for each that failed or was slow leave the same uncertainty.
 constexpr uint64_t kMaxNeeded = 30, kNeededWithoutFailure = 12, kNeededPerFailure = 6;
-constexpr uint64_t kCertain = 60;  // responses by which a difference beyond the noise stays one
+constexpr uint64_t kCertain = 60;  // responses after which a difference beyond the noise is conclusive
 
-// Differences that are noise: of the rate; of the mean latency as a factor, and in milliseconds beyond that.
+// Differences that count as noise: of the rate; of the mean latency as a factor plus some milliseconds.
 constexpr double kRateNoise = 0.08;
 constexpr double kLatencyFactor = 2.2, kLatencyNoiseMs = 3;
 
-// Where the version in place itself fails or is slow this often, its instances are overloaded or in trouble,
-// and what the canary adds to that cannot be told.
+// Where the baseline itself fails or is slow this often, its instances are overloaded or faulty, and the
+// canary's effect can't be determined.
 constexpr double kMaxBaselineFailureRate = 0.1;
 
-constexpr uint64_t kMinTraffic = 3;  // responses of the baseline that make a route one with traffic
+constexpr uint64_t kMinTraffic = 3;  // responses of the baseline from which a route has traffic
 constexpr uint64_t kPercent = 100;
-// A route with so many requests since the canary began gives enough evidence out of its own share.
+// A route with this many requests since the canary began yields enough evidence from its own share.
 constexpr uint64_t kFrequentRequests =
     kNeededWithoutFailure * kPercent / static_cast<uint64_t>(kDeadlinePercent);
-// Failed or slow responses on a rare route that keep a canary from being promoted, and that end a switch.
+// Failed or slow responses on a rare route that block a canary's promotion, and that end a switch.
 constexpr uint64_t kRareFailuresToBlock = 2, kRareFailuresToEndSwitch = 3;
 
 bool is_clearly_worse(const OutcomeCounts& canary, const OutcomeCounts& baseline) {
@@ -61,7 +62,7 @@
           left.total_ms - std::min(left.total_ms, right.total_ms)};
 }
 
-/// How the canary is worse on a route; empty: it is not.
+/// Describes how the canary is worse on a route; empty: it is not.
 std::string route_regression(const std::string& route, const OutcomeCounts& canary,
                              const OutcomeCounts& baseline) {
   if (canary.failure_rate() > baseline.failure_rate() + kRateNoise)
@@ -79,7 +80,7 @@
          std::min(kMaxNeeded, kNeededWithoutFailure + kNeededPerFailure * counts.failed_or_slow());
 }
 
-/// The routes with traffic: the baseline responds on them, or the canary does.
+/// The routes on which the baseline has traffic or the canary has responded.
 std::set<std::string> routes_with_traffic(const CanarySample& sample) {
   std::set<std::string> routes;
   for (const auto& [route, counts] : sample.baseline)
@@ -89,14 +90,14 @@
   return routes;
 }
 
-/// The baseline on a route: since the canary's instances are warm, if it was asked since.
+/// The baseline's counters on a route: since the canary's instances became warm, if there are any since then.
 OutcomeCounts baseline_on(const CanarySample& sample, const std::string& route) {
   auto warm = counts_of(sample.warm_baseline, route);
   return warm.total() ? warm : counts_of(sample.baseline, route);
 }
 
-/// How often the version in place fails on a route, when that is so often that nothing can be compared with
-/// it; empty: it is not.
+/// Describes how often the baseline fails on a route, when that is too often for a comparison; empty: it is
+/// not.
 std::string baseline_trouble(const CanarySample& sample, const std::string& route) {
   const auto baseline = baseline_on(sample, route);
   if (baseline.total() < kNeededWithoutFailure || baseline.failure_rate() <= kMaxBaselineFailureRate)
@@ -105,22 +106,21 @@
                      baseline.failed_or_slow(), baseline.total(), route);
 }
 
-/// Whether a route cannot give evidence of its own: it has few requests, and few of them were answered by the
-/// canary.
+/// Whether a route can't yield evidence of its own: it has few requests, and the canary answered few of them.
 bool is_rare(const CanarySample& sample, const std::string& route) {
   auto requests = counts_of(sample.baseline, route).total() + counts_of(sample.canary, route).total();
   return requests < kFrequentRequests && !is_evidence(counts_of(sample.warm_canary, route));
 }
 
-/// What counts on a rare route: the responses of warm instances, and the failures of cold ones too, since
-/// every single one says much where there are so few.
+/// The canary's counters on a rare route: the responses of warm instances, and also the failures of cold
+/// ones, since each one is significant where there are so few.
 OutcomeCounts canary_on_rare(const CanarySample& sample, const std::string& route) {
   auto counts = counts_of(sample.warm_canary, route);
   counts.bad += difference(counts_of(sample.canary, route), counts).bad;
   return counts;
 }
 
-/// The rare routes together: the canary on them, and what the baseline would have made of the same requests.
+/// Totals over the rare routes: of the canary, and as expected of the baseline for the same requests.
 struct RareRoutes {
   OutcomeCounts canary;
   double expected_failures = 0;  ///< failed or slow responses
@@ -141,7 +141,7 @@
   return rare;
 }
 
-/// How the canary is worse on the rare routes together; empty: it is not.
+/// Describes how the canary is worse on the rare routes together; empty: it is not.
 std::string rare_regression(const RareRoutes& rare) {
   const auto& canary = rare.canary;
   auto requests = static_cast<double>(canary.total());
@@ -167,12 +167,12 @@
   return {};
 }
 
-/// What speaks against promotion on the rare routes; empty: nothing.
+/// Why the rare routes block promotion; empty: they do not.
 std::string rare_blocker(const CanarySample& sample) {
   auto rare = sum_rare_routes(sample);
   if (auto worse = rare_route_regression(sample, kRareFailuresToBlock); !worse.empty()) return worse;
   if (is_evidence(rare.canary)) return rare_regression(rare);
-  // All of them are too few: the service's other routes speak for them, if none failed or was slow.
+  // The rare routes have too few responses together: those of all routes suffice if none failed or was slow.
   if (is_evidence(sum(sample.warm_canary)) && !rare.canary.failed_or_slow()) return {};
   return fmt::format("only {} answers on routes with few requests, {} of them poor", rare.canary.total(),
                      rare.canary.failed_or_slow());
@@ -247,7 +247,7 @@
       if (counters_noted_ && canary != canaries_.end())
         add(states.at(key.service), key, increase, canary->second);
     }
-    source.counters = std::move(latest);  // one that is no longer reported begins at 0 when it comes back
+    source.counters = std::move(latest);  // a counter that disappears restarts at 0 when it returns
   }
   counters_noted_ = true;
 }
@@ -260,8 +260,8 @@
 
 bool is_clearly_worse(const CanarySample& sample) {
   if (is_worse_after_switch(sample)) return true;
-  // Each by itself: good responses of before, from cold instances or under little load, must not hide what
-  // comes now.
+  // Each is checked separately: earlier good responses, from cold instances or under low load, must not mask
+  // later failures.
   for (const auto* routes : {&sample.canary, &sample.warm_canary, &sample.after_switch}) {
     if (is_clearly_worse(sum(*routes), sum(sample.baseline))) return true;
     for (const auto& [route, counts] : *routes)
--- a/src/canary/canary_statistics.hpp
+++ b/src/canary/canary_statistics.hpp
@@ -1,14 +1,14 @@
 /// @file
-/// What all nodes together have seen of a canary and of the version in place (the baseline), by route: since
-/// the canary began, and since its backend instances are warm. Each node adds it up by itself from the
-/// counters in the statuses, over restarts of their sources; nothing of it is recorded. The judgements are
-/// pure.
+/// The responses of a canary and of the version in place (the baseline), counted over all nodes, by route:
+/// since the canary began, and since its backend instances became warm. Each node computes the sums itself
+/// from the counters in the statuses, across restarts of the reporting processes; none of it is stored. The
+/// verdict functions are pure.
 ///
-/// A bad version fails, or is slow, on a third of its requests or more; faults of instances and of the way to
-/// them spoil a few in a hundred. The thresholds stand between. Instances differ in speed by more than two,
-/// so a mean alone says little until it is far off. A route whose own share cannot give enough responses in
-/// the time is a rare route. Rare routes are judged together, so that none holds a good version back; a few
-/// failed or slow responses on one of them are enough to reject a bad one.
+/// The thresholds assume that a bad version fails or is slow on a third of its requests or more, while faults
+/// of instances and of the network affect a few percent. Instances differ in speed by more than a factor of
+/// two, so a mean latency alone is significant only when it is far off. A rare route is one whose own share
+/// can't yield enough responses in the available time. Rare routes are evaluated together, so that none
+/// blocks a good version; a few failed or slow responses on one of them are enough to reject a bad version.
 #pragma once
 #include <set>
 #include <tuple>
@@ -27,7 +27,7 @@
 
   uint64_t total() const { return good + bad; }
   uint64_t failed_or_slow() const { return bad + slow; }
-  /// The part of the responses that failed or were slow, from 0 to 1; 0 when there are none.
+  /// The fraction of the responses that failed or were slow, from 0 to 1; 0 when there are none.
   double failure_rate() const {
     return total() ? static_cast<double>(failed_or_slow()) / static_cast<double>(total()) : 0;
   }
@@ -38,7 +38,7 @@
   OutcomeCounts& operator+=(const OutcomeCounts& other);
 };
 
-/// One process that counts: a restart takes nothing away from what was reported before it.
+/// Identifies one run of a process, so that a restart does not discard the counts reported before it.
 struct ReportingProcess {
   std::string source;
   uint64_t incarnation = 0;
@@ -47,32 +47,32 @@
   }
 };
 
-/// By the label of the route.
+/// Counters by the label of the route.
 using ByRoute = std::map<std::string, OutcomeCounts>;
 
-/// Over all routes.
+/// The counters summed over all routes.
 OutcomeCounts sum(const ByRoute& routes);
 
-/// What has been counted of one canary and its baseline.
+/// The counters of one canary and its baseline.
 struct CanarySample {
   ByRoute canary, baseline;            ///< since the canary began
   ByRoute warm_canary, warm_baseline;  ///< since the canary's instances were first warm
-  ByRoute after_switch;                ///< by the canary, since it has all the load
+  ByRoute after_switch;                ///< of the canary, since it receives all requests
 };
 
-/// Adds the counters up. Does no I/O; used by the thread that runs control only.
+/// Accumulates the counters. Does no I/O; used by the control thread only.
 class CanaryStatistics {
  public:
   /// By service.
   using States = std::map<std::string, pb::ServiceState>;
 
-  /// Takes the present counters; what they have risen by since the last call counts for the present state.
+  /// Adds the increase of the counters since the last call to the samples, attributed by the given states.
   /// @param statuses  by source
   /// @param warm      services whose canary has warm instances now
   void update(const States& states, const std::map<std::string, pb::NodeStatus>& statuses,
               const std::set<std::string>& warm = {});
 
-  /// The sample of a service's present canary; empty when it has none.
+  /// The sample of a service's canary; empty when it has none.
   const CanarySample& at(const std::string& service) const;
 
  private:
@@ -97,22 +97,23 @@
   static void add(const pb::ServiceState& state, const CounterKey& counter, const OutcomeCounts& increase,
                   Canary& canary);
 
-  std::map<std::string, Canary> canaries_;         ///< by service; those under way
+  std::map<std::string, Canary> canaries_;         ///< by service; running canaries only
   std::map<std::string, SourceCounters> sources_;  ///< by source
-  bool counters_noted_ = false;  ///< the first update only notes counters: what they hold is of before
+  bool counters_noted_ = false;  ///< the first update only stores the counters: they cover the time before it
 };
 
 /// Whether the canary is so much worse, on all routes together or on one, that no more evidence is needed.
 [[nodiscard]] bool is_clearly_worse(const CanarySample& sample);
 
-/// What on some route is worse, with evidence enough to end the canary; empty: nothing.
+/// Describes a regression on some route with enough evidence to end the canary; empty: none.
 std::string regression(const CanarySample& sample);
 
-/// What speaks against promotion, as yet or for good: too little evidence on a route, or more failures or
-/// slower responses than the baseline's; empty: nothing.
+/// Why the canary can't be promoted, yet or at all: too little evidence on a route, or more failures or
+/// slower responses than the baseline's; empty: it can.
 std::string promotion_blocker(const CanarySample& sample);
 
-/// What, seen after the switch on a route too rare for regression(), ends it; empty: nothing.
+/// Describes a regression after the switch, on a route too rare for regression(), that ends the switch;
+/// empty: none.
 std::string regression_after_switch(const CanarySample& sample);
 
 }  // namespace dunlinwing::canary
