--- a/src/config/numbered_configuration.cpp
+++ b/src/config/numbered_configuration.cpp
@@ -18,7 +18,8 @@
   auto name = numbered_configuration_name(stated.number());
   auto result = parse_routing_configuration(name, stated.document());
   auto* parsed = std::get_if<std::shared_ptr<const RoutingConfiguration>>(&result);
-  if (!parsed) logger.error("Configuration {} cannot be read by this version.", stated.number());
+  if (!parsed)
+    logger.error("Numbered configuration {} cannot be parsed by this software version.", stated.number());
   active_ = {stated.number(), parsed ? *parsed : nullptr};
   return active_;
 }
--- a/src/config/numbered_configuration.hpp
+++ b/src/config/numbered_configuration.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The numbered configuration: one register that holds the highest number stated and its document. It is in
-/// force on every node as soon as the node has pulled it, and while there is one no routing configuration
-/// comes by a release.
+/// The numbered configuration: one register that holds the highest number submitted and its document. It
+/// takes effect on each node as soon as the node has pulled it; while there is one, releases supply no
+/// routing configuration.
 #pragma once
 #include "config/routing_configuration.hpp"
 #include "membership/state_cache.hpp"
@@ -11,9 +11,9 @@
 /// The name of the register.
 inline constexpr const char* kNumberedConfigurationKey = "order";
 
-/// The numbered configuration as a node has it.
+/// The numbered configuration as a node has read it.
 struct ActiveConfiguration {
-  uint64_t number = 0;  ///< 0: none was ever stated
+  uint64_t number = 0;  ///< 0: none was ever submitted
   /// Null: none was stated, or this program cannot read it, as a newer one wrote it. The node then keeps the
   /// configuration it has and is not ready.
   std::shared_ptr<const RoutingConfiguration> configuration;
@@ -26,7 +26,7 @@
 
  private:
   uint64_t register_version_ = 0;  ///< as last read
-  ActiveConfiguration active_;     ///< its number never falls
+  ActiveConfiguration active_;     ///< its number never decreases
 };
 
 /// The name of the configuration of that number, in counters and forwarded requests.
--- a/src/config/release.cpp
+++ b/src/config/release.cpp
@@ -37,7 +37,7 @@
   return errors ? *errors : Errors{};
 }
 
-/// Lengthens a hold to what the document states under `key`; an error when that is shorter.
+/// Raises a hold time to the document's value under `key`; adds an error when that value is lower.
 void read_hold(const base::Json& holds, const char* key, Duration& hold, Errors& errors) {
   if (!holds.has(key)) return;
   Duration stated = std::chrono::minutes(holds.at(key).integer_or());
--- a/src/config/routing_configuration.cpp
+++ b/src/config/routing_configuration.cpp
@@ -121,7 +121,7 @@
   return route;
 }
 
-/// Reads one document and collects what is wrong with it.
+/// Parses one document and collects all errors.
 class Parser {
  public:
   Parser(const std::string& name, const base::Json& json) : json_(json) {
@@ -200,7 +200,7 @@
 
   const base::Json& json_;
   std::vector<base::ValidationError> errors_;
-  RoutingConfiguration configuration_;  ///< as far as it is read
+  RoutingConfiguration configuration_;  ///< as parsed so far
   std::set<std::string> taken_;         ///< host, prefix and method of the routes so far
 };
 }  // namespace
--- a/src/config/routing_configuration.hpp
+++ b/src/config/routing_configuration.hpp
@@ -11,22 +11,22 @@
 /// A service: the backend instances that run it, and how its requests are treated.
 struct ServiceConfiguration {
   std::string name;
-  /// The versions that may serve; the first one does until a version rollout says otherwise. None stated: any
-  /// that a version rollout promoted.
+  /// The versions that may serve; the first one does until a version rollout chooses another. Empty: any that
+  /// a version rollout promoted.
   std::vector<std::string> versions;
-  Duration deadline{2000};        ///< of a request whose route states no timeout
+  Duration deadline{2000};        ///< of a request whose route sets no timeout
   int max_waiting = 64;           ///< requests in the admission queue of one node
   int max_in_flight = 64;         ///< requests at backend instances, from one node
   double rate = 0;                ///< requests a second over the whole fleet; 0: no limit
   bool retry_idempotent = true;   ///< whether requests that may run more than once are retried
   int64_t cache_lifetime_s = 0;   ///< 0: not cached
-  int max_connections = 0;        ///< that an instance takes from all nodes together; 0: not stated
-  std::string health_check_path;  ///< at which its instances state whether they are healthy; empty: none
+  int max_connections = 0;        ///< limit of an instance for all nodes together; 0: not set
+  std::string health_check_path;  ///< of its instances; empty: no health checks
 };
 
 /// Whether a request may run more than once.
 enum class RequestKind {
-  by_method,  ///< the route does not state it: as HTTP defines for the method
+  by_method,  ///< not set by the route: as HTTP defines for the method
   safe,
   unsafe,
   cacheable,
@@ -35,36 +35,36 @@
 /// One of the services among which a route splits its requests.
 struct WeightedService {
   std::string service;
-  double weight = 0;  ///< against the weights of the others; 0: it gets none
+  double weight = 0;  ///< relative to the weights of the others; 0: no requests
 };
 
-/// A route: which requests it takes, and how they are treated.
+/// A route: which requests it matches, and how they are handled.
 struct RouteConfiguration {
   std::string name, host, prefix;                  ///< no name: the prefix is used; no host: any
   std::vector<WeightedService> weighted_services;  ///< at least one
   std::vector<std::string> methods;                ///< none: any
   RequestKind kind = RequestKind::by_method;
   Duration timeout{0};         ///< 0: the service's deadline
-  Duration latency_target{0};  ///< in which a response is worth most; 0: the timeout
-  int priority = 0;            ///< 0 goes first
-  int max_attempts = 4;        ///< backend instances to which one request may be sent, at most
-  Duration cache_lifetime{0};  ///< of responses, whatever they state; 0: as they state
+  Duration latency_target{0};  ///< within which a response has its full value; 0: the timeout
+  int priority = 0;            ///< 0 is the highest
+  int max_attempts = 4;        ///< maximum number of backend instances to which one request is sent
+  Duration cache_lifetime{0};  ///< of responses, overriding their own; 0: as they state
 
-  /// Whether the service may get requests of the route.
+  /// Whether the route sends requests to the service.
   bool leads_to(const std::string& service) const {
     return std::any_of(weighted_services.begin(), weighted_services.end(), [&](const auto& weighted) {
       return weighted.service == service && weighted.weight > 0;
     });
   }
 
-  /// As counters and logs call the route.
+  /// The name of the route in counters and logs.
   const std::string& label() const { return name.empty() ? prefix : name; }
 };
 
 /// The route of a request.
 struct RouteMatch {
-  const RouteConfiguration* route = nullptr;  ///< null: none takes it
-  bool other_method = false;                  ///< there is no route, and only for the request's method
+  const RouteConfiguration* route = nullptr;  ///< null: none matches
+  bool other_method = false;                  ///< no route matches, but one does for another method
 };
 
 /// The checked document.
@@ -73,27 +73,27 @@
   std::string text;  ///< the document, as JSON without white space
   std::map<std::string, ServiceConfiguration> services;
   std::vector<RouteConfiguration> routes;  ///< longest prefix first
-  int64_t body_bytes = 1 << 20;            ///< of a request, at most
-  int64_t cache_bytes = 64 << 20;          ///< of the responses that one node caches, at most
-  int64_t head_bytes = 16 << 10;           ///< of a request, at most
-  Duration head_time{10000};               ///< in which the head of a request has to come
+  int64_t body_bytes = 1 << 20;            ///< maximum of a request
+  int64_t cache_bytes = 64 << 20;          ///< maximum of the responses that one node caches
+  int64_t head_bytes = 16 << 10;           ///< maximum of a request
+  Duration head_time{10000};               ///< within which the head of a request must be received
   Duration idle_time{60000};               ///< after which an idle client connection is closed
 
-  /// The route of a request: the first one that takes it.
+  /// Finds the first route that matches a request.
   /// @param host    with or without a port
   /// @param target  with or without a query
   RouteMatch match(std::string_view method, std::string_view host, std::string_view target) const;
 };
 
-/// Everything that is wrong with the document when it is not valid.
+/// The configuration, or all errors when the document is not valid.
 using RoutingConfigurationResult =
     std::variant<std::shared_ptr<const RoutingConfiguration>, std::vector<base::ValidationError>>;
 
 RoutingConfigurationResult parse_routing_configuration(const std::string& name, const base::Json& json);
 RoutingConfigurationResult parse_routing_configuration(const std::string& name, std::string_view text);
 
-/// The JSON schema of the document. It checks each value on its own; parsing also checks that the parts of
-/// the document refer to each other rightly.
+/// The JSON schema of the document. It checks each value on its own; parsing also checks the references
+/// between the parts of the document.
 std::string_view routing_configuration_schema();
 
 }  // namespace dunlinwing::config
--- a/src/config/system_options.cpp
+++ b/src/config/system_options.cpp
@@ -22,7 +22,7 @@
 constexpr int kMinutesPerHour = 60, kMinutesPerDay = 24 * kMinutesPerHour;
 constexpr int64_t kMsPerMinute = 60'000, kMsPerDay = kMinutesPerDay * kMsPerMinute;
 
-/// The minute of the day that "HH:MM" under `key` of the quiet hours states; 0: none is stated.
+/// The minute of the day of "HH:MM" under `key` of the quiet hours; 0: not set.
 int minute_of_day(const base::Json& json, const char* key) {
   auto text = json.at("quiet_hours").at(key).string_or();
   if (text.size() != std::string_view("HH:MM").size()) return 0;
