--- a/src/software/artifacts.cpp
+++ b/src/software/artifacts.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// A replica keeps only what a recorded release names, so what was never released leaves no files.
+/// A replica stores only artifacts that a recorded release names, so unreleased uploads leave no files.
 #include "software/artifacts.hpp"
 
 #include <fcntl.h>
@@ -16,7 +16,7 @@
 constexpr std::string_view kReleasePrefix = "release/software/";  ///< of the registers that name releases
 constexpr mode_t kProgramMode = 0750;
 
-/// Why a replica did not store a chunk. The text crosses the network and decides between the errors.
+/// Why a replica did not store a chunk. The texts are sent to other nodes, which map them to errors.
 constexpr const char* kNotReplica = "this node holds no state";
 constexpr const char* kNotRecorded = "no recorded release names it";
 constexpr const char* kNotNext = "it does not follow what is here";
@@ -102,8 +102,8 @@
         {node_name, local_replica});
   }
 
-  /// How much a majority of the replicas has.
-  /// @param needed_bytes  fewer are an error
+  /// How much a majority of the replicas has stored.
+  /// @param needed_bytes  fewer bytes are an error
   Progress majority_progress(const consensus::PeerResponses& responses, uint64_t needed_bytes) const {
     std::vector<uint64_t> received;
     size_t complete = 0;
@@ -125,7 +125,7 @@
     return reason == kNotRecorded ? ChunkError::unknown_artifact : ChunkError::gap;
   }
 
-  /// One chunk of an artifact from any other replica that has it, asked in random order.
+  /// Fetches one chunk of an artifact from any other replica that has it, trying them in random order.
   std::optional<pb::ArtifactChunkResponse> fetch_chunk(const std::string& sha256, uint64_t offset) {
     auto replicas = registers.replicas();
     for (size_t i = replicas.size(); i > 1; --i) std::swap(replicas[i - 1], replicas[ports.random.below(i)]);
@@ -143,7 +143,7 @@
     return {};
   }
 
-  /// Fetches what this replica misses of all recorded artifacts, as far as it is to be had.
+  /// Fetches the chunks of all recorded artifacts that this replica lacks, as far as others have them.
   void repair() {
     for (auto& [sha256, target] : recorded_software(state_cache.chosen())) {
       storage::ArtifactProgress progress;
@@ -151,7 +151,9 @@
       if (progress.complete) continue;
       while (!progress.complete && fetch_next_chunk(target, progress)) {
       }
-      if (progress.complete) logger.info("{}: artifact of {} is whole here now.", node_name, target.name);
+      if (progress.complete)
+        logger.info("{}: artifact of software release {} is now complete on this replica.", node_name,
+                    target.name);
     }
   }
 
--- a/src/software/artifacts.hpp
+++ b/src/software/artifacts.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Artifacts of software releases: any relay takes their chunks and passes them to all replicas; a replica
+/// Artifacts of software releases: any node accepts their chunks and sends them to all replicas; a replica
 /// that missed some fetches them from the others.
 ///
 /// Invariant: a chunk is acknowledged only once a majority of the replicas has synced it.
-/// Threads: everything runs in the process's fibers; files are touched through the DiskExecutor alone.
+/// Threads: everything runs in the process's fibers; files are accessed only through the DiskExecutor.
 #pragma once
 #include "membership/state_cache.hpp"
 #include "storage/artifact_files.hpp"
@@ -11,9 +11,9 @@
 
 namespace dunlinwing::software {
 
-inline constexpr uint32_t kChunkBytes = 1 << 20;  ///< of an artifact, at most, in one message
+inline constexpr uint32_t kChunkBytes = 1 << 20;  ///< maximum part of an artifact in one message
 
-/// A software release as a relay needs it.
+/// A recorded software release: the version to run and its artifact.
 struct SoftwareTarget {
   std::string name;
   std::string version;
@@ -26,11 +26,11 @@
 
 enum class ChunkError {
   unknown_artifact,  ///< no recorded release names it
-  gap,               ///< the chunk does not follow what a majority has
+  gap,               ///< the chunk does not follow those that a majority has stored
   no_majority,       ///< too few replicas answered
 };
 
-/// What this node keeps its artifacts with.
+/// Where this node stores artifacts.
 struct ArtifactStorage {
   storage::ArtifactFiles* files = nullptr;    ///< null on a machine that is no replica
   storage::DiskExecutor* executor = nullptr;  ///< not null where `files` is not
@@ -38,35 +38,35 @@
 
 class Artifacts {
  public:
-  /// How much of an artifact is there, or why that is not known.
+  /// How much of an artifact is stored, or why that could not be determined.
   using Progress = std::variant<pb::ArtifactChunkResponse, ChunkError>;
 
-  /// @param bound  in which a replica has to answer; twice that for a chunk to be written
+  /// @param bound  timeout for a replica's response; twice that when it stores a chunk
   Artifacts(base::Ports& ports, consensus::RegisterClient& registers, membership::StateCache& state_cache,
             std::string node_name, ArtifactStorage local, Duration bound);
   ~Artifacts();
 
-  /// Begins to repair: from time to time a replica fetches what it misses.
+  /// Starts the repair: a replica periodically fetches the chunks that it lacks.
   void start();
 
-  /// Stores or reads a chunk, on a replica.
+  /// Stores or reads a chunk on behalf of another node; fails unless this node is a replica.
   pb::PeerResponse handle_peer_request(const pb::PeerRequest& request);
 
-  /// Has the replicas store a chunk.
-  /// @return what a majority has, the chunk included
+  /// Sends a chunk to the replicas to store.
+  /// @return how much a majority has stored, including the chunk
   Progress append(const std::string& sha256, uint64_t offset, const std::string& data);
 
-  /// What a majority has of an artifact.
+  /// How much of an artifact a majority has stored.
   Progress progress(const std::string& sha256);
 
-  /// Fetches the whole to a file, in place of the one that is there, from whichever replicas have it.
-  /// @param executor  does the writing
-  /// @return false when a chunk was not to be had or could not be written; the file may be there in part
+  /// Fetches a complete artifact from any replicas that have it, and replaces the file at `path` by it.
+  /// @param executor  writes the file
+  /// @return false when a chunk could not be fetched or written; the file may then be incomplete
   bool fetch(const SoftwareTarget& target, const std::string& path, storage::DiskExecutor& executor);
 
  private:
   struct Impl;
-  std::shared_ptr<Impl> impl_;  ///< shared with the fiber that repairs
+  std::shared_ptr<Impl> impl_;  ///< shared with the repair fiber
 };
 
 }  // namespace dunlinwing::software
--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// In the release directory: `current` names the last good program, `next` the staged one with its digest,
-/// `refused` lists the digests that did not prove themselves here.
+/// `refused` lists the digests of programs that failed their health checks on this machine.
 #include "software/stager.hpp"
 
 #include <sys/stat.h>
@@ -14,11 +14,11 @@
 constexpr const char* kCurrentFile = "current";
 constexpr const char* kNextFile = "next";
 constexpr const char* kRefusedFile = "refused";
-constexpr const char* kStagingFile = "staging";  ///< the program while it is fetched
+constexpr const char* kStagingFile = "staging";  ///< the program while it is being fetched
 constexpr mode_t kProgramMode = 0750;
 
-constexpr int kProofBounds = 15;   ///< within so many bounds a new program must prove itself
-constexpr int kHealthyBounds = 2;  ///< and be healthy for so long without a break
+constexpr int kProofBounds = 15;   ///< a new program must prove healthy within this many bounds
+constexpr int kHealthyBounds = 2;  ///< by being healthy for this many bounds without interruption
 constexpr int kHealthChecksPerBound = 8;
 }  // namespace
 
@@ -31,7 +31,7 @@
 
   std::string path(const std::string& file) const { return options.release_directory + "/" + file; }
 
-  /// What a file says, without the line ends at its end; empty when it cannot be read.
+  /// The contents of a file without trailing newlines; empty when it cannot be read.
   std::string read(const char* file) {
     std::string text;
     executor.run([&] { text = storage::read_small(path(file)).value_or(""); });
@@ -59,7 +59,7 @@
     });
   }
 
-  /// Whether this program, which has to prove itself, was healthy long enough and is recorded as good.
+  /// Whether this new program has been healthy for long enough and is recorded as good.
   bool proves_itself() {
     const TimePoint end = ports.clock.now() + options.bound * kProofBounds;
     TimePoint healthy_since = ports.clock.now();
@@ -72,22 +72,23 @@
     return false;
   }
 
-  /// The program that `next` names is this one.
+  /// Checks this program, which `next` names, and rolls back unless it becomes healthy.
   void prove(const std::string& sha256) {
-    logger.info("This program, {}, is new here and has to prove itself.", options.program);
+    logger.info("Program {} started for the first time on this machine; checking its health.",
+                options.program);
     if (proves_itself()) {
       remove_next();
-      logger.info("This program, {}, has proved itself.", options.program);
+      logger.info("Program {} passed its health checks and is the current one now.", options.program);
       return;
     }
-    logger.error("This program, {}, did not prove itself; the machine goes back to the last good one.",
+    logger.error("Program {} failed its health checks; rolling back to the last good program.",
                  options.program);
     refuse(sha256);
     remove_next();
     node.terminate(kGoBack);
   }
 
-  /// Settles what an earlier process staged.
+  /// Completes or rolls back what an earlier process staged.
   void settle_next() {
     auto next = read(kNextFile);
     if (next.empty()) {
@@ -98,14 +99,14 @@
     auto name = next.substr(0, space);
     auto sha256 = space == std::string::npos ? "" : next.substr(space + 1);
     if (name == options.program) return prove(sha256);
-    logger.warn("The staged program {} did not come up; it is refused here.", name);
+    logger.warn("Staged program {} did not start; it will not be tried again on this machine.", name);
     refuse(sha256);
     remove_next();
   }
 
   enum class Placed { done, wrong_digest, failed };
 
-  /// Gives the fetched program its name, if it is the right one.
+  /// Renames the fetched program to its final name if its digest matches.
   Placed place_program(const std::string& program, const std::string& sha256) {
     auto fetched = path(kStagingFile);
     auto placed = Placed::failed;
@@ -128,7 +129,7 @@
     auto program = "relay-" + target.version;
     if (read(kRefusedFile).find(target.sha256) != std::string::npos)
       return report(target, "it was tried here and did not prove itself");
-    // When it is not all there yet, it will be tried again.
+    // An incomplete artifact is fetched again at the next attempt.
     if (!artifacts.fetch(target, path(kStagingFile), executor)) return;
     auto placed = place_program(program, target.sha256);
     if (placed == Placed::wrong_digest) return report(target, "what came has another digest");
@@ -136,7 +137,7 @@
     while (node.too_many_restarting()) ports.clock.sleep(options.bound / 2);
     if (!write(kNextFile, program + " " + target.sha256))
       return report(target, "the release folder cannot be written");
-    logger.info("{} is staged; this process ends so that it can be started.", program);
+    logger.info("Program {} is staged; shutting down so that the supervisor starts it.", program);
     node.terminate(kStartNext);
   }
 
--- a/src/software/stager.hpp
+++ b/src/software/stager.hpp
@@ -1,30 +1,30 @@
 /// @file
-/// Brings this machine to the software it is assigned: fetches and checks it, stages it in the release
-/// directory, and asks to end the process so that the machine's supervisor starts the staged program. The
-/// program that comes up proves itself or gives way to the last good one.
+/// Updates this machine to the software assigned to it: fetches and verifies it, stages it in the release
+/// directory, and terminates the process so that the machine's supervisor starts the staged program. The new
+/// program must pass its health checks, otherwise the machine rolls back to the last good one.
 ///
-/// Threads: everything runs in the process's fibers; files are touched through the DiskExecutor alone.
+/// Threads: everything runs in the process's fibers; files are accessed only through the DiskExecutor.
 #pragma once
 #include "software/artifacts.hpp"
 
 namespace dunlinwing::software {
 
-/// Exit statuses that the supervisor knows.
+/// Exit statuses that the supervisor interprets.
 inline constexpr int kStartNext = 75;  ///< start the program that `next` names
 inline constexpr int kGoBack = 76;     ///< start the program that `current` names
 
-/// What the stager needs to know of the node, and what it tells it.
+/// The stager's interface to the node.
 struct StagerPorts {
-  std::function<std::optional<SoftwareTarget>()> wanted;  ///< what is assigned and does not run here
-  std::function<void(const std::string&)> report_error;   ///< why it cannot be loaded
-  std::function<bool()> is_healthy;                       ///< ready, fresh, heard of by the others
-  std::function<bool()> too_many_restarting;              ///< too many nodes are out already
-  std::function<void(int)> terminate;  ///< ends the process in good order, with the exit status
+  std::function<std::optional<SoftwareTarget>()> wanted;  ///< the assigned software, unless it runs already
+  std::function<void(const std::string&)> report_error;   ///< reports why it cannot be loaded
+  std::function<bool()> is_healthy;           ///< has a read lease, and is ready if it has a configuration
+  std::function<bool()> too_many_restarting;  ///< too many nodes are unavailable already
+  std::function<void(int)> terminate;         ///< shuts the process down gracefully with the exit status
 };
 
 struct StagerOptions {
-  std::string release_directory;  ///< empty: this machine can stage nothing
-  std::string program;            ///< the file name of the program that runs
+  std::string release_directory;  ///< empty: this machine can't stage software
+  std::string program;            ///< file name of the running executable
   Duration bound;                 ///< the unit of the stager's times
 };
 
@@ -34,7 +34,7 @@
          StagerOptions options);
   ~Stager();
 
-  /// Settles what an earlier process staged, then stages what is wanted.
+  /// Completes or rolls back what an earlier process staged, then stages the assigned software.
   void start();
 
  private:
