--- a/test/unit/node/assignment_loader_test.cpp
+++ b/test/unit/node/assignment_loader_test.cpp
@@ -1,4 +1,4 @@
-// What a node runs under its assignment: all of it, or what ran before.
+// A node loads its assignment completely or keeps the previous one.
 #include "node/assignment_loader.hpp"
 
 #include "config/release.hpp"
@@ -47,7 +47,7 @@
   same(running.system.retry_allowance, int64_t{5}, "system options");
 }
 
-// Not a part of an assignment comes into force when the rest of it can't be loaded.
+// No part of an assignment takes effect when another part can't be loaded.
 void keeps_what_runs_when_a_part_is_unreadable() {
   for (const auto& [releases, error] :
        std::vector<std::pair<std::map<std::string, std::string>, std::string>>{
@@ -71,7 +71,7 @@
   node::AssignmentLoader loader("node-a", defaults());
   const auto before = loader.load(assigned(5, {{"layout", "good"}}), registers(), {});
   const auto after = loader.load(assigned(4, {}), registers(), before);
-  expect(after.configuration == before.configuration, "an earlier assignment came into force");
+  expect(after.configuration == before.configuration, "an earlier assignment took effect");
   same(after.generation, uint64_t{5}, "generation");
 }
 
@@ -87,8 +87,9 @@
   const auto after = loader.load(assigned(6, {{"layout", "missing"}}), chosen, before);
   same(after.configuration_number, uint64_t{17}, "number");
   same(after.generation, uint64_t{17}, "generation");
-  expect(after.configuration && after.configuration != before.configuration, "the numbered configuration");
-  same(loader.error(), std::string(), "releases no longer matter");
+  expect(after.configuration && after.configuration != before.configuration,
+         "the numbered configuration is not active");
+  same(loader.error(), std::string(), "error, as releases no longer matter");
 }
 
 void lists_what_any_node_is_assigned() {
@@ -98,15 +99,15 @@
   (*(*rollout.mutable_nodes())["node-c"].mutable_releases())["layout"] = "bad";
   const auto assigned_here = loader.assigned_configurations(rollout, registers());
   same(assigned_here.size(), size_t{1}, "configurations");
-  expect(assigned_here.count("good") == 1, "the readable one");
+  expect(assigned_here.count("good") == 1, "the readable configuration is missing");
   const auto again = loader.assigned_configurations(rollout, registers());
-  expect(again.at("good") == assigned_here.at("good"), "it was parsed again");
+  expect(again.at("good") == assigned_here.at("good"), "the configuration was parsed again");
 }
 
 void reports_news_about_software_once() {
   node::AssignmentLoader loader("node-a", defaults());
-  expect(loader.set_software_error("no space"), "the first error is news");
-  expect(!loader.set_software_error("no space"), "the same again is none");
+  expect(loader.set_software_error("no space"), "the first error was not reported as a change");
+  expect(!loader.set_software_error("no space"), "the same error was reported as a change again");
   same(loader.error(), std::string("no space"), "error");
   (void)loader.load(assigned(1, {{"layout", "good"}}), registers(), {});
   same(loader.error(), std::string(), "error once no software is assigned");
@@ -115,16 +116,16 @@
 
 std::vector<Case> assignment_loader_cases() {
   return {
-      {"assignment loader: configuration and system options come into force together", loads_an_assignment},
-      {"assignment loader: without a system release the settings' options hold",
+      {"assignment loader: configuration and system options take effect together", loads_an_assignment},
+      {"assignment loader: without a system release the options of the settings apply",
        uses_the_defaults_without_a_release},
-      {"assignment loader: an unreadable part leaves what runs in force",
+      {"assignment loader: an unreadable part leaves the previous assignment active",
        keeps_what_runs_when_a_part_is_unreadable},
       {"assignment loader: an earlier generation changes nothing", passes_over_earlier_generations},
-      {"assignment loader: the numbered configuration goes before releases",
+      {"assignment loader: the numbered configuration takes precedence over releases",
        prefers_the_numbered_configuration},
       {"assignment loader: configurations of all nodes are listed", lists_what_any_node_is_assigned},
-      {"assignment loader: a software error is news once", reports_news_about_software_once},
+      {"assignment loader: a repeated software error is not a change", reports_news_about_software_once},
   };
 }
 
--- a/test/unit/node/heartbeat_table_test.cpp
+++ b/test/unit/node/heartbeat_table_test.cpp
@@ -1,4 +1,4 @@
-// What a node reports of the heartbeats that it received.
+// The heartbeats that a node reports to the fleet.
 #include "node/heartbeat_table.hpp"
 
 #include "unit/unit_cases.hpp"
@@ -28,12 +28,14 @@
 
 void knows_repeated_heartbeats() {
   node::HeartbeatTable table(kBound);
-  expect(!table.record(heartbeat(1), kStart), "the first is new");
-  expect(table.record(heartbeat(2), kStart), "the second says the same");
-  expect(!table.record(heartbeat(3, "v2"), kStart), "another version is new");
+  expect(!table.record(heartbeat(1), kStart), "the first heartbeat was taken for a repeated one");
+  expect(table.record(heartbeat(2), kStart),
+         "the second heartbeat, with the same content, was taken for a new one");
+  expect(!table.record(heartbeat(3, "v2"), kStart),
+         "a heartbeat with another version was taken for a repeated one");
   auto leaving = heartbeat(4, "v2");
   leaving.set_leaving(true);
-  expect(!table.record(leaving, kStart), "that it leaves is new");
+  expect(!table.record(leaving, kStart), "a heartbeat that announces leaving was taken for a repeated one");
 }
 
 void reports_ages_and_counts() {
@@ -55,7 +57,7 @@
   table.record(heartbeat(4, "v1"), kStart + Duration(100));
   const auto status = report(table, kStart + Duration(100));
   same(status.heartbeats(0).version(), std::string("v2"), "version");
-  same(status.heartbeats(0).age_ms(), uint64_t{100}, "age of the stored one");
+  same(status.heartbeats(0).age_ms(), uint64_t{100}, "age of the stored heartbeat");
 }
 
 void stays_leaving() {
@@ -64,26 +66,28 @@
   leaving.set_leaving(true);
   table.record(leaving, kStart);
   table.record(heartbeat(2), kStart);
-  expect(report(table, kStart).heartbeats(0).leaving(), "a later heartbeat brought it back");
+  expect(report(table, kStart).heartbeats(0).leaving(), "a later heartbeat cleared the leaving state");
 }
 
 void removes_what_is_too_old() {
   node::HeartbeatTable table(kBound);
   table.record(heartbeat(1), kStart);
   const auto last = kStart + Duration(kPeriodMs) * 20 + kBound * 10;
-  same(report(table, last).heartbeats_size(), 1, "heartbeats at the end of the time");
-  same(report(table, last + Duration(1)).heartbeats_size(), 0, "heartbeats after it");
-  expect(!table.record(heartbeat(2), last + Duration(1)), "it is new again");
+  same(report(table, last).heartbeats_size(), 1, "heartbeats at the end of the reported time");
+  same(report(table, last + Duration(1)).heartbeats_size(), 0, "heartbeats after the reported time");
+  expect(!table.record(heartbeat(2), last + Duration(1)),
+         "a heartbeat of a removed instance was taken for a repeated one");
 }
 }  // namespace
 
 std::vector<Case> heartbeat_table_cases() {
   return {
-      {"heartbeat table: what says the same as before is known", knows_repeated_heartbeats},
+      {"heartbeat table: a heartbeat with the same content is recognised as repeated",
+       knows_repeated_heartbeats},
       {"heartbeat table: ages and counts are reported", reports_ages_and_counts},
       {"heartbeat table: the highest sequence number counts", stores_the_highest_sequence_number},
-      {"heartbeat table: who leaves stays leaving", stays_leaving},
-      {"heartbeat table: what is too old is no longer reported", removes_what_is_too_old},
+      {"heartbeat table: an instance that leaves stays leaving", stays_leaving},
+      {"heartbeat table: heartbeats that are too old are no longer reported", removes_what_is_too_old},
   };
 }
 
--- a/test/unit/node/settings_test.cpp
+++ b/test/unit/node/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings: every error is named by its place.
+// Settings: every error is reported with its JSON pointer.
 #include "node/settings_reloader.hpp"
 #include "node/shutdown_sequence.hpp"
 #include "unit/schema_checks.hpp"
@@ -13,7 +13,7 @@
   return errors ? error_places(*errors) : "valid";
 }
 
-// What a later version adds is ignored; an ask that is not known is told so.
+// Fields that a later version adds are ignored; an unknown kind of request is recognised as unknown.
 void older_peer() {
   pb::PeerRequest request;
   request.mutable_pull()->set_node("n");
@@ -21,20 +21,21 @@
   bytes += std::string("\xfa\x07\x03new", 6);  // field 127, three bytes
   pb::PeerRequest b;
   expect(b.ParseFromString(bytes) && b.has_pull() && b.pull().node() == "n",
-         "an added field broke an older reader");
+         "an added field broke parsing by an older version");
   pb::PeerRequest c;
   expect(
       c.ParseFromString(std::string("\xfa\x07\x03new", 6)) && c.body_case() == pb::PeerRequest::BODY_NOT_SET,
-      "an unknown ask was taken for a known one");
+      "an unknown request was taken for a known one");
 }
 
-// What ends before the last sixth of the grace has to be answered; then the process has to be gone in time.
+// Requests that end before the last sixth of the grace period must be answered, and the process must exit in
+// time.
 void shutdown_answers_what_ends_in_time() {
   for (const Duration grace : {Duration(3000), Duration(6000), Duration(20000)}) {
     const auto times = node::shutdown_times(grace, Duration(2000));
-    expect(times.give_up >= grace * 5 / 6 + grace / 15, "no time is left to pass a late response on");
+    expect(times.give_up >= grace * 5 / 6 + grace / 15, "no time is left to forward a late response");
     expect(times.give_up <= grace * 19 / 20, "the process may be killed before it ends");
-    expect(times.stop_serving < grace / 2, "requests are taken that cannot be finished");
+    expect(times.stop_serving < grace / 2, "requests are accepted that cannot be finished");
   }
 }
 }  // namespace
@@ -44,20 +45,21 @@
       R"({"name":"n","zone":"a","listen":{"callers":"127.0.0.1:1","control":"127.0.0.1:2",
     "peers":"127.0.0.1:3"},"holders":{"h":"127.0.0.1:4"},"seeds":["127.0.0.1:2"]})";
   return {
-      {"config: a good one is taken", [good] { same(bad_config(good), std::string("valid"), "places"); }},
-      {"config: the page of the settings holds every key",
+      {"config: valid settings are accepted",
+       [good] { same(bad_config(good), std::string("valid"), "places"); }},
+      {"config: every key is documented in settings.md",
        [] { expect_documented(node::settings_schema(), "settings.md"); }},
-      {"wire: an older reader passes over what is new", older_peer},
-      {"config: every defect is named by its place",
+      {"wire: an older version ignores unknown fields", older_peer},
+      {"config: every error is reported with its JSON pointer",
        [] {
          same(bad_config(R"({"name":"","zone":7,"listen":{"callers":"x","control":"127.0.0.1:2","peer":1},
               "holders":{"h":"127.0.0.1:4","i":"127.0.0.1:5"},"seeds":["127.0.0.1:2"],"bound_ms":1})"),
               std::string("/name;/zone;/listen/peers;/listen/peer;/bound_ms;/listen/callers;/holders;"),
               "places");
        }},
-      {"config: a key that stands twice is a defect",
+      {"config: a duplicate key is an error",
        [] { same(bad_config(R"({"name":"a","name":"b"})"), std::string("/name;"), "places"); }},
-      {"config: a machine named as a holder needs a data folder",
+      {"config: a machine listed under holders requires a data directory",
        [good] {
          auto t = good;
          t.replace(t.find("\"n\""), 3, "\"h\"");
@@ -65,21 +67,21 @@
          t.insert(1, R"("data":"/d",)");
          same(bad_config(t), std::string("valid"), "places");
        }},
-      {"config: without holders the set forms out of the seeds, and two more keys say how",
+      {"config: without holders the seeds form the replica set, controlled by first_start and tolerate",
        [good] {
          auto t = good;
          t.replace(t.find(R"("holders":{"h":"127.0.0.1:4"},)"), 30, "");
          auto a = std::get<node::Settings>(node::parse_settings(t)).node,
               b = std::get<node::Settings>(node::parse_settings(good)).node;
-         expect(a.replicas.empty() && !a.initial_boot && a.tolerate == 1, "the defaults without holders");
-         expect(b.initial_boot && b.tolerate == 0, "the defaults with holders");
+         expect(a.replicas.empty() && !a.initial_boot && a.tolerate == 1, "wrong defaults without holders");
+         expect(b.initial_boot && b.tolerate == 0, "wrong defaults with holders");
          t.insert(1, R"("first_start":true,"tolerate":2,)");
          a = std::get<node::Settings>(node::parse_settings(t)).node;
-         expect(a.initial_boot && a.tolerate == 2, "what is stated");
+         expect(a.initial_boot && a.tolerate == 2, "first_start and tolerate are not read");
        }},
-      {"shutdown: what ends before the last sixth of the grace is answered",
+      {"shutdown: requests that end before the last sixth of the grace period are answered",
        shutdown_answers_what_ends_in_time},
-      {"config: what changed is named by its key",
+      {"config: changed keys are reported",
        [good] {
          auto t = good;
          t.replace(t.find("\"seeds\""), 7, "\"threads\":3,\"seeds\"");
@@ -88,7 +90,7 @@
          std::string s;
          for (auto& k : node::changed_keys(good, u)) s += k + ";";
          same(s, std::string("seeds;threads;"), "keys");
-         expect(node::changed_keys(t, t).empty(), "a key changed by itself");
+         expect(node::changed_keys(t, t).empty(), "keys are reported for equal settings");
        }},
   };
 }
--- a/test/unit/node/snapshot_builder_test.cpp
+++ b/test/unit/node/snapshot_builder_test.cpp
@@ -1,4 +1,4 @@
-// The routing snapshot as it follows from statuses and register values.
+// The routing snapshot built from statuses and register values.
 #include "node/snapshot_builder.hpp"
 
 #include "unit/unit_cases.hpp"
@@ -52,8 +52,9 @@
   running.set_running({configuration, system, 42, 42});
   running.set_configurations({{"old", std::make_shared<config::RoutingConfiguration>()}});
   const auto snapshot = running.build({});
-  expect(snapshot->configuration == configuration, "the running configuration");
-  expect(snapshot->configurations.at("42") == configuration, "the running one is found by its name");
+  expect(snapshot->configuration == configuration, "the running configuration is not set");
+  expect(snapshot->configurations.at("42") == configuration,
+         "the running configuration is not found by its name");
   same(snapshot->configurations.size(), size_t{2}, "configurations");
   same(snapshot->generation, uint64_t{42}, "generation");
   same(snapshot->configuration_number, uint64_t{42}, "configuration number");
@@ -66,7 +67,7 @@
   auto with_one_gone = builder();
   with_one_gone.add_backend_instances(
       {{"alive", instance_status("alive", "10.0.0.1:80", Duration(10))}, {"gone", gone}});
-  expect(with_one_gone.live_instances() == std::vector<std::string>{"alive"}, "the live instances");
+  expect(with_one_gone.live_instances() == std::vector<std::string>{"alive"}, "wrong live instances");
   const auto snapshot = with_one_gone.build({});
   same(snapshot->backend_instances.at("shop").size(), size_t{1}, "instances");
   const auto& instance = snapshot->backend_instances.at("shop").front();
@@ -75,7 +76,7 @@
   same(instance.zone, std::string("zone-1"), "zone");
   same(instance.address, std::string("10.0.0.1:80"), "address");
   same(instance.capacity, 3, "capacity");
-  expect(instance.cold_until == TimePoint(0), "it does not say that it is slow");
+  expect(instance.cold_until == TimePoint(0), "an instance without a warm-up time is cold");
 }
 
 void passes_over_earlier_owners_of_an_address() {
@@ -84,7 +85,7 @@
                                         {"later", instance_status("later", "10.0.0.1:80", Duration(20))},
                                         {"other", instance_status("other", "10.0.0.2:80", Duration(900))}});
   expect(reused_address.live_instances() == std::vector<std::string>{"later", "other"},
-         "one instance for each address");
+         "not one instance for each address");
 }
 
 void counts_the_warm_up_from_the_heartbeat() {
@@ -93,7 +94,7 @@
   auto with_cold = builder();
   with_cold.add_backend_instances({{"cold", cold}});
   expect(with_cold.build({})->backend_instances.at("shop").front().cold_until == kNow + Duration(700),
-         "it is slow for the rest of its time");
+         "wrong end of the warm-up time");
 }
 
 void reads_the_registers() {
@@ -125,9 +126,10 @@
   state.set_switching(true);
   auto switching = builder();
   switching.add_register_values({{"service/shop", value(state)}});
-  expect(switching.service_states().at("shop").switching(), "the register's state, until it is built");
+  expect(switching.service_states().at("shop").switching(),
+         "the state of the register was changed before build()");
   const auto snapshot = switching.build({"shop"});
-  expect(!snapshot->service_states.at("shop").switching(), "no switch to what is aborted");
+  expect(!snapshot->service_states.at("shop").switching(), "an aborted canary is still being switched to");
   same(snapshot->aborted_canaries.count("shop"), size_t{1}, "aborted canaries");
 }
 
@@ -152,7 +154,7 @@
 
   auto alike = builder();
   alike.add_shields({member_with_link("a", true, 0), member_with_link("b", true, 0)});
-  same(alike.build({})->shields.size(), size_t{2}, "nodes that fetch where no link is stated");
+  same(alike.build({})->shields.size(), size_t{2}, "nodes that fetch where no link rate is configured");
 }
 
 void lists_ready_shields() {
@@ -170,7 +172,7 @@
   const auto snapshot = with_shields.build({});
   same(snapshot->shields.size(), size_t{1}, "shields");
   same(snapshot->shields.front().name, std::string("ready"), "shield");
-  same(snapshot->shields.front().address, std::string("ready:7"), "its address");
+  same(snapshot->shields.front().address, std::string("ready:7"), "address of the shield");
 }
 }  // namespace
 
@@ -178,11 +180,11 @@
   return {
       {"snapshot builder: a node is ranked among the nodes of the rollout", ranks_the_node},
       {"snapshot builder: the running configuration is found by its name", adds_the_running_configuration},
-      {"snapshot builder: instances that are gone get no requests", passes_over_instances_that_are_gone},
-      {"snapshot builder: an address belongs to the youngest heartbeat",
+      {"snapshot builder: instances that are gone receive no requests", passes_over_instances_that_are_gone},
+      {"snapshot builder: an address belongs to the instance with the most recent heartbeat",
        passes_over_earlier_owners_of_an_address},
       {"snapshot builder: a warm-up is counted from the heartbeat", counts_the_warm_up_from_the_heartbeat},
-      {"snapshot builder: states, quotas and purges come from the registers", reads_the_registers},
+      {"snapshot builder: states, quotas and purges are read from the registers", reads_the_registers},
       {"snapshot builder: a switch to an aborted canary ends", ends_switches_to_aborted_canaries},
       {"snapshot builder: only ready shields are listed", lists_ready_shields},
       {"snapshot builder: without shields the ready nodes with fast links fetch", fast_nodes_stand_in},
