--- a/test/unit/config/config_test.cpp
+++ b/test/unit/config/config_test.cpp
@@ -1,4 +1,4 @@
-// Routing configurations, system options and releases: every error is named by its place.
+// Routing configurations, system options and releases: every error is reported with its JSON pointer.
 #include "config/release.hpp"
 #include "config/routing_configuration.hpp"
 #include "config/system_options.hpp"
@@ -16,9 +16,9 @@
 
 std::vector<Case> config_cases() {
   return {
-      {"layout: its page holds every key",
+      {"layout: every key is documented in configuration.md",
        [] { expect_documented(config::routing_configuration_schema(), "configuration.md"); }},
-      {"system: its page holds every key",
+      {"system: every key is documented in configuration.md",
        [] { expect_documented(config::system_options_schema(), "configuration.md"); }},
       {"layout: references are checked across the document",
        [] {
@@ -29,7 +29,7 @@
                           "/content/routes/2/service;/content/services/b;"),
               "places");
        }},
-      {"release: a hold may be lengthened, never shortened",
+      {"release: a hold time may be raised above the minimum, not lowered",
        [] {
          auto document = [](int one) {
            return fmt::format(
