--- a/src/config/release.cpp
+++ b/src/config/release.cpp
@@ -55,7 +55,7 @@
                      [&](auto known) { return kind == known; });
 }
 
-Holds minimum_holds(std::string_view kind) {
+HoldTimes minimum_hold_times(std::string_view kind) {
   if (kind == "layout") return {15min, 20min};
   if (kind == "system") return {30min, 2h};
   return {24h, 24h};
@@ -80,12 +80,12 @@
   Release release{kind,
                   name,
                   std::string(text),
-                  minimum_holds(kind),
+                  minimum_hold_times(kind),
                   json.at("express").string_or(),
                   json.at("supersedes").string_or(),
                   content};
-  read_hold(json.at("holds"), "one_min", release.holds.one, errors);
-  read_hold(json.at("holds"), "two_min", release.holds.two, errors);
+  read_hold(json.at("holds"), "one_min", release.hold_times.one, errors);
+  read_hold(json.at("holds"), "two_min", release.hold_times.two, errors);
   if (!errors.empty()) return errors;
   return release;
 }
--- a/src/config/release.hpp
+++ b/src/config/release.hpp
@@ -11,19 +11,19 @@
 [[nodiscard]] bool is_release_kind(std::string_view kind);
 
 /// How long a release runs on the first nodes before its rollout continues.
-struct Holds {
+struct HoldTimes {
   Duration one{0};  ///< in phase one: one node
   Duration two{0};  ///< in phase two: one zone
 };
 
 /// The minimum hold times of a kind.
-Holds minimum_holds(std::string_view kind);
+HoldTimes minimum_hold_times(std::string_view kind);
 
 /// A checked release.
 struct Release {
   std::string kind, name;
   std::string text;        ///< the document as it was recorded
-  Holds holds;             ///< never below the minimum of the kind
+  HoldTimes hold_times;    ///< never below the minimum of the kind
   std::string express;     ///< why it is deployed to all nodes at once; empty: it is not
   std::string supersedes;  ///< release that it replaces during that one's rollout; empty: none
   base::Json content;
--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -196,7 +196,8 @@
 }  // namespace
 
 Duration RolloutRules::hold(const config::Release& release, pb::Phase phase) const {
-  auto hold_ms = static_cast<double>((phase == pb::ONE ? release.holds.one : release.holds.two).count());
+  auto hold_ms =
+      static_cast<double>((phase == pb::ONE ? release.hold_times.one : release.hold_times.two).count());
   if (phase == pb::THREE) hold_ms /= kZoneHoldFraction;
   return Duration(static_cast<int64_t>(hold_ms / scale));
 }
--- a/test/unit/config/config_test.cpp
+++ b/test/unit/config/config_test.cpp
@@ -39,10 +39,10 @@
          };
          same(bad_release("layout", document(14)), std::string("/holds/one_min;"), "places");
          same(bad_release("layout", document(16)), std::string("valid"), "places");
-         auto holds = config::minimum_holds("software");
+         auto holds = config::minimum_hold_times("software");
          expect(holds.one == std::chrono::hours(24) && holds.two == std::chrono::hours(24),
                 "software holds 24 and 24 hours");
-         holds = config::minimum_holds("system");
+         holds = config::minimum_hold_times("system");
          expect(holds.one == std::chrono::minutes(30) && holds.two == std::chrono::hours(2),
                 "system holds 30 min and 2 h");
        }},
