--- a/src/node/application.cpp
+++ b/src/node/application.cpp
@@ -43,7 +43,7 @@
     : settings_(std::move(settings)),
       command_line_(std::move(command_line)),
       pool_(settings_.threads),
-      sockets_(share_sockets(settings_.max_sockets, !settings_.data_directory.empty())),
+      sockets_(make_socket_budget(settings_.max_sockets, !settings_.data_directory.empty())),
       link_(clock_, pool_, settings_.node.link_mbps),
       peer_client_(sockets_.peers_called, &link_),
       http_client_(kResponseBodyBytes, sockets_.upstream_idle, &link_),
--- a/src/node/socket_budget.hpp
+++ b/src/node/socket_budget.hpp
@@ -21,7 +21,7 @@
 /// @param sockets         that the process may have open; 0: not configured
 /// @param may_be_replica  a process with a disk may be a replica, which every node calls several times a
 /// second
-inline SocketBudget share_sockets(int sockets, bool may_be_replica) {
+inline SocketBudget make_socket_budget(int sockets, bool may_be_replica) {
   if (sockets <= 0) return {};
   constexpr size_t kListening = 4;  // a socket for each address listened on
   constexpr size_t kLeast = 3;      // minimum number of connections of each kind
--- a/test/unit/membership/contact_test.cpp
+++ b/test/unit/membership/contact_test.cpp
@@ -173,13 +173,13 @@
   constexpr size_t kListening = 4;
   for (int sockets = 40; sockets < 5000; ++sockets)
     for (bool disk : {false, true}) {
-      auto budget = node::share_sockets(sockets, disk);
+      auto budget = node::make_socket_budget(sockets, disk);
       auto most = kListening + 2 * budget.clients + budget.upstream_idle + budget.operators +
                   budget.readiness + budget.peers_served + budget.peers_called;
       expect(most <= static_cast<size_t>(sockets), fmt::format("{} of {} sockets", most, sockets));
       expect(budget.clients * 6 >= static_cast<size_t>(sockets), "clients get a sixth at the least");
     }
-  auto unbounded = node::share_sockets(0, true);
+  auto unbounded = node::make_socket_budget(0, true);
   expect(unbounded.clients == 0 && unbounded.peers_served > 1000, "nothing stated, nothing bounded");
 }
 }  // namespace
