--- a/src/node/application.cpp
+++ b/src/node/application.cpp
@@ -104,13 +104,13 @@
     return node_->state_cache().has_read_lease() &&
            (node_->ready() || !node_->request_handler().snapshot()->configuration);
   };
-  ports.too_many_restarting = [this] { return too_many_restarting(); };
+  ports.too_many_unavailable = [this] { return too_many_unavailable(); };
   ports.terminate = [this](int status) { stop(status); };
   return ports;
 }
 
 // At most a third of the nodes may be unavailable at once.
-bool Application::too_many_restarting() {
+bool Application::too_many_unavailable() {
   const size_t members = node_->state_cache().statuses().members(clock_.now()).size();
   const auto snapshot = node_->request_handler().snapshot();
   return members * 3 < static_cast<size_t>(snapshot->nodes) * 2;
--- a/src/node/application.hpp
+++ b/src/node/application.hpp
@@ -43,7 +43,7 @@
   std::optional<std::string> open_disk();
   void create_software();
   software::StagerPorts stager_ports();
-  bool too_many_restarting();
+  bool too_many_unavailable();
   ListenerHandlers handlers();
   pb::PeerResponse handle_peer_request(const pb::PeerRequest& request,
                                        const base::CancellationPtr& cancellation);
--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -134,7 +134,7 @@
     auto placed = place_program(program, target.sha256);
     if (placed == Placed::wrong_digest) return report(target, "what came has another digest");
     if (placed == Placed::failed) return report(target, "it cannot be staged in the release folder");
-    while (node.too_many_restarting()) ports.clock.sleep(options.bound / 2);
+    while (node.too_many_unavailable()) ports.clock.sleep(options.bound / 2);
     if (!write(kNextFile, program + " " + target.sha256))
       return report(target, "the release folder cannot be written");
     logger.info("Program {} is staged; shutting down so that the supervisor starts it.", program);
