--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -360,7 +360,7 @@
   return configuration ? configuration->name : std::string();
 }
 
-std::optional<software::SoftwareTarget> Node::wanted_software() const {
+std::optional<software::SoftwareRelease> Node::wanted_software() const {
   return impl_->assignment_loader.wanted_software();
 }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -86,7 +86,7 @@
   std::string configuration_name() const;
 
   /// The software that is assigned to this node but does not run on it.
-  std::optional<software::SoftwareTarget> wanted_software() const;
+  std::optional<software::SoftwareRelease> wanted_software() const;
 
   /// Reports to the fleet why the wanted software can't be loaded; empty: no error.
   void report_software_error(const std::string& error);
--- a/src/software/artifacts.cpp
+++ b/src/software/artifacts.cpp
@@ -31,8 +31,8 @@
 }
 }  // namespace
 
-std::map<std::string, SoftwareTarget> recorded_software(const membership::ChosenValues& chosen) {
-  std::map<std::string, SoftwareTarget> targets;
+std::map<std::string, SoftwareRelease> recorded_software(const membership::ChosenValues& chosen) {
+  std::map<std::string, SoftwareRelease> targets;
   const std::string prefix(kReleasePrefix);
   for (auto it = chosen.lower_bound(prefix); it != chosen.end() && it->first.starts_with(prefix); ++it) {
     auto name = it->first.substr(prefix.size());
@@ -40,8 +40,8 @@
     const auto* release = std::get_if<config::Release>(&parsed);
     if (!release) continue;
     const auto& content = release->content;
-    SoftwareTarget target{name, content.at("version").string_or(), content.at("sha256").string_or(),
-                          static_cast<uint64_t>(content.at("bytes").integer_or())};
+    SoftwareRelease target{name, content.at("version").string_or(), content.at("sha256").string_or(),
+                           static_cast<uint64_t>(content.at("bytes").integer_or())};
     targets[target.sha256] = target;
   }
   return targets;
@@ -157,7 +157,7 @@
     }
   }
 
-  bool fetch_next_chunk(const SoftwareTarget& target, storage::ArtifactProgress& progress) {
+  bool fetch_next_chunk(const SoftwareRelease& target, storage::ArtifactProgress& progress) {
     auto chunk = fetch_chunk(target.sha256, progress.bytes);
     if (!chunk) return false;
     std::optional<storage::ArtifactProgress> appended;
@@ -210,7 +210,7 @@
   return impl_->majority_progress(impl_->call_replicas(request, impl_->bound), 0);
 }
 
-bool Artifacts::fetch(const SoftwareTarget& target, const std::string& path,
+bool Artifacts::fetch(const SoftwareRelease& target, const std::string& path,
                       storage::DiskExecutor& executor) {
   executor.run([&] { ::unlink(path.c_str()); });
   for (uint64_t fetched = 0; fetched < target.bytes;) {
--- a/src/software/artifacts.hpp
+++ b/src/software/artifacts.hpp
@@ -14,7 +14,7 @@
 inline constexpr uint32_t kChunkBytes = 1 << 20;  ///< maximum part of an artifact in one message
 
 /// A recorded software release: the version to run and its artifact.
-struct SoftwareTarget {
+struct SoftwareRelease {
   std::string name;
   std::string version;
   std::string sha256;  ///< of the program, in hexadecimal digits
@@ -22,7 +22,7 @@
 };
 
 /// The recorded software releases, by digest.
-std::map<std::string, SoftwareTarget> recorded_software(const membership::ChosenValues& chosen);
+std::map<std::string, SoftwareRelease> recorded_software(const membership::ChosenValues& chosen);
 
 enum class ChunkError {
   unknown_artifact,  ///< no recorded release names it
@@ -62,7 +62,7 @@
   /// Fetches a complete artifact from any replicas that have it, and replaces the file at `path` by it.
   /// @param executor  writes the file
   /// @return false when a chunk could not be fetched or written; the file may then be incomplete
-  bool fetch(const SoftwareTarget& target, const std::string& path, storage::DiskExecutor& executor);
+  bool fetch(const SoftwareRelease& target, const std::string& path, storage::DiskExecutor& executor);
 
  private:
   struct Impl;
--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -121,11 +121,11 @@
     return placed;
   }
 
-  void report(const SoftwareTarget& target, const std::string& reason) {
+  void report(const SoftwareRelease& target, const std::string& reason) {
     node.report_error(fmt::format("software/{}: {}", target.name, reason));
   }
 
-  void stage(const SoftwareTarget& target) {
+  void stage(const SoftwareRelease& target) {
     auto program = "relay-" + target.version;
     if (read(kRefusedFile).find(target.sha256) != std::string::npos)
       return report(target, "it was tried here and did not prove itself");
