--- a/src/node/application.cpp
+++ b/src/node/application.cpp
@@ -98,7 +98,7 @@
 
 software::StagerPorts Application::stager_ports() {
   software::StagerPorts ports;
-  ports.wanted = [this] { return node_->wanted_software(); };
+  ports.pending_software = [this] { return node_->pending_software(); };
   ports.report_error = [this](const std::string& error) { node_->report_software_error(error); };
   ports.is_healthy = [this] {
     return node_->state_cache().has_read_lease() &&
--- a/src/node/assignment_loader.cpp
+++ b/src/node/assignment_loader.cpp
@@ -94,7 +94,7 @@
   running_releases_.clear();
   for (const auto& [kind, release] : assignment.releases())
     if (kind != "software") running_releases_[kind] = release;
-  update_wanted_software(assigned_release(assignment, "software"), chosen);
+  update_pending_software(assigned_release(assignment, "software"), chosen);
   if (!system_release.empty()) set_log_level(*system);
 }
 
@@ -123,21 +123,21 @@
 }
 
 // The assigned software runs on this node when its version is that of this executable.
-void AssignmentLoader::update_wanted_software(const std::string& release,
-                                              const membership::ChosenValues& chosen) {
-  const std::string previous = wanted_software_ ? wanted_software_->name : std::string();
-  wanted_software_.reset();
+void AssignmentLoader::update_pending_software(const std::string& release,
+                                               const membership::ChosenValues& chosen) {
+  const std::string previous = pending_software_ ? pending_software_->name : std::string();
+  pending_software_.reset();
   if (release.empty()) {
     software_error_.clear();
     return;
   }
   for (const auto& [sha256, target] : software::recorded_software(chosen))
-    if (target.name == release) wanted_software_ = target;
-  if (wanted_software_ && wanted_software_->version == kSoftware) {
+    if (target.name == release) pending_software_ = target;
+  if (pending_software_ && pending_software_->version == kSoftware) {
     running_releases_["software"] = release;
-    wanted_software_.reset();
+    pending_software_.reset();
   }
-  if (!wanted_software_ || wanted_software_->name != previous) software_error_.clear();
+  if (!pending_software_ || pending_software_->name != previous) software_error_.clear();
 }
 
 ConfigurationMap AssignmentLoader::assigned_configurations(const pb::RolloutState& rollout,
--- a/src/node/assignment_loader.hpp
+++ b/src/node/assignment_loader.hpp
@@ -49,7 +49,7 @@
   const std::string& error() const { return load_error_.empty() ? software_error_ : load_error_; }
 
   /// The software that is assigned to this node but does not run on it.
-  const std::optional<software::SoftwareRelease>& wanted_software() const { return wanted_software_; }
+  const std::optional<software::SoftwareRelease>& pending_software() const { return pending_software_; }
 
   /// Sets why the assigned software can't be loaded; empty: no error.
   /// @return whether the error has changed
@@ -63,7 +63,7 @@
                                                            const config::SystemOptions& previous);
   void load_numbered(const membership::ChosenValues& chosen, uint64_t previous_number,
                      RunningConfiguration& running);
-  void update_wanted_software(const std::string& release, const membership::ChosenValues& chosen);
+  void update_pending_software(const std::string& release, const membership::ChosenValues& chosen);
 
   std::string node_name_;
   config::SystemOptions defaults_;
@@ -73,7 +73,7 @@
   std::atomic<uint64_t> generation_{0};
   std::string load_error_;      ///< of the configuration or the system options
   std::string software_error_;  ///< of the assigned software
-  std::optional<software::SoftwareRelease> wanted_software_;
+  std::optional<software::SoftwareRelease> pending_software_;
 };
 
 }  // namespace dunlinwing::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -360,8 +360,8 @@
   return configuration ? configuration->name : std::string();
 }
 
-std::optional<software::SoftwareRelease> Node::wanted_software() const {
-  return impl_->assignment_loader.wanted_software();
+std::optional<software::SoftwareRelease> Node::pending_software() const {
+  return impl_->assignment_loader.pending_software();
 }
 
 void Node::report_software_error(const std::string& error) {
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -86,9 +86,9 @@
   std::string configuration_name() const;
 
   /// The software that is assigned to this node but does not run on it.
-  std::optional<software::SoftwareRelease> wanted_software() const;
+  std::optional<software::SoftwareRelease> pending_software() const;
 
-  /// Reports to the fleet why the wanted software can't be loaded; empty: no error.
+  /// Reports to the fleet why the pending software can't be loaded; empty: no error.
   void report_software_error(const std::string& error);
 
   /// @param artifacts  handles artifact requests of other nodes; null: such requests fail
--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -141,8 +141,8 @@
     node.terminate(kStartNext);
   }
 
-  void stage_if_wanted() {
-    auto target = node.wanted();
+  void stage_pending() {
+    auto target = node.pending_software();
     if (!target) return;
     if (options.release_directory.empty())
       report(*target, "no release folder is set for this machine");
@@ -161,7 +161,7 @@
     if (!impl->options.release_directory.empty()) impl->settle_next();
     for (;;) {
       impl->ports.clock.sleep(impl->options.bound / 2);
-      impl->stage_if_wanted();
+      impl->stage_pending();
     }
   });
 }
--- a/src/software/stager.hpp
+++ b/src/software/stager.hpp
@@ -15,8 +15,8 @@
 
 /// The stager's interface to the node.
 struct StagerPorts {
-  std::function<std::optional<SoftwareRelease>()> wanted;  ///< the assigned software, unless it runs already
-  std::function<void(const std::string&)> report_error;    ///< reports why it cannot be loaded
+  std::function<std::optional<SoftwareRelease>()> pending_software;  ///< assigned and not running yet
+  std::function<void(const std::string&)> report_error;              ///< reports why it cannot be loaded
   std::function<bool()> is_healthy;            ///< has a read lease, and is ready if it has a configuration
   std::function<bool()> too_many_unavailable;  ///< too many nodes are unavailable already
   std::function<void(int)> terminate;          ///< shuts the process down gracefully with the exit status
