--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -85,7 +85,7 @@
                  options.program);
     refuse(sha256);
     remove_next();
-    node.terminate(kGoBack);
+    node.terminate(kExitRollBack);
   }
 
   /// Completes or rolls back what an earlier process staged.
@@ -138,7 +138,7 @@
     if (!write(kNextFile, program + " " + target.sha256))
       return report(target, "the release folder cannot be written");
     logger.info("Program {} is staged; shutting down so that the supervisor starts it.", program);
-    node.terminate(kStartNext);
+    node.terminate(kExitStartNext);
   }
 
   void stage_pending() {
--- a/src/software/stager.hpp
+++ b/src/software/stager.hpp
@@ -10,8 +10,8 @@
 namespace dunlinwing::software {
 
 /// Exit statuses that the supervisor interprets.
-inline constexpr int kStartNext = 75;  ///< start the program that `next` names
-inline constexpr int kGoBack = 76;     ///< start the program that `current` names
+inline constexpr int kExitStartNext = 75;  ///< start the program that `next` names
+inline constexpr int kExitRollBack = 76;   ///< start the program that `current` names
 
 /// The stager's interface to the node.
 struct StagerPorts {
