--- a/src/config/routing_configuration.cpp
+++ b/src/config/routing_configuration.cpp
@@ -68,7 +68,7 @@
     if (path.substr(0, route.prefix.size()) != route.prefix) continue;
     if (route.methods.empty() || ranges::any_of(route.methods, [&](auto& known) { return known == method; }))
       return {&route, false};
-    match.other_method = true;
+    match.method_mismatch = true;
   }
   return match;
 }
--- a/src/config/routing_configuration.hpp
+++ b/src/config/routing_configuration.hpp
@@ -64,7 +64,7 @@
 /// The route of a request.
 struct RouteMatch {
   const RouteConfiguration* route = nullptr;  ///< null: none matches
-  bool other_method = false;                  ///< no route matches, but one does for another method
+  bool method_mismatch = false;               ///< no route matches, but one does for another method
 };
 
 /// The checked document.
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -99,8 +99,8 @@
         configuration.match(request.method, base::header(request.headers, "Host"), request.target);
     const auto* route = match.route;
     if (!route)
-      return match.other_method ? outcomes.rejected(405, RejectionReason::method_not_allowed)
-                                : outcomes.rejected(404, RejectionReason::no_route);
+      return match.method_mismatch ? outcomes.rejected(405, RejectionReason::method_not_allowed)
+                                   : outcomes.rejected(404, RejectionReason::no_route);
     const auto* service = select_service(configuration, *route);
     if (!service) return outcomes.rejected(503, RejectionReason::no_weight);
     Duration timeout = route->timeout > Duration(0) ? route->timeout : service->deadline;
