--- a/src/config/routing_configuration.hpp
+++ b/src/config/routing_configuration.hpp
@@ -51,7 +51,7 @@
   Duration cache_lifetime{0};  ///< of responses, overriding their own; 0: as they state
 
   /// Whether the route sends requests to the service.
-  bool leads_to(const std::string& service) const {
+  bool sends_to(const std::string& service) const {
     return std::any_of(weighted_services.begin(), weighted_services.end(), [&](const auto& weighted) {
       return weighted.service == service && weighted.weight > 0;
     });
--- a/src/proxy/forwarded_request_handler.cpp
+++ b/src/proxy/forwarded_request_handler.cpp
@@ -87,7 +87,7 @@
   context.request.id = node_.adapter.read_identity(context.request, node_.ports.random).id;
   const auto host = base::header(context.request.headers, "Host");
   context.route = configuration->match("GET", host, forward.target()).route;
-  if (!context.route || !context.route->leads_to(forward.service()))
+  if (!context.route || !context.route->sends_to(forward.service()))
     return "the configuration has no such route";
   context.host = context.route->host;
   return context;
