--- a/src/config/routing_configuration.cpp
+++ b/src/config/routing_configuration.cpp
@@ -194,8 +194,8 @@
     to.body_bytes = limits.at("body_bytes").integer_or(to.body_bytes);
     to.cache_bytes = limits.at("cache_bytes").integer_or(to.cache_bytes);
     to.head_bytes = limits.at("head_bytes").integer_or(to.head_bytes);
-    to.head_time = Duration(limits.at("head_ms").integer_or(to.head_time.count()));
-    to.idle_time = Duration(limits.at("idle_ms").integer_or(to.idle_time.count()));
+    to.head_timeout = Duration(limits.at("head_ms").integer_or(to.head_timeout.count()));
+    to.idle_timeout = Duration(limits.at("idle_ms").integer_or(to.idle_timeout.count()));
   }
 
   const base::Json& json_;
--- a/src/config/routing_configuration.hpp
+++ b/src/config/routing_configuration.hpp
@@ -76,8 +76,8 @@
   int64_t body_bytes = 1 << 20;            ///< maximum of a request
   int64_t cache_bytes = 64 << 20;          ///< maximum of the responses that one node caches
   int64_t head_bytes = 16 << 10;           ///< maximum of a request
-  Duration head_time{10000};               ///< within which the head of a request must be received
-  Duration idle_time{60000};               ///< after which an idle client connection is closed
+  Duration head_timeout{10000};            ///< within which the head of a request must be received
+  Duration idle_timeout{60000};            ///< after which an idle client connection is closed
 
   /// Finds the first route that matches a request.
   /// @param host    with or without a port
--- a/src/node/listeners.cpp
+++ b/src/node/listeners.cpp
@@ -48,8 +48,8 @@
   net::HttpLimits limits = http_limits(sockets_.clients);
   limits.head_bytes = static_cast<size_t>(configuration.head_bytes);
   limits.body_bytes = static_cast<size_t>(configuration.body_bytes);
-  limits.head_timeout = configuration.head_time;
-  limits.idle_timeout = configuration.idle_time;
+  limits.head_timeout = configuration.head_timeout;
+  limits.idle_timeout = configuration.idle_timeout;
   clients_->set_limits(limits);
 }
 
--- a/test/unit/platform/translation_test.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -75,7 +75,7 @@
              configuration.services.at("huvo").health_check_path == "/health",
          "a service");
   expect(configuration.head_bytes == 16384 && configuration.body_bytes == 67108864 &&
-             configuration.head_time == Duration(3000) && configuration.idle_time == Duration(15000),
+             configuration.head_timeout == Duration(3000) && configuration.idle_timeout == Duration(15000),
          "the limits");
 }
 
