--- a/src/node/shutdown_sequence.cpp
+++ b/src/node/shutdown_sequence.cpp
@@ -33,7 +33,7 @@
   if (clock_.now() < stop_serving) clock_.sleep(stop_serving - clock_.now());
   node_.request_handler().start_draining();
   listeners_.close_clients();
-  while (is_busy() && clock_.now() < begin + times_.give_up) clock_.sleep(kBusyCheck);
+  while (is_busy() && clock_.now() < begin + times_.abort_requests) clock_.sleep(kBusyCheck);
   logger.info("{}: stopped.", node_.config().name);
 }
 
--- a/src/node/shutdown_sequence.hpp
+++ b/src/node/shutdown_sequence.hpp
@@ -11,8 +11,8 @@
 
 /// The times of a shutdown, relative to its start.
 struct ShutdownTimes {
-  Duration stop_serving{0};  ///< until then new requests are served: the platform still sends them
-  Duration give_up{0};       ///< requests still running then are aborted
+  Duration stop_serving{0};    ///< until then new requests are served: the platform still sends them
+  Duration abort_requests{0};  ///< requests still running then are aborted
 };
 
 /// @param grace  from the stop signal until the process must have exited; 0: the times are derived from the
--- a/test/unit/node/settings_test.cpp
+++ b/test/unit/node/settings_test.cpp
@@ -33,8 +33,8 @@
 void shutdown_answers_what_ends_in_time() {
   for (const Duration grace : {Duration(3000), Duration(6000), Duration(20000)}) {
     const auto times = node::shutdown_times(grace, Duration(2000));
-    expect(times.give_up >= grace * 5 / 6 + grace / 15, "no time is left to forward a late response");
-    expect(times.give_up <= grace * 19 / 20, "the process may be killed before it ends");
+    expect(times.abort_requests >= grace * 5 / 6 + grace / 15, "no time is left to forward a late response");
+    expect(times.abort_requests <= grace * 19 / 20, "the process may be killed before it ends");
     expect(times.stop_serving < grace / 2, "requests are accepted that cannot be finished");
   }
 }
