--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -17,8 +17,8 @@
 constexpr const char* kStagingFile = "staging";  ///< the program while it is being fetched
 constexpr mode_t kProgramMode = 0750;
 
-constexpr int kProofBounds = 15;   ///< a new program must prove healthy within this many bounds
-constexpr int kHealthyBounds = 2;  ///< by being healthy for this many bounds without interruption
+constexpr int kHealthTimeoutBounds = 15;  ///< a new program must become healthy within this many bounds
+constexpr int kHealthyBounds = 2;         ///< by being healthy for this many bounds without interruption
 constexpr int kHealthChecksPerBound = 8;
 }  // namespace
 
@@ -45,7 +45,7 @@
     return written;
   }
 
-  void refuse(const std::string& sha256) {
+  void add_refused(const std::string& sha256) {
     auto refused = read(kRefusedFile);
     refused += "\n";
     refused += sha256;
@@ -60,8 +60,8 @@
   }
 
   /// Whether this new program has been healthy for long enough and is recorded as good.
-  bool proves_itself() {
-    const TimePoint end = ports.clock.now() + options.bound * kProofBounds;
+  bool becomes_healthy() {
+    const TimePoint end = ports.clock.now() + options.bound * kHealthTimeoutBounds;
     TimePoint healthy_since = ports.clock.now();
     while (ports.clock.now() < end) {
       if (!node.is_healthy()) healthy_since = ports.clock.now();
@@ -73,23 +73,23 @@
   }
 
   /// Checks this program, which `next` names, and rolls back unless it becomes healthy.
-  void prove(const std::string& sha256) {
+  void check_health(const std::string& sha256) {
     logger.info("Program {} started for the first time on this machine; checking its health.",
                 options.program);
-    if (proves_itself()) {
+    if (becomes_healthy()) {
       remove_next();
       logger.info("Program {} passed its health checks and is the current one now.", options.program);
       return;
     }
     logger.error("Program {} failed its health checks; rolling back to the last good program.",
                  options.program);
-    refuse(sha256);
+    add_refused(sha256);
     remove_next();
     node.terminate(kExitRollBack);
   }
 
   /// Completes or rolls back what an earlier process staged.
-  void settle_next() {
+  void resolve_next() {
     auto next = read(kNextFile);
     if (next.empty()) {
       if (read(kCurrentFile).empty()) write(kCurrentFile, options.program);
@@ -98,25 +98,25 @@
     auto space = next.find(' ');
     auto name = next.substr(0, space);
     auto sha256 = space == std::string::npos ? "" : next.substr(space + 1);
-    if (name == options.program) return prove(sha256);
+    if (name == options.program) return check_health(sha256);
     logger.warn("Staged program {} did not start; it will not be tried again on this machine.", name);
-    refuse(sha256);
+    add_refused(sha256);
     remove_next();
   }
 
-  enum class Placed { done, wrong_digest, failed };
+  enum class PlacementResult { done, wrong_digest, failed };
 
   /// Renames the fetched program to its final name if its digest matches.
-  Placed place_program(const std::string& program, const std::string& sha256) {
+  PlacementResult place_program(const std::string& program, const std::string& sha256) {
     auto fetched = path(kStagingFile);
-    auto placed = Placed::failed;
+    auto placed = PlacementResult::failed;
     executor.run([&] {
       if (storage::sha256_hex_of(fetched) != sha256)
-        placed = Placed::wrong_digest;
+        placed = PlacementResult::wrong_digest;
       else if (::chmod(fetched.c_str(), kProgramMode) == 0 &&
                ::rename(fetched.c_str(), path(program).c_str()) == 0 &&
                storage::sync_dir(options.release_directory))
-        placed = Placed::done;
+        placed = PlacementResult::done;
     });
     return placed;
   }
@@ -132,8 +132,8 @@
     // An incomplete artifact is fetched again at the next attempt.
     if (!artifacts.fetch(target, path(kStagingFile), executor)) return;
     auto placed = place_program(program, target.sha256);
-    if (placed == Placed::wrong_digest) return report(target, "what came has another digest");
-    if (placed == Placed::failed) return report(target, "it cannot be staged in the release folder");
+    if (placed == PlacementResult::wrong_digest) return report(target, "what came has another digest");
+    if (placed == PlacementResult::failed) return report(target, "it cannot be staged in the release folder");
     while (node.too_many_unavailable()) ports.clock.sleep(options.bound / 2);
     if (!write(kNextFile, program + " " + target.sha256))
       return report(target, "the release folder cannot be written");
@@ -158,7 +158,7 @@
 
 void Stager::start() {
   impl_->ports.tasks.spawn([impl = impl_] {
-    if (!impl->options.release_directory.empty()) impl->settle_next();
+    if (!impl->options.release_directory.empty()) impl->resolve_next();
     for (;;) {
       impl->ports.clock.sleep(impl->options.bound / 2);
       impl->stage_pending();
