--- a/src/canary/canary_statistics.cpp
+++ b/src/canary/canary_statistics.cpp
@@ -51,7 +51,7 @@
          canary.failure_rate() > std::max(usual * kClearRateFactor, usual + kClearRateExcess);
 }
 
-OutcomeCounts counts_of(const ByRoute& routes, const std::string& route) {
+OutcomeCounts counts_of(const CountsByRoute& routes, const std::string& route) {
   auto found = routes.find(route);
   return found == routes.end() ? OutcomeCounts{} : found->second;
 }
@@ -198,7 +198,7 @@
   return *this;
 }
 
-OutcomeCounts sum(const ByRoute& routes) {
+OutcomeCounts sum(const CountsByRoute& routes) {
   OutcomeCounts total;
   for (const auto& [route, counts] : routes) total += counts;
   return total;
--- a/src/canary/canary_statistics.hpp
+++ b/src/canary/canary_statistics.hpp
@@ -48,16 +48,16 @@
 };
 
 /// Counters by the label of the route.
-using ByRoute = std::map<std::string, OutcomeCounts>;
+using CountsByRoute = std::map<std::string, OutcomeCounts>;
 
 /// The counters summed over all routes.
-OutcomeCounts sum(const ByRoute& routes);
+OutcomeCounts sum(const CountsByRoute& routes);
 
 /// The counters of one canary and its baseline.
 struct CanarySample {
-  ByRoute canary, baseline;            ///< since the canary began
-  ByRoute warm_canary, warm_baseline;  ///< since the canary's instances were first warm
-  ByRoute after_switch;                ///< of the canary, since it receives all requests
+  CountsByRoute canary, baseline;            ///< since the canary began
+  CountsByRoute warm_canary, warm_baseline;  ///< since the canary's instances were first warm
+  CountsByRoute after_switch;                ///< of the canary, since it receives all requests
 };
 
 /// Accumulates the counters. Does no I/O; used by the control thread only.
