--- a/src/canary/canary_statistics.cpp
+++ b/src/canary/canary_statistics.cpp
@@ -244,12 +244,12 @@
       auto increase = difference(counts, source.counters[key]);
       latest[key] = counts;
       auto canary = canaries_.find(key.service);
-      if (counters_noted_ && canary != canaries_.end())
+      if (has_previous_counters_ && canary != canaries_.end())
         add(states.at(key.service), key, increase, canary->second);
     }
     source.counters = std::move(latest);  // a counter that disappears restarts at 0 when it returns
   }
-  counters_noted_ = true;
+  has_previous_counters_ = true;
 }
 
 const CanarySample& CanaryStatistics::at(const std::string& service) const {
--- a/src/canary/canary_statistics.hpp
+++ b/src/canary/canary_statistics.hpp
@@ -99,7 +99,8 @@
 
   std::map<std::string, Canary> canaries_;         ///< by service; running canaries only
   std::map<std::string, SourceCounters> sources_;  ///< by source
-  bool counters_noted_ = false;  ///< the first update only stores the counters: they cover the time before it
+  bool has_previous_counters_ =
+      false;  ///< the first update only stores the counters: they cover the time before it
 };
 
 /// Whether the canary is so much worse, on all routes together or on one, that no more evidence is needed.
