--- a/src/canary/canary_statistics.cpp
+++ b/src/canary/canary_statistics.cpp
@@ -27,7 +27,8 @@
 // that fails on a third of its requests has no failure in twelve once in a hundred times. Six more responses
 // for each that failed or was slow leave the same uncertainty.
 constexpr uint64_t kMaxNeeded = 30, kNeededWithoutFailure = 12, kNeededPerFailure = 6;
-constexpr uint64_t kCertain = 60;  // responses after which a difference beyond the noise is conclusive
+constexpr uint64_t kConclusiveResponses =
+    60;  // responses after which a difference beyond the noise is conclusive
 
 // Differences that count as noise: of the rate; of the mean latency as a factor plus some milliseconds.
 constexpr double kRateNoise = 0.08;
@@ -272,7 +273,7 @@
 
 std::string regression(const CanarySample& sample) {
   for (const auto& [route, counts] : sample.warm_canary) {
-    if (counts.total() < kCertain) continue;
+    if (counts.total() < kConclusiveResponses) continue;
     if (auto worse = route_regression(route, counts, baseline_on(sample, route)); !worse.empty())
       return worse;
   }
