--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -20,7 +20,7 @@
 constexpr base::Log logger("relay");
 
 // A node uses at most one instance of each service for this many sockets that the process may open.
-constexpr int kInstancesPerSocket = 8;
+constexpr int kSocketsPerInstance = 8;
 
 // How often in a bound a node checks, while a service switches to another version, for progress to report.
 // Every kChecksPerPull-th check also pulls.
@@ -107,7 +107,7 @@
         link_log(config.name, ports.link) {
     request_handler.set_cache_limit(config.max_cache_bytes);
     request_handler.upstream_client().set_max_instances(
-        config.max_sockets > 0 ? config.max_sockets / kInstancesPerSocket : 0);
+        config.max_sockets > 0 ? config.max_sockets / kSocketsPerInstance : 0);
   }
 
   /// Fills in the status that this node reports in a pull.
