--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -28,7 +28,7 @@
 constexpr int kChecksPerPull = 4;
 
 // A forwarded request that needs newer state waits for a pull for up to a bound divided by this.
-constexpr int kCatchUpPart = 8;
+constexpr int kCatchUpDivisor = 8;
 
 NodeConfig with_protocol_adapter(NodeConfig config) {
   if (!config.protocol_adapter) config.protocol_adapter = proxy::native_protocol_adapter();
@@ -305,7 +305,7 @@
                                            const base::CancellationPtr& cancellation) {
   // The forwarding node may have newer state: a pull fetches it within a few milliseconds.
   if (impl_->request_handler.is_behind(forward))
-    impl_->state_cache.await_pull(impl_->config.bound / kCatchUpPart);
+    impl_->state_cache.await_pull(impl_->config.bound / kCatchUpDivisor);
   return impl_->request_handler.handle_forwarded(forward, cancellation);
 }
 
