--- a/src/node/heartbeat_table.cpp
+++ b/src/node/heartbeat_table.cpp
@@ -7,7 +7,7 @@
 constexpr int kReportedPeriods = 20;
 constexpr int kReportedBounds = 10;
 
-bool says_the_same(const pb::Heartbeat& known, const pb::Heartbeat& heartbeat) {
+bool has_same_content(const pb::Heartbeat& known, const pb::Heartbeat& heartbeat) {
   return known.sequence() > 0 && known.address() == heartbeat.address() &&
          known.service() == heartbeat.service() && known.version() == heartbeat.version() &&
          known.leaving() == heartbeat.leaving();
@@ -16,7 +16,7 @@
 
 bool HeartbeatTable::record(const pb::Heartbeat& heartbeat, TimePoint now) {
   Entry& entry = entries_[heartbeat.instance()];
-  const bool same = says_the_same(entry.heartbeat, heartbeat);
+  const bool same = has_same_content(entry.heartbeat, heartbeat);
   if (heartbeat.sequence() >= entry.heartbeat.sequence()) {
     const bool was_leaving = entry.heartbeat.leaving();
     entry = {heartbeat, now};
