--- a/src/config/routing_configuration.cpp
+++ b/src/config/routing_configuration.cpp
@@ -171,7 +171,7 @@
         add_error(pointer + "service", "names no service of this layout");
     auto methods = route.methods.empty() ? std::vector<std::string>{"*"} : route.methods;
     for (const auto& method : methods)
-      if (!taken_.insert(route.host + " " + route.prefix + " " + method).second)
+      if (!seen_routes_.insert(route.host + " " + route.prefix + " " + method).second)
         add_error(pointer + "prefix", "an earlier route has this prefix and method");
   }
 
@@ -201,7 +201,7 @@
   const base::Json& json_;
   std::vector<base::ValidationError> errors_;
   RoutingConfiguration configuration_;  ///< as parsed so far
-  std::set<std::string> taken_;         ///< host, prefix and method of the routes so far
+  std::set<std::string> seen_routes_;   ///< host, prefix and method of the routes so far
 };
 }  // namespace
 
