--- a/src/node/shutdown_sequence.cpp
+++ b/src/node/shutdown_sequence.cpp
@@ -5,8 +5,8 @@
 namespace dunlinwing::node {
 namespace {
 constexpr base::Log logger("relay");
-constexpr Duration kBusyCheck(10);  // period of the checks for running requests
-constexpr Duration kParked(1000);   // sleep period of a fiber that only waits for the process to exit
+constexpr Duration kBusyCheck(10);         // period of the checks for running requests
+constexpr Duration kExitWaitPeriod(1000);  // sleep period of a fiber that only waits for the process to exit
 }  // namespace
 
 // Requests that still run in the last sixth of the grace period may be aborted. Those that end before must be
@@ -21,7 +21,7 @@
     : clock_(clock), node_(node), listeners_(listeners), times_(times) {}
 
 void ShutdownSequence::run() {
-  while (begun_) clock_.sleep(kParked);
+  while (begun_) clock_.sleep(kExitWaitPeriod);
   begun_ = true;
   const TimePoint begin = clock_.now();
   logger.info("{}: shutdown requested; draining.", node_.config().name);
