--- a/src/node/socket_budget.hpp
+++ b/src/node/socket_budget.hpp
@@ -23,20 +23,20 @@
 /// second
 inline SocketBudget make_socket_budget(int sockets, bool may_be_replica) {
   if (sockets <= 0) return {};
-  constexpr size_t kListening = 4;  // a socket for each address listened on
-  constexpr size_t kLeast = 3;      // minimum number of connections of each kind
+  constexpr size_t kListening = 4;       // a socket for each address listened on
+  constexpr size_t kMinConnections = 3;  // minimum number of connections of each kind
   const auto all = static_cast<size_t>(sockets);
   SocketBudget budget;
-  budget.operators = budget.readiness = std::max(kLeast, all / 16);
-  budget.peers_served = std::max(kLeast, all / (may_be_replica ? 4 : 10));
+  budget.operators = budget.readiness = std::max(kMinConnections, all / 16);
+  budget.peers_served = std::max(kMinConnections, all / (may_be_replica ? 4 : 10));
   // For pulls, and for requests that are forwarded to a shield.
-  budget.peers_called = std::max(kLeast, all / (may_be_replica ? 8 : 6));
+  budget.peers_called = std::max(kMinConnections, all / (may_be_replica ? 8 : 6));
   const size_t control =
       kListening + budget.operators + budget.readiness + budget.peers_served + budget.peers_called;
   const size_t traffic = all > control ? all - control : 0;
   // Each client request may use a connection to a backend instance in addition to its own.
   budget.upstream_idle = std::max<size_t>(1, traffic / 8);
-  budget.clients = std::max<size_t>(kLeast, (traffic - std::min(traffic, budget.upstream_idle)) / 2);
+  budget.clients = std::max<size_t>(kMinConnections, (traffic - std::min(traffic, budget.upstream_idle)) / 2);
   return budget;
 }
 
