--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -12,7 +12,7 @@
 constexpr double kMilli = 1000;
 
 // A link counts as fast from this fraction of the fastest one's rate.
-constexpr double kFastLinkPart = 0.5;
+constexpr double kFastLinkFraction = 0.5;
 
 /// The key without the prefix; nothing when it does not begin with it.
 std::optional<std::string> without_prefix(const std::string& key, std::string_view prefix) {
@@ -103,7 +103,7 @@
   }
   for (const auto& member : members) {
     const bool fetches =
-        has_dedicated ? member.info.shield() : member.info.link_mbps() >= fastest * kFastLinkPart;
+        has_dedicated ? member.info.shield() : member.info.link_mbps() >= fastest * kFastLinkFraction;
     if (member.info.ready() && fetches)
       snapshot_->shields.push_back({member.name, member.info.peer_address()});
   }
