--- a/src/config/numbered_configuration.hpp
+++ b/src/config/numbered_configuration.hpp
@@ -14,8 +14,8 @@
 /// The numbered configuration as a node has read it.
 struct ActiveConfiguration {
   uint64_t number = 0;  ///< 0: none was ever submitted
-  /// Null: none was stated, or this program cannot read it, as a newer one wrote it. The node then keeps the
-  /// configuration it has and is not ready.
+  /// Null: none was submitted, or this version cannot parse it, as a newer one wrote it. The node then keeps
+  /// the configuration it has and is not ready.
   std::shared_ptr<const RoutingConfiguration> configuration;
 };
 
--- a/src/node/assignment_loader.cpp
+++ b/src/node/assignment_loader.cpp
@@ -87,7 +87,7 @@
   }
   load_error_.clear();
   if (assignment.generation() > generation_)
-    logger.info("{}: activated generation {} with configuration {}.", node_name_, assignment.generation(),
+    logger.info("{}: switched to generation {} with configuration {}.", node_name_, assignment.generation(),
                 configuration_release.empty() ? "(none)" : configuration_release);
   running = {configuration, *system, assignment.generation()};
   generation_ = assignment.generation();
@@ -115,7 +115,7 @@
   const config::ActiveConfiguration& active = numbered_configuration_.read(chosen);
   if (active.number == 0) return;
   if (active.number > previous_number)
-    logger.info("{}: activated numbered configuration {}.", node_name_, active.number);
+    logger.info("{}: switched to numbered configuration {}.", node_name_, active.number);
   running.configuration_number = running.generation = active.number;
   running.configuration = active.configuration;
   load_error_ =
--- a/src/node/link_log.hpp
+++ b/src/node/link_log.hpp
@@ -23,7 +23,7 @@
   const link::Link* link_;
   TimePoint logged_at_{0};
   link::TrafficCountsByClass logged_inbound_;   ///< as of `logged_at_`
-  link::TrafficCountsByClass logged_outbound_;  ///< likewise
+  link::TrafficCountsByClass logged_outbound_;  ///< as of `logged_at_`
 };
 
 }  // namespace dunlinwing::node
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -81,7 +81,7 @@
   const std::string program = argv[0];
   dw::node::Application application(*settings, {FLAGS_config, program.substr(program.rfind('/') + 1)});
   if (const auto error = application.prepare()) {
-    logger.error("{}: {}.", settings->node.name, *error);
+    logger.error("{}: cannot start: {}.", settings->node.name, *error);
     return kCannotStart;
   }
   application.run();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -365,7 +365,8 @@
 }
 
 void Node::report_software_error(const std::string& error) {
-  if (impl_->assignment_loader.set_software_error(error)) logger.warn("{}: {}.", impl_->config.name, error);
+  if (impl_->assignment_loader.set_software_error(error))
+    logger.warn("{}: assigned software cannot be loaded: {}.", impl_->config.name, error);
 }
 
 }  // namespace dunlinwing::node
--- a/src/node/settings.hpp
+++ b/src/node/settings.hpp
@@ -17,7 +17,7 @@
   std::string release_directory;         ///< of staged software; empty: this machine can't stage any
   std::string log_level = "info";        ///< debug, info, warn or error
   std::string protocol_adapter = "own";  ///< "own" or "platform": the protocol conventions used
-  int threads = 2;                       ///< of the process; the first one runs control
+  int threads = 2;                       ///< of the process; the first one runs the control plane
   Duration heartbeat_period{0};          ///< of backend instances whose heartbeats omit it; 0: not configured
   Duration grace{0};  ///< from the stop signal until the process must have exited; 0: derived from the bound
   int max_sockets = 0;         ///< limit on open sockets of this process; 0: not configured
