--- a/src/node/heartbeat_table.cpp
+++ b/src/node/heartbeat_table.cpp
@@ -7,10 +7,10 @@
 constexpr int kReportedPeriods = 20;
 constexpr int kReportedBounds = 10;
 
-bool has_same_content(const pb::Heartbeat& known, const pb::Heartbeat& heartbeat) {
-  return known.sequence() > 0 && known.address() == heartbeat.address() &&
-         known.service() == heartbeat.service() && known.version() == heartbeat.version() &&
-         known.leaving() == heartbeat.leaving();
+bool has_same_content(const pb::Heartbeat& stored, const pb::Heartbeat& heartbeat) {
+  return stored.sequence() > 0 && stored.address() == heartbeat.address() &&
+         stored.service() == heartbeat.service() && stored.version() == heartbeat.version() &&
+         stored.leaving() == heartbeat.leaving();
 }
 }  // namespace
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -68,7 +68,7 @@
   limits::DemandShares demand_shares;
   RejectionLog rejection_log;
   LinkLog link_log;
-  TimePoint cache_swept{0};
+  TimePoint expired_evicted_at{0};
   bool following_switches = false;                ///< a fiber of follow_switches() runs
   std::vector<std::string> unreachable_services;  ///< as of `reachability_checked`
   TimePoint reachability_checked{0};              ///< at most once per half a bound
@@ -197,12 +197,12 @@
     if (following_switches || !has_switch()) return;
     following_switches = true;
     ports.tasks.spawn([this] {
-      std::string stated;
+      std::string reported_steps;
       for (int check = 0; has_switch(); ++check) {
-        std::string present;
-        for (const auto& followed : request_handler.switches()) present += followed.SerializeAsString();
-        if (check % kChecksPerPull == 0 || present != stated) state_cache.pull_soon();
-        stated = std::move(present);
+        std::string current_steps;
+        for (const auto& followed : request_handler.switches()) current_steps += followed.SerializeAsString();
+        if (check % kChecksPerPull == 0 || current_steps != reported_steps) state_cache.pull_soon();
+        reported_steps = std::move(current_steps);
         ports.clock.sleep(config.bound / kSwitchChecksPerBound);
       }
       following_switches = false;
@@ -210,8 +210,8 @@
   }
 
   void evict_expired_responses(TimePoint now) {
-    if (now - cache_swept < config.bound / 2) return;
-    cache_swept = now;
+    if (now - expired_evicted_at < config.bound / 2) return;
+    expired_evicted_at = now;
     request_handler.evict_expired();
   }
 
@@ -315,10 +315,10 @@
     return false;
   }
   // A heartbeat with the same content was reported to the fleet before, so there is no need to wait again.
-  const bool known = impl_->heartbeats.record(heartbeat, impl_->ports.clock.now());
+  const bool repeated = impl_->heartbeats.record(heartbeat, impl_->ports.clock.now());
   const bool accepted =
       (!heartbeat.leaving() || membership::deregister(impl_->registers, heartbeat.instance())) &&
-      (known || impl_->state_cache.await_pull(impl_->config.bound / 2));
+      (repeated || impl_->state_cache.await_pull(impl_->config.bound / 2));
   impl_->heartbeats.count(accepted);
   return accepted;
 }
--- a/src/node/rejection_log.cpp
+++ b/src/node/rejection_log.cpp
@@ -12,14 +12,14 @@
   if (now - logged_at_ < kInterval) return;
   logged_at_ = now;
   auto counts = handler_.rejections().counts();
-  std::map<std::string, std::map<std::string, uint64_t>> risen;  // by service and reason
+  std::map<std::string, std::map<std::string, uint64_t>> increases;  // by service and reason
   for (const auto& [key, count] : counts) {
     const auto before = logged_.find(key);
-    const uint64_t rise = count - std::min(count, before == logged_.end() ? 0 : before->second);
-    if (rise > 0 && !key.service.empty()) risen[key.service][proxy::label(key.reason)] += rise;
+    const uint64_t increase = count - std::min(count, before == logged_.end() ? 0 : before->second);
+    if (increase > 0 && !key.service.empty()) increases[key.service][proxy::label(key.reason)] += increase;
   }
   logged_ = std::move(counts);
-  for (const auto& [service, by_reason] : risen) {
+  for (const auto& [service, by_reason] : increases) {
     std::string reasons;
     for (const auto& [reason, count] : by_reason) reasons += fmt::format(" {} {},", reason, count);
     log_service(service, reasons);
