--- a/test/unit/config/config_test.cpp
+++ b/test/unit/config/config_test.cpp
@@ -27,7 +27,7 @@
               "routes":[{"prefix":"/x","service":"a"},{"prefix":"/x","service":"a"},{"prefix":"y","service":"c"}]}})"),
               std::string("/content/services/b/versions;/content/routes/2/prefix;/content/routes/1/prefix;"
                           "/content/routes/2/service;/content/services/b;"),
-              "places");
+              "error pointers");
        }},
       {"release: a hold time may be raised above the minimum, not lowered",
        [] {
@@ -37,8 +37,8 @@
              "routes":[{{"prefix":"/","service":"a"}}]}}}})",
                one);
          };
-         same(bad_release("layout", document(14)), std::string("/holds/one_min;"), "places");
-         same(bad_release("layout", document(16)), std::string("valid"), "places");
+         same(bad_release("layout", document(14)), std::string("/holds/one_min;"), "error pointers");
+         same(bad_release("layout", document(16)), std::string("valid"), "error pointers");
          auto holds = config::minimum_hold_times("software");
          expect(holds.one == std::chrono::hours(24) && holds.two == std::chrono::hours(24),
                 "software holds 24 and 24 hours");
--- a/test/unit/node/settings_test.cpp
+++ b/test/unit/node/settings_test.cpp
@@ -7,25 +7,25 @@
 
 namespace dunlinwing::test {
 namespace {
-std::string bad_config(const std::string& t) {
-  auto r = node::parse_settings(t);
-  auto* errors = std::get_if<std::vector<base::ValidationError>>(&r);
+std::string error_pointers_of_settings(const std::string& text) {
+  auto result = node::parse_settings(text);
+  auto* errors = std::get_if<std::vector<base::ValidationError>>(&result);
   return errors ? error_places(*errors) : "valid";
 }
 
 // Fields that a later version adds are ignored; an unknown kind of request is recognised as unknown.
-void older_peer() {
+void ignores_unknown_fields() {
   pb::PeerRequest request;
   request.mutable_pull()->set_node("n");
   auto bytes = request.SerializeAsString();
   bytes += std::string("\xfa\x07\x03new", 6);  // field 127, three bytes
-  pb::PeerRequest b;
-  expect(b.ParseFromString(bytes) && b.has_pull() && b.pull().node() == "n",
+  pb::PeerRequest parsed;
+  expect(parsed.ParseFromString(bytes) && parsed.has_pull() && parsed.pull().node() == "n",
          "an added field broke parsing by an older version");
-  pb::PeerRequest c;
-  expect(
-      c.ParseFromString(std::string("\xfa\x07\x03new", 6)) && c.body_case() == pb::PeerRequest::BODY_NOT_SET,
-      "an unknown request was taken for a known one");
+  pb::PeerRequest unknown;
+  expect(unknown.ParseFromString(std::string("\xfa\x07\x03new", 6)) &&
+             unknown.body_case() == pb::PeerRequest::BODY_NOT_SET,
+         "an unknown request was taken for a known one");
 }
 
 // Requests that end before the last sixth of the grace period must be answered, and the process must exit in
@@ -46,51 +46,58 @@
     "peers":"127.0.0.1:3"},"holders":{"h":"127.0.0.1:4"},"seeds":["127.0.0.1:2"]})";
   return {
       {"config: valid settings are accepted",
-       [good] { same(bad_config(good), std::string("valid"), "places"); }},
+       [good] { same(error_pointers_of_settings(good), std::string("valid"), "error pointers"); }},
       {"config: every key is documented in settings.md",
        [] { expect_documented(node::settings_schema(), "settings.md"); }},
-      {"wire: an older version ignores unknown fields", older_peer},
+      {"wire: an older version ignores unknown fields", ignores_unknown_fields},
       {"config: every error is reported with its JSON pointer",
        [] {
-         same(bad_config(R"({"name":"","zone":7,"listen":{"callers":"x","control":"127.0.0.1:2","peer":1},
+         same(error_pointers_of_settings(
+                  R"({"name":"","zone":7,"listen":{"callers":"x","control":"127.0.0.1:2","peer":1},
               "holders":{"h":"127.0.0.1:4","i":"127.0.0.1:5"},"seeds":["127.0.0.1:2"],"bound_ms":1})"),
               std::string("/name;/zone;/listen/peers;/listen/peer;/bound_ms;/listen/callers;/holders;"),
-              "places");
+              "error pointers");
        }},
       {"config: a duplicate key is an error",
-       [] { same(bad_config(R"({"name":"a","name":"b"})"), std::string("/name;"), "places"); }},
+       [] {
+         same(error_pointers_of_settings(R"({"name":"a","name":"b"})"), std::string("/name;"),
+              "error pointers");
+       }},
       {"config: a machine listed under holders requires a data directory",
        [good] {
-         auto t = good;
-         t.replace(t.find("\"n\""), 3, "\"h\"");
-         same(bad_config(t), std::string("/holders/h;"), "places");
-         t.insert(1, R"("data":"/d",)");
-         same(bad_config(t), std::string("valid"), "places");
+         auto text = good;
+         text.replace(text.find("\"n\""), 3, "\"h\"");
+         same(error_pointers_of_settings(text), std::string("/holders/h;"), "error pointers");
+         text.insert(1, R"("data":"/d",)");
+         same(error_pointers_of_settings(text), std::string("valid"), "error pointers");
        }},
       {"config: without holders the seeds form the replica set, controlled by first_start and tolerate",
        [good] {
-         auto t = good;
-         t.replace(t.find(R"("holders":{"h":"127.0.0.1:4"},)"), 30, "");
-         auto a = std::get<node::Settings>(node::parse_settings(t)).node,
-              b = std::get<node::Settings>(node::parse_settings(good)).node;
-         expect(a.replicas.empty() && !a.initial_boot && a.tolerate == 1, "wrong defaults without holders");
-         expect(b.initial_boot && b.tolerate == 0, "wrong defaults with holders");
-         t.insert(1, R"("first_start":true,"tolerate":2,)");
-         a = std::get<node::Settings>(node::parse_settings(t)).node;
-         expect(a.initial_boot && a.tolerate == 2, "first_start and tolerate are not read");
+         auto text = good;
+         text.replace(text.find(R"("holders":{"h":"127.0.0.1:4"},)"), 30, "");
+         auto without_holders = std::get<node::Settings>(node::parse_settings(text)).node,
+              with_holders = std::get<node::Settings>(node::parse_settings(good)).node;
+         expect(without_holders.replicas.empty() && !without_holders.initial_boot &&
+                    without_holders.tolerate == 1,
+                "wrong defaults without holders");
+         expect(with_holders.initial_boot && with_holders.tolerate == 0, "wrong defaults with holders");
+         text.insert(1, R"("first_start":true,"tolerate":2,)");
+         without_holders = std::get<node::Settings>(node::parse_settings(text)).node;
+         expect(without_holders.initial_boot && without_holders.tolerate == 2,
+                "first_start and tolerate are not read");
        }},
       {"shutdown: requests that end before the last sixth of the grace period are answered",
        shutdown_answers_what_ends_in_time},
       {"config: changed keys are reported",
        [good] {
-         auto t = good;
-         t.replace(t.find("\"seeds\""), 7, "\"threads\":3,\"seeds\"");
-         auto u = t;
-         u.replace(u.find("127.0.0.1:2\"]"), 11, "127.0.0.1:9");
-         std::string s;
-         for (auto& k : node::changed_keys(good, u)) s += k + ";";
-         same(s, std::string("seeds;threads;"), "keys");
-         expect(node::changed_keys(t, t).empty(), "keys are reported for equal settings");
+         auto text = good;
+         text.replace(text.find("\"seeds\""), 7, "\"threads\":3,\"seeds\"");
+         auto changed_text = text;
+         changed_text.replace(changed_text.find("127.0.0.1:2\"]"), 11, "127.0.0.1:9");
+         std::string keys;
+         for (auto& key : node::changed_keys(good, changed_text)) keys += key + ";";
+         same(keys, std::string("seeds;threads;"), "keys");
+         expect(node::changed_keys(text, text).empty(), "keys are reported for equal settings");
        }},
   };
 }
