--- a/test/unit/canary/canary_test.cpp
+++ b/test/unit/canary/canary_test.cpp
@@ -7,48 +7,49 @@
 namespace dunlinwing::test {
 namespace {
 // Failed or slow responses on a rare route count, however few, even with enough good responses on others.
-void rare_route_speaks() {
-  canary::CanarySample seen;
-  seen.baseline = seen.warm_baseline = {{"busy", {1000, 0, 0, 10000}}, {"rare", {5, 0, 0, 50}}};
-  seen.canary = seen.warm_canary = {{"busy", {60, 0, 0, 600}}, {"rare", {3, 0, 0, 30}}};
-  same(canary::promotion_blocker(seen), std::string(),
+void failures_on_rare_routes_count() {
+  canary::CanarySample sample;
+  sample.baseline = sample.warm_baseline = {{"busy", {1000, 0, 0, 10000}}, {"rare", {5, 0, 0, 50}}};
+  sample.canary = sample.warm_canary = {{"busy", {60, 0, 0, 600}}, {"rare", {3, 0, 0, 30}}};
+  same(canary::promotion_blocker(sample), std::string(),
        "promotion blocker with three good responses on a rare route");
-  seen.canary["rare"] = seen.warm_canary["rare"] = {2, 1, 0, 30};
-  expect(!canary::promotion_blocker(seen).empty(),
+  sample.canary["rare"] = sample.warm_canary["rare"] = {2, 1, 0, 30};
+  expect(!canary::promotion_blocker(sample).empty(),
          "one failed response of three on a rare route was ignored");
-  expect(canary::regression_after_switch(seen).empty(), "one failed response ends a switch");
-  seen.canary["rare"] = seen.warm_canary["rare"] = {2, 0, 3, 90};
-  expect(!canary::regression_after_switch(seen).empty(),
+  expect(canary::regression_after_switch(sample).empty(), "one failed response ends a switch");
+  sample.canary["rare"] = sample.warm_canary["rare"] = {2, 0, 3, 90};
+  expect(!canary::regression_after_switch(sample).empty(),
          "three slow responses on a rare route don't end a switch");
-  seen.canary["rare"] = {4, 1, 0, 50};
-  seen.warm_canary["rare"] = {3, 0, 0, 30};
-  expect(!canary::promotion_blocker(seen).empty(),
+  sample.canary["rare"] = {4, 1, 0, 50};
+  sample.warm_canary["rare"] = {3, 0, 0, 30};
+  expect(!canary::promotion_blocker(sample).empty(),
          "a failure of a cold instance on a rare route was ignored");
-  seen.baseline["rare"] = seen.warm_baseline["rare"] = {300, 0, 0, 3000};
-  seen.canary["rare"] = seen.warm_canary["rare"] = {3, 0, 0, 30};
-  expect(!canary::promotion_blocker(seen).empty(), "a frequent route was taken for a rare one");
+  sample.baseline["rare"] = sample.warm_baseline["rare"] = {300, 0, 0, 3000};
+  sample.canary["rare"] = sample.warm_canary["rare"] = {3, 0, 0, 30};
+  expect(!canary::promotion_blocker(sample).empty(), "a frequent route was taken for a rare one");
 }
 
 // One or two slow responses among many are noise: they require a few more responses as evidence, not all
 // thirty.
-void few_poor_are_noise() {
-  auto against = [](uint64_t good, uint64_t slow) {
-    canary::CanarySample seen;
-    seen.baseline = seen.warm_baseline = {{"r", {1000, 0, 10, 10000}}};
-    seen.canary = seen.warm_canary = {{"r", {good, 0, slow, good * 10}}};
-    return canary::promotion_blocker(seen);
+void few_slow_responses_are_noise() {
+  auto blocker_with = [](uint64_t good, uint64_t slow) {
+    canary::CanarySample sample;
+    sample.baseline = sample.warm_baseline = {{"r", {1000, 0, 10, 10000}}};
+    sample.canary = sample.warm_canary = {{"r", {good, 0, slow, good * 10}}};
+    return canary::promotion_blocker(sample);
   };
-  expect(against(12, 0).empty(), "twelve good responses are not enough: " + against(12, 0));
-  expect(!against(11, 0).empty(), "eleven good responses are enough");
-  expect(!against(17, 1).empty(), "seventeen responses, one of them slow, are enough");
-  expect(against(18, 1).empty(), "eighteen responses, one of them slow, are not enough: " + against(18, 1));
-  expect(!against(24, 3).empty(), "twenty-four responses, three of them slow, are enough");
-  expect(against(25, 2).empty(),
-         "twenty-five responses, two of them slow, are not enough: " + against(25, 2));
+  expect(blocker_with(12, 0).empty(), "twelve good responses are not enough: " + blocker_with(12, 0));
+  expect(!blocker_with(11, 0).empty(), "eleven good responses are enough");
+  expect(!blocker_with(17, 1).empty(), "seventeen responses, one of them slow, are enough");
+  expect(blocker_with(18, 1).empty(),
+         "eighteen responses, one of them slow, are not enough: " + blocker_with(18, 1));
+  expect(!blocker_with(24, 3).empty(), "twenty-four responses, three of them slow, are enough");
+  expect(blocker_with(25, 2).empty(),
+         "twenty-five responses, two of them slow, are not enough: " + blocker_with(25, 2));
 }
 
 // During the switch each node detects a version that fails under the whole load without the leader.
-void relay_goes_back() {
+void node_aborts_failing_switch() {
   canary::CanaryAnalysis analysis;
   pb::ServiceState state;
   state.set_current("1");
@@ -80,9 +81,9 @@
 
 std::vector<Case> canary_cases() {
   return {
-      {"moves: failed or slow responses on a rare route count", rare_route_speaks},
-      {"moves: a few slow responses are noise", few_poor_are_noise},
-      {"moves: a node aborts a failing switch by itself", relay_goes_back},
+      {"moves: failed or slow responses on a rare route count", failures_on_rare_routes_count},
+      {"moves: a few slow responses are noise", few_slow_responses_are_noise},
+      {"moves: a node aborts a failing switch by itself", node_aborts_failing_switch},
   };
 }
 
--- a/test/unit/config/config_test.cpp
+++ b/test/unit/config/config_test.cpp
@@ -7,7 +7,7 @@
 
 namespace dunlinwing::test {
 namespace {
-std::string bad_release(const std::string& kind, const std::string& text) {
+std::string error_pointers_of_release(const std::string& kind, const std::string& text) {
   auto result = config::parse_release(kind, "x", text);
   auto* errors = std::get_if<std::vector<base::ValidationError>>(&result);
   return errors ? error_places(*errors) : "valid";
@@ -22,8 +22,9 @@
        [] { expect_documented(config::system_options_schema(), "configuration.md"); }},
       {"layout: references are checked across the document",
        [] {
-         same(bad_release("layout",
-                          R"({"content":{"services":{"a":{"versions":["1"]},"b":{"versions":["1","1"]}},
+         same(error_pointers_of_release(
+                  "layout",
+                  R"({"content":{"services":{"a":{"versions":["1"]},"b":{"versions":["1","1"]}},
               "routes":[{"prefix":"/x","service":"a"},{"prefix":"/x","service":"a"},{"prefix":"y","service":"c"}]}})"),
               std::string("/content/services/b/versions;/content/routes/2/prefix;/content/routes/1/prefix;"
                           "/content/routes/2/service;/content/services/b;"),
@@ -37,8 +38,9 @@
              "routes":[{{"prefix":"/","service":"a"}}]}}}})",
                one);
          };
-         same(bad_release("layout", document(14)), std::string("/holds/one_min;"), "error pointers");
-         same(bad_release("layout", document(16)), std::string("valid"), "error pointers");
+         same(error_pointers_of_release("layout", document(14)), std::string("/holds/one_min;"),
+              "error pointers");
+         same(error_pointers_of_release("layout", document(16)), std::string("valid"), "error pointers");
          auto holds = config::minimum_hold_times("software");
          expect(holds.one == std::chrono::hours(24) && holds.two == std::chrono::hours(24),
                 "software holds 24 and 24 hours");
--- a/test/unit/node/assignment_loader_test.cpp
+++ b/test/unit/node/assignment_loader_test.cpp
@@ -48,7 +48,7 @@
 }
 
 // No part of an assignment takes effect when another part can't be loaded.
-void keeps_what_runs_when_a_part_is_unreadable() {
+void keeps_previous_when_a_part_is_unreadable() {
   for (const auto& [releases, error] :
        std::vector<std::pair<std::map<std::string, std::string>, std::string>>{
            {{{"layout", "bad"}, {"system", "options"}}, "layout/bad: "},
@@ -67,7 +67,7 @@
   }
 }
 
-void passes_over_earlier_generations() {
+void ignores_earlier_generations() {
   node::AssignmentLoader loader("node-a", defaults());
   const auto before = loader.load(assigned(5, {{"layout", "good"}}), registers(), {});
   const auto after = loader.load(assigned(4, {}), registers(), before);
@@ -92,7 +92,7 @@
   same(loader.error(), std::string(), "error, as releases no longer matter");
 }
 
-void lists_what_any_node_is_assigned() {
+void lists_configurations_of_all_nodes() {
   node::AssignmentLoader loader("node-a", defaults());
   pb::RolloutState rollout;
   (*(*rollout.mutable_nodes())["node-b"].mutable_releases())["layout"] = "good";
@@ -104,7 +104,7 @@
   expect(again.at("good") == assigned_here.at("good"), "the configuration was parsed again");
 }
 
-void reports_news_about_software_once() {
+void reports_software_error_once() {
   node::AssignmentLoader loader("node-a", defaults());
   expect(loader.set_software_error("no space"), "the first error was not reported as a change");
   expect(!loader.set_software_error("no space"), "the same error was reported as a change again");
@@ -120,12 +120,12 @@
       {"assignment loader: without a system release the options of the settings apply",
        uses_the_defaults_without_a_release},
       {"assignment loader: an unreadable part leaves the previous assignment active",
-       keeps_what_runs_when_a_part_is_unreadable},
-      {"assignment loader: an earlier generation changes nothing", passes_over_earlier_generations},
+       keeps_previous_when_a_part_is_unreadable},
+      {"assignment loader: an earlier generation changes nothing", ignores_earlier_generations},
       {"assignment loader: the numbered configuration takes precedence over releases",
        prefers_the_numbered_configuration},
-      {"assignment loader: configurations of all nodes are listed", lists_what_any_node_is_assigned},
-      {"assignment loader: a repeated software error is not a change", reports_news_about_software_once},
+      {"assignment loader: configurations of all nodes are listed", lists_configurations_of_all_nodes},
+      {"assignment loader: a repeated software error is not a change", reports_software_error_once},
   };
 }
 
--- a/test/unit/node/heartbeat_table_test.cpp
+++ b/test/unit/node/heartbeat_table_test.cpp
@@ -26,7 +26,7 @@
   return status;
 }
 
-void knows_repeated_heartbeats() {
+void recognises_repeated_heartbeats() {
   node::HeartbeatTable table(kBound);
   expect(!table.record(heartbeat(1), kStart), "the first heartbeat was taken for a repeated one");
   expect(table.record(heartbeat(2), kStart),
@@ -69,7 +69,7 @@
   expect(report(table, kStart).heartbeats(0).leaving(), "a later heartbeat cleared the leaving state");
 }
 
-void removes_what_is_too_old() {
+void removes_expired_heartbeats() {
   node::HeartbeatTable table(kBound);
   table.record(heartbeat(1), kStart);
   const auto last = kStart + Duration(kPeriodMs) * 20 + kBound * 10;
@@ -83,11 +83,11 @@
 std::vector<Case> heartbeat_table_cases() {
   return {
       {"heartbeat table: a heartbeat with the same content is recognised as repeated",
-       knows_repeated_heartbeats},
+       recognises_repeated_heartbeats},
       {"heartbeat table: ages and counts are reported", reports_ages_and_counts},
       {"heartbeat table: the highest sequence number counts", stores_the_highest_sequence_number},
       {"heartbeat table: an instance that leaves stays leaving", stays_leaving},
-      {"heartbeat table: heartbeats that are too old are no longer reported", removes_what_is_too_old},
+      {"heartbeat table: heartbeats that are too old are no longer reported", removes_expired_heartbeats},
   };
 }
 
--- a/test/unit/node/snapshot_builder_test.cpp
+++ b/test/unit/node/snapshot_builder_test.cpp
@@ -61,7 +61,7 @@
   same(snapshot->system.retry_allowance, int64_t{7}, "system options");
 }
 
-void passes_over_instances_that_are_gone() {
+void skips_gone_instances() {
   auto gone = instance_status("gone", "10.0.0.2:80", Duration(10));
   gone.gone = true;
   auto with_one_gone = builder();
@@ -79,7 +79,7 @@
   expect(instance.cold_until == TimePoint(0), "an instance without a warm-up time is cold");
 }
 
-void passes_over_earlier_owners_of_an_address() {
+void skips_earlier_owners_of_an_address() {
   auto reused_address = builder();
   reused_address.add_backend_instances({{"earlier", instance_status("earlier", "10.0.0.1:80", Duration(500))},
                                         {"later", instance_status("later", "10.0.0.1:80", Duration(20))},
@@ -143,18 +143,19 @@
   return member;
 }
 
-void fast_nodes_stand_in() {
+void fast_nodes_serve_as_shields() {
   constexpr double kFast = 100, kSlow = 9.8;
-  auto stand_ins = builder();
-  stand_ins.add_shields({member_with_link("fast", true, kFast), member_with_link("slow", true, kSlow),
-                         member_with_link("unready", false, kFast)});
-  const auto snapshot = stand_ins.build({});
+  auto without_shields = builder();
+  without_shields.add_shields({member_with_link("fast", true, kFast), member_with_link("slow", true, kSlow),
+                               member_with_link("unready", false, kFast)});
+  const auto snapshot = without_shields.build({});
   same(snapshot->shields.size(), size_t{1}, "nodes that fetch for others");
   same(snapshot->shields.front().name, std::string("fast"), "the node that fetches");
 
-  auto alike = builder();
-  alike.add_shields({member_with_link("a", true, 0), member_with_link("b", true, 0)});
-  same(alike.build({})->shields.size(), size_t{2}, "nodes that fetch where no link rate is configured");
+  auto unknown_links = builder();
+  unknown_links.add_shields({member_with_link("a", true, 0), member_with_link("b", true, 0)});
+  same(unknown_links.build({})->shields.size(), size_t{2},
+       "nodes that fetch where no link rate is configured");
 }
 
 void lists_ready_shields() {
@@ -180,14 +181,15 @@
   return {
       {"snapshot builder: a node is ranked among the nodes of the rollout", ranks_the_node},
       {"snapshot builder: the running configuration is found by its name", adds_the_running_configuration},
-      {"snapshot builder: instances that are gone receive no requests", passes_over_instances_that_are_gone},
+      {"snapshot builder: instances that are gone receive no requests", skips_gone_instances},
       {"snapshot builder: an address belongs to the instance with the most recent heartbeat",
-       passes_over_earlier_owners_of_an_address},
+       skips_earlier_owners_of_an_address},
       {"snapshot builder: a warm-up is counted from the heartbeat", counts_the_warm_up_from_the_heartbeat},
       {"snapshot builder: states, quotas and purges are read from the registers", reads_the_registers},
       {"snapshot builder: a switch to an aborted canary ends", ends_switches_to_aborted_canaries},
       {"snapshot builder: only ready shields are listed", lists_ready_shields},
-      {"snapshot builder: without shields the ready nodes with fast links fetch", fast_nodes_stand_in},
+      {"snapshot builder: without shields the ready nodes with fast links fetch",
+       fast_nodes_serve_as_shields},
   };
 }
 
