--- a/src/config/routing_configuration.hpp
+++ b/src/config/routing_configuration.hpp
@@ -73,9 +73,9 @@
   std::string text;  ///< the document, as JSON without white space
   std::map<std::string, ServiceConfiguration> services;
   std::vector<RouteConfiguration> routes;  ///< longest prefix first
-  int64_t body_bytes = 1 << 20;            ///< maximum of a request
-  int64_t cache_bytes = 64 << 20;          ///< maximum of the responses that one node caches
-  int64_t head_bytes = 16 << 10;           ///< maximum of a request
+  int64_t body_bytes = 1 << 20;            ///< maximum size of a request's body
+  int64_t cache_bytes = 64 << 20;          ///< maximum size of the responses that one node caches
+  int64_t head_bytes = 16 << 10;           ///< maximum size of a request's head
   Duration head_timeout{10000};            ///< within which the head of a request must be received
   Duration idle_timeout{60000};            ///< after which an idle client connection is closed
 
--- a/src/node/socket_budget.hpp
+++ b/src/node/socket_budget.hpp
@@ -9,11 +9,10 @@
 
 /// Limits on concurrent connections, by kind.
 struct SocketBudget {
-  size_t clients = 0;  ///< 0: unlimited
-  size_t upstream_idle =
-      512;               ///< idle ones to backend instances; each running client request may use one more
-  size_t operators = 0;  ///< to the control API; 0: unlimited
-  size_t readiness = 0;  ///< 0: unlimited
+  size_t clients = 0;          ///< 0: unlimited
+  size_t upstream_idle = 512;  ///< idle ones to backend instances; a client request may use one more
+  size_t operators = 0;        ///< to the control API; 0: unlimited
+  size_t readiness = 0;        ///< 0: unlimited
   size_t peers_served = 4096;  ///< from other nodes
   size_t peers_called = 4096;  ///< to other nodes
 };
