--- a/src/config/routing_configuration.cpp
+++ b/src/config/routing_configuration.cpp
@@ -68,7 +68,7 @@
     if (path.substr(0, route.prefix.size()) != route.prefix) continue;
     if (route.methods.empty() || ranges::any_of(route.methods, [&](auto& known) { return known == method; }))
       return {&route, false};
-    match.other_method = true;
+    match.method_mismatch = true;
   }
   return match;
 }
@@ -121,7 +121,7 @@
   return route;
 }
 
-/// Reads one document and collects what is wrong with it.
+/// Parses one document and collects all errors.
 class Parser {
  public:
   Parser(const std::string& name, const base::Json& json) : json_(json) {
@@ -171,7 +171,7 @@
         add_error(pointer + "service", "names no service of this layout");
     auto methods = route.methods.empty() ? std::vector<std::string>{"*"} : route.methods;
     for (const auto& method : methods)
-      if (!taken_.insert(route.host + " " + route.prefix + " " + method).second)
+      if (!seen_routes_.insert(route.host + " " + route.prefix + " " + method).second)
         add_error(pointer + "prefix", "an earlier route has this prefix and method");
   }
 
@@ -194,14 +194,14 @@
     to.body_bytes = limits.at("body_bytes").integer_or(to.body_bytes);
     to.cache_bytes = limits.at("cache_bytes").integer_or(to.cache_bytes);
     to.head_bytes = limits.at("head_bytes").integer_or(to.head_bytes);
-    to.head_time = Duration(limits.at("head_ms").integer_or(to.head_time.count()));
-    to.idle_time = Duration(limits.at("idle_ms").integer_or(to.idle_time.count()));
+    to.head_timeout = Duration(limits.at("head_ms").integer_or(to.head_timeout.count()));
+    to.idle_timeout = Duration(limits.at("idle_ms").integer_or(to.idle_timeout.count()));
   }
 
   const base::Json& json_;
   std::vector<base::ValidationError> errors_;
-  RoutingConfiguration configuration_;  ///< as far as it is read
-  std::set<std::string> taken_;         ///< host, prefix and method of the routes so far
+  RoutingConfiguration configuration_;  ///< as parsed so far
+  std::set<std::string> seen_routes_;   ///< host, prefix and method of the routes so far
 };
 }  // namespace
 
--- a/src/limits/rate_quotas.cpp
+++ b/src/limits/rate_quotas.cpp
@@ -5,14 +5,14 @@
 
 namespace dunlinwing::limits {
 namespace {
-constexpr double kMaxHandedOut = 0.97, kMinHandedOut = 0.5;  // of the rate
-constexpr double kRateWithMargin = 1.1;                      // of the rate, what any five seconds may hold
-constexpr double kMarginSeconds = 5;                         // in which each node may be early by one request
-constexpr double kMinRatePerNode = 2.5;  // requests a second; with less, fewer nodes get a quota
-constexpr double kEvenShare = 0.1;       // is spread evenly, so that no node starts from nothing
-constexpr double kMinChange = 0.15;      // of a quota; smaller changes are not worth a write
-constexpr double kHeadroom = 1.3;        // times its demand, what a node's quota should hold
-constexpr uint32_t kMilli = 1000;        // quotas are in thousandths of a request a second
+constexpr double kMaxAllocated = 0.97, kMinAllocated = 0.5;  // fractions of the rate
+constexpr double kRateWithMargin = 1.1;  // times the rate: the limit over any five seconds
+constexpr double kMarginSeconds = 5;     // period in which each node may be early by one request
+constexpr double kMinRatePerNode = 2.5;  // requests per second; with less, fewer nodes get a quota
+constexpr double kEvenShare = 0.1;       // fraction split evenly, so that no node has to start at zero
+constexpr double kMinChange = 0.15;      // fraction of a quota; smaller changes are not worth a write
+constexpr double kHeadroom = 1.3;        // quota that a node should have, as a multiple of its demand
+constexpr uint32_t kMilli = 1000;        // quotas are in thousandths of a request per second
 
 using QuotaByNode = std::map<std::string, uint32_t>;
 
@@ -21,7 +21,7 @@
   double rate;
 };
 
-/// The nodes that get a quota: those with most demand.
+/// Selects the nodes that get a quota: those with the highest demand.
 std::vector<NodeRate> select_nodes(const QuotaInput& input) {
   std::vector<NodeRate> nodes;
   nodes.reserve(input.demand.size());
@@ -33,48 +33,47 @@
   return nodes;
 }
 
-/// The quotas that the demand asks for.
-QuotaByNode wanted_quotas(const QuotaInput& input) {
+/// The target quotas for the given demand.
+QuotaByNode target_quotas(const QuotaInput& input) {
   auto nodes = select_nodes(input);
   auto rate = static_cast<double>(input.rate);
   auto count = static_cast<double>(nodes.size());
   double total = 0;
   for (const auto& node : nodes) total += node.rate;
-  double handed_out = std::max(
-      rate * kMinHandedOut, std::min(rate * kMaxHandedOut, rate * kRateWithMargin - count / kMarginSeconds));
+  double allocated = std::max(
+      rate * kMinAllocated, std::min(rate * kMaxAllocated, rate * kRateWithMargin - count / kMarginSeconds));
   QuotaByNode quotas;
   for (const auto& node : nodes) {
     double share = total > 0 ? kEvenShare / count + (1 - kEvenShare) * node.rate / total : 1 / count;
-    quotas[node.node] = static_cast<uint32_t>(std::floor(share * handed_out * kMilli));
+    quotas[node.node] = static_cast<uint32_t>(std::floor(share * allocated * kMilli));
   }
   return quotas;
 }
 
-/// Whether some node is asked for more than its quota holds, and is to have more. While none is, nothing
-/// changes: no quota rises for a bound after one has fallen, and of many nodes some would always fall a
-/// little.
-bool is_change_needed(const QuotaByNode& wanted, const QuotaInput& input, const pb::RateQuotas& quotas) {
+/// Whether the demand at some node exceeds its quota and its target is higher. Otherwise nothing changes: no
+/// quota may rise for a bound after one has fallen, and with many nodes some would always fall a little.
+bool is_change_needed(const QuotaByNode& targets, const QuotaInput& input, const pb::RateQuotas& quotas) {
   if (quotas.rate() != static_cast<uint32_t>(input.rate)) return true;
-  return std::any_of(wanted.begin(), wanted.end(), [&](const auto& entry) {
-    const auto& [node, want] = entry;
+  return std::any_of(targets.begin(), targets.end(), [&](const auto& entry) {
+    const auto& [node, target] = entry;
     const auto found = quotas.milli_requests().find(node);
     if (found == quotas.milli_requests().end()) return true;
-    return want > found->second * (1 + kMinChange) &&
+    return target > found->second * (1 + kMinChange) &&
            input.demand.at(node) * kHeadroom * kMilli > found->second;
   });
 }
 
-/// Lowers what is far above what is wanted, or all of that when the rate itself has fallen.
-bool decrease(const QuotaByNode& wanted, int64_t rate, pb::RateQuotas& quotas) {
+/// Lowers quotas that are far above their target, or all that are above it if the rate itself has fallen.
+bool decrease(const QuotaByNode& targets, int64_t rate, pb::RateQuotas& quotas) {
   bool rate_fell = quotas.rate() > static_cast<uint32_t>(rate);
   bool decreased = false;
   auto before = quotas.milli_requests();
   auto& after = *quotas.mutable_milli_requests();
   for (const auto& [node, quota] : before) {
-    auto found = wanted.find(node);
-    uint32_t want = found == wanted.end() ? 0 : found->second;
-    if (want >= quota || (!rate_fell && want != 0 && want >= quota * (1 - kMinChange))) continue;
-    after[node] = want;
+    auto found = targets.find(node);
+    uint32_t target = found == targets.end() ? 0 : found->second;
+    if (target >= quota || (!rate_fell && target != 0 && target >= quota * (1 - kMinChange))) continue;
+    after[node] = target;
     decreased = true;
   }
   if (!decreased) return false;
@@ -83,26 +82,26 @@
   return true;
 }
 
-/// What so many nodes may have together, in thousandths: each may be early by one request.
-uint64_t most_handed_out(int64_t rate, size_t holders) {
+/// The most that `node_count` nodes may have together, in thousandths: each may be early by one request.
+uint64_t max_allocated(int64_t rate, size_t node_count) {
   const auto whole = static_cast<double>(rate);
-  const double with_margin = whole * kRateWithMargin - static_cast<double>(holders) / kMarginSeconds;
+  const double with_margin = whole * kRateWithMargin - static_cast<double>(node_count) / kMarginSeconds;
   return static_cast<uint64_t>(std::max(0.0, std::min(whole, with_margin)) * kMilli);
 }
 
-/// Raises what is far below what is wanted, as far as the rate allows.
-bool increase(const QuotaByNode& wanted, int64_t rate, pb::RateQuotas& quotas) {
+/// Raises quotas that are far below their target, as far as the rate allows.
+bool increase(const QuotaByNode& targets, int64_t rate, pb::RateQuotas& quotas) {
   auto& milli_requests = *quotas.mutable_milli_requests();
   uint64_t sum = 0;
   for (const auto& [node, quota] : milli_requests) sum += quota;
   bool increased = false;
-  for (const auto& [node, want] : wanted) {
+  for (const auto& [node, target] : targets) {
     auto found = milli_requests.find(node);
     uint32_t quota = found == milli_requests.end() ? 0 : found->second;
-    if (want <= quota * (1 + kMinChange)) continue;
-    const size_t holders = milli_requests.size() + (quota == 0);
-    const uint64_t limit = most_handed_out(rate, holders);
-    auto added = std::min<uint64_t>(want - quota, limit > sum ? limit - sum : 0);
+    if (target <= quota * (1 + kMinChange)) continue;
+    const size_t node_count = milli_requests.size() + (quota == 0);
+    const uint64_t limit = max_allocated(rate, node_count);
+    auto added = std::min<uint64_t>(target - quota, limit > sum ? limit - sum : 0);
     if (!added) continue;
     milli_requests[node] = static_cast<uint32_t>(quota + added);
     sum += added;
@@ -116,15 +115,15 @@
 
 QuotaStep next_quotas(const pb::RateQuotas& quotas, const QuotaInput& input) {
   QuotaStep step{quotas, QuotaChange::none};
-  auto wanted = wanted_quotas(input);
-  if (!is_change_needed(wanted, input, quotas)) return step;
-  // While something has fallen of late nothing may rise, and nothing else falls: each fall would put the rise
-  // off. Then what may rise goes first.
+  auto targets = target_quotas(input);
+  if (!is_change_needed(targets, input, quotas)) return step;
+  // For a bound after a decrease no quota may rise, and no other falls: each decrease would delay the next
+  // increase. After that, increases come first.
   const bool rate_fell = quotas.rate() > static_cast<uint32_t>(input.rate);
   const bool may_rise = input.since_decrease >= input.bound;
-  if (!rate_fell && may_rise && increase(wanted, input.rate, step.quotas))
+  if (!rate_fell && may_rise && increase(targets, input.rate, step.quotas))
     step.change = QuotaChange::increased;
-  else if ((rate_fell || may_rise) && decrease(wanted, input.rate, step.quotas))
+  else if ((rate_fell || may_rise) && decrease(targets, input.rate, step.quotas))
     step.change = QuotaChange::decreased;
   else
     return step;
--- a/src/link/pacer.cpp
+++ b/src/link/pacer.cpp
@@ -4,10 +4,10 @@
 
 namespace dunlinwing::link {
 namespace {
-// Of the link's rate; the rest is for packet headers and for what is not seen here.
+// Fraction of the link's rate; the rest is for packet headers and traffic that is not counted here.
 constexpr double kUsableShare = 0.9;
 constexpr double kMsPerSecond = 1000;
-// What the link carries in these times is a burst, and a part; but no less than a part is worth its overhead.
+// A burst and a part are what the link carries in these times; the minimum size bounds the overhead per part.
 constexpr double kBurstMs = 15;
 constexpr double kPartMs = 10;
 constexpr double kMinPartBytes = 4 << 10;
@@ -44,13 +44,13 @@
       tokens_(burst_),
       refilled_at_(clock.now()) {}
 
-Duration Pacer::time_alone(size_t bytes) const {
+Duration Pacer::uncontended_time(size_t bytes) const {
   if (rate_ <= 0) return Duration(0);
   return Duration(static_cast<int64_t>(static_cast<double>(bytes) / rate_ * kMsPerSecond));
 }
 
 TimePoint Pacer::completion(const Transfer& transfer) const {
-  return transfer.since + time_alone(transfer.remaining);
+  return transfer.since + uncontended_time(transfer.remaining);
 }
 
 void Pacer::refill(TimePoint now) {
@@ -59,7 +59,7 @@
   refilled_at_ = now;
 }
 
-void Pacer::take(TrafficClass traffic_class, size_t bytes) {
+void Pacer::take_tokens(TrafficClass traffic_class, size_t bytes) {
   counts_[index(traffic_class)].bytes += bytes;
   if (rate_ > 0) tokens_ -= static_cast<double>(bytes);
 }
@@ -76,11 +76,11 @@
                     const base::CancellationPtr& cancellation) {
   const TimePoint now = clock_.now();
   std::unique_lock lock(mutex_);
-  if (rate_ <= 0) return take(transfer.traffic_class, bytes), true;
+  if (rate_ <= 0) return take_tokens(transfer.traffic_class, bytes), true;
   refill(now);
   const TimePoint key = completion(transfer);
   if (tokens_ > 0 && (waiters_.empty() || key < waiters_.begin()->first))
-    return take(transfer.traffic_class, bytes), true;
+    return take_tokens(transfer.traffic_class, bytes), true;
   const auto place = waiters_.emplace(key, Waiter{transfer, tasks_.condition()});
   auto& counts = counts_[index(transfer.traffic_class)];
   ++counts.waits;
@@ -104,7 +104,7 @@
     refill(now);
     const bool is_first = place == waiters_.begin();
     if (is_first && tokens_ > 0) {
-      take(place->second.transfer.traffic_class, bytes);
+      take_tokens(place->second.transfer.traffic_class, bytes);
       return true;
     }
     const Duration wait = is_first ? std::min(time_until_tokens(), end - now) : end - now;
@@ -118,7 +118,7 @@
   const TimePoint now = clock_.now();
   const std::lock_guard lock(mutex_);
   refill(now);
-  take(traffic_class, bytes);
+  take_tokens(traffic_class, bytes);
 }
 
 void Pacer::refund(TrafficClass traffic_class, size_t bytes) {
--- a/src/membership/status_table.cpp
+++ b/src/membership/status_table.cpp
@@ -4,13 +4,14 @@
 
 namespace dunlinwing::membership {
 namespace {
-constexpr int kSessionsRemembered = 20;  // for as long a node that is gone is still listed
+constexpr int kSessionsRemembered = 20;  // how long a node that is gone is still listed
 
 std::tuple<uint64_t, uint64_t> order(const pb::StatusVersion& version) {
   return {version.incarnation(), version.count()};
 }
 
-/// Takes a heartbeat that is later than the known one, or the same but younger. An announced end stays.
+/// Merges a heartbeat that is later than the known one, or the same with a lower age. An announced shutdown
+/// is never cleared.
 void merge_heartbeat(const pb::Heartbeat& heartbeat, Duration age, BackendInstanceStatus& instance) {
   auto& known = instance.heartbeat;
   bool leaving = known.leaving() || heartbeat.leaving();
@@ -33,7 +34,7 @@
   bool known = !entry.status.source().empty();
   if (known && !is_newer(status.version(), entry.status.version())) return false;
   entry.status = status;
-  entry.stated_at = now - Duration(static_cast<int64_t>(status.age_ms()));
+  entry.reported_at = now - Duration(static_cast<int64_t>(status.age_ms()));
   return true;
 }
 
@@ -43,7 +44,7 @@
     auto version = known.find(source);
     if (version != known.end() && !is_newer(entry.status.version(), version->second)) continue;
     statuses.push_back(entry.status);
-    statuses.back().set_age_ms(static_cast<uint64_t>((now - entry.stated_at).count()));
+    statuses.back().set_age_ms(static_cast<uint64_t>((now - entry.reported_at).count()));
   }
   return statuses;
 }
@@ -63,7 +64,7 @@
   return latest;
 }
 
-void StatusTable::note_known_versions(const KnownVersions& known_to_requester, TimePoint now) {
+void StatusTable::record_requester_versions(const KnownVersions& known_to_requester, TimePoint now) {
   for (const auto& [source, version] : known_to_requester) {
     auto known = known_version(source);
     if (!known || is_newer(version, *known)) {
@@ -72,28 +73,28 @@
     }
     auto noted = requester_versions_.find(source);
     if (noted != requester_versions_.end() && !is_newer(noted->second.version, version))
-      noted->second.noted_at = now;
+      noted->second.recorded_at = now;
   }
 }
 
-std::vector<Member> StatusTable::all(TimePoint now) const {
+std::vector<Member> StatusTable::all_nodes(TimePoint now) const {
   std::vector<Member> nodes;
   for (const auto& [source, entry] : entries_)
-    nodes.push_back({source, entry.status.node(), now - entry.stated_at});
+    nodes.push_back({source, entry.status.node(), now - entry.reported_at});
   return nodes;
 }
 
 std::vector<Member> StatusTable::members(TimePoint now) const {
   std::vector<Member> members;
-  for (auto& node : all(now))
+  for (auto& node : all_nodes(now))
     if (node.age < session_ && !node.info.leaving()) members.push_back(std::move(node));
   return members;
 }
 
-std::map<std::string, pb::NodeStatus> StatusTable::latest(TimePoint now) const {
+std::map<std::string, pb::NodeStatus> StatusTable::live_statuses(TimePoint now) const {
   std::map<std::string, pb::NodeStatus> statuses;
   for (const auto& [source, entry] : entries_)
-    if (now - entry.stated_at < session_) statuses[source] = entry.status;
+    if (now - entry.reported_at < session_) statuses[source] = entry.status;
   return statuses;
 }
 
@@ -101,7 +102,7 @@
   std::map<std::string, BackendInstanceStatus> instances;
   for (const auto& [source, entry] : entries_)
     for (const auto& heartbeat : entry.status.heartbeats()) {
-      Duration age = now - entry.stated_at + Duration(static_cast<int64_t>(heartbeat.age_ms()));
+      Duration age = now - entry.reported_at + Duration(static_cast<int64_t>(heartbeat.age_ms()));
       merge_heartbeat(heartbeat, age, instances[heartbeat.instance()]);
     }
   for (auto& [name, instance] : instances) {
@@ -112,15 +113,15 @@
   return instances;
 }
 
-void StatusTable::forget(TimePoint now) {
+void StatusTable::remove_expired(TimePoint now) {
   std::erase_if(entries_, [&](const auto& entry) {
-    return now - entry.second.stated_at > session_ * kSessionsRemembered;
+    return now - entry.second.reported_at > session_ * kSessionsRemembered;
   });
   std::erase_if(requester_versions_, [&](const auto& noted) {
     auto entry = entries_.find(noted.first);
     bool known_here =
         entry != entries_.end() && !is_newer(noted.second.version, entry->second.status.version());
-    return known_here || now - noted.second.noted_at > session_ * kSessionsRemembered;
+    return known_here || now - noted.second.recorded_at > session_ * kSessionsRemembered;
   });
 }
 
--- a/src/node/application.cpp
+++ b/src/node/application.cpp
@@ -11,13 +11,13 @@
 namespace dunlinwing::node {
 namespace {
 constexpr base::Log logger("relay");
-constexpr size_t kResponseBodyBytes = 16U << 20;  // of a backend instance's response, at most
-constexpr Duration kForwardCheck(1000);           // how soon a wait for a forwarded request begins anew
+constexpr size_t kResponseBodyBytes = 16U << 20;  // limit of a backend instance's response
+constexpr Duration kForwardCheck(1000);  // at most between two checks whether a forwarded request is done
 
 bool is_for_platform(const Settings& settings) { return settings.protocol_adapter == "platform"; }
 }  // namespace
 
-/// The signals that the process heeds.
+/// The signals that the process handles.
 struct Application::Signals {
   boost::asio::signal_set stop;
   boost::asio::signal_set reload;
@@ -43,7 +43,7 @@
     : settings_(std::move(settings)),
       command_line_(std::move(command_line)),
       pool_(settings_.threads),
-      sockets_(share_sockets(settings_.max_sockets, !settings_.data_directory.empty())),
+      sockets_(make_socket_budget(settings_.max_sockets, !settings_.data_directory.empty())),
       link_(clock_, pool_, settings_.node.link_mbps),
       peer_client_(sockets_.peers_called, &link_),
       http_client_(kResponseBodyBytes, sockets_.upstream_idle, &link_),
@@ -54,8 +54,8 @@
 std::optional<std::string> Application::prepare() {
   NodeConfig& config = settings_.node;
   if (config.scale > 1)
-    logger.warn("{}: HOLDS ARE DIVIDED BY {}. This is for trials, never for real machines.", config.name,
-                config.scale);
+    logger.warn("{}: ROLLOUT HOLD TIMES ARE DIVIDED BY {}. For tests only, never for production.",
+                config.name, config.scale);
   if (auto error = open_disk()) return error;
   if (is_for_platform(settings_)) config.protocol_adapter = platform::protocol_adapter();
   node_ = std::make_unique<Node>(ports_, config, disk_.get());
@@ -98,19 +98,19 @@
 
 software::StagerPorts Application::stager_ports() {
   software::StagerPorts ports;
-  ports.wanted = [this] { return node_->wanted_software(); };
+  ports.pending_software = [this] { return node_->pending_software(); };
   ports.report_error = [this](const std::string& error) { node_->report_software_error(error); };
   ports.is_healthy = [this] {
     return node_->state_cache().has_read_lease() &&
            (node_->ready() || !node_->request_handler().snapshot()->configuration);
   };
-  ports.too_many_restarting = [this] { return too_many_restarting(); };
+  ports.too_many_unavailable = [this] { return too_many_unavailable(); };
   ports.terminate = [this](int status) { stop(status); };
   return ports;
 }
 
-// At most a third of the nodes may be out at once.
-bool Application::too_many_restarting() {
+// At most a third of the nodes may be unavailable at once.
+bool Application::too_many_unavailable() {
   const size_t members = node_->state_cache().statuses().members(clock_.now()).size();
   const auto snapshot = node_->request_handler().snapshot();
   return members * 3 < static_cast<size_t>(snapshot->nodes) * 2;
@@ -140,7 +140,8 @@
   return response;
 }
 
-// Forwarded requests are traffic: they run on a traffic thread, not on control's. Suspends the calling fiber.
+// Runs a forwarded request on a traffic thread, not on the control thread, since it is client traffic.
+// Suspends the calling fiber.
 pb::ForwardResponse Application::forward_on_traffic_thread(const pb::ForwardRequest& forward,
                                                            const base::CancellationPtr& cancellation) {
   const auto condition = pool_.condition();
@@ -156,7 +157,7 @@
   return std::move(*response);
 }
 
-// The limits of clients' connections are those of the configuration in force.
+// Applies the client connection limits of the active configuration whenever it changes.
 void Application::follow_client_limits() {
   std::shared_ptr<const config::RoutingConfiguration> applied;
   for (;; clock_.sleep(settings_.node.bound / 8)) {
@@ -178,8 +179,9 @@
 
 void Application::run() {
   const NodeConfig& config = settings_.node;
-  logger.info("{}: relay {} in zone {}; clients {}, control {}, peers {}.", config.name, kSoftware,
-              config.zone, settings_.client_address, settings_.control_address, config.peer_address);
+  logger.info("{}: relay {} starting in zone {}; clients at {}, control API at {}, peers at {}.", config.name,
+              kSoftware, config.zone, settings_.client_address, settings_.control_address,
+              config.peer_address);
   pool_.run([this] {
     node_->start();
     artifacts_->start();
--- a/src/node/heartbeat_table.cpp
+++ b/src/node/heartbeat_table.cpp
@@ -2,21 +2,21 @@
 
 namespace dunlinwing::node {
 namespace {
-// For how long an instance is reported after its last heartbeat: long after it counts as gone, so that no
-// late report of another node brings it back.
-constexpr int kReportedPeriods = 20;  // of its own heartbeats, and
+// An instance is reported for this many heartbeat periods plus this many bounds after its last heartbeat:
+// long after it counts as gone, so that a late report of another node does not revive it.
+constexpr int kReportedPeriods = 20;
 constexpr int kReportedBounds = 10;
 
-bool says_the_same(const pb::Heartbeat& known, const pb::Heartbeat& heartbeat) {
-  return known.sequence() > 0 && known.address() == heartbeat.address() &&
-         known.service() == heartbeat.service() && known.version() == heartbeat.version() &&
-         known.leaving() == heartbeat.leaving();
+bool has_same_content(const pb::Heartbeat& stored, const pb::Heartbeat& heartbeat) {
+  return stored.sequence() > 0 && stored.address() == heartbeat.address() &&
+         stored.service() == heartbeat.service() && stored.version() == heartbeat.version() &&
+         stored.leaving() == heartbeat.leaving();
 }
 }  // namespace
 
 bool HeartbeatTable::record(const pb::Heartbeat& heartbeat, TimePoint now) {
   Entry& entry = entries_[heartbeat.instance()];
-  const bool same = says_the_same(entry.heartbeat, heartbeat);
+  const bool same = has_same_content(entry.heartbeat, heartbeat);
   if (heartbeat.sequence() >= entry.heartbeat.sequence()) {
     const bool was_leaving = entry.heartbeat.leaving();
     entry = {heartbeat, now};
--- a/src/proxy/cached_request_handler.cpp
+++ b/src/proxy/cached_request_handler.cpp
@@ -16,17 +16,17 @@
   });
 }
 
-// A response to GET, as the response to HEAD.
-void shape_head(base::Response& response, const base::Request& request) {
+// Turns a response to GET into one to HEAD if the request's method is HEAD.
+void apply_head_method(base::Response& response, const base::Request& request) {
   if (request.method != "HEAD") return;
   response.headers.emplace_back("Content-Length", std::to_string(response.body.size()));
   response.body.clear();
 }
 
-// A cached response as the response to this request: with its age, reduced to the range that was asked for,
-// or only confirmed when the client has the same already.
-base::Response shape_cached(const cache::CachedResponse& cached, const base::Request& request, TimePoint now,
-                            bool with_age) {
+// Builds the response to a request from a cached response: with its age, reduced to the requested range, or
+// as 304 if the request's If-None-Match names the cached entity tag.
+base::Response make_cached_response(const cache::CachedResponse& cached, const base::Request& request,
+                                    TimePoint now, bool with_age) {
   const auto known_tag = base::header(request.headers, "If-None-Match");
   const auto range = base::header(request.headers, "Range");
   base::Response response{cached.response.status, cached.response.headers, {}};
@@ -48,12 +48,12 @@
         "Content-Range", fmt::format("bytes {}-{}/{}", part.first, part.first + part.size - 1, whole_size));
   }
   response.body = cached.response.body.substr(part.first, part.size);
-  shape_head(response, request);
+  apply_head_method(response, request);
   return response;
 }
 
-// No part of a key can hold the line break that separates them. The host counts also where the route takes
-// any: an object of one host is not another's.
+// The parts cannot contain the line break that separates them. The host is part of the key even if the route
+// accepts any host: objects of different hosts are distinct.
 std::string cache_key(const RequestContext& context) {
   auto host = base::header(context.request.headers, "Host");
   std::transform(host.begin(), host.end(), host.begin(),
@@ -61,7 +61,7 @@
   return context.service->name + "\n" + host + "\n" + context.request.target;
 }
 
-// The request for the whole object.
+// The request for the complete object.
 RequestContext whole_object_request(const RequestContext& context) {
   RequestContext whole = context;
   whole.request.method = "GET";
@@ -69,17 +69,17 @@
   return whole;
 }
 
-// Whether whoever waits for a fetch that came to this would be rejected alike. A rejection for want of time
-// is the one request's own.
+// Whether a fetch's rejection applies to all requests that wait for it. A rejection because of a deadline or
+// latency target applies only to the request that was rejected.
 bool is_shared_rejection(const RequestOutcome& outcome) {
-  return outcome.execution_status == ExecutionStatus::not_executed &&
+  return outcome.reported_execution == ReportedExecution::not_executed &&
          outcome.execution_state == ExecutionState::not_sent && !outcome.superseded &&
          (outcome.reason == RejectionReason::rate_limited ||
           outcome.reason == RejectionReason::shield_rejected ||
           outcome.reason == RejectionReason::link_saturated);
 }
 
-// Ends a fetch at the end of the scope, with what it came to for others.
+// Finishes a fetch at the end of the scope and passes its result to the waiting requests.
 class FetchGuard {
  public:
   FetchGuard(cache::Cache& cache, std::string key, std::shared_ptr<cache::Cache::Fetch> fetch)
@@ -88,13 +88,13 @@
   FetchGuard(const FetchGuard&) = delete;
   FetchGuard& operator=(const FetchGuard&) = delete;
 
-  void share(cache::FetchEnd end) { end_ = std::move(end); }
+  void share(cache::SharedFetchResult end) { end_ = std::move(end); }
 
  private:
   cache::Cache& cache_;
   std::string key_;
   std::shared_ptr<cache::Cache::Fetch> fetch_;
-  cache::FetchEnd end_;
+  cache::SharedFetchResult end_;
 };
 }  // namespace
 
@@ -107,38 +107,40 @@
       rules_(node_),
       shield_client_(node_, upstream_client, counters) {}
 
-// @param held          a response that is to be confirmed if it is still the current one; may be null
-// @param cancellation  of the fetch, for which more than this request may wait
+// @param stored        a cached response to revalidate; may be null
+// @param cancellation  of the fetch, for which other requests may wait too
 FetchResult CachedRequestHandler::fetch(const RequestContext& context, const std::string& key,
-                                        const cache::CachedResponsePtr& held,
+                                        const cache::CachedResponsePtr& stored,
                                         const base::CancellationPtr& cancellation) {
   ++counters_.cache_fetches;
   RequestContext whole = whole_object_request(context);
   whole.request.cancellation = cancellation;
   if (!context.is_forwarded)
-    if (auto result = shield_client_.fetch(whole, key, held)) return std::move(*result);
-  return fetch_from_backend(whole, rules_.may_be_confirmed(held, whole) ? held : nullptr);
+    if (auto result = shield_client_.fetch(whole, key, stored)) return std::move(*result);
+  return fetch_from_backend(whole, rules_.can_be_revalidated(stored, whole) ? stored : nullptr);
 }
 
 FetchResult CachedRequestHandler::fetch_from_backend(const RequestContext& context,
-                                                     const cache::CachedResponsePtr& held) {
+                                                     const cache::CachedResponsePtr& stored) {
   const auto entry = rules_.begin_entry(context);
   RequestContext conditional = context;
-  if (held)
-    conditional.request.headers.emplace_back("If-None-Match", base::header(held->response.headers, "ETag"));
+  if (stored)
+    conditional.request.headers.emplace_back("If-None-Match", base::header(stored->response.headers, "ETag"));
   auto result = upstream_client_.execute(conditional);
-  if (context.is_retry) result.execution = ExecutionState::possibly_executed;  // by the earlier way
-  if (result.outcome != UpstreamOutcome::responded) return {outcomes_.from(std::move(result)), nullptr};
-  const bool confirmed = held && confirms(result.response, held->response);
+  if (context.is_retry) result.execution_state = ExecutionState::possibly_executed;  // on an earlier path
+  if (result.outcome != UpstreamOutcome::responded)
+    return {outcomes_.from_upstream(std::move(result)), nullptr};
+  const bool confirmed = stored && revalidates(result.response, stored->response);
   counters_.confirmed += confirmed;
-  if (confirmed) result.response = refreshed(held->response, result.response);
+  if (confirmed) result.response = refreshed(stored->response, result.response);
   auto lifetime = context.route->cache_lifetime > Duration(0)
                       ? cache::configured_lifetime(result.response, context.route->cache_lifetime)
                       : cache::response_lifetime(context.request, result.response);
   entry->generated_at -= cache::age_header(result.response);
   entry->version = result.version;
   entry->tags = node_.adapter.cache_tags(result.response);
-  auto response = confirmed ? std::move(result.response) : outcomes_.from(std::move(result)).response;
+  auto response =
+      confirmed ? std::move(result.response) : outcomes_.from_upstream(std::move(result)).response;
   if (!lifetime) return {{std::move(response)}, nullptr};
   entry->response = std::move(response);
   entry->lifetime = *lifetime;
@@ -147,14 +149,14 @@
 
 RequestOutcome CachedRequestHandler::respond_from_cache(const cache::CachedResponsePtr& cached,
                                                         const RequestContext& context) {
-  // A lifetime that the route states is not the origin's, so an age would say nothing to the client.
+  // A lifetime configured for the route is not the origin's, so an Age header would mislead the client.
   const bool with_age = context.route->cache_lifetime <= Duration(0);
-  RequestOutcome outcome{shape_cached(*cached, context.request, node_.ports.clock.now(), with_age)};
+  RequestOutcome outcome{make_cached_response(*cached, context.request, node_.ports.clock.now(), with_age)};
   outcome.cached = cached;
   return outcome;
 }
 
-// When to come back, if the link cannot carry a body of this size in a time that is of use to the client.
+// The Retry-After delay if the link cannot carry a body of this size in time for the client.
 std::optional<Duration> CachedRequestHandler::link_retry_after(const RequestContext& context, size_t bytes,
                                                                bool is_fetched) const {
   const auto* link = node_.ports.link;
@@ -165,33 +167,33 @@
   const TimePoint now = node_.ports.clock.now();
   if (context.route->latency_target <= Duration(0))
     return now + total > context.start_deadline() ? std::optional(total) : std::nullopt;
-  const Duration alone = link->outbound.time_alone(bytes);
+  const Duration alone = link->outbound.uncontended_time(bytes);
   return overload_retry_after(*context.route, {total, std::max(total - alone, Duration(0))},
                               context.deadline - now);
 }
 
-// Half of the request's time is for the other's fetch, half for one of its own: what the other got may be for
-// that request alone.
+// Half of the request's time budget is for the other request's fetch, half for a fetch by this one: the
+// other's response may not be shareable.
 RequestOutcome CachedRequestHandler::await_other_fetch(const RequestContext& context, const std::string& key,
-                                                       const cache::CachedResponsePtr& held,
+                                                       const cache::CachedResponsePtr& stored,
                                                        const std::shared_ptr<cache::Cache::Fetch>& fetch) {
   const auto end =
       cache_.await_fetch(fetch, node_.ports.tasks.condition(),
                          std::max<Duration>(context.start_deadline() - node_.ports.clock.now(), Duration(0)),
                          context.request.cancellation);
-  if (context.client_has_left()) return outcomes_.abandoned();
+  if (context.client_has_disconnected()) return outcomes_.abandoned();
   if (end && end->rejected) return outcomes_.rejected(503, RejectionReason::fetch_rejected, end->retry_after);
   if (!end || !rules_.is_usable(end->cached, context, node_.ports.clock.now()))
-    return respond(context, key, this->fetch(context, key, held, context.request.cancellation));
+    return respond(context, key, this->fetch(context, key, stored, context.request.cancellation));
   ++counters_.cache_hits;
   return respond_from_cache(end->cached, context);
 }
 
-// The response out of what was fetched, which is kept if it may be.
+// Builds the response from a fetch's result, and caches the result if that is allowed.
 RequestOutcome CachedRequestHandler::respond(const RequestContext& context, const std::string& key,
                                              FetchResult fetched) {
   if (!fetched.cached) {
-    shape_head(fetched.outcome.response, context.request);
+    apply_head_method(fetched.outcome.response, context.request);
     return std::move(fetched.outcome);
   }
   cache_.put(key, fetched.cached,
@@ -201,23 +203,23 @@
 
 RequestOutcome CachedRequestHandler::handle(const RequestContext& context) {
   const auto key = cache_key(context);
-  const auto held = cache_.find(key);
-  const bool usable = rules_.is_usable(held, context, node_.ports.clock.now());
-  if (auto retry_after = link_retry_after(context, held ? held->response.body.size() : 0, !held))
+  const auto stored = cache_.find(key);
+  const bool usable = rules_.is_usable(stored, context, node_.ports.clock.now());
+  if (auto retry_after = link_retry_after(context, stored ? stored->response.body.size() : 0, !stored))
     return outcomes_.rejected(503, RejectionReason::link_saturated, *retry_after);
   if (usable) {
     ++counters_.cache_hits;
-    return respond_from_cache(held, context);
+    return respond_from_cache(stored, context);
   }
   auto fetch_key = fmt::format("{}|{}|{}", key, context.configuration->name,
                                purge_number(*node_.snapshot(), context.service->name));
   const auto joined = cache_.join_fetch(fetch_key);
   const auto& fetch_under_way = joined.fetch;
-  if (!joined.leads) return await_other_fetch(context, key, held, fetch_under_way);
+  if (!joined.must_fetch) return await_other_fetch(context, key, stored, fetch_under_way);
   FetchGuard guard(cache_, std::move(fetch_key), fetch_under_way);
   const base::CancellationSubscription leaving(context.request.cancellation,
                                                [&] { cache_.leave_fetch(fetch_under_way); });
-  auto fetched = fetch(context, key, held, cache::Cache::cancellation(fetch_under_way));
+  auto fetched = fetch(context, key, stored, cache::Cache::cancellation(fetch_under_way));
   guard.share(
       {fetched.cached, !fetched.cached && is_shared_rejection(fetched.outcome), fetched.outcome.retry_after});
   return respond(context, key, std::move(fetched));
--- a/src/proxy/cached_response_rules.cpp
+++ b/src/proxy/cached_response_rules.cpp
@@ -4,11 +4,11 @@
 
 namespace dunlinwing::proxy {
 namespace {
-// The last part of a lifetime, in which a shield fetches anew for others and no longer hands its own copy on.
-constexpr int kRefreshPart = 8;
+// In the last 1/8 of a lifetime a shield fetches the object again for other nodes and does not send its copy.
+constexpr int kRefreshDivisor = 8;
 constexpr int kOk = 200;
 constexpr int kNotModified = 304;
-constexpr std::string_view kWeakPrefix = "W/";  // such a tag does not promise the same bytes
+constexpr std::string_view kWeakPrefix = "W/";  // weak tags do not guarantee identical bytes
 
 std::string strong_tag(const base::Response& response) {
   auto tag = base::header(response.headers, "ETag");
@@ -26,7 +26,7 @@
 bool CachedResponseRules::is_purged(const cache::CachedResponse& cached,
                                     const RequestContext& context) const {
   const PurgeTarget target{context.service->name, context.host, context.request.target, &cached.tags};
-  return purged(*node_.snapshot(), target, cached.purge_number);
+  return is_purged_since(*node_.snapshot(), target, cached.purge_number);
 }
 
 bool CachedResponseRules::is_usable(const cache::CachedResponsePtr& cached, const RequestContext& context,
@@ -34,17 +34,17 @@
   if (!cached) return false;
   if (is_superseded(*node_.snapshot(), context.entry_node, context.generation)) return false;
   const Duration lifetime = std::min(cached->lifetime, configured_lifetime(context));
-  // A copy for another node has to be of use there after the way, and longer than the copy that has just
-  // ended.
-  const Duration usable_for = context.is_forwarded ? lifetime - lifetime / kRefreshPart : lifetime;
+  // A copy sent to another node must still be fresh after the transfer, and stay fresh longer than the copy
+  // that has just expired there.
+  const Duration usable_for = context.is_forwarded ? lifetime - lifetime / kRefreshDivisor : lifetime;
   return now - cached->generated_at < usable_for && !is_quarantined(*cached, context) &&
          !is_purged(*cached, context) && node_.has_read_lease();
 }
 
-bool CachedResponseRules::may_be_confirmed(const cache::CachedResponsePtr& held,
-                                           const RequestContext& context) const {
-  return held && held->response.status == kOk && !strong_tag(held->response).empty() &&
-         !is_quarantined(*held, context);
+bool CachedResponseRules::can_be_revalidated(const cache::CachedResponsePtr& stored,
+                                             const RequestContext& context) const {
+  return stored && stored->response.status == kOk && !strong_tag(stored->response).empty() &&
+         !is_quarantined(*stored, context);
 }
 
 std::shared_ptr<cache::CachedResponse> CachedResponseRules::begin_entry(const RequestContext& context) const {
@@ -60,14 +60,14 @@
                                                      : Duration(context.service->cache_lifetime_s * 1000);
 }
 
-bool confirms(const base::Response& response, const base::Response& held) {
-  return response.status == kNotModified && !strong_tag(held).empty() &&
-         base::header(response.headers, "ETag") == strong_tag(held);
+bool revalidates(const base::Response& response, const base::Response& stored) {
+  return response.status == kNotModified && !strong_tag(stored).empty() &&
+         base::header(response.headers, "ETag") == strong_tag(stored);
 }
 
-// Nothing else is taken over: what names the body's maker stays as it came with the body.
-base::Response refreshed(const base::Response& held, const base::Response& confirmation) {
-  base::Response response = held;
+// No other header is taken from the 304: headers that identify the instance which generated the body stay.
+base::Response refreshed(const base::Response& stored, const base::Response& confirmation) {
+  base::Response response = stored;
   for (const char* name : {"Age", "Cache-Control", "Date", "Expires"}) {
     std::erase_if(response.headers,
                   [&](const auto& header) { return base::equals_ignore_case(header.name, name); });
--- a/src/proxy/forwarded_request_handler.cpp
+++ b/src/proxy/forwarded_request_handler.cpp
@@ -6,15 +6,15 @@
 namespace {
 constexpr int kNotModified = 304;
 
-pb::ForwardResponse refuse_forwarded(const char* reason) {
+pb::ForwardResponse reject_forwarded(const char* reason) {
   pb::ForwardResponse response;
   response.set_not_executed(true);
   response.set_reason(reason);
   return response;
 }
 
-// In place of a confirmation that may not be used: who asked has nothing to put under it then.
-void set_whole(pb::ForwardResponse& response, const base::Response& whole) {
+// Replaces a 304 by the complete response: the forwarding node accepts a 304 only if it is cacheable.
+void set_full_response(pb::ForwardResponse& response, const base::Response& whole) {
   response.set_status(static_cast<uint32_t>(whole.status));
   response.set_body(whole.body);
 }
@@ -22,10 +22,10 @@
 void set_outcome(pb::ForwardResponse& response, const RequestOutcome& outcome) {
   const bool possibly_sent = outcome.execution_state != ExecutionState::not_sent;
   response.set_status(static_cast<uint32_t>(outcome.response.status));
-  response.set_not_executed(outcome.execution_status == ExecutionStatus::not_executed && !possibly_sent);
+  response.set_not_executed(outcome.reported_execution == ReportedExecution::not_executed && !possibly_sent);
   response.set_rejected(response.not_executed() && !outcome.superseded);
   response.set_retry_after_ms(static_cast<uint64_t>(outcome.retry_after.count()));
-  response.set_outcome_unknown(outcome.execution_status == ExecutionStatus::unknown || possibly_sent);
+  response.set_outcome_unknown(outcome.reported_execution == ReportedExecution::unknown || possibly_sent);
   for (const auto& [name, value] : outcome.response.headers) {
     auto* header = response.add_headers();
     header->set_name(name);
@@ -34,15 +34,15 @@
   response.set_body(outcome.response.body);
 }
 
-// Whether the node that forwards the request knows of a purge of its service that this one does not.
+// Whether the forwarding node knows a purge of the request's service that this node does not.
 bool lacks_purge(const RoutingSnapshot& current, const pb::ForwardRequest& forward) {
   const uint64_t known_there = forward.known_purge_number();
   return min_purge_number(purge_number(current, forward.service()), known_there) != known_there;
 }
 
-// The configuration under which a forwarded request is handled: the one it names, or, where configurations
-// are numbered, the one in force here. The entry node has decided under its own that the service gets the
-// request; that the one here lets it too is looked at with its route.
+// The configuration for a forwarded request: the one that the request names, or, with numbered
+// configurations, the one in force here. The entry node has chosen the service under its own configuration;
+// route() checks that the configuration here allows that service too.
 std::shared_ptr<const config::RoutingConfiguration> configuration_for(const pb::ForwardRequest& forward,
                                                                       const RoutingSnapshot& current) {
   if (current.configuration_number) return current.configuration;
@@ -87,7 +87,7 @@
   context.request.id = node_.adapter.read_identity(context.request, node_.ports.random).id;
   const auto host = base::header(context.request.headers, "Host");
   context.route = configuration->match("GET", host, forward.target()).route;
-  if (!context.route || !context.route->leads_to(forward.service()))
+  if (!context.route || !context.route->sends_to(forward.service()))
     return "the configuration has no such route";
   context.host = context.route->host;
   return context;
@@ -102,7 +102,7 @@
                                                     const base::CancellationPtr& cancellation) {
   const auto current = node_.snapshot();
   auto routed = route(forward, current);
-  if (const auto* reason = std::get_if<const char*>(&routed)) return refuse_forwarded(*reason);
+  if (const auto* reason = std::get_if<const char*>(&routed)) return reject_forwarded(*reason);
   auto& context = std::get<RequestContext>(routed);
   context.request.cancellation = cancellation;
   if (!context.is_retry) upstream_client_.record_forwarded(context.service->name);
@@ -114,9 +114,10 @@
     set_cached(response, *outcome.cached);
   } else {
     response.set_purge_number(purge_number(*current, forward.service()));
-    if (response.status() == kNotModified && outcome.cached) set_whole(response, outcome.cached->response);
+    if (response.status() == kNotModified && outcome.cached)
+      set_full_response(response, outcome.cached->response);
   }
-  hold_back_rest(response, forward.max_body_bytes());
+  move_rest_to_transfer(response, forward.max_body_bytes());
   return response;
 }
 
@@ -130,8 +131,8 @@
   response.set_body_bytes(cached.response.body.size());
 }
 
-// Leaves only the first part of a long body in the response.
-void ForwardedRequestHandler::hold_back_rest(pb::ForwardResponse& response, uint64_t max_bytes) {
+// Leaves only the first part of a long body in the response and begins a transfer for the rest.
+void ForwardedRequestHandler::move_rest_to_transfer(pb::ForwardResponse& response, uint64_t max_bytes) {
   if (!max_bytes || response.body().size() <= max_bytes) return;
   auto body = std::make_shared<const std::string>(std::move(*response.mutable_body()));
   response.set_body(body->substr(0, max_bytes));
--- a/src/proxy/request_outcome.cpp
+++ b/src/proxy/request_outcome.cpp
@@ -3,8 +3,8 @@
 namespace dunlinwing::proxy {
 namespace {
 constexpr uint64_t kMinRetrySpreadMs = 100;
-// The status, widely used though in no standard, for a client that closed its connection. Whoever only closed
-// its sending side may still read it.
+// The non-standard but widely used status for a client that closed its connection. A client that closed only
+// its sending side can still receive it.
 constexpr int kClientClosedRequest = 499;
 }  // namespace
 
@@ -14,8 +14,8 @@
     spread = retry_after +
              Duration(ports.random.below(static_cast<uint64_t>(retry_after.count()) + kMinRetrySpreadMs));
   RequestOutcome outcome{
-      adapter.local_response(status, describe(reason), ExecutionStatus::not_executed, spread),
-      ExecutionStatus::not_executed};
+      adapter.local_response(status, describe(reason), ReportedExecution::not_executed, spread),
+      ReportedExecution::not_executed};
   outcome.reason = reason;
   outcome.retry_after = retry_after;
   return outcome;
@@ -23,19 +23,19 @@
 
 RequestOutcome OutcomeBuilder::abandoned() const {
   RequestOutcome outcome{
-      adapter.local_response(kClientClosedRequest, "the client has left", ExecutionStatus::unknown, {})};
+      adapter.local_response(kClientClosedRequest, "the client has left", ReportedExecution::unknown, {})};
   outcome.abandoned = true;
   return outcome;
 }
 
 RequestOutcome OutcomeBuilder::unknown(RejectionReason reason) const {
-  RequestOutcome outcome{adapter.local_response(502, describe(reason), ExecutionStatus::unknown, {}),
-                         ExecutionStatus::unknown};
+  RequestOutcome outcome{adapter.local_response(502, describe(reason), ReportedExecution::unknown, {}),
+                         ReportedExecution::unknown};
   outcome.reason = reason;
   return outcome;
 }
 
-RequestOutcome OutcomeBuilder::from(UpstreamResult&& result) const {
+RequestOutcome OutcomeBuilder::from_upstream(UpstreamResult&& result) const {
   RequestOutcome outcome;
   if (result.outcome == UpstreamOutcome::responded) {
     adapter.strip_internal_headers(result.response);
@@ -49,7 +49,7 @@
   }
   outcome.retry_after = result.retry_after;
   outcome.superseded = result.outcome == UpstreamOutcome::superseded;
-  outcome.execution_state = result.execution;
+  outcome.execution_state = result.execution_state;
   return outcome;
 }
 
--- a/src/proxy/routing_snapshot.cpp
+++ b/src/proxy/routing_snapshot.cpp
@@ -6,7 +6,7 @@
 
 namespace dunlinwing::proxy {
 namespace {
-// The two counts within a number of purge_number().
+// The two counts within a result of purge_number().
 constexpr uint64_t kServiceCountMask = 0xffffffff;
 constexpr int kAllServicesShift = 32;
 
@@ -14,14 +14,14 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// Whether the configuration and the recorded state let a version serve at all.
+// Whether the configuration and the recorded state allow a version to serve requests.
 bool is_allowed(const config::ServiceConfiguration& service, const pb::ServiceState* state,
                 const std::string& version) {
   return !version.empty() && (service.versions.empty() || contains(service.versions, version)) &&
          !(state && state->quarantined().count(version));
 }
 
-// The first version that the configuration names, for a service without a current version; empty: none.
+// The first allowed version in the configuration, for a service without a current version; empty: none.
 std::string configured_version(const config::ServiceConfiguration& service, const pb::ServiceState* state) {
   for (const auto& version : service.versions)
     if (is_allowed(service, state, version) && !(state && state->canary() == version)) return version;
@@ -41,7 +41,7 @@
   return purge.kind() == "tag" && response.tags && contains(*response.tags, purge.path());
 }
 
-bool is_named(const pb::PurgeSet& purges, const PurgeTarget& response, uint64_t since) {
+bool matches_any(const pb::PurgeSet& purges, const PurgeTarget& response, uint64_t since) {
   if (purges.number() <= since) return false;
   const auto path = response.target.substr(0, response.target.find('?'));
   for (const auto& purge : purges.purges()) {
@@ -74,7 +74,7 @@
     eligible.open.push_back(state->canary());
     return eligible;
   }
-  // Once a version is current, a configuration that leaves it out brings no other into service.
+  // Once a version is current, a configuration that does not list it does not put another into service.
   bool has_current = state && !state->current().empty();
   std::string preferred = has_current && allowed(state->current()) ? state->current() : std::string();
   if (!has_current) preferred = configured_version(service, state);
@@ -107,11 +107,11 @@
          (std::min(first >> kAllServicesShift, second >> kAllServicesShift) << kAllServicesShift);
 }
 
-bool purged(const RoutingSnapshot& snapshot, const PurgeTarget& response, uint64_t since) {
+bool is_purged_since(const RoutingSnapshot& snapshot, const PurgeTarget& response, uint64_t since) {
   const auto* own = find_purges(snapshot, std::string(response.service));
   const auto* all = find_purges(snapshot, kAllServices);
-  return (own && is_named(*own, response, since & kServiceCountMask)) ||
-         (all && is_named(*all, response, since >> kAllServicesShift));
+  return (own && matches_any(*own, response, since & kServiceCountMask)) ||
+         (all && matches_any(*all, response, since >> kAllServicesShift));
 }
 
 }  // namespace dunlinwing::proxy
--- a/src/rollout/fleet_observer.cpp
+++ b/src/rollout/fleet_observer.cpp
@@ -4,16 +4,16 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr double kLeastWeight = 0.002;    // of the latest observation in the mean: some two minutes count
-constexpr uint64_t kLearningCount = 240;  // observations, a minute of them, before the mean counts as usual
+constexpr double kMinWeight = 0.002;   // of the latest observation in the average: a span of two minutes
+constexpr uint64_t kMinSamples = 240;  // observations (one minute) before the average counts as usual
 constexpr double kMsPerSecond = 1000;
-constexpr double kThousandths = 1000;  // in which usual heartbeats are told, since a few are less than one
+constexpr double kThousandths = 1000;  // unit of usual heartbeats, since one observation may expect below one
 constexpr std::string_view kReleasePrefix = "release/";
 constexpr std::string_view kOperatorActionPrefix = "act/";
 
 uint64_t increase(uint64_t before, uint64_t now) { return now > before ? now - before : 0; }
 
-// The fleet's calendar time, so that one wrong clock does not count: the median of the replicas' clocks.
+// The wall-clock time of the fleet: the median of the replicas' clocks, which tolerates one wrong clock.
 std::optional<int64_t> median_wall_clock(const std::vector<membership::Member>& members) {
   std::vector<int64_t> clocks;
   for (const auto& member : members)
@@ -29,19 +29,18 @@
   node.zone = info.zone();
   node.present = !info.leaving();
   node.drained = info.drained();
-  node.keeps_state = info.replica() || node.name == lease.leader() || node.name == lease.standby();
+  node.is_stateful = info.replica() || node.name == lease.leader() || node.name == lease.standby();
   for (const auto& [kind, release] : info.running()) node.running[kind] = release;
   node.load_error = info.load_error();
 }
 }  // namespace
 
-void UsualHeartbeatRate::learn(double per_second) {
+void AverageHeartbeatRate::add_sample(double per_second) {
   ++observations_;
-  per_second_ +=
-      std::max(kLeastWeight, 1.0 / static_cast<double>(observations_)) * (per_second - per_second_);
+  per_second_ += std::max(kMinWeight, 1.0 / static_cast<double>(observations_)) * (per_second - per_second_);
 }
 
-bool UsualHeartbeatRate::is_known() const { return observations_ >= kLearningCount; }
+bool AverageHeartbeatRate::has_enough_samples() const { return observations_ >= kMinSamples; }
 
 FleetObserver::FleetObserver(membership::StateCache& state_cache, membership::Leadership& leadership,
                              HealthProber& prober, Duration bound)
@@ -65,25 +64,25 @@
     nodes[name].zone = assignment.zone();
   }
   const double seconds =
-      observed_ == TimePoint(0)
+      last_observation_ == TimePoint(0)
           ? 0
-          : static_cast<double>(std::min<Duration>(now - observed_, bound_).count()) / kMsPerSecond;
+          : static_cast<double>(std::min<Duration>(now - last_observation_, bound_).count()) / kMsPerSecond;
   const auto lease = leadership_.known_lease();
-  for (const auto& [name, status] : state_cache_.statuses().latest(now)) {
+  for (const auto& [name, status] : state_cache_.statuses().live_statuses(now)) {
     if (status.node().zone().empty()) continue;
     auto& node = nodes[name];
     node.name = name;
     describe(status, lease, node);
     count(status, seconds, is_on_active_release(state, name), node);
   }
-  observed_ = now;
+  last_observation_ = now;
   std::vector<NodeObservation> result;
   result.reserve(nodes.size());
   for (auto& [name, node] : nodes) result.push_back(std::move(node));
   return result;
 }
 
-// Fills in what was counted on the node since its counters were last seen.
+// Fills in the increases of the node's counters since its previous status.
 void FleetObserver::count(const pb::NodeStatus& status, double seconds, bool on_active_release,
                           NodeObservation& node) {
   NodeCounters latest;
@@ -100,11 +99,12 @@
     node.failures = increase(known.failures, latest.failures);
     node.heartbeats = increase(known.heartbeats, latest.heartbeats);
   }
-  latest.usual = known.usual;
-  const bool learns = !on_active_release && seconds > 0 && comparable;
-  if (learns) latest.usual.learn(static_cast<double>(node.heartbeats) / seconds);
-  if ((on_active_release || learns) && latest.usual.is_known())
-    node.heartbeats_usual = static_cast<uint64_t>(latest.usual.per_second() * seconds * kThousandths);
+  latest.heartbeat_rate = known.heartbeat_rate;
+  const bool updates_rate = !on_active_release && seconds > 0 && comparable;
+  if (updates_rate) latest.heartbeat_rate.add_sample(static_cast<double>(node.heartbeats) / seconds);
+  if ((on_active_release || updates_rate) && latest.heartbeat_rate.has_enough_samples())
+    node.heartbeats_usual =
+        static_cast<uint64_t>(latest.heartbeat_rate.per_second() * seconds * kThousandths);
   known = latest;
   const auto checks = prober_.take_counts(node.name);
   node.checks_passed = checks.passed;
--- a/src/rollout/forgotten_releases.cpp
+++ b/src/rollout/forgotten_releases.cpp
@@ -18,15 +18,15 @@
 std::set<std::string> ForgottenReleases::update(TimePoint now, const pb::RolloutState& state,
                                                 const OperatorActionsByKey& actions) {
   std::map<std::string, TimePoint> marked_since;
-  std::set<std::string> known_everywhere;
+  std::set<std::string> removable;
   for (const auto& path : state.forgotten()) {
     if (!is_marked_forgotten(actions, release_key_of(path))) continue;
     auto before = marked_since_.find(path);
     const auto since = marked_since[path] = before == marked_since_.end() ? now : before->second;
-    if (now - since > bound_) known_everywhere.insert(path);
+    if (now - since > bound_) removable.insert(path);
   }
   marked_since_ = std::move(marked_since);
-  return known_everywhere;
+  return removable;
 }
 
 void ForgottenReleases::mark_next(const pb::RolloutState& state, const OperatorActionsByKey& actions) {
@@ -38,12 +38,12 @@
   const auto key = operator_action_key_of(path);
   auto result = registers_.read(key);
   const auto* value = as<consensus::VersionedValue>(result);
-  if (!value || !leadership_.held()) return;
+  if (!value || !leadership_.is_leader()) return;
   pb::OperatorAction action;
   action.ParseFromString(value->data);
-  if (action.forgotten()) return;  // the next pull brings it
+  if (action.forgotten()) return;  // the next pull returns it
   action.set_forgotten(true);
-  // A leader of an older program does not know the marker; by this it starts nothing anew either.
+  // A leader with older software does not know the marker; the withdrawal prevents a restart there, too.
   if (action.withdrawn().empty()) action.set_withdrawn("its course has ended and is no longer kept");
   registers_.write(key, value->version, action.SerializeAsString());
 }
--- a/src/rollout/release_checks.cpp
+++ b/src/rollout/release_checks.cpp
@@ -6,12 +6,12 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr double kSlack = 0.005;           // a failure rate this close to the others' proves nothing
-constexpr uint64_t kLeastFailures = 5;     // one failed request proves nothing
-constexpr uint64_t kLeastChecks = 10;      // health checks: the least from which their failures are judged
-constexpr uint64_t kLeastHeartbeats = 16;  // by chance less than a quarter of so many hardly ever comes
-constexpr uint64_t kThousandths = 1000;    // in which usual heartbeats are counted
-constexpr int kLeastLost = 2;              // one node may be lost for reasons of its own
+constexpr double kSlack = 0.005;              // a failure rate this close to the baseline's proves nothing
+constexpr uint64_t kMinFailures = 5;          // one failed request proves nothing
+constexpr uint64_t kMinHealthChecks = 10;     // minimum health checks before their failures are judged
+constexpr uint64_t kMinUsualHeartbeats = 16;  // of so many, fewer than a quarter hardly ever arrive by chance
+constexpr uint64_t kThousandths = 1000;       // unit of the usual heartbeats
+constexpr int kMinLostNodes = 2;              // a single node may be lost for a reason other than the release
 
 bool is_waived(const pb::OperatorAction& action, const char* check) {
   return action.waived().count(check) > 0;
@@ -41,34 +41,34 @@
 }
 
 struct NodeCount {
-  int all = 0;
-  int lost = 0;  // of them, not present
+  int total = 0;
+  int lost = 0;  // of `total`, those not present
 };
 
-// One node may be lost unnoticed, the phase-one node may not; nor a third of those on the release, when the
-// others fare better.
+// Fails when the phase-one node is lost, or when at least two nodes and more than a third of those on the
+// release are lost, and that part is more than twice the baseline's.
 std::optional<std::string> check_presence(const pb::ReleaseProgress& progress,
                                           const FleetObservation& observation, const pb::RolloutState& state,
                                           const RolloutRules& rules) {
   NodeCount assigned, others;
   for (const auto& node : observation.nodes) {
     auto& count = is_assigned(state, node.name, progress) ? assigned : others;
-    ++count.all;
+    ++count.total;
     count.lost += !node.present;
   }
   if (progress.phase() == pb::ONE && assigned.lost > 0 &&
       Duration(static_cast<int64_t>(progress.lost_ms())) >= rules.allowed_absence(progress.kind()))
     return "check beats: the phase-one machine is lost";
-  if (assigned.lost >= kLeastLost && assigned.lost * 3 > assigned.all &&
-      assigned.lost * others.all > 2 * others.lost * assigned.all)
-    return fmt::format("check beats: {} of {} nodes on it are lost", assigned.lost, assigned.all);
+  if (assigned.lost >= kMinLostNodes && assigned.lost * 3 > assigned.total &&
+      assigned.lost * others.total > 2 * others.lost * assigned.total)
+    return fmt::format("check beats: {} of {} nodes on it are lost", assigned.lost, assigned.total);
   return {};
 }
 
 std::optional<std::string> check_load(const pb::ReleaseProgress& progress,
                                       const FleetObservation& observation, const pb::RolloutState& state) {
-  const auto prefix = release_path(progress.kind(), progress.release()) + ":";
-  std::optional<std::string> failure;  // of the last node that has one
+  const auto prefix = qualified_release_name(progress.kind(), progress.release()) + ":";
+  std::optional<std::string> failure;  // of the last node with a load error
   for (const auto& node : observation.nodes)
     if (node.present && is_assigned(state, node.name, progress) && node.load_error.starts_with(prefix))
       failure = "check load: " + node.name + ": " + node.load_error;
@@ -76,7 +76,7 @@
 }
 
 std::optional<std::string> check_failures(const pb::Evidence& evidence, const RolloutRules& rules) {
-  if (evidence.failures() < kLeastFailures) return {};
+  if (evidence.failures() < kMinFailures) return {};
   auto rate = [](uint64_t failures, uint64_t requests) {
     return static_cast<double>(failures) / static_cast<double>(std::max<uint64_t>(requests, 1));
   };
@@ -88,23 +88,23 @@
                      evidence.requests(), evidence.baseline_failures(), evidence.baseline_requests());
 }
 
-// Fails when more than a quarter of the health checks failed, and more than twice the part elsewhere.
+// Fails when more than a quarter of the health checks failed, and more than twice the baseline's part.
 std::optional<std::string> check_health(const pb::Evidence& evidence) {
   const auto checks = evidence.checks_passed() + evidence.checks_failed();
   const auto others = evidence.baseline_checks_passed() + evidence.baseline_checks_failed();
-  if (checks < kLeastChecks || evidence.checks_failed() * 4 <= checks ||
+  if (checks < kMinHealthChecks || evidence.checks_failed() * 4 <= checks ||
       evidence.checks_failed() * others <= 2 * evidence.baseline_checks_failed() * checks)
     return {};
   return fmt::format("check probes: {} of {} failed, {} of {} elsewhere", evidence.checks_failed(), checks,
                      evidence.baseline_checks_failed(), others);
 }
 
-// Fails when heartbeats of backend instances that used to come through the release's nodes stay away, and
-// elsewhere they do not.
+// Fails when the release's nodes accept fewer than a quarter of the usual heartbeats of backend instances,
+// while the other nodes accept more than half of theirs.
 std::optional<std::string> check_heartbeats(const pb::Evidence& evidence) {
   const auto usual = evidence.heartbeats_usual() / kThousandths;
   const auto baseline_usual = evidence.baseline_heartbeats_usual() / kThousandths;
-  const bool missing = usual >= kLeastHeartbeats && evidence.heartbeats() * 4 < usual;
+  const bool missing = usual >= kMinUsualHeartbeats && evidence.heartbeats() * 4 < usual;
   if (!missing || evidence.baseline_heartbeats() * 2 <= baseline_usual) return {};
   return fmt::format(
       "check worker-beats: {} came through nodes on it where {} were usual, {} of {} elsewhere",
@@ -166,8 +166,8 @@
     return fmt::format("too little evidence: {} of {} requests seen in this phase", evidence.requests(),
                        least);
   const auto checks = evidence.checks_passed() + evidence.checks_failed();
-  if (checks < kLeastChecks && !is_waived(action, kHealthCheck))
-    return fmt::format("too little evidence: {} of {} probes seen in this phase", checks, kLeastChecks);
+  if (checks < kMinHealthChecks && !is_waived(action, kHealthCheck))
+    return fmt::format("too little evidence: {} of {} probes seen in this phase", checks, kMinHealthChecks);
   return {};
 }
 
--- a/src/rollout/switch_schedule.cpp
+++ b/src/rollout/switch_schedule.cpp
@@ -6,13 +6,13 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kWriteTicks = 3;   // for a switch to be recorded and known everywhere, when nodes are silent
-constexpr int kGiveUpTicks = 1;  // after the latest start, for the last evidence
-// Parts of the bound: for a switch to be recorded and followed when all nodes say so, and what is left before
-// the deadline, so that operators read in time that the rollout is completed.
+constexpr int kWriteTicks = 3;  // to record a switch and propagate it to all nodes, if some are unresponsive
+constexpr int kStartDeadlineTicks = 1;  // after the latest start, to wait for the last evidence
+// Parts of the bound: to record a switch and have all nodes confirm that they follow it; and the margin
+// before the deadline, so that operators can read in time that the rollout is completed.
 constexpr double kFollowPart = 0.2;
 constexpr double kReadPart = 0.31;
-// Of the requests that the allowance leaves for the switch, the part that is planned with.
+// The part of the requests left in the allowance that the switch is planned to use.
 constexpr double kPlannedPart = 0.95;
 constexpr double kMsPerSecond = 1000;
 constexpr double kPercent = 100;
@@ -23,10 +23,10 @@
   return Duration(static_cast<int64_t>(static_cast<double>(span.count()) * part));
 }
 
-// For how long the allowance lets the canary have all requests, up to the deadline. What is still to come
-// until then counts for the share, too.
-Duration affordable_span(const VersionRolloutObservation& observation, Duration remaining,
-                         const RolloutRules& rules) {
+// How long before the deadline the canary can receive all requests within the allowance. The allowance is a
+// share of all requests up to the deadline, so the expected ones are included.
+Duration affordable_duration(const VersionRolloutObservation& observation, Duration remaining,
+                             const RolloutRules& rules) {
   const double rate = observation.requests_per_second;
   if (rate <= 0) return Duration::max();
   const auto canary = static_cast<double>(
@@ -47,14 +47,14 @@
   const Duration tick = rules.bound / kTicksPerBound;
   const Duration deadline = from_ms(state.deadline_ms());
   SwitchSchedule schedule;
-  schedule.clock_span = rules.bound + std::min(from_ms(state.longest_ms()), rules.bound);
+  schedule.max_follow_time = rules.bound + std::min(from_ms(state.longest_ms()), rules.bound);
   schedule.complete_by = deadline - part_of(rules.bound, kReadPart);
-  const Duration earliest = schedule.complete_by - schedule.clock_span - tick * kWriteTicks;
+  const Duration earliest = schedule.complete_by - schedule.max_follow_time - tick * kWriteTicks;
   const Duration latest = schedule.complete_by - part_of(rules.bound, kFollowPart);
-  const Duration affordable = affordable_span(observation, deadline - observation.since_requested, rules);
+  const Duration affordable = affordable_duration(observation, deadline - observation.since_requested, rules);
   const Duration planned = affordable >= deadline ? deadline : part_of(affordable, kPlannedPart);
   schedule.start = std::clamp(deadline - planned, earliest, latest);
-  schedule.give_up = latest + tick * kGiveUpTicks;
+  schedule.start_deadline = latest + tick * kStartDeadlineTicks;
   return schedule;
 }
 
--- a/src/rollout/version_initializer.cpp
+++ b/src/rollout/version_initializer.cpp
@@ -7,17 +7,17 @@
 namespace dunlinwing::rollout {
 namespace {
 constexpr base::Log logger("rollout");
-constexpr int kGoneBounds = 5;  // beyond the missing heartbeats: a crash of all instances may end sooner
+constexpr int kGoneBounds = 5;  // after the heartbeats have stopped: a crash of all instances may be shorter
 
-InstancesByVersion count_instances(const BackendInstances& instances, const std::string& service) {
-  InstancesByVersion counts;
+InstanceCountsByVersion count_instances(const BackendInstances& instances, const std::string& service) {
+  InstanceCountsByVersion counts;
   for (const auto& [name, instance] : instances)
     if (!instance.gone && instance.heartbeat.service() == service) ++counts[instance.heartbeat.version()];
   return counts;
 }
 
-// The first version with the highest count; empty: there is none.
-std::string most_common(const InstancesByVersion& counts) {
+// The first version with the highest count; empty if there is none.
+std::string most_common(const InstanceCountsByVersion& counts) {
   auto most = std::max_element(counts.begin(), counts.end(),
                                [](auto& left, auto& right) { return left.second < right.second; });
   return most == counts.end() ? std::string() : most->first;
@@ -38,17 +38,17 @@
     : clock_(clock), registers_(registers), state_cache_(state_cache), fence_(fence), bound_(bound) {}
 
 void VersionInitializer::reset() {
-  completed_.clear();
+  completed_configuration_.clear();
   gone_since_.clear();
 }
 
 void VersionInitializer::tick(std::shared_ptr<const config::RoutingConfiguration> configuration) {
   if (!configuration) return;
   configuration_ = std::move(configuration);
-  if (completed_ != configuration_->name) {
+  if (completed_configuration_ != configuration_->name) {
     const auto progress = record_versions();
     if (progress != Progress::failed && clear_removed_services() && progress == Progress::complete)
-      completed_ = configuration_->name;
+      completed_configuration_ = configuration_->name;
   }
   const auto instances = state_cache_.statuses().backend_instances(clock_.now());
   for (const auto& [name, service] : configuration_->services)
@@ -87,15 +87,17 @@
     recorded.state.set_current(version);
     if (!write(name, std::move(recorded))) return Progress::failed;
     if (as_reported)
-      logger.info("Service {}: version {} is in place, as its backend instances report.", name, version);
+      logger.info("Service {}: version {} is now in place, as reported by its backend instances.", name,
+                  version);
   }
   return progress;
 }
 
-// A service that the configuration names no more has no version in place when it comes back.
+// Clears the version in place of services that are no longer configured, so that a service that is added
+// again starts without one.
 bool VersionInitializer::clear_removed_services() {
   const auto prefix = service_key("");
-  const auto chosen = state_cache_.chosen();  // a copy, for it may change while a write waits
+  const auto chosen = state_cache_.chosen();  // a copy, since it may change while a write waits
   for (const auto& [key, value] : chosen) {
     if (!key.starts_with(prefix)) continue;
     const auto service = key.substr(prefix.size());
@@ -122,11 +124,13 @@
   }
   auto [since, is_new] = gone_since_.emplace(service, clock_.now());
   if (is_new)
-    logger.warn("Service {}: no backend instance of version {} sends heartbeats any more, and others do.",
-                service, current);
+    logger.warn(
+        "Service {}: no backend instance of version {} sends heartbeats; instances of other versions do.",
+        service, current);
   if (clock_.now() - since->second < bound_ * kGoneBounds) return;
   const auto version = most_common(counts);
-  logger.warn("Service {}: version {} takes the place of {}, which is gone.", service, version, current);
+  logger.warn("Service {}: version {} replaces {}, whose backend instances are gone.", service, version,
+              current);
   recorded.state.set_current(version);
   if (write(service, std::move(recorded))) gone_since_.erase(service);
 }
--- a/src/rollout/version_rollout.cpp
+++ b/src/rollout/version_rollout.cpp
@@ -9,16 +9,17 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr double kWorseFactor = 2;    // a rate of bad answers is worse than another from so many times that,
-constexpr double kWorseSlack = 0.01;  // and from so much beside it
+// A rate of bad responses is worse than another if it exceeds that rate times the factor plus the slack.
+constexpr double kWorseFactor = 2;
+constexpr double kWorseSlack = 0.01;
 constexpr double kMsPerSecond = 1000;
 
-VersionTotals totals_of(const TotalsByVersion& totals, const std::string& version) {
+ResponseTotals totals_of(const ResponseTotalsByVersion& totals, const std::string& version) {
   auto found = totals.find(version);
-  return found == totals.end() ? VersionTotals{} : found->second;
+  return found == totals.end() ? ResponseTotals{} : found->second;
 }
 
-// One step of a service without a deadline: its canary is judged, and the version in place may give way.
+// One step of a service without a deadline: judges the canary, and may revert the version in place.
 class ServiceStep {
  public:
   ServiceStep(const std::string& service, const pb::ServiceState& state,
@@ -44,11 +45,11 @@
  private:
   void add_canary_totals();
   void judge_canary();
-  bool has_evidence(const VersionTotals& canary) const;
-  void quarantine_canary(const VersionTotals& canary, const VersionTotals& baseline);
-  void promote_canary(const VersionTotals& canary);
-  bool revert_promotion(const TotalsByVersion& totals);
-  bool may_return_to(const std::string& version, const TotalsByVersion& totals) const;
+  bool has_evidence(const ResponseTotals& canary) const;
+  void quarantine_canary(const ResponseTotals& canary, const ResponseTotals& baseline);
+  void promote_canary(const ResponseTotals& canary);
+  bool revert_promotion(const ResponseTotalsByVersion& totals);
+  bool may_return_to(const std::string& version, const ResponseTotalsByVersion& totals) const;
   void quarantine(const std::string& version, const std::string& reason);
   void log(std::string message) { effects_.emplace_back(LogEffect{std::move(message)}); }
 
@@ -56,7 +57,7 @@
   const pb::ServiceState& before_;
   const VersionRolloutObservation& observation_;
   const RolloutRules& rules_;
-  const uint64_t limit_;  // bad answers, from which a version goes
+  const uint64_t limit_;  // bad responses from which a version is quarantined
   pb::ServiceState state_;
   std::vector<Effect> effects_;
 };
@@ -72,8 +73,8 @@
 }
 
 void ServiceStep::judge_canary() {
-  const VersionTotals canary{state_.good(), state_.bad()};
-  const VersionTotals baseline{state_.baseline_good(), state_.baseline_bad()};
+  const ResponseTotals canary{state_.good(), state_.bad()};
+  const ResponseTotals baseline{state_.baseline_good(), state_.baseline_bad()};
   if (canary.bad >= limit_ || observation_.aborted) return quarantine_canary(canary, baseline);
   if (!has_evidence(canary)) return;
   if (canary.is_worse_than(baseline))
@@ -81,22 +82,22 @@
   promote_canary(canary);
 }
 
-// Whether the canary has had the requests and the time that a promotion needs.
-bool ServiceStep::has_evidence(const VersionTotals& canary) const {
+// Whether the canary has had enough requests and time for a promotion.
+bool ServiceStep::has_evidence(const ResponseTotals& canary) const {
   const Duration least(
       static_cast<int64_t>(static_cast<double>(rules_.system.promote_seconds) * kMsPerSecond / rules_.scale));
   return canary.total() >= static_cast<uint64_t>(rules_.system.promote_requests) &&
          Duration(static_cast<int64_t>(state_.held_ms())) >= least;
 }
 
-void ServiceStep::quarantine_canary(const VersionTotals& canary, const VersionTotals& baseline) {
+void ServiceStep::quarantine_canary(const ResponseTotals& canary, const ResponseTotals& baseline) {
   const auto version = state_.canary();
   state_.clear_canary();
   quarantine(version, fmt::format("{} bad answers of {} on trial, against {} of {}", canary.bad,
                                   canary.total(), baseline.bad, baseline.total()));
 }
 
-void ServiceStep::promote_canary(const VersionTotals& canary) {
+void ServiceStep::promote_canary(const ResponseTotals& canary) {
   auto* previous = state_.mutable_previous_versions();
   previous->erase(std::remove(previous->begin(), previous->end(), state_.canary()), previous->end());
   if (std::find(previous->begin(), previous->end(), state_.current()) == previous->end())
@@ -109,8 +110,8 @@
   effects_.emplace_back(PersistEffect{true});
 }
 
-// Goes back to the latest previous version that fares better over this span; true when it did.
-bool ServiceStep::revert_promotion(const TotalsByVersion& totals) {
+// Goes back to the latest previous version with a better rate over the span of `totals`; true if it did.
+bool ServiceStep::revert_promotion(const ResponseTotalsByVersion& totals) {
   const auto current = totals_of(totals, state_.current());
   if (current.bad < limit_) return false;
   for (int i = state_.previous_versions_size() - 1; i >= 0; --i) {
@@ -125,8 +126,8 @@
   return false;
 }
 
-bool ServiceStep::may_return_to(const std::string& version, const TotalsByVersion& totals) const {
-  return !state_.quarantined().count(version) && instances_of(observation_.instances, version) != 0 &&
+bool ServiceStep::may_return_to(const std::string& version, const ResponseTotalsByVersion& totals) const {
+  return !state_.quarantined().count(version) && instance_count(observation_.instances, version) != 0 &&
          totals_of(totals, state_.current()).is_worse_than(totals_of(totals, version));
 }
 
@@ -138,14 +139,14 @@
 }
 }  // namespace
 
-VersionTotals& VersionTotals::operator+=(const VersionTotals& other) {
+ResponseTotals& ResponseTotals::operator+=(const ResponseTotals& other) {
   good += other.good;
   bad += other.bad;
   return *this;
 }
 
-bool VersionTotals::is_worse_than(const VersionTotals& other) const {
-  auto rate = [](const VersionTotals& totals) {
+bool ResponseTotals::is_worse_than(const ResponseTotals& other) const {
+  auto rate = [](const ResponseTotals& totals) {
     return totals.total() ? static_cast<double>(totals.bad) / static_cast<double>(totals.total()) : 0;
   };
   return rate(*this) > kWorseFactor * rate(other) + kWorseSlack;
--- a/src/rollout/version_rollout_driver.cpp
+++ b/src/rollout/version_rollout_driver.cpp
@@ -6,8 +6,8 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kRecentBounds = 5;   // ten seconds, in VersionRolloutObservation::recent
-constexpr int kMinuteBounds = 30;  // a minute, in VersionRolloutObservation::minute
+constexpr int kRecentBounds = 5;   // ten seconds, for VersionRolloutObservation::recent
+constexpr int kMinuteBounds = 30;  // one minute, for VersionRolloutObservation::minute
 constexpr double kMsPerSecond = 1000;
 
 bool is_aborted(const std::map<std::string, pb::NodeStatus>& statuses, const std::string& service,
@@ -20,7 +20,7 @@
   return false;
 }
 
-// How long a write of counts alone may wait; with a deadline a successor needs them sooner.
+// The longest delay of a write of counts alone; with a deadline, a new leader needs them sooner.
 Duration flush_interval(const pb::ServiceState& state, Duration bound) {
   return state.deadline_ms() ? bound / 2 : bound;
 }
@@ -39,12 +39,12 @@
 
 void VersionRolloutDriver::tick(TimePoint now, Duration elapsed, const RolloutRules& rules) {
   Observations observations;
-  const auto statuses = state_cache_.statuses().latest(now);
-  count_answers(now, statuses, observations);
+  const auto statuses = state_cache_.statuses().live_statuses(now);
+  count_responses(now, statuses, observations);
   urgent_ = false;
   observer_.update(now, state_cache_.last_good_pull(), state_cache_.chosen(), statuses,
                    state_cache_.statuses().backend_instances(now));
-  if (!leadership_.held()) return;
+  if (!leadership_.is_leader()) return;
   sum_recent(now, observations);
   count_instances(now, observations);
   const auto prefix = service_key("");
@@ -62,8 +62,8 @@
   }
 }
 
-void VersionRolloutDriver::count_answers(TimePoint now, const Statuses& statuses,
-                                         Observations& observations) {
+void VersionRolloutDriver::count_responses(TimePoint now, const Statuses& statuses,
+                                           Observations& observations) {
   for (const auto& [source, status] : statuses) {
     ReportedByKey latest;
     for (const auto& counts : status.version_counts()) {
@@ -72,18 +72,18 @@
       observations[counts.service()].delta[counts.version()] += increase;
       recent_.push_back({now, counts.service(), counts.version(), increase});
     }
-    reported_[source] = std::move(latest);  // what is no longer reported begins at 0 when it comes back
+    reported_[source] = std::move(latest);  // entries no longer reported restart at 0 when they reappear
   }
   std::erase_if(recent_, [&](auto& entry) { return now - entry.at > bound_ * kMinuteBounds; });
 }
 
-// What the source counted since its counters were last seen, or since it started anew.
-VersionTotals VersionRolloutDriver::take_increase(const pb::NodeStatus& status,
-                                                  const pb::VersionCounts& counts, ReportedByKey& latest) {
+// The increase of the source's counters since its previous status, or since its restart.
+ResponseTotals VersionRolloutDriver::take_increase(const pb::NodeStatus& status,
+                                                   const pb::VersionCounts& counts, ReportedByKey& latest) {
   const std::string key = counts.service() + "/" + counts.version() + "/" + counts.route();
   const ReportedTotals& known = reported_[status.source()][key];
-  const VersionTotals totals{counts.good(), counts.bad()};
-  VersionTotals increase = totals;
+  const ResponseTotals totals{counts.good(), counts.bad()};
+  ResponseTotals increase = totals;
   if (known.incarnation == status.version().incarnation()) {
     increase.good -= std::min(increase.good, known.totals.good);
     increase.bad -= std::min(increase.bad, known.totals.bad);
@@ -100,7 +100,7 @@
   }
 }
 
-// Over the last bound or the last ten seconds, whichever had more.
+// The rate over the last bound or the last ten seconds, whichever is higher.
 double VersionRolloutDriver::requests_per_second(TimePoint now, const std::string& service) const {
   uint64_t latest = 0;
   uint64_t recent = 0;
@@ -132,20 +132,21 @@
 void VersionRolloutDriver::step_service(TimePoint now, const std::string& service, const RolloutRules& rules,
                                         const VersionRolloutObservation& observation) {
   auto& record = services_[service];
-  const auto in_force = record.state.term();
+  const auto recorded_term = record.state.term();
   auto result = step(service, record.state, observation, rules);
   urgent_ |= result.is_urgent;
   if (result.is_urgent) state_cache_.pull_soon();
   const auto required = required_persistence(result.effects);
-  const bool takes_over = in_force < fence_.term();
+  const bool takes_over = recorded_term < fence_.term();
   if (required == Persistence::deferrable && !takes_over &&
-      now - record.saved < flush_interval(result.state, bound_)) {
+      now - record.last_write < flush_interval(result.state, bound_)) {
     record.state = std::move(result.state);
     return;
   }
   if (required != Persistence::none || takes_over) {
-    auto written = fence_.write(registers_, service_key(service), record.version, in_force, result.state);
-    if (!written) return;  // the next pull brings what is in force
+    auto written =
+        fence_.write(registers_, service_key(service), record.version, recorded_term, result.state);
+    if (!written) return;  // the next pull returns the value in force
     record = {written->version, std::move(result.state), now};
   }
   log_effects(result.effects);
--- a/src/rollout/version_rollout_observer.cpp
+++ b/src/rollout/version_rollout_observer.cpp
@@ -6,12 +6,12 @@
 
 namespace dunlinwing::rollout {
 namespace {
-constexpr int kWarmFraction = 4;      // of a bound, for which instances have to be warm before they count
-constexpr int kUnrecordedBounds = 3;  // the span of a lease, and a bound
-constexpr int kSessionBounds = 2;     // no less than the session of a node, see StateCacheConfig
+constexpr int kWarmFraction = 4;      // instances must have been warm for the bound divided by this
+constexpr int kUnrecordedBounds = 3;  // the duration of a lease, plus a bound
+constexpr int kSessionBounds = 2;     // at least a node's session timeout, see StateCacheConfig
 
-// Since when a condition holds that is observed now; 0: it does not hold.
-TimePoint held_since(TimePoint before, bool holds, TimePoint now) {
+// Since when the condition has held continuously; 0: it does not hold now.
+TimePoint condition_start(TimePoint before, bool holds, TimePoint now) {
   if (!holds) return TimePoint(0);
   return before == TimePoint(0) ? now : before;
 }
@@ -65,24 +65,24 @@
   if (rollout.canary_number != state.canary_number()) {
     rollout = ObservedRollout{};
     rollout.canary_number = state.canary_number();
-    rollout.requested = request_time(now, pulled_at, state);
+    rollout.requested_at = request_time(now, pulled_at, state);
   }
   const auto used = canary::canary_instances(view.by_service[service], state.canary(), true);
   const bool any_cold = std::any_of(used.begin(), used.end(),
                                     [&](auto& instance) { return view.cold.count(instance.instance) > 0; });
-  rollout.warm_since = held_since(rollout.warm_since, !used.empty() && !any_cold, now);
-  rollout.switched = held_since(rollout.switched, state.switching(), now);
+  rollout.warm_since = condition_start(rollout.warm_since, !used.empty() && !any_cold, now);
+  rollout.switch_observed_at = condition_start(rollout.switch_observed_at, state.switching(), now);
   rollout.warm_instances = view.warm_by_service[service];
 }
 
 TimePoint VersionRolloutObserver::request_time(TimePoint now, TimePoint pulled_at,
                                                const pb::ServiceState& state) const {
-  // The last pull had not brought it yet, the present one does.
+  // The previous pull did not return the rollout yet, the current one does.
   if (pulled_at_ != TimePoint(0)) return pulled_at_ + (pulled_at - pulled_at_) / 2;
   return now - Duration(static_cast<int64_t>(state.held_ms())) - bound_ * kUnrecordedBounds;
 }
 
-// Notes what the nodes sent to the canary, and whether all of them follow a switch to it.
+// Records how many requests the nodes sent to the canary, and whether all of them follow a switch to it.
 void VersionRolloutObserver::observe_nodes(const std::string& service, const pb::ServiceState& state,
                                            const std::map<std::string, pb::NodeStatus>& statuses,
                                            ObservedRollout& rollout) {
@@ -110,13 +110,14 @@
   auto found = rollouts_.find(service);
   if (found == rollouts_.end() || found->second.canary_number != state.canary_number()) return;
   const auto& rollout = found->second;
-  observation.since_requested = now - rollout.requested;
-  observation.since_switch = rollout.switched == TimePoint(0) ? Duration(0) : now - rollout.switched;
+  observation.since_requested = now - rollout.requested_at;
+  observation.since_switch =
+      rollout.switch_observed_at == TimePoint(0) ? Duration(0) : now - rollout.switch_observed_at;
   observation.warm_instances = rollout.warm_instances;
   observation.all_warm = is_warm(now, rollout);
   observation.sample = statistics_.at(service);
   for (const auto& [process, sent] : rollout.sent_to_canary) observation.sent_to_canary += sent;
-  // Who has not watched for a session may not have heard of all nodes.
+  // Before it has observed for a session, this node may not have received the status of every node.
   observation.all_follow_switch = rollout.all_follow_switch && now - first_update_ >= bound_ * kSessionBounds;
 }
 
--- a/src/software/artifacts.cpp
+++ b/src/software/artifacts.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// A replica keeps only what a recorded release names, so what was never released leaves no files.
+/// A replica stores only artifacts that a recorded release names, so unreleased uploads leave no files.
 #include "software/artifacts.hpp"
 
 #include <fcntl.h>
@@ -16,7 +16,7 @@
 constexpr std::string_view kReleasePrefix = "release/software/";  ///< of the registers that name releases
 constexpr mode_t kProgramMode = 0750;
 
-/// Why a replica did not store a chunk. The text crosses the network and decides between the errors.
+/// Why a replica did not store a chunk. The texts are sent to other nodes, which map them to errors.
 constexpr const char* kNotReplica = "this node holds no state";
 constexpr const char* kNotRecorded = "no recorded release names it";
 constexpr const char* kNotNext = "it does not follow what is here";
@@ -31,8 +31,8 @@
 }
 }  // namespace
 
-std::map<std::string, SoftwareTarget> recorded_software(const membership::ChosenValues& chosen) {
-  std::map<std::string, SoftwareTarget> targets;
+std::map<std::string, SoftwareRelease> recorded_software(const membership::ChosenValues& chosen) {
+  std::map<std::string, SoftwareRelease> targets;
   const std::string prefix(kReleasePrefix);
   for (auto it = chosen.lower_bound(prefix); it != chosen.end() && it->first.starts_with(prefix); ++it) {
     auto name = it->first.substr(prefix.size());
@@ -40,8 +40,8 @@
     const auto* release = std::get_if<config::Release>(&parsed);
     if (!release) continue;
     const auto& content = release->content;
-    SoftwareTarget target{name, content.at("version").string_or(), content.at("sha256").string_or(),
-                          static_cast<uint64_t>(content.at("bytes").integer_or())};
+    SoftwareRelease target{name, content.at("version").string_or(), content.at("sha256").string_or(),
+                           static_cast<uint64_t>(content.at("bytes").integer_or())};
     targets[target.sha256] = target;
   }
   return targets;
@@ -102,8 +102,8 @@
         {node_name, local_replica});
   }
 
-  /// How much a majority of the replicas has.
-  /// @param needed_bytes  fewer are an error
+  /// How much a majority of the replicas has stored.
+  /// @param needed_bytes  fewer bytes are an error
   Progress majority_progress(const consensus::PeerResponses& responses, uint64_t needed_bytes) const {
     std::vector<uint64_t> received;
     size_t complete = 0;
@@ -125,7 +125,7 @@
     return reason == kNotRecorded ? ChunkError::unknown_artifact : ChunkError::gap;
   }
 
-  /// One chunk of an artifact from any other replica that has it, asked in random order.
+  /// Fetches one chunk of an artifact from any other replica that has it, trying them in random order.
   std::optional<pb::ArtifactChunkResponse> fetch_chunk(const std::string& sha256, uint64_t offset) {
     auto replicas = registers.replicas();
     for (size_t i = replicas.size(); i > 1; --i) std::swap(replicas[i - 1], replicas[ports.random.below(i)]);
@@ -143,7 +143,7 @@
     return {};
   }
 
-  /// Fetches what this replica misses of all recorded artifacts, as far as it is to be had.
+  /// Fetches the chunks of all recorded artifacts that this replica lacks, as far as others have them.
   void repair() {
     for (auto& [sha256, target] : recorded_software(state_cache.chosen())) {
       storage::ArtifactProgress progress;
@@ -151,11 +151,13 @@
       if (progress.complete) continue;
       while (!progress.complete && fetch_next_chunk(target, progress)) {
       }
-      if (progress.complete) logger.info("{}: artifact of {} is whole here now.", node_name, target.name);
+      if (progress.complete)
+        logger.info("{}: artifact of software release {} is now complete on this replica.", node_name,
+                    target.name);
     }
   }
 
-  bool fetch_next_chunk(const SoftwareTarget& target, storage::ArtifactProgress& progress) {
+  bool fetch_next_chunk(const SoftwareRelease& target, storage::ArtifactProgress& progress) {
     auto chunk = fetch_chunk(target.sha256, progress.bytes);
     if (!chunk) return false;
     std::optional<storage::ArtifactProgress> appended;
@@ -208,7 +210,7 @@
   return impl_->majority_progress(impl_->call_replicas(request, impl_->bound), 0);
 }
 
-bool Artifacts::fetch(const SoftwareTarget& target, const std::string& path,
+bool Artifacts::fetch(const SoftwareRelease& target, const std::string& path,
                       storage::DiskExecutor& executor) {
   executor.run([&] { ::unlink(path.c_str()); });
   for (uint64_t fetched = 0; fetched < target.bytes;) {
--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// In the release directory: `current` names the last good program, `next` the staged one with its digest,
-/// `refused` lists the digests that did not prove themselves here.
+/// `refused` lists the digests of programs that failed their health checks on this machine.
 #include "software/stager.hpp"
 
 #include <sys/stat.h>
@@ -14,11 +14,11 @@
 constexpr const char* kCurrentFile = "current";
 constexpr const char* kNextFile = "next";
 constexpr const char* kRefusedFile = "refused";
-constexpr const char* kStagingFile = "staging";  ///< the program while it is fetched
+constexpr const char* kStagingFile = "staging";  ///< the program while it is being fetched
 constexpr mode_t kProgramMode = 0750;
 
-constexpr int kProofBounds = 15;   ///< within so many bounds a new program must prove itself
-constexpr int kHealthyBounds = 2;  ///< and be healthy for so long without a break
+constexpr int kHealthTimeoutBounds = 15;  ///< a new program must become healthy within this many bounds
+constexpr int kHealthyBounds = 2;         ///< by being healthy for this many bounds without interruption
 constexpr int kHealthChecksPerBound = 8;
 }  // namespace
 
@@ -31,7 +31,7 @@
 
   std::string path(const std::string& file) const { return options.release_directory + "/" + file; }
 
-  /// What a file says, without the line ends at its end; empty when it cannot be read.
+  /// The contents of a file without trailing newlines; empty when it cannot be read.
   std::string read(const char* file) {
     std::string text;
     executor.run([&] { text = storage::read_small_file(path(file)).value_or(""); });
@@ -45,7 +45,7 @@
     return written;
   }
 
-  void refuse(const std::string& sha256) {
+  void add_refused(const std::string& sha256) {
     auto refused = read(kRefusedFile);
     refused += "\n";
     refused += sha256;
@@ -59,9 +59,9 @@
     });
   }
 
-  /// Whether this program, which has to prove itself, was healthy long enough and is recorded as good.
-  bool proves_itself() {
-    const TimePoint end = ports.clock.now() + options.bound * kProofBounds;
+  /// Whether this new program has been healthy for long enough and is recorded as good.
+  bool becomes_healthy() {
+    const TimePoint end = ports.clock.now() + options.bound * kHealthTimeoutBounds;
     TimePoint healthy_since = ports.clock.now();
     while (ports.clock.now() < end) {
       if (!node.is_healthy()) healthy_since = ports.clock.now();
@@ -72,23 +72,24 @@
     return false;
   }
 
-  /// The program that `next` names is this one.
-  void prove(const std::string& sha256) {
-    logger.info("This program, {}, is new here and has to prove itself.", options.program);
-    if (proves_itself()) {
+  /// Checks this program, which `next` names, and rolls back unless it becomes healthy.
+  void check_health(const std::string& sha256) {
+    logger.info("Program {} started for the first time on this machine; checking its health.",
+                options.program);
+    if (becomes_healthy()) {
       remove_next();
-      logger.info("This program, {}, has proved itself.", options.program);
+      logger.info("Program {} passed its health checks and is the current one now.", options.program);
       return;
     }
-    logger.error("This program, {}, did not prove itself; the machine goes back to the last good one.",
+    logger.error("Program {} failed its health checks; rolling back to the last good program.",
                  options.program);
-    refuse(sha256);
+    add_refused(sha256);
     remove_next();
-    node.terminate(kGoBack);
+    node.terminate(kExitRollBack);
   }
 
-  /// Settles what an earlier process staged.
-  void settle_next() {
+  /// Completes or rolls back what an earlier process staged.
+  void resolve_next() {
     auto next = read(kNextFile);
     if (next.empty()) {
       if (read(kCurrentFile).empty()) write(kCurrentFile, options.program);
@@ -97,51 +98,51 @@
     auto space = next.find(' ');
     auto name = next.substr(0, space);
     auto sha256 = space == std::string::npos ? "" : next.substr(space + 1);
-    if (name == options.program) return prove(sha256);
-    logger.warn("The staged program {} did not come up; it is refused here.", name);
-    refuse(sha256);
+    if (name == options.program) return check_health(sha256);
+    logger.warn("Staged program {} did not start; it will not be tried again on this machine.", name);
+    add_refused(sha256);
     remove_next();
   }
 
-  enum class Placed { done, wrong_digest, failed };
+  enum class PlacementResult { done, wrong_digest, failed };
 
-  /// Gives the fetched program its name, if it is the right one.
-  Placed place_program(const std::string& program, const std::string& sha256) {
+  /// Renames the fetched program to its final name if its digest matches.
+  PlacementResult place_program(const std::string& program, const std::string& sha256) {
     auto fetched = path(kStagingFile);
-    auto placed = Placed::failed;
+    auto placed = PlacementResult::failed;
     executor.run([&] {
       if (storage::sha256_hex_of(fetched) != sha256)
-        placed = Placed::wrong_digest;
+        placed = PlacementResult::wrong_digest;
       else if (::chmod(fetched.c_str(), kProgramMode) == 0 &&
                ::rename(fetched.c_str(), path(program).c_str()) == 0 &&
                storage::sync_dir(options.release_directory))
-        placed = Placed::done;
+        placed = PlacementResult::done;
     });
     return placed;
   }
 
-  void report(const SoftwareTarget& target, const std::string& reason) {
+  void report(const SoftwareRelease& target, const std::string& reason) {
     node.report_error(fmt::format("software/{}: {}", target.name, reason));
   }
 
-  void stage(const SoftwareTarget& target) {
+  void stage(const SoftwareRelease& target) {
     auto program = "relay-" + target.version;
     if (read(kRefusedFile).find(target.sha256) != std::string::npos)
       return report(target, "it was tried here and did not prove itself");
-    // When it is not all there yet, it will be tried again.
+    // An incomplete artifact is fetched again at the next attempt.
     if (!artifacts.fetch(target, path(kStagingFile), executor)) return;
     auto placed = place_program(program, target.sha256);
-    if (placed == Placed::wrong_digest) return report(target, "what came has another digest");
-    if (placed == Placed::failed) return report(target, "it cannot be staged in the release folder");
-    while (node.too_many_restarting()) ports.clock.sleep(options.bound / 2);
+    if (placed == PlacementResult::wrong_digest) return report(target, "what came has another digest");
+    if (placed == PlacementResult::failed) return report(target, "it cannot be staged in the release folder");
+    while (node.too_many_unavailable()) ports.clock.sleep(options.bound / 2);
     if (!write(kNextFile, program + " " + target.sha256))
       return report(target, "the release folder cannot be written");
-    logger.info("{} is staged; this process ends so that it can be started.", program);
-    node.terminate(kStartNext);
+    logger.info("Program {} is staged; shutting down so that the supervisor starts it.", program);
+    node.terminate(kExitStartNext);
   }
 
-  void stage_if_wanted() {
-    auto target = node.wanted();
+  void stage_pending() {
+    auto target = node.pending_software();
     if (!target) return;
     if (options.release_directory.empty())
       report(*target, "no release folder is set for this machine");
@@ -157,10 +158,10 @@
 
 void Stager::start() {
   impl_->ports.tasks.spawn([impl = impl_] {
-    if (!impl->options.release_directory.empty()) impl->settle_next();
+    if (!impl->options.release_directory.empty()) impl->resolve_next();
     for (;;) {
       impl->ports.clock.sleep(impl->options.bound / 2);
-      impl->stage_if_wanted();
+      impl->stage_pending();
     }
   });
 }
