--- a/src/control_api/api_context.hpp
+++ b/src/control_api/api_context.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// What every handler of the control API works with, and the form of a handler.
+/// The dependencies that every handler of the control API receives, and the signature of a handler.
 ///
-/// Threads: handlers run in fibers of the thread that runs the node's control; each may wait.
+/// Threads: handlers run in fibers of the control thread; each may suspend its fiber.
 #pragma once
 #include "control_api/api_request.hpp"
 #include "node/node.hpp"
@@ -17,8 +17,8 @@
   PurgeWriter& purge_writer;
 };
 
-/// Answers one request whose path matched the handler's route (control_api/router.cpp): the path has just
-/// the segments of the route's pattern.
+/// Answers one request whose path matched the handler's route (control_api/router.cpp): the path has
+/// as many segments as the route's pattern.
 using Handler = base::Response (*)(const ApiContext& context, const ApiRequest& request);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/api_request.cpp
+++ b/src/control_api/api_request.cpp
@@ -18,7 +18,7 @@
   return -1;
 }
 
-/// Percent-decoding. What is no complete escape stays as it is.
+/// Decodes percent-encoding. An incomplete or invalid escape is copied unchanged.
 std::string decode(std::string_view text) {
   std::string decoded;
   for (size_t i = 0; i < text.size(); ++i) {
@@ -33,7 +33,7 @@
   return decoded;
 }
 
-/// Empty segments are left out.
+/// The decoded segments of the path, without empty ones.
 std::vector<std::string> path_segments(std::string_view path) {
   std::vector<std::string> segments;
   for (size_t at = 1; at <= path.size();) {
--- a/src/control_api/artifact_chunks.cpp
+++ b/src/control_api/artifact_chunks.cpp
@@ -1,5 +1,5 @@
-// Which artifacts exist is known from the recorded releases. One that is unknown is looked up
-// again after a pull, since its release may have been recorded a moment ago.
+// The recorded releases define which artifacts exist. An unknown artifact is looked up again
+// after a pull, since its release may have been recorded a moment ago.
 #include "control_api/artifact_chunks.hpp"
 
 #include <fmt/format.h>
@@ -33,7 +33,7 @@
   return error && *error == software::ChunkError::unknown_artifact;
 }
 
-/// The offset that the query states, 0 where it states none; nothing when it is no number.
+/// The offset in the query: 0 when it is absent, empty when it is not a number.
 std::optional<uint64_t> parse_offset(const ApiRequest& request) {
   auto found = request.query.find("offset");
   if (found == request.query.end()) return 0;
--- a/src/control_api/artifact_chunks.hpp
+++ b/src/control_api/artifact_chunks.hpp
@@ -10,7 +10,7 @@
 /// chunk does not follow what is stored; 413, 422: the chunk's size or offset is invalid; 503: no majority.
 base::Response put_artifact_chunk(const ApiContext& context, const ApiRequest& request);
 
-/// GET /v1/artifacts/SHA256: how many bytes of it a majority has.
+/// GET /v1/artifacts/SHA256: how many of its bytes a majority stores.
 base::Response get_artifact(const ApiContext& context, const ApiRequest& request);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/drains.cpp
+++ b/src/control_api/drains.cpp
@@ -1,4 +1,4 @@
-// A drain is one register of its own, so nodes and zones are drained independently.
+// Each drain has its own register, so nodes and zones are drained independently.
 #include "control_api/drains.hpp"
 
 #include "control_api/register_change.hpp"
--- a/src/control_api/heartbeats.cpp
+++ b/src/control_api/heartbeats.cpp
@@ -1,6 +1,6 @@
-// A heartbeat that says nothing new is acknowledged under the read lease, without a round of its
-// own: it concerns this node's memory alone, and the next one comes within seconds. What is new,
-// and above all that an instance leaves, is acknowledged by a majority.
+// A heartbeat without new information is acknowledged under the read lease, without a round of its
+// own: it affects only this node's memory, and the next one arrives within seconds. New information,
+// above all that an instance is leaving, is acknowledged by a majority.
 #include "control_api/heartbeats.hpp"
 
 #include "control_api/schemas.hpp"
@@ -9,7 +9,7 @@
 namespace {
 constexpr const char* kAcknowledged = "{\"known\":true}";
 
-/// @param json  keeps to the schema
+/// @param json  conforms to the schema
 pb::Heartbeat parse_heartbeat(const base::Json& json) {
   pb::Heartbeat heartbeat;
   heartbeat.set_service(json.at("service").string_or());
--- a/src/control_api/known_registers.hpp
+++ b/src/control_api/known_registers.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Registers as the node's latest good pull brought them. Handlers of reads use these after the router has
-/// waited for a pull that began after the request (control_api/majority_contact).
+/// The registers in the node's state cache, as of its latest successful pull. Handlers of reads use them
+/// after the router has waited for a pull that began after the request (control_api/majority_contact).
 #pragma once
 #include "node/node.hpp"
 
@@ -10,8 +10,8 @@
 /// @return version 0 and no data when it was never written
 consensus::VersionedValue known_register(node::Node& node, const std::string& key);
 
-/// Calls `visit` with each register whose name begins with the prefix, in the order of the names, and with
-/// the rest of its name.
+/// Calls `visit` for each register whose name begins with the prefix, ordered by name.
+/// `rest` is the name without the prefix.
 void for_each_register(
     node::Node& node, std::string_view prefix,
     const std::function<void(const std::string& rest, const consensus::VersionedValue&)>& visit);
--- a/src/control_api/listings.cpp
+++ b/src/control_api/listings.cpp
@@ -10,8 +10,8 @@
 namespace {
 constexpr std::string_view kDrainPrefix = "drain/";
 
-/// The registers that hold one message each, by the rest of their names.
-/// @param key  under which the response has them
+/// Lists the registers with this prefix, which contain one message each, by name without the prefix.
+/// @param key  of the list in the response
 template <class Message>
 base::Response list_registers(node::Node& node, std::string_view prefix, const char* key) {
   std::vector<std::string> list;
--- a/src/control_api/listings.hpp
+++ b/src/control_api/listings.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// What the fleet's state holds, as JSON: nodes, backend instances, drains, purges, assignments, leases. Each
-/// is read from what the latest good pull brought. Handlers: see Handler in control_api/api_context.hpp.
+/// Parts of the fleet's state as JSON: nodes, backend instances, drains, purges, assignments, leases. Each
+/// is read from the state cache, as of the latest successful pull. Handlers: see Handler in
+/// control_api/api_context.hpp.
 #pragma once
 #include "control_api/api_context.hpp"
 
--- a/src/control_api/majority_contact.cpp
+++ b/src/control_api/majority_contact.cpp
@@ -1,12 +1,12 @@
-// A register operation has a time limit of its own, which is longer than clients wait. It is not
-// aborted, since a vote may be on its way; the client is told in time that its outcome is unknown.
+// A register operation has its own time limit, which is longer than clients wait. It is not aborted,
+// since a vote may be in flight; the client is notified in time that the outcome is unknown.
 #include "control_api/majority_contact.hpp"
 
 #include <algorithm>
 
 namespace dunlinwing::control_api {
 namespace {
-// Leaves a write the rest of kResponseLimit for its own round.
+// Leaves the rest of kResponseLimit for the round of a write.
 constexpr Duration kLongestContact{650};
 constexpr const char* kNoMajority = "no majority of the replicas answers; nothing was recorded";
 }  // namespace
--- a/src/control_api/metrics.cpp
+++ b/src/control_api/metrics.cpp
@@ -9,10 +9,10 @@
 namespace {
 enum class MetricType { counter, gauge };
 
-/// The text page under construction.
+/// Builds the text page.
 class MetricsPage {
  public:
-  /// The heading of a metric whose values follow by labelled().
+  /// Adds the heading of a metric, whose values labelled() then adds.
   void describe(const char* name, MetricType type, const char* help) {
     text_ += fmt::format("# HELP dunlinwing_{} {}\n# TYPE dunlinwing_{} {}\n", name, help, name,
                          type == MetricType::counter ? "counter" : "gauge");
@@ -76,7 +76,7 @@
                   count);
 }
 
-/// What a metric tells of a service's limits.
+/// A metric of a service's limits.
 struct LimitMetric {
   const char* name;
   MetricType type;
@@ -122,7 +122,7 @@
   }
 }
 
-/// What a metric tells of the link.
+/// A metric of the link.
 struct LinkMetric {
   const char* name;
   MetricType type;
--- a/src/control_api/metrics.hpp
+++ b/src/control_api/metrics.hpp
@@ -6,8 +6,8 @@
 
 namespace dunlinwing::control_api {
 
-/// The page of GET /metrics. Counters are this process's own, since its start.
-/// @param now  against which leases and sessions are judged
+/// The page of GET /metrics. Counters count since the start of this process.
+/// @param now  the time at which leases and sessions are evaluated
 std::string metrics_page(node::Node& node, TimePoint now);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/node_identity.hpp
+++ b/src/control_api/node_identity.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a node reports of itself to one that looks for the replicas; membership/discovery reads it. It
-/// answers at once, whether or not the node has a read lease. A handler: see Handler in
+/// The identity that a node reports to nodes that discover the replicas; membership/discovery reads it. The
+/// response is immediate, whether or not the node has a read lease. A handler: see Handler in
 /// control_api/api_context.hpp.
 #pragma once
 #include "control_api/api_context.hpp"
--- a/src/control_api/numbered_configuration.cpp
+++ b/src/control_api/numbered_configuration.cpp
@@ -1,7 +1,7 @@
-// A configuration whose number is not above the one in force changes nothing. It is validated by
-// itself like any other, and then: acknowledged below the number in force, and under it with the
-// content in force; a conflict (409) under it with another content, since of two operators who use
-// one number only one can have been acknowledged.
+// A configuration whose number is not above the one in force changes nothing. It is validated on its
+// own like any other. A lower number, or the same number with the content in force, is acknowledged;
+// the same number with different content is a conflict (409), since of two operators who use one
+// number only one can have been acknowledged.
 #include "control_api/numbered_configuration.hpp"
 
 #include <fmt/format.h>
@@ -16,7 +16,7 @@
 namespace dunlinwing::control_api {
 namespace {
 constexpr base::Log logger("control-api");
-// More than for other registers: every operator of the fleet writes this one.
+// Higher than for other registers, since every operator of the fleet writes this one.
 constexpr int kMaxAttempts = 16;
 
 /// A number above 0, in decimal digits.
@@ -53,7 +53,8 @@
 base::Response unchanged_response(const pb::NumberedConfiguration& in_force,
                                   const pb::NumberedConfiguration& requested, uint64_t version) {
   if (in_force.number() == requested.number() && in_force.document() != requested.document()) {
-    logger.warn("Configuration {} was sent with another content than is in force.", in_force.number());
+    logger.warn("Configuration {} was rejected: its content differs from the one in force under this number.",
+                in_force.number());
     return json_response(
         409,
         fmt::format(R"({{"defect":"held under this number with other content","number":{}}})",
--- a/src/control_api/numbered_configuration.hpp
+++ b/src/control_api/numbered_configuration.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The numbered configuration as a resource: sent whole under a number, the highest is in force. Handlers:
-/// see Handler in control_api/api_context.hpp.
+/// The numbered configuration as a resource: sent complete under a number; the highest number is in force.
+/// Handlers: see Handler in control_api/api_context.hpp.
 #pragma once
 #include "control_api/api_context.hpp"
 
--- a/src/control_api/order_log.cpp
+++ b/src/control_api/order_log.cpp
@@ -13,16 +13,17 @@
 
 void log_order(const ApiContext& context, const std::shared_ptr<const OrderStages>& stages) {
   if (!is_acknowledged(*stages))
-    return logger.warn("{}: {} was answered {} after {} ms{}.", context.node.config().name, stages->order,
-                       stages->status, after_taken(*stages, stages->answered),
-                       stages->written > TimePoint(0) ? "" : "; it is not written yet");
+    return logger.warn("{}: operator request {} got status {} after {} ms{}.", context.node.config().name,
+                       stages->order, stages->status, after_taken(*stages, stages->answered),
+                       stages->written > TimePoint(0) ? "" : "; its write is not complete yet");
   context.ports.tasks.spawn([&context, stages] {
     const bool in_force = context.node.state_cache().await_pull(context.node.config().bound);
     const TimePoint now = context.ports.clock.now();
-    logger.info("{}: {} was written after {} ms, acknowledged after {} ms and {} after {} ms.",
-                context.node.config().name, stages->order, after_taken(*stages, stages->written),
-                after_taken(*stages, stages->answered), in_force ? "in force here" : "not in force here",
-                after_taken(*stages, now));
+    logger.info(
+        "{}: operator request {} was written after {} ms, acknowledged after {} ms and {} after {} ms.",
+        context.node.config().name, stages->order, after_taken(*stages, stages->written),
+        after_taken(*stages, stages->answered), in_force ? "in force here" : "not in force here",
+        after_taken(*stages, now));
   });
 }
 
--- a/src/control_api/purge_writer.cpp
+++ b/src/control_api/purge_writer.cpp
@@ -1,13 +1,13 @@
-// One write per service is under way at a time; what arrives meanwhile goes into the next.
+// One write per service is in progress at a time; purges that arrive meanwhile go into the next one.
 #include "control_api/purge_writer.hpp"
 
 #include <algorithm>
 
 namespace dunlinwing::control_api {
 namespace {
-// Of one service, before the older half is merged: a register of a few kilobytes.
+// Per service, before the older half is merged; bounds the register to a few kilobytes.
 constexpr int kMaxPurges = 128;
-// After which a waiting request looks again by itself; the writer wakes it long before.
+// A waiting request checks for its result this often; normally the writer notifies it long before.
 constexpr Duration kRecheckPeriod{1000};
 
 bool same_target(const pb::Purge& left, const pb::Purge& right) {
@@ -31,7 +31,7 @@
   list->erase(std::remove_if(list->begin(), list->end(), predicate), list->end());
 }
 
-/// Puts one purge of the whole service in place of the older half.
+/// Replaces the older half with one purge of the whole service.
 void merge_older_half(pb::PurgeSet& purges) {
   std::vector<uint64_t> numbers;
   for (const auto& purge : purges.purges()) numbers.push_back(purge.number());
@@ -69,9 +69,9 @@
   };
   using Batch = std::vector<std::shared_ptr<PendingPurge>>;
 
-  /// What waits for the register of one service.
+  /// The purges that wait to be written to the register of one service.
   struct ServiceQueue {
-    bool writing = false;  ///< a fiber writes, and will write what is pending
+    bool writing = false;  ///< a fiber is writing, and will also write the pending purges
     Batch pending;
   };
 
@@ -83,7 +83,7 @@
     for (const auto& pending : batch) pending->result = error;
   }
 
-  /// Adds the batch to the service's set and gives each of it a result.
+  /// Adds the batch to the service's set and sets the result of each purge.
   void write(const std::string& service, const Batch& batch) {
     auto key = std::string(kPurgePrefix) + service;
     auto read = registers.read(key);
--- a/src/control_api/purge_writer.hpp
+++ b/src/control_api/purge_writer.hpp
@@ -9,11 +9,11 @@
 
 namespace dunlinwing::control_api {
 
-/// The register of a service's purges is called by this and the service's name.
+/// The register of a service's purges is named by this prefix and the service's name.
 inline constexpr std::string_view kPurgePrefix = "purge/";
 
-/// The kinds of purges as they are stored and as the API names them. They stay strings: a node keeps a kind
-/// that it does not know, from a newer program, as it is.
+/// The kinds of purges, as stored and as named in the API. They are strings, so that a node preserves an
+/// unknown kind from a newer version of the program.
 namespace purge_kind {
 inline constexpr std::string_view kPath = "path";
 inline constexpr std::string_view kPathPrefix = "prefix";
@@ -28,16 +28,16 @@
 
 struct PurgeResult {
   uint64_t number = 0;    ///< of the purge, in its service's set
-  bool known = false;     ///< a purge of this name was there already; nothing was added
-  bool conflict = false;  ///< and it purges something else
+  bool known = false;     ///< a purge of this name existed already; nothing was added
+  bool conflict = false;  ///< the existing purge has another target
 };
 
-/// Adds a purge to the set, takes out those that it covers and keeps the set bounded. Pure.
+/// Adds a purge to the set, removes those that it covers and keeps the set bounded. Pure.
 PurgeResult add_purge(pb::PurgeSet& purges, const pb::Purge& purge);
 
 class PurgeWriter {
  public:
-  /// Both outlive it and its fibers.
+  /// Both arguments outlive the writer and its fibers.
   PurgeWriter(base::Ports& ports, consensus::RegisterClient& registers);
   ~PurgeWriter();
 
--- a/src/control_api/purges.cpp
+++ b/src/control_api/purges.cpp
@@ -1,5 +1,5 @@
-// A purge without a name is done again when it is sent again, which does no harm. One with a name
-// is done once.
+// A purge without a name is carried out each time it is sent, which does no harm. A named purge is
+// carried out once.
 #include "control_api/purges.hpp"
 
 #include <fmt/format.h>
@@ -13,7 +13,7 @@
 namespace dunlinwing::control_api {
 namespace {
 struct PurgeRequest {
-  std::string service;  ///< proxy::kAllServices: every one
+  std::string service;  ///< proxy::kAllServices: every service
   pb::Purge purge;
 };
 
--- a/src/control_api/purges.hpp
+++ b/src/control_api/purges.hpp
@@ -5,7 +5,7 @@
 
 namespace dunlinwing::control_api {
 
-/// PUT /v1/purges/NAME purges once under the name; POST /v1/purges purges anew each time. 409: another purge
+/// PUT /v1/purges/NAME purges once per name; POST /v1/purges purges each time. 409: another purge
 /// has this name; 422: invalid.
 base::Response put_purge(const ApiContext& context, const ApiRequest& request);
 
--- a/src/control_api/register_change.hpp
+++ b/src/control_api/register_change.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Changes of a register: read by majority, decide, compare-and-set, anew for as long as other writes come
+/// Changes of a register: read it from a majority, decide, compare-and-set; repeated while other writes come
 /// first.
 ///
-/// Invariant: a response to a change is given only by what a majority has of the register, or is a 503.
+/// Invariant: a response to a change depends only on what a majority stores of the register, or is a 503.
 /// Threads: called in fibers of the control thread; each call waits for the network.
 #pragma once
 #include <google/protobuf/util/message_differencer.h>
@@ -15,30 +15,31 @@
 /// What a change writes to its register.
 struct RegisterWrite {
   std::string data;
-  std::string response_body;  ///< JSON, once it is written
+  std::string response_body;  ///< JSON; sent once the data is written
 };
 
 /// A change of one register.
 struct RegisterChange {
   std::string key;
-  int max_attempts = 8;  ///< compare-and-sets; none but the first begins after the request's deadline
-  /// The text of the 503 when each attempt came second.
+  int max_attempts = 8;  ///< compare-and-sets; only the first may begin after the request's deadline
+  /// The text of the 503 when another write came first in every attempt.
   std::string outpaced = "other writes came first; send it again";
-  /// What to write in place of the value, or the response that ends the request without a write. Called for
-  /// each attempt.
+  /// Returns what to write in place of the value, or the response that ends the request without a write.
+  /// Called for each attempt.
   std::function<std::variant<RegisterWrite, base::Response>(const consensus::VersionedValue&)> decide;
   /// Called once the value is written; may be null.
   std::function<void()> on_written;
 };
 
-/// @return 200 with the new version once it is written; else what `decide` responded, or a 503
+/// @return 200 with the new version once it is written; otherwise the response of `decide`, or a 503
 base::Response apply_change(const ApiContext& context, const ApiRequest& request,
                             const RegisterChange& change);
 
-/// Edits the message in a register. A change that is in force already is acknowledged, also when only the
-/// client's own write, whose response was lost, can have overtaken its precondition (RFC 9110, 13.1.1).
-/// @param edit  (Message&) -> std::optional<base::Response>: edits it, or gives the response that rejects the
-///              request
+/// Edits the message in a register. A change that is in force already is acknowledged, even when its
+/// precondition fails, if an earlier copy of the request, whose response was lost, may have caused that
+/// (RFC 9110, 13.1.1).
+/// @param edit  (Message&) -> std::optional<base::Response>: edits it, or returns the response that rejects
+///              the request
 template <class Message, class Edit>
 base::Response change_register(const ApiContext& context, const ApiRequest& request, const std::string& key,
                                Edit edit) {
--- a/src/control_api/releases.cpp
+++ b/src/control_api/releases.cpp
@@ -1,5 +1,5 @@
-// Whether a name is taken is read from its register, by majority; a document is validated by itself
-// first.
+// A document is validated first, on its own; then its name's register is read from a majority, to
+// find out whether the name is taken.
 #include "control_api/releases.hpp"
 
 #include <fmt/format.h>
@@ -31,7 +31,7 @@
   return "null";
 }
 
-/// The members of a release's JSON object but for its document, without the closing brace.
+/// The members of a release's JSON object except its document, without the closing brace.
 std::string release_summary(node::Node& node, const pb::RolloutState& rollout, const std::string& kind,
                             const std::string& name) {
   pb::OperatorAction action;
@@ -75,9 +75,9 @@
   return std::any_of(state.previous_versions().begin(), state.previous_versions().end(), allowed);
 }
 
-/// A version of a service is put in place by a version rollout, through a canary; never by a configuration
-/// that leaves out the one in place.
-/// @return the response when this one does, or when that is unknown
+/// Rejects a configuration that leaves out the version in place of a service: only a version rollout, through
+/// a canary, replaces that version.
+/// @return the response that rejects it, or that reports that the check could not be made; else empty
 std::optional<base::Response> check_versions(node::Node& node, const config::Release& release) {
   auto parsed = config::parse_routing_configuration(release.name, release.content);
   auto* next = std::get_if<RoutingConfigurationPtr>(&parsed);
@@ -96,7 +96,7 @@
   return {};
 }
 
-/// A release as a request names it.
+/// The kind and the name of a release in a request.
 struct ReleaseName {
   const std::string& kind;
   const std::string& name;
@@ -117,7 +117,7 @@
   return error_response(409, "a release of this name exists and is immutable", held.version);
 }
 
-/// Writes a release that is valid to its register, which was never written.
+/// Writes a valid release to its register, which was never written before.
 base::Response record(node::Node& node, const ApiRequest& request, const ReleaseName& release) {
   auto written = node.registers().write(release.key(), 0, request.http.body);
   if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
@@ -135,10 +135,10 @@
 
 struct ActionRequest {
   ActionKind kind;
-  std::string check;  ///< that a waiver names
+  std::string check;  ///< the waived check, of a waiver
 };
 
-/// The action that a path /v1/releases/KIND/NAME/ACTION names; nothing when it names none.
+/// The action that a path /v1/releases/KIND/NAME/ACTION names; empty when it names none.
 std::optional<ActionRequest> parse_action(const std::vector<std::string>& path) {
   const auto& action = path[4];
   if (path.size() == 5) {
--- a/src/control_api/router.cpp
+++ b/src/control_api/router.cpp
@@ -44,17 +44,17 @@
 
 /// How a request is answered.
 enum class RouteType {
-  local,       ///< of this node alone, at once, whether or not it is in contact with the others
+  local,       ///< from this node's state, at once, even without contact with the others
   read,        ///< after contact with a majority; may be a watch
-  heartbeat,   ///< likewise a write, of a backend instance
-  write,       ///< of an operator, within kResponseLimit
-  long_write,  ///< takes as long as it needs
+  heartbeat,   ///< a write of a backend instance, within kResponseLimit
+  write,       ///< a write of an operator, within kResponseLimit
+  long_write,  ///< a write of an operator, without a time limit here
 };
 
 struct Route {
   RouteType type;
-  std::string_view method;  ///< empty: any; a read by GET may be by HEAD too
-  std::string_view path;    ///< a segment that is kWildcard stands for any one
+  std::string_view method;  ///< empty: any; a read by GET also accepts HEAD
+  std::string_view path;    ///< a segment that equals kWildcard matches any segment
   Handler handler;
 };
 
@@ -127,7 +127,7 @@
   return nullptr;
 }
 
-/// A number that the query states; -1 where it states none.
+/// A number in the query; -1 when it is absent.
 int64_t query_number(const ApiRequest& request, const char* name) {
   int64_t value = -1;
   if (auto found = request.query.find(name); found != request.query.end())
@@ -155,7 +155,7 @@
         purge_writer(all_ports, own_node.registers()),
         context{all_ports, own_node, purge_writer} {}
 
-  /// A read. With `after` in its query it is a watch: it waits until the response's version is past that.
+  /// Answers a read. With `after` in its query it is a watch: it waits until the version exceeds `after`.
   base::Response read(const ApiRequest& request, const Route* route) const {
     auto after = query_number(request, "after");
     auto longest = std::clamp(Duration(query_number(request, "wait_ms")), Duration(0), kLongestWatch);
@@ -189,7 +189,7 @@
   if (http.method == "GET" || http.method == "HEAD") return impl_->read(request, route);
   if (route && route->type == RouteType::long_write) return route->handler(impl_->context, request);
   auto deadline = impl_->ports.clock.now() + kResponseLimit;
-  // The work may outlast this call, so it has a request of its own.
+  // The work may outlast this call, so it gets its own copy of the request.
   auto own = std::make_shared<base::Request>(http);
   auto stages = std::make_shared<OrderStages>();
   stages->order = http.method + " " + http.target;
--- a/src/control_api/router.hpp
+++ b/src/control_api/router.hpp
@@ -1,10 +1,10 @@
 /// @file
 /// The HTTP interface for operators and backend instances: named resources in JSON, at any node. The
-/// routes stand in one table in router.cpp; docs/resources.md describes them.
+/// routes are one table in router.cpp; docs/resources.md describes them.
 ///
-/// Invariants: a read waits for a pull that began after it came in, so it shows whatever was acknowledged
-/// before. A write is compare-and-set on the register of its resource. Both are answered in time, with a 503
-/// at the latest (control_api/majority_contact).
+/// Invariants: a read waits for a pull that began after the read arrived, so it returns everything that was
+/// acknowledged before. A write is compare-and-set on the register of its resource. Both are answered within
+/// a time limit, with a 503 if necessary (control_api/majority_contact).
 #pragma once
 #include "node/node.hpp"
 
@@ -12,7 +12,7 @@
 
 class Router {
  public:
-  /// Both outlive it and the fibers of its requests.
+  /// Both arguments outlive the router and the fibers of its requests.
   Router(base::Ports& ports, node::Node& node);
   ~Router();
 
--- a/src/control_api/schemas.hpp
+++ b/src/control_api/schemas.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// The JSON schemas of the bodies that operators and backend instances send (docs/resources.md). Each is
-/// parsed once, at its first use; may be called from any thread.
+/// parsed once, at its first use; the functions may be called from any thread.
 #pragma once
 #include "base/json.hpp"
 
--- a/src/control_api/services.cpp
+++ b/src/control_api/services.cpp
@@ -1,5 +1,5 @@
-// The numbered configuration is one register, which is read by majority. A configuration that came
-// by a release is known from the pull that this call waits for.
+// The numbered configuration is one register, which is read from a majority. A configuration from a
+// release is taken from the node's routing snapshot, after a pull that the call waits for.
 #include "control_api/services.hpp"
 
 #include <algorithm>
@@ -30,7 +30,7 @@
   return error_response(503, "the configuration in force cannot be read by this node's program");
 }
 
-/// Starts a canary of the version, or ends the one under way when the version is in place.
+/// Starts a canary of the version, or ends the running canary when the version is in place.
 /// @return the response that rejects the request
 std::optional<base::Response> request_version(pb::ServiceState& state, const std::string& version,
                                               bool lift_quarantine,
--- a/src/control_api/services.hpp
+++ b/src/control_api/services.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Services: which version of each is in place, and the configuration that says which services and versions
-/// there are.
+/// Services: which version of each is in place, and the configuration that defines which services and
+/// versions there are.
 ///
 /// Threads: called in fibers of the control thread. The look-ups wait for a majority of the replicas.
 /// Handlers: see Handler in control_api/api_context.hpp.
@@ -10,18 +10,18 @@
 
 namespace dunlinwing::control_api {
 
-/// The configuration in force as a majority knows it, not as this node last heard of it.
-/// @return null when none is; a 503 when no majority answers or it cannot be read here
+/// The configuration in force at a majority of the replicas, which may be newer than this node's.
+/// @return null when there is none; a 503 when no majority answers or this node cannot parse it
 std::variant<std::shared_ptr<const config::RoutingConfiguration>, base::Response> configuration_in_force(
     node::Node& node);
 
-/// The service in the configuration in force, once that allows the version.
-/// @return else the response: 404 for an unknown service, 422 for a version that is not allowed, 503
+/// The service in the configuration in force, if that allows the version.
+/// @return otherwise the response: 404 for an unknown service, 422 for a version that is not allowed, 503
 std::variant<std::shared_ptr<const config::ServiceConfiguration>, base::Response> service_for_version(
     node::Node& node, const std::string& name, const std::string& version);
 
-/// Sets the version in place where the service's register does not say it yet: the configuration's first, or
-/// the one that most instances run.
+/// Sets the version in place if the service's register has none yet: the configuration's first, or the one
+/// that most instances run.
 /// @param requested  the version that is to replace it
 /// @return the response (503) when no majority answers
 [[nodiscard]] std::optional<base::Response> fill_in_current(const ApiContext& context,
--- a/src/control_api/status_page.hpp
+++ b/src/control_api/status_page.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A node's status page in JSON: what it is, whether it is ready, its leases and counters. Its keys are part
+/// A node's status page in JSON: its identity, readiness, leases and counters. Its keys are part
 /// of the API (docs/operators.md).
 #pragma once
 #include "node/node.hpp"
@@ -7,10 +7,10 @@
 namespace dunlinwing::control_api {
 
 /// The page of GET /status.
-/// @param now  against which leases and sessions are judged
+/// @param now  the time at which leases and sessions are evaluated
 std::string status_page(node::Node& node, TimePoint now);
 
-/// What is left of the node's read lease; 0 when it has none.
+/// The remaining time of the node's read lease; 0 when it has none.
 Duration read_lease_left(node::Node& node, TimePoint now);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/version_rollouts.cpp
+++ b/src/control_api/version_rollouts.cpp
@@ -1,6 +1,6 @@
-// A version rollout is acknowledged once it is recorded. The same request again is the same rollout:
-// while it runs, after it has ended, and for a while after a newer one replaced it. Another replaces
-// a running one, unless the service is just being switched.
+// A version rollout is acknowledged once it is recorded. A repeated request refers to the same
+// rollout: while it runs, after it has ended, and for kRetryWindow after a newer one replaced it. A
+// different request replaces a running rollout, unless the service is being switched.
 #include "control_api/version_rollouts.hpp"
 
 #include <fmt/format.h>
@@ -18,7 +18,7 @@
 namespace {
 // Replaced rollouts that a service's register keeps: as many as operators' clients may still retry.
 constexpr int kMaxEarlier = 8;
-// For so long after a rollout was replaced, an equal request is a retry of it. Later it is a new one.
+// An equal request within this time after a rollout was replaced is a retry of it; later it is a new one.
 constexpr Duration kRetryWindow{30000};
 
 /// What an operator requests.
@@ -58,7 +58,7 @@
 }
 
 /// The replaced rollout that this request is a retry of, or null.
-/// @param wall_ms  now, by the calendar clock
+/// @param wall_ms  the current wall-clock time
 const pb::EarlierVersionRollout* find_retried(const pb::ServiceState& state, const RolloutRequest& wanted,
                                               int64_t wall_ms) {
   if (wanted.lift_quarantine) return nullptr;
@@ -85,7 +85,7 @@
   return {};
 }
 
-/// Moves the latest rollout, which ends with this, to the earlier ones.
+/// Ends the latest rollout and adds it to the earlier ones.
 void archive_latest(pb::ServiceState& state, int64_t wall_ms) {
   rollout::drop_canary(state);
   if (state.requested().empty() || !state.deadline_ms()) return;
@@ -99,9 +99,9 @@
   if (list.size() > kMaxEarlier) list.DeleteSubrange(0, list.size() - kMaxEarlier);
 }
 
-/// Makes the requested rollout the latest. One to a version that is in place or quarantined has ended at
-/// once.
-/// @param longest  the service's longest request
+/// Makes the requested rollout the latest. A rollout to a version that is in place or quarantined
+/// ends at once.
+/// @param longest  the maximum duration of a request to the service
 void start_rollout(pb::ServiceState& state, const RolloutRequest& wanted, Duration longest) {
   if (wanted.lift_quarantine) state.mutable_quarantined()->erase(wanted.version);
   bool in_place = state.current() == wanted.version;
@@ -130,7 +130,8 @@
   auto held = known_register(context.node, key);
   pb::ServiceState state;
   state.ParseFromString(held.data);
-  // It ends any moment, and towards the deadline whoever waits for that has no time to lose.
+  // The switch may end at any moment, and near the deadline a client that waits for its end needs the latest
+  // state without delay.
   if (state.switching()) {
     const auto read = context.node.registers().read(key);
     if (const auto* latest = std::get_if<consensus::VersionedValue>(&read)) {
--- a/src/control_api/version_rollouts.hpp
+++ b/src/control_api/version_rollouts.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Version rollouts: operators request that a service gets to a version within a deadline. Handlers: see
+/// Version rollouts: operators request that a service reaches a version within a deadline. Handlers: see
 /// Handler in control_api/api_context.hpp.
 #pragma once
 #include "control_api/api_context.hpp"
