--- a/src/console/client.cpp
+++ b/src/console/client.cpp
@@ -4,7 +4,7 @@
 
 namespace dunlinwing::console {
 namespace {
-constexpr Duration kSeedLimit{8000};  ///< in which a seed has to answer before the next is tried
+constexpr Duration kSeedLimit{8000};  ///< for the response of a seed before the next one is tried
 
 Reply parse_response(const base::Response& response, const std::string& from) {
   Reply reply{response.status, {}, response.body, from};
@@ -23,7 +23,7 @@
       last = parse_response(*response, seed);
       if (response->status != 503 || last.outcome_unknown()) return last;
     }
-    std::cerr << "console: " << seed << (response ? " cannot settle this" : " does not answer")
+    std::cerr << "console: " << seed << (response ? " cannot complete the request" : " does not answer")
               << "; trying the next seed\n";
   }
   return last;
--- a/src/console/client.hpp
+++ b/src/console/client.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Calls from the console to the fleet: tries one seed after the other and says on standard error which
-/// failed.
+/// HTTP requests of the console to the fleet: tries one seed after the other and reports on standard error
+/// which failed.
 #pragma once
 #include "base/json.hpp"
 #include "base/ports.hpp"
@@ -11,10 +11,10 @@
 struct Reply {
   int status = 0;    ///< the HTTP status; 0: no seed could be reached
   base::Json body;   ///< null when the text is not JSON
-  std::string text;  ///< the body as it came
-  std::string from;  ///< the address of the relay that gave it
+  std::string text;  ///< the body as received
+  std::string from;  ///< the address of the relay that sent it
 
-  /// Whether a change that was asked for may have been made or not.
+  /// Whether it is unknown if a requested change was made.
   bool outcome_unknown() const { return text.find("fate") != std::string::npos; }
 };
 
@@ -24,7 +24,7 @@
   Client(base::Origin& http, std::vector<std::string> seeds) : http_(http), seeds_(std::move(seeds)) {}
 
   Reply get(const std::string& path);
-  /// A PUT is idempotent by name, so one that broke off is simply stated again to the next seed.
+  /// A PUT is idempotent by name, so an interrupted one is sent again to the next seed.
   Reply put(const std::string& path, const std::string& body);
   /// A GET from one relay, whether a seed or not.
   Reply get_from(const std::string& address, const std::string& path, Duration limit);
--- a/src/console/commands.hpp
+++ b/src/console/commands.hpp
@@ -1,13 +1,14 @@
 /// @file
-/// The operators' commands, by name. Each states a resource at the fleet's control address or shows some.
+/// The operators' commands, by name. Each writes a resource at the fleet's control address or shows
+/// resources.
 #pragma once
 #include "console/session.hpp"
 
 namespace dunlinwing::console {
 
 struct Command {
-  std::string form;  ///< how it is written, for people
-  std::string what;  ///< what it does, for people
+  std::string form;  ///< the syntax, for the help text
+  std::string what;  ///< what it does, for the help text
   size_t min_arguments;
   size_t max_arguments;
   std::function<ExitStatus(Session&)> run;
@@ -19,11 +20,11 @@
 
 /// Commands on releases of any kind.
 Commands release_commands();
-/// Commands that show nodes, workers and other resources, and that move, purge and drain.
+/// Commands that show nodes, workers and other resources, and that roll out versions, purge and drain.
 Commands fleet_commands();
 /// holders: shows the replica set or changes it by one machine.
 ExitStatus replicas(Session& session);
-/// doctor: looks at everything an operator would look at, and says what is wrong.
+/// doctor: checks everything that an operator would check, and reports what is wrong.
 ExitStatus diagnose(Session& session);
 
 }  // namespace dunlinwing::console
--- a/src/console/diagnose.cpp
+++ b/src/console/diagnose.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Looks at everything an operator would look at, and says what is wrong. Seeds are looked at first, then
+/// Checks everything that an operator would check, and reports what is wrong. Seeds are checked first, then
 /// nodes, releases, workers and leaders; each finding is one sentence.
 #include <fmt/format.h>
 
@@ -15,7 +15,7 @@
 namespace {
 using Findings = std::vector<std::string>;
 
-constexpr Duration kReadinessLimit{2000};  ///< in which a seed has to say whether it is ready
+constexpr Duration kReadinessLimit{2000};  ///< for a seed's response to GET /readyz
 
 uint64_t number(const base::Json& json) { return std::strtoull(json.string_or("0").c_str(), nullptr, 10); }
 
@@ -91,7 +91,7 @@
   }
 }
 
-using VersionCounts = std::map<std::string, int>;  ///< workers that beat, by version
+using VersionCounts = std::map<std::string, int>;  ///< workers that send heartbeats, by version
 
 std::map<std::string, VersionCounts> count_workers(const base::Json& body) {
   std::map<std::string, VersionCounts> by_service;
--- a/src/console/fleet_commands.cpp
+++ b/src/console/fleet_commands.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Commands that show the fleet's resources, and those that move versions, purge content and drain nodes.
+/// Commands that show the fleet's resources, and those that roll out versions, purge content and drain nodes.
 #include <fmt/format.h>
 
 #include <cstdlib>
@@ -75,7 +75,7 @@
   return ExitStatus::ok;
 }
 
-/// With a time in seconds as third argument: moves within it, or back.
+/// The optional third argument is a time in seconds: the rollout completes within it or is rolled back.
 ExitStatus move(Session& session) {
   const auto& service = session.arguments[0];
   auto version = base::quote(session.arguments[1]);
@@ -112,16 +112,16 @@
 
 Commands fleet_commands() {
   return {
-      {"get", {"get RESOURCE", "any resource, as JSON", 1, 1, get}},
+      {"get", {"get RESOURCE", "prints any resource as JSON", 1, 1, get}},
       {"move",
        {"move SERVICE VERSION [SECONDS]",
-        "moves a service to a worker version; within so many seconds, or back", 2, 3, move}},
+        "moves a service to a worker version; rolls back if not complete within SECONDS", 2, 3, move}},
       {"purge", {"purge NAME SERVICE path|prefix|service [PATH]", "purges cached content", 3, 4, purge}},
       {"drain", {"drain node|zone NAME --reason R", "takes a relay or a zone out of traffic", 2, 2, drain}},
-      {"undrain", {"undrain node|zone NAME", "lets it back in", 2, 2, undrain}},
-      {"nodes", {"nodes", "all relays", 0, 0, nodes}},
-      {"workers", {"workers", "all workers", 0, 0, workers}},
-      {"duties", {"duties", "who does which duty", 0, 0, leaders}},
+      {"undrain", {"undrain node|zone NAME", "returns a relay or a zone to traffic", 2, 2, undrain}},
+      {"nodes", {"nodes", "lists all relays", 0, 0, nodes}},
+      {"workers", {"workers", "lists all workers", 0, 0, workers}},
+      {"duties", {"duties", "lists which relay does each duty", 0, 0, leaders}},
   };
 }
 
--- a/src/console/main.cpp
+++ b/src/console/main.cpp
@@ -11,10 +11,12 @@
 #include "net/address.hpp"
 #include "net/http.hpp"
 
-DEFINE_string(seeds, "", "control addresses of relays, with commas; else DUNLINWING_SEEDS");
-DEFINE_bool(json, false, "give the relay's own JSON");
-DEFINE_string(reason, "", "why, for what is recorded with a reason");
-DEFINE_int32(wait, 0, "watch: seconds at most");
+DEFINE_string(
+    seeds, "",
+    "control addresses of relays, separated by commas; default: the environment variable DUNLINWING_SEEDS");
+DEFINE_bool(json, false, "print the relay's JSON instead of tables");
+DEFINE_string(reason, "", "the reason to record, for commands that need one");
+DEFINE_int32(wait, 0, "the maximum time of watch and holders add, in seconds; 0: the default of the command");
 
 using namespace dunlinwing;
 
@@ -25,7 +27,9 @@
   std::string text = "the operators' command line\n  console --seeds IP:PORT[,IP:PORT...] COMMAND\n";
   for (const auto& [name, command] : console::commands())
     text += fmt::format("  {:<48} {}\n", command.form, command.what);
-  return text + "  exit: 0 fine, 1 not so, 2 usage, 3 not found, 4 rejected, 5 no answer, 6 fate unknown";
+  return text +
+         "  exit status: 0 success, 1 negative result, 2 usage error, 3 not found, 4 rejected, 5 no answer, "
+         "6 outcome unknown";
 }
 
 int report_usage(const std::string& reason) {
@@ -59,10 +63,9 @@
   gflags::SetUsageMessage(usage());
   gflags::SetVersionString(kSoftware);
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  if (argc < 2) return report_usage("no command is given");
+  if (argc < 2) return report_usage("no command given");
   auto found = console::commands().find(argv[1]);
-  if (found == console::commands().end())
-    return report_usage(fmt::format("there is no command \"{}\"", argv[1]));
+  if (found == console::commands().end()) return report_usage(fmt::format("unknown command \"{}\"", argv[1]));
   const auto& command = found->second;
   const std::vector<std::string> arguments(argv + 2, argv + argc);
   if (arguments.size() < command.min_arguments || arguments.size() > command.max_arguments)
@@ -70,6 +73,6 @@
   const auto addresses = seeds();
   for (const auto& address : addresses)
     if (!net::split_address(address)) return report_usage("\"" + address + "\" is not IP:port");
-  if (addresses.empty()) return report_usage("--seeds names no relay");
+  if (addresses.empty()) return report_usage("no control address of a relay is given, set --seeds");
   run(command, arguments, addresses);
 }
--- a/src/console/output.cpp
+++ b/src/console/output.cpp
@@ -44,7 +44,7 @@
 }
 
 ExitStatus report_missing_reason() {
-  std::cerr << "console: --reason is needed\n";
+  std::cerr << "console: --reason is required\n";
   return ExitStatus::usage;
 }
 
--- a/src/console/output.hpp
+++ b/src/console/output.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the console prints: tables are for people, --json gives programs the relay's own JSON. Results go
-/// to standard output, what went wrong to standard error.
+/// The console's output: tables for people or, with --json, the relay's JSON for programs. Results go to
+/// standard output, errors to standard error.
 #pragma once
 #include "console/session.hpp"
 
@@ -9,24 +9,24 @@
 /// A cell of a table.
 struct Cell {
   std::string text;
-  int width = 0;  ///< padded to so many characters and a space; 0: the last cell, as long as its text
+  int width = 0;  ///< padded to this many characters and a space; 0: the last cell, as long as its text
 };
 
 /// One line of a table, without white space at its end.
 std::string row(const std::vector<Cell>& cells);
 
-/// Prints a reply: as it came with --json, else by `print_table`; or says why there is none.
+/// Prints a reply: as received with --json, otherwise by `print_table`; or reports why the request failed.
 ExitStatus show(const Session& session, const Reply& reply,
                 const std::function<void(const base::Json&)>& print_table);
 
-/// The same for a change that was asked for.
-/// @param words  what is said when it was made
+/// Like show(), for a requested change.
+/// @param words  printed when the change was made
 ExitStatus show_done(const Session& session, const Reply& reply, const std::string& words);
 
-/// Says why a request was not carried out.
+/// Reports why a request was not carried out.
 ExitStatus report_rejection(const Reply& reply);
 
-/// Says that a command needs --reason.
+/// Reports that a command needs --reason.
 ExitStatus report_missing_reason();
 
 }  // namespace dunlinwing::console
--- a/src/console/release_commands.cpp
+++ b/src/console/release_commands.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Commands on releases: recording, showing, following and steering them.
+/// Commands on releases: recording, showing, following and controlling them.
 #include <fmt/format.h>
 
 #include <fstream>
@@ -30,7 +30,7 @@
   return fmt::format("/v1/releases/{}/{}", kind, name);
 }
 
-/// Of the release that the first two arguments name.
+/// The path of the release that the first two arguments name.
 std::string release_path(const Session& session) {
   return release_path(session.arguments[0], session.arguments[1]);
 }
@@ -88,7 +88,7 @@
   return has_failed(reply.body.at("course").at("phase").string_or()) ? ExitStatus::negative : ExitStatus::ok;
 }
 
-/// Where a release stands, in a line that stays the same while it only waits for a phase to end.
+/// The progress of a release, as a line that does not change while it only waits for a phase to end.
 std::string progress_line(const base::Json& progress, const std::string& phase) {
   auto place = phase + " " + progress.at("zone").string_or() + ": ";
   auto reason = progress.at("why").string_or();
@@ -113,7 +113,7 @@
     if (has_failed(phase)) return ExitStatus::negative;
     session.clock.sleep(kWatchInterval);
   }
-  std::cerr << "console: still under way when the time was up\n";
+  std::cerr << "console: the release did not end within the time limit\n";
   return ExitStatus::negative;
 }
 
@@ -122,7 +122,7 @@
   return ExitStatus::rejected;
 }
 
-/// Goes on where an earlier upload broke off: the fleet says how much it holds.
+/// Resumes an interrupted upload: the fleet reports how many bytes it stores.
 ExitStatus upload(Session& session) {
   auto release = session.client.get(release_path("software", session.arguments[0]));
   if (release.status != 200) return report_rejection(release);
@@ -174,8 +174,8 @@
   return differences ? ExitStatus::negative : ExitStatus::ok;
 }
 
-/// Records something on a release together with the reason.
-/// @param resource  below the release's own path
+/// Records an operator action on a release together with the reason.
+/// @param resource  path of the action, below the release's path
 ExitStatus put_with_reason(Session& session, const std::string& resource, const std::string& words) {
   if (session.reason.empty()) return report_missing_reason();
   auto body = fmt::format(R"({{"reason":{}}})", base::quote(session.reason));
@@ -192,14 +192,14 @@
 Commands release_commands() {
   return {
       {"apply", {"apply KIND NAME FILE", "records a release", 3, 3, apply}},
-      {"list", {"list [KIND]", "all releases and where they stand", 0, 1, list}},
-      {"status", {"status KIND NAME", "where a release stands, and why it holds", 2, 2, status}},
-      {"watch", {"watch KIND NAME", "follows a release to its end", 2, 2, watch}},
-      {"upload", {"upload NAME FILE", "the program of a recorded software release", 2, 2, upload}},
-      {"diff", {"diff KIND NAME NAME", "what differs between two releases", 3, 3, diff}},
+      {"list", {"list [KIND]", "lists all releases and their progress", 0, 1, list}},
+      {"status", {"status KIND NAME", "shows the progress of a release, and why it waits", 2, 2, status}},
+      {"watch", {"watch KIND NAME", "follows a release until it ends", 2, 2, watch}},
+      {"upload", {"upload NAME FILE", "uploads the program of a recorded software release", 2, 2, upload}},
+      {"diff", {"diff KIND NAME NAME", "shows the differences between two releases", 3, 3, diff}},
       {"waive", {"waive KIND NAME CHECK --reason R", "waives one check for one release", 3, 3, waive}},
-      {"withdraw", {"withdraw KIND NAME --reason R", "takes a release back", 2, 2, withdraw}},
-      {"express", {"express KIND NAME --reason R", "sends a release to all at once", 2, 2, express}},
+      {"withdraw", {"withdraw KIND NAME --reason R", "withdraws a release", 2, 2, withdraw}},
+      {"express", {"express KIND NAME --reason R", "rolls a release out to all at once", 2, 2, express}},
   };
 }
 
--- a/src/console/replica_commands.cpp
+++ b/src/console/replica_commands.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The replica set, one machine at a time: a machine is added, and waited for until it votes; one is taken
-/// out only while those that stay all vote.
+/// Changes the replica set one machine at a time: adding a machine waits until it votes; one is removed only
+/// while all that remain vote.
 #include <fmt/format.h>
 
 #include <iostream>
@@ -10,15 +10,15 @@
 
 namespace dunlinwing::console {
 namespace {
-constexpr Duration kVoteInterval{500};  ///< between two looks whether a new replica votes
+constexpr Duration kVoteInterval{500};  ///< between two checks whether a new replica votes
 constexpr int kDefaultWaitSeconds = 60;
-constexpr Duration kStatusLimit{2000};  ///< in which a replica has to say whether it votes
+constexpr Duration kStatusLimit{2000};  ///< for a replica's response to GET /status
 
 struct ReplicaState {
   std::string name;
   std::string peer_address;
-  std::string http_address;  ///< empty: it is no member now
-  bool votes = false;        ///< as it says itself
+  std::string http_address;  ///< empty: it is not a member now
+  bool votes = false;        ///< as it reports
 };
 using ReplicaStates = std::vector<ReplicaState>;
 
@@ -32,8 +32,8 @@
   return address;
 }
 
-/// Who is in the replica set, and whether each says that its disk votes; or why that is not known, which
-/// was said.
+/// The replica set, and whether each replica reports that its disk votes; or the exit status when that cannot
+/// be read, after the error was printed.
 std::variant<ReplicaStates, ExitStatus> read_replicas(Session& session) {
   auto set = session.client.get("/v1/holders");
   if (set.status != 200) return report_rejection(set);
@@ -90,7 +90,7 @@
     std::cout << name << " votes\n";
     return ExitStatus::ok;
   }
-  std::cerr << "console: " << name << " does not vote yet; remove no other holder before it does\n";
+  std::cerr << "console: " << name << " does not vote yet; do not remove another holder before it does\n";
   return ExitStatus::negative;
 }
 
@@ -100,7 +100,7 @@
   if (auto* error = std::get_if<ExitStatus>(&result)) return *error;
   for (auto& state : std::get<ReplicaStates>(result)) {
     if (state.name == name || state.votes) continue;
-    std::cerr << "console: " << state.name << " stays a holder and does not vote; wait for it first\n";
+    std::cerr << "console: " << state.name << " remains a holder but does not vote; wait until it votes\n";
     return ExitStatus::rejected;
   }
   auto reply = session.client.put(replica_path(name), R"({"holder":false})");
@@ -115,7 +115,7 @@
   if (arguments.empty() || (arguments[0] == "list" && arguments.size() == 1)) return list(session);
   if (arguments[0] == "add" && arguments.size() == 3) return add(session);
   if (arguments[0] == "remove" && arguments.size() == 2) return remove(session);
-  std::cerr << "console: holders [list], holders add NAME IP:PORT, or holders remove NAME\n";
+  std::cerr << "console: usage: holders [list], holders add NAME IP:PORT, or holders remove NAME\n";
   return ExitStatus::usage;
 }
 
--- a/src/console/session.hpp
+++ b/src/console/session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What one run of the console knows, and what it ends with.
+/// The context of one console command, and its exit status.
 #pragma once
 #include "console/client.hpp"
 
@@ -20,9 +20,9 @@
   Client& client;
   base::Clock& clock;
   std::vector<std::string> arguments;  ///< after the command
-  bool json = false;                   ///< give the relay's own JSON in place of tables
-  std::string reason;                  ///< for what is recorded with a reason; may be empty
-  int wait_seconds = 0;                ///< how long to follow something; 0: each command's own limit
+  bool json = false;                   ///< print the relay's JSON instead of tables
+  std::string reason;                  ///< recorded by commands that need a reason; may be empty
+  int wait_seconds = 0;                ///< the maximum time to wait; 0: the default of the command
 };
 
 }  // namespace dunlinwing::console
