--- a/test/unit/control_api/control_state_test.cpp
+++ b/test/unit/control_api/control_state_test.cpp
@@ -1,11 +1,11 @@
-// The sizes that docs/control-state.md states, and that no other part's cases look at.
+// Checks the sizes stated in docs/control-state.md that no other test covers.
 #include "control_api/purge_writer.hpp"
 #include "unit/unit_cases.hpp"
 
 namespace dunlinwing::test {
 namespace {
 
-// However many purges there were, a service's set is small, and what was purged stays purged.
+// However many purges there were, a service's set stays small, and purged content stays purged.
 void purges_are_bounded() {
   constexpr int kPurges = 5000, kMostKept = 129;
   pb::PurgeSet set;
@@ -16,7 +16,7 @@
     purge.set_name(fmt::format("n{}", i));
     auto done = control_api::add_purge(set, purge);
     expect(done.number == static_cast<uint64_t>(i) + 1, "a purge did not raise the number");
-    expect(set.purges_size() <= kMostKept, "purges pile up");
+    expect(set.purges_size() <= kMostKept, "the set exceeds its bound");
   }
   uint64_t folded = 0, oldest_kept = kPurges;
   for (auto& purge : set.purges())
@@ -24,7 +24,7 @@
       folded = std::max(folded, purge.number());
     else
       oldest_kept = std::min(oldest_kept, purge.number());
-  expect(folded + 1 == oldest_kept, "some purge is neither kept nor folded into a wider one");
+  expect(folded + 1 == oldest_kept, "some purge is neither kept nor merged into a wider one");
 }
 }  // namespace
 
