--- a/src/control_api/router.cpp
+++ b/src/control_api/router.cpp
@@ -11,7 +11,7 @@
 #include "control_api/metrics.hpp"
 #include "control_api/node_identity.hpp"
 #include "control_api/numbered_configuration.hpp"
-#include "control_api/order_log.hpp"
+#include "control_api/operator_write_log.hpp"
 #include "control_api/purge_writer.hpp"
 #include "control_api/purges.hpp"
 #include "control_api/releases.hpp"
@@ -191,19 +191,19 @@
   auto deadline = impl_->ports.clock.now() + kResponseLimit;
   // The work may outlast this call, so it gets its own copy of the request.
   auto own = std::make_shared<base::Request>(http);
-  auto stages = std::make_shared<OrderStages>();
-  stages->order = http.method + " " + http.target;
-  stages->taken = impl_->ports.clock.now();
-  auto response = respond_within(impl_->ports, kResponseLimit, [impl = impl_, own, deadline, route, stages] {
+  auto times = std::make_shared<OperatorWriteTimes>();
+  times->request = http.method + " " + http.target;
+  times->received = impl_->ports.clock.now();
+  auto response = respond_within(impl_->ports, kResponseLimit, [impl = impl_, own, deadline, route, times] {
     auto own_request = parse_request(*own);
     own_request.deadline = deadline;
     auto written = impl->write(own_request, route);
-    stages->written = impl->ports.clock.now();
+    times->written = impl->ports.clock.now();
     return written;
   });
-  stages->status = response.status;
-  stages->answered = impl_->ports.clock.now();
-  if (route && route->type == RouteType::write) log_order(impl_->context, stages);
+  times->status = response.status;
+  times->responded = impl_->ports.clock.now();
+  if (route && route->type == RouteType::write) log_operator_write(impl_->context, times);
   return response;
 }
 
