--- a/src/control_api/router.cpp
+++ b/src/control_api/router.cpp
@@ -190,17 +190,18 @@
   if (route && route->type == RouteType::long_write) return route->handler(impl_->context, request);
   auto deadline = impl_->ports.clock.now() + kResponseLimit;
   // The work may outlast this call, so it gets its own copy of the request.
-  auto own = std::make_shared<base::Request>(http);
+  auto http_copy = std::make_shared<base::Request>(http);
   auto times = std::make_shared<OperatorWriteTimes>();
   times->request = http.method + " " + http.target;
   times->received = impl_->ports.clock.now();
-  auto response = respond_within(impl_->ports, kResponseLimit, [impl = impl_, own, deadline, route, times] {
-    auto own_request = parse_request(*own);
-    own_request.deadline = deadline;
-    auto written = impl->write(own_request, route);
-    times->written = impl->ports.clock.now();
-    return written;
-  });
+  auto response =
+      respond_within(impl_->ports, kResponseLimit, [impl = impl_, http_copy, deadline, route, times] {
+        auto request_copy = parse_request(*http_copy);
+        request_copy.deadline = deadline;
+        auto written = impl->write(request_copy, route);
+        times->written = impl->ports.clock.now();
+        return written;
+      });
   times->status = response.status;
   times->responded = impl_->ports.clock.now();
   if (route && route->type == RouteType::write) log_operator_write(impl_->context, times);
