--- a/src/control_api/listings.cpp
+++ b/src/control_api/listings.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-#include "control_api/known_registers.hpp"
+#include "control_api/cached_registers.hpp"
 #include "control_api/purge_writer.hpp"
 #include "membership/deregistered.hpp"
 
@@ -15,17 +15,18 @@
 template <class Message>
 base::Response list_registers(node::Node& node, std::string_view prefix, const char* key) {
   std::vector<std::string> list;
-  for_each_register(node, prefix, [&](const std::string& name, const consensus::VersionedValue& value) {
-    Message message;
-    message.ParseFromString(value.data);
-    list.push_back(fmt::format("{}:{}", base::quote(name), message_json(message)));
-  });
+  for_each_cached_register(node, prefix,
+                           [&](const std::string& name, const consensus::VersionedValue& value) {
+                             Message message;
+                             message.ParseFromString(value.data);
+                             list.push_back(fmt::format("{}:{}", base::quote(name), message_json(message)));
+                           });
   return json_response(200, fmt::format("{{\"{}\":{{{}}}}}", key, fmt::join(list, ",")));
 }
 
 std::vector<std::string> deregistered_names(node::Node& node) {
   std::vector<std::string> names;
-  auto value = known_register(node, membership::kDeregisteredKey);
+  auto value = cached_register(node, membership::kDeregisteredKey);
   for (const auto& instance : membership::parse_deregistered(value.data))
     names.push_back(base::quote(instance));
   return names;
@@ -66,7 +67,7 @@
 }
 
 base::Response get_assignments(const ApiContext& context, const ApiRequest&) {
-  auto version = known_register(context.node, rollout::kRolloutKey).version;
+  auto version = cached_register(context.node, rollout::kRolloutKey).version;
   return json_response(200, message_json(rollout::read_rollout_state(context.node.state_cache().chosen())),
                        version);
 }
--- a/src/control_api/numbered_configuration.cpp
+++ b/src/control_api/numbered_configuration.cpp
@@ -10,7 +10,7 @@
 
 #include "base/log.hpp"
 #include "config/numbered_configuration.hpp"
-#include "control_api/known_registers.hpp"
+#include "control_api/cached_registers.hpp"
 #include "control_api/register_change.hpp"
 
 namespace dunlinwing::control_api {
@@ -86,7 +86,7 @@
 }
 
 base::Response get_numbered_configuration(const ApiContext& context, const ApiRequest&) {
-  auto held = known_register(context.node, config::kNumberedConfigurationKey);
+  auto held = cached_register(context.node, config::kNumberedConfigurationKey);
   pb::NumberedConfiguration in_force;
   if (!in_force.ParseFromString(held.data) || !in_force.number())
     return error_response(404, "no layout was ever stated under a number");
--- a/src/control_api/purges.cpp
+++ b/src/control_api/purges.cpp
@@ -4,7 +4,7 @@
 
 #include <fmt/format.h>
 
-#include "control_api/known_registers.hpp"
+#include "control_api/cached_registers.hpp"
 #include "control_api/majority_contact.hpp"
 #include "control_api/purge_writer.hpp"
 #include "control_api/schemas.hpp"
@@ -46,13 +46,14 @@
 /// The first other service that has a purge of this name, as of the latest pull.
 std::optional<std::string> find_other_service(node::Node& node, const PurgeRequest& wanted) {
   std::optional<std::string> found;
-  for_each_register(node, kPurgePrefix,
-                    [&](const std::string& service, const consensus::VersionedValue& value) {
-                      pb::PurgeSet set;
-                      if (found || service == wanted.service || !set.ParseFromString(value.data)) return;
-                      for (const auto& purge : set.purges())
-                        if (purge.name() == wanted.purge.name()) found = service;
-                    });
+  for_each_cached_register(node, kPurgePrefix,
+                           [&](const std::string& service, const consensus::VersionedValue& value) {
+                             pb::PurgeSet set;
+                             if (found || service == wanted.service || !set.ParseFromString(value.data))
+                               return;
+                             for (const auto& purge : set.purges())
+                               if (purge.name() == wanted.purge.name()) found = service;
+                           });
   return found;
 }
 
--- a/src/control_api/releases.cpp
+++ b/src/control_api/releases.cpp
@@ -8,7 +8,7 @@
 
 #include "base/log.hpp"
 #include "config/names.hpp"
-#include "control_api/known_registers.hpp"
+#include "control_api/cached_registers.hpp"
 #include "control_api/register_change.hpp"
 #include "control_api/schemas.hpp"
 #include "control_api/services.hpp"
@@ -35,7 +35,7 @@
 std::string release_summary(node::Node& node, const pb::RolloutState& rollout, const std::string& kind,
                             const std::string& name) {
   pb::OperatorAction action;
-  action.ParseFromString(known_register(node, config::operator_action_key(kind, name)).data);
+  action.ParseFromString(cached_register(node, config::operator_action_key(kind, name)).data);
   return fmt::format(R"({{"kind":{},"name":{},"course":{},"acts":{})", base::quote(kind), base::quote(name),
                      progress_json(rollout, kind, name), message_json(action));
 }
@@ -44,14 +44,14 @@
 base::Response list(node::Node& node, const std::string& only_kind) {
   auto rollout = rollout::read_rollout_state(node.state_cache().chosen());
   std::vector<std::string> releases;
-  for_each_register(node, kReleasePrefix,
-                    [&](const std::string& path, const consensus::VersionedValue& value) {
-                      if (!value.version) return;
-                      auto slash = path.find('/');
-                      auto kind = path.substr(0, slash);
-                      if (!only_kind.empty() && kind != only_kind) return;
-                      releases.push_back(release_summary(node, rollout, kind, path.substr(slash + 1)) + "}");
-                    });
+  for_each_cached_register(
+      node, kReleasePrefix, [&](const std::string& path, const consensus::VersionedValue& value) {
+        if (!value.version) return;
+        auto slash = path.find('/');
+        auto kind = path.substr(0, slash);
+        if (!only_kind.empty() && kind != only_kind) return;
+        releases.push_back(release_summary(node, rollout, kind, path.substr(slash + 1)) + "}");
+      });
   return json_response(200, fmt::format("{{\"releases\":[{}]}}", fmt::join(releases, ",")));
 }
 
@@ -214,7 +214,7 @@
 base::Response get_release(const ApiContext& context, const ApiRequest& request) {
   const ReleaseName release{request.path[2], request.path[3]};
   if (!config::is_release_kind(release.kind)) return no_such_kind();
-  auto held = known_register(context.node, release.key());
+  auto held = cached_register(context.node, release.key());
   if (held.version == 0) return no_such_release();
   auto rollout = rollout::read_rollout_state(context.node.state_cache().chosen());
   auto summary = release_summary(context.node, rollout, release.kind, release.name);
--- a/src/control_api/replicas.cpp
+++ b/src/control_api/replicas.cpp
@@ -2,7 +2,7 @@
 // before it votes. An old one is removed only after that.
 #include "control_api/replicas.hpp"
 
-#include "control_api/known_registers.hpp"
+#include "control_api/cached_registers.hpp"
 #include "control_api/majority_contact.hpp"
 #include "control_api/schemas.hpp"
 
@@ -26,7 +26,7 @@
 
 base::Response get_replicas(const ApiContext& context, const ApiRequest&) {
   return json_response(200, message_json(context.node.registers().replica_set().message()),
-                       known_register(context.node, consensus::kReplicaSetKey).version);
+                       cached_register(context.node, consensus::kReplicaSetKey).version);
 }
 
 base::Response put_replica(const ApiContext& context, const ApiRequest& request) {
--- a/src/control_api/services.cpp
+++ b/src/control_api/services.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "config/numbered_configuration.hpp"
-#include "control_api/known_registers.hpp"
+#include "control_api/cached_registers.hpp"
 #include "control_api/register_change.hpp"
 #include "control_api/schemas.hpp"
 #include "rollout/version_initializer.hpp"
@@ -108,7 +108,7 @@
 }
 
 base::Response get_service(const ApiContext& context, const ApiRequest& request) {
-  auto held = known_register(context.node, rollout::service_key(request.path[2]));
+  auto held = cached_register(context.node, rollout::service_key(request.path[2]));
   if (held.version == 0) return error_response(404, "no move of this service was ever asked for");
   pb::ServiceState state;
   state.ParseFromString(held.data);
--- a/src/control_api/version_rollouts.cpp
+++ b/src/control_api/version_rollouts.cpp
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "control_api/known_registers.hpp"
+#include "control_api/cached_registers.hpp"
 #include "control_api/register_change.hpp"
 #include "control_api/schemas.hpp"
 #include "control_api/services.hpp"
@@ -127,7 +127,7 @@
 
 base::Response get_version_rollout(const ApiContext& context, const ApiRequest& request) {
   const auto key = rollout::service_key(request.path[2]);
-  auto held = known_register(context.node, key);
+  auto held = cached_register(context.node, key);
   pb::ServiceState state;
   state.ParseFromString(held.data);
   // The switch may end at any moment, and near the deadline a client that waits for its end needs the latest
