--- a/src/control_api/register_change.cpp
+++ b/src/control_api/register_change.cpp
@@ -20,7 +20,7 @@
     if (auto* error = std::get_if<consensus::RegisterError>(&written)) return register_error(*error);
     held = std::get<consensus::VersionConflict>(written).current;
   }
-  return error_response(503, change.outpaced);
+  return error_response(503, change.conflict_message);
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/register_change.hpp
+++ b/src/control_api/register_change.hpp
@@ -23,7 +23,7 @@
   std::string key;
   int max_attempts = 8;  ///< compare-and-sets; only the first may begin after the request's deadline
   /// The text of the 503 when another write came first in every attempt.
-  std::string outpaced = "other writes came first; send it again";
+  std::string conflict_message = "other writes came first; send it again";
   /// Returns what to write in place of the value, or the response that ends the request without a write.
   /// Called for each attempt.
   std::function<std::variant<RegisterWrite, base::Response>(const consensus::VersionedValue&)> decide;
--- a/src/control_api/version_rollouts.cpp
+++ b/src/control_api/version_rollouts.cpp
@@ -153,7 +153,7 @@
   auto service = std::get<std::shared_ptr<const config::ServiceConfiguration>>(looked_up);
   RegisterChange change;
   change.key = rollout::service_key(wanted.service);
-  change.outpaced = "other writes came first; ask again";
+  change.conflict_message = "other writes came first; ask again";
   change.decide = [&](const consensus::VersionedValue& held) -> std::variant<RegisterWrite, base::Response> {
     pb::ServiceState state;
     state.ParseFromString(held.data);
