--- a/src/control_api/services.cpp
+++ b/src/control_api/services.cpp
@@ -72,10 +72,10 @@
   return ServiceConfigurationPtr(configuration, &service);
 }
 
-std::optional<base::Response> fill_in_current(const ApiContext& context, pb::ServiceState& state,
-                                              const std::string& name,
-                                              const config::ServiceConfiguration& service,
-                                              const std::string& requested) {
+std::optional<base::Response> ensure_current_version(const ApiContext& context, pb::ServiceState& state,
+                                                     const std::string& name,
+                                                     const config::ServiceConfiguration& service,
+                                                     const std::string& requested) {
   if (!state.current().empty()) return {};
   if (!service.versions.empty()) {
     state.set_current(service.versions.front());
@@ -101,7 +101,8 @@
     if (state.switching())
       return error_response(503,
                             "the service is being switched to version " + state.canary() + "; ask again");
-    if (auto no_majority = fill_in_current(context, state, name, *service, version)) return no_majority;
+    if (auto no_majority = ensure_current_version(context, state, name, *service, version))
+      return no_majority;
     return request_version(state, version, lift_quarantine, *service);
   };
   return change_register<pb::ServiceState>(context, request, rollout::service_key(name), edit);
--- a/src/control_api/services.hpp
+++ b/src/control_api/services.hpp
@@ -24,10 +24,9 @@
 /// that most instances run.
 /// @param requested  the version that is to replace it
 /// @return the response (503) when no majority answers
-[[nodiscard]] std::optional<base::Response> fill_in_current(const ApiContext& context,
-                                                            pb::ServiceState& state, const std::string& name,
-                                                            const config::ServiceConfiguration& service,
-                                                            const std::string& requested);
+[[nodiscard]] std::optional<base::Response> ensure_current_version(
+    const ApiContext& context, pb::ServiceState& state, const std::string& name,
+    const config::ServiceConfiguration& service, const std::string& requested);
 
 /// PUT /v1/services/NAME {"version":…,"lift_quarantine":…}: starts a canary of the version. 409: it is
 /// quarantined; 503 also while another version is being switched to.
--- a/src/control_api/version_rollouts.cpp
+++ b/src/control_api/version_rollouts.cpp
@@ -160,7 +160,7 @@
     auto wall_ms = context.ports.clock.wall_ms();
     if (auto response = response_without_change(state, wanted, request.http, held.version, wall_ms))
       return *response;
-    if (auto no_majority = fill_in_current(context, state, wanted.service, *service, wanted.version))
+    if (auto no_majority = ensure_current_version(context, state, wanted.service, *service, wanted.version))
       return *no_majority;
     archive_latest(state, wall_ms);
     start_rollout(state, wanted, service->deadline);
