--- a/src/control_api/api_request.cpp
+++ b/src/control_api/api_request.cpp
@@ -127,7 +127,7 @@
       412, fmt::format(R"({{"defect":"the version in force is another","version":{}}})", version), version);
 }
 
-bool may_be_own_write(const base::Request& http, uint64_t version) {
+bool may_be_retry(const base::Request& http, uint64_t version) {
   return !check_precondition(http, version) || !check_precondition(http, version - 1);
 }
 
--- a/src/control_api/api_request.hpp
+++ b/src/control_api/api_request.hpp
@@ -50,6 +50,6 @@
 
 /// Whether an earlier copy of this request, whose response was lost, may have written the resource, which
 /// equals the requested state: the preconditions hold for this version, or held for the one before.
-bool may_be_own_write(const base::Request& http, uint64_t version);
+bool may_be_retry(const base::Request& http, uint64_t version);
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/register_change.hpp
+++ b/src/control_api/register_change.hpp
@@ -52,7 +52,7 @@
     auto rejected = edit(after);
     bool in_force =
         !rejected && held.version > 0 && google::protobuf::util::MessageDifferencer::Equals(before, after);
-    if (in_force && may_be_own_write(request.http, held.version))
+    if (in_force && may_be_retry(request.http, held.version))
       return json_response(200, message_json(after), held.version);
     if (auto failed = check_precondition(request.http, held.version)) return *failed;
     if (rejected) return *rejected;
--- a/src/control_api/releases.cpp
+++ b/src/control_api/releases.cpp
@@ -111,7 +111,7 @@
 /// The response when the name is taken, by the same document or by another.
 base::Response already_recorded(const ApiRequest& request, const consensus::VersionedValue& held,
                                 const ReleaseName& release) {
-  if (held.data == request.http.body && may_be_own_write(request.http, held.version))
+  if (held.data == request.http.body && may_be_retry(request.http, held.version))
     return json_response(200, recorded_json(release, true), held.version);
   if (auto failed = check_precondition(request.http, held.version)) return *failed;
   return error_response(409, "a release of this name exists and is immutable", held.version);
