--- a/src/control_api/numbered_configuration.cpp
+++ b/src/control_api/numbered_configuration.cpp
@@ -72,10 +72,12 @@
   RegisterChange change;
   change.key = config::kNumberedConfigurationKey;
   change.max_attempts = kMaxAttempts;
-  change.decide = [&](const consensus::VersionedValue& held) -> std::variant<RegisterWrite, base::Response> {
+  change.decide =
+      [&](const consensus::VersionedValue& stored) -> std::variant<RegisterWrite, base::Response> {
     pb::NumberedConfiguration in_force;
-    in_force.ParseFromString(held.data);
-    if (in_force.number() >= requested.number()) return unchanged_response(in_force, requested, held.version);
+    in_force.ParseFromString(stored.data);
+    if (in_force.number() >= requested.number())
+      return unchanged_response(in_force, requested, stored.version);
     return RegisterWrite{requested.SerializeAsString(), recorded_json(requested.number(), true)};
   };
   change.on_written = [&] {
@@ -86,14 +88,14 @@
 }
 
 base::Response get_numbered_configuration(const ApiContext& context, const ApiRequest&) {
-  auto held = cached_register(context.node, config::kNumberedConfigurationKey);
+  auto stored = cached_register(context.node, config::kNumberedConfigurationKey);
   pb::NumberedConfiguration in_force;
-  if (!in_force.ParseFromString(held.data) || !in_force.number())
+  if (!in_force.ParseFromString(stored.data) || !in_force.number())
     return error_response(404, "no layout was ever stated under a number");
   return json_response(200,
                        fmt::format(R"({{"number":{},"content":{},"stated":{}}})", in_force.number(),
                                    in_force.document(), base::quote(in_force.operator_text())),
-                       held.version);
+                       stored.version);
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/purge_writer.cpp
+++ b/src/control_api/purge_writer.cpp
@@ -89,13 +89,13 @@
     auto read = registers.read(key);
     auto* value = std::get_if<consensus::VersionedValue>(&read);
     if (!value) return fail(batch, PurgeError::no_majority);
-    auto held = *value;
+    auto stored = *value;
     for (;;) {
       pb::PurgeSet purges;
-      purges.ParseFromString(held.data);
+      purges.ParseFromString(stored.data);
       std::vector<PurgeResult> results;
       for (const auto& pending : batch) results.push_back(add_purge(purges, pending->purge));
-      auto written = registers.write(key, held.version, purges.SerializeAsString());
+      auto written = registers.write(key, stored.version, purges.SerializeAsString());
       if (std::holds_alternative<consensus::VersionedValue>(written)) {
         for (size_t i = 0; i < batch.size(); ++i) batch[i]->result = results[i];
         return;
@@ -103,7 +103,7 @@
       if (auto* error = std::get_if<consensus::RegisterError>(&written))
         return fail(batch, *error == consensus::RegisterError::no_majority ? PurgeError::no_majority
                                                                            : PurgeError::outcome_unknown);
-      held = std::get<consensus::VersionConflict>(written).current;
+      stored = std::get<consensus::VersionConflict>(written).current;
     }
   }
 
--- a/src/control_api/register_change.hpp
+++ b/src/control_api/register_change.hpp
@@ -45,16 +45,17 @@
                                Edit edit) {
   RegisterChange change;
   change.key = key;
-  change.decide = [&](const consensus::VersionedValue& held) -> std::variant<RegisterWrite, base::Response> {
+  change.decide =
+      [&](const consensus::VersionedValue& stored) -> std::variant<RegisterWrite, base::Response> {
     Message before;
-    before.ParseFromString(held.data);
+    before.ParseFromString(stored.data);
     Message after = before;
     auto rejected = edit(after);
     bool in_force =
-        !rejected && held.version > 0 && google::protobuf::util::MessageDifferencer::Equals(before, after);
-    if (in_force && may_be_retry(request.http, held.version))
-      return json_response(200, message_json(after), held.version);
-    if (auto failed = check_precondition(request.http, held.version)) return *failed;
+        !rejected && stored.version > 0 && google::protobuf::util::MessageDifferencer::Equals(before, after);
+    if (in_force && may_be_retry(request.http, stored.version))
+      return json_response(200, message_json(after), stored.version);
+    if (auto failed = check_precondition(request.http, stored.version)) return *failed;
     if (rejected) return *rejected;
     return RegisterWrite{after.SerializeAsString(), message_json(after)};
   };
--- a/src/control_api/releases.cpp
+++ b/src/control_api/releases.cpp
@@ -87,10 +87,10 @@
   auto in_force = std::get<RoutingConfigurationPtr>(read);
   for (const auto& [name, service] : (*next)->services) {
     if (!in_force || !in_force->services.count(name)) continue;
-    auto held = node.registers().read(rollout::service_key(name));
-    if (auto* error = std::get_if<consensus::RegisterError>(&held)) return register_error(*error);
+    auto stored = node.registers().read(rollout::service_key(name));
+    if (auto* error = std::get_if<consensus::RegisterError>(&stored)) return register_error(*error);
     pb::ServiceState state;
-    state.ParseFromString(std::get<consensus::VersionedValue>(held).data);
+    state.ParseFromString(std::get<consensus::VersionedValue>(stored).data);
     if (!keeps_a_version(service, state)) return leaves_out_current(name, state.current());
   }
   return {};
@@ -109,12 +109,12 @@
 }
 
 /// The response when the name is taken, by the same document or by another.
-base::Response already_recorded(const ApiRequest& request, const consensus::VersionedValue& held,
+base::Response already_recorded(const ApiRequest& request, const consensus::VersionedValue& stored,
                                 const ReleaseName& release) {
-  if (held.data == request.http.body && may_be_retry(request.http, held.version))
-    return json_response(200, recorded_json(release, true), held.version);
-  if (auto failed = check_precondition(request.http, held.version)) return *failed;
-  return error_response(409, "a release of this name exists and is immutable", held.version);
+  if (stored.data == request.http.body && may_be_retry(request.http, stored.version))
+    return json_response(200, recorded_json(release, true), stored.version);
+  if (auto failed = check_precondition(request.http, stored.version)) return *failed;
+  return error_response(409, "a release of this name exists and is immutable", stored.version);
 }
 
 /// Writes a valid release to its register, which was never written before.
@@ -178,9 +178,9 @@
     return validation_errors(*errors);
   auto read = context.node.registers().read(release.key());
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
-  const auto& held = std::get<consensus::VersionedValue>(read);
-  if (held.version > 0) return already_recorded(request, held, release);
-  if (auto failed = check_precondition(request.http, held.version)) return *failed;
+  const auto& stored = std::get<consensus::VersionedValue>(read);
+  if (stored.version > 0) return already_recorded(request, stored, release);
+  if (auto failed = check_precondition(request.http, stored.version)) return *failed;
   if (release.kind == kConfigurationKind)
     if (auto response = check_versions(context.node, std::get<config::Release>(parsed))) return *response;
   return record(context.node, request, release);
@@ -214,11 +214,11 @@
 base::Response get_release(const ApiContext& context, const ApiRequest& request) {
   const ReleaseName release{request.path[2], request.path[3]};
   if (!config::is_release_kind(release.kind)) return no_such_kind();
-  auto held = cached_register(context.node, release.key());
-  if (held.version == 0) return no_such_release();
+  auto stored = cached_register(context.node, release.key());
+  if (stored.version == 0) return no_such_release();
   auto rollout = rollout::read_rollout_state(context.node.state_cache().chosen());
   auto summary = release_summary(context.node, rollout, release.kind, release.name);
-  return json_response(200, summary + ",\"document\":" + held.data + "}", held.version);
+  return json_response(200, summary + ",\"document\":" + stored.data + "}", stored.version);
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/services.cpp
+++ b/src/control_api/services.cpp
@@ -51,8 +51,8 @@
 std::variant<RoutingConfigurationPtr, base::Response> configuration_in_force(node::Node& node) {
   auto read = node.registers().read(config::kNumberedConfigurationKey);
   if (auto* error = std::get_if<consensus::RegisterError>(&read)) return register_error(*error);
-  const auto& held = std::get<consensus::VersionedValue>(read);
-  if (held.version > 0) return parse_numbered_configuration(node, held.data);
+  const auto& stored = std::get<consensus::VersionedValue>(read);
+  if (stored.version > 0) return parse_numbered_configuration(node, stored.data);
   if (auto no_majority = await_majority_contact(node)) return *no_majority;
   return node.request_handler().snapshot()->configuration;
 }
@@ -109,11 +109,11 @@
 }
 
 base::Response get_service(const ApiContext& context, const ApiRequest& request) {
-  auto held = cached_register(context.node, rollout::service_key(request.path[2]));
-  if (held.version == 0) return error_response(404, "no move of this service was ever asked for");
+  auto stored = cached_register(context.node, rollout::service_key(request.path[2]));
+  if (stored.version == 0) return error_response(404, "no move of this service was ever asked for");
   pb::ServiceState state;
-  state.ParseFromString(held.data);
-  return json_response(200, message_json(state), held.version);
+  state.ParseFromString(stored.data);
+  return json_response(200, message_json(state), stored.version);
 }
 
 }  // namespace dunlinwing::control_api
--- a/src/control_api/version_rollouts.cpp
+++ b/src/control_api/version_rollouts.cpp
@@ -127,21 +127,21 @@
 
 base::Response get_version_rollout(const ApiContext& context, const ApiRequest& request) {
   const auto key = rollout::service_key(request.path[2]);
-  auto held = cached_register(context.node, key);
+  auto stored = cached_register(context.node, key);
   pb::ServiceState state;
-  state.ParseFromString(held.data);
+  state.ParseFromString(stored.data);
   // The switch may end at any moment, and near the deadline a client that waits for its end needs the latest
   // state without delay.
   if (state.switching()) {
     const auto read = context.node.registers().read(key);
     if (const auto* latest = std::get_if<consensus::VersionedValue>(&read)) {
-      held = *latest;
-      state.ParseFromString(held.data);
+      stored = *latest;
+      state.ParseFromString(stored.data);
     }
   }
   if (rollout::rollout_outcome(state).empty())
     return error_response(404, "no move of this service was ever asked for");
-  return json_response(200, rollout_json(state), held.version);
+  return json_response(200, rollout_json(state), stored.version);
 }
 
 base::Response put_version_rollout(const ApiContext& context, const ApiRequest& request) {
@@ -154,11 +154,12 @@
   RegisterChange change;
   change.key = rollout::service_key(wanted.service);
   change.conflict_message = "other writes came first; ask again";
-  change.decide = [&](const consensus::VersionedValue& held) -> std::variant<RegisterWrite, base::Response> {
+  change.decide =
+      [&](const consensus::VersionedValue& stored) -> std::variant<RegisterWrite, base::Response> {
     pb::ServiceState state;
-    state.ParseFromString(held.data);
+    state.ParseFromString(stored.data);
     auto wall_ms = context.ports.clock.wall_ms();
-    if (auto response = response_without_change(state, wanted, request.http, held.version, wall_ms))
+    if (auto response = response_without_change(state, wanted, request.http, stored.version, wall_ms))
       return *response;
     if (auto no_majority = ensure_current_version(context, state, wanted.service, *service, wanted.version))
       return *no_majority;
