--- a/src/control_api/purge_writer.hpp
+++ b/src/control_api/purge_writer.hpp
@@ -28,7 +28,7 @@
 
 struct PurgeResult {
   uint64_t number = 0;    ///< of the purge, in its service's set
-  bool known = false;     ///< a purge of this name existed already; nothing was added
+  bool existed = false;   ///< a purge of this name existed already; nothing was added
   bool conflict = false;  ///< the existing purge has another target
 };
 
--- a/src/control_api/purges.cpp
+++ b/src/control_api/purges.cpp
@@ -76,7 +76,7 @@
   const auto& result = std::get<PurgeResult>(written);
   if (result.conflict) return name_taken(wanted.service);
   return json_response(200, fmt::format(R"({{"purge":{},"number":{},"was_known":{}}})",
-                                        base::quote(wanted.purge.name()), result.number, result.known));
+                                        base::quote(wanted.purge.name()), result.number, result.existed));
 }
 
 }  // namespace dunlinwing::control_api
--- a/test/unit/proxy/routing_snapshot_test.cpp
+++ b/test/unit/proxy/routing_snapshot_test.cpp
@@ -30,7 +30,7 @@
   purge.set_name("a");
   purge.set_kind("service");
   control_api::add_purge(purges, purge);
-  expect(control_api::add_purge(purges, purge).known && purges.number() == 1,
+  expect(control_api::add_purge(purges, purge).existed && purges.number() == 1,
          "the same purge was counted twice");
   expect(!control_api::add_purge(purges, purge).conflict, "the same document was reported as a conflict");
   purge.set_kind("prefix");
