--- a/src/control_api/purge_writer.cpp
+++ b/src/control_api/purge_writer.cpp
@@ -108,7 +108,7 @@
   }
 
   /// Writes batch after batch until nothing is pending.
-  void drain(ServiceQueue& queue, const std::string& service) {
+  void write_pending(ServiceQueue& queue, const std::string& service) {
     while (!queue.pending.empty()) {
       auto batch = std::exchange(queue.pending, {});
       write(service, batch);
@@ -130,7 +130,7 @@
   queue.pending.push_back(pending);
   if (!queue.writing) {
     queue.writing = true;
-    impl_->ports.tasks.spawn([impl = impl_, &queue, service] { impl->drain(queue, service); });
+    impl_->ports.tasks.spawn([impl = impl_, &queue, service] { impl->write_pending(queue, service); });
   }
   while (!pending->result) pending->done->wait(kRecheckPeriod);
   return *pending->result;
