--- a/src/console/fleet_commands.cpp
+++ b/src/console/fleet_commands.cpp
@@ -25,7 +25,7 @@
 }
 
 ExitStatus nodes(Session& session) {
-  return show(session, session.client.get("/v1/nodes"), [](const base::Json& body) {
+  return print_reply(session, session.client.get("/v1/nodes"), [](const base::Json& body) {
     std::cout << row({{"NAME", 10},
                       {"ZONE", 6},
                       {"MEMBER", 7},
@@ -44,7 +44,7 @@
 }
 
 ExitStatus workers(Session& session) {
-  return show(session, session.client.get("/v1/workers"), [](const base::Json& body) {
+  return print_reply(session, session.client.get("/v1/workers"), [](const base::Json& body) {
     std::cout << row(
         {{"INSTANCE", 16}, {"SERVICE", 14}, {"VERSION", 10}, {"ZONE", 6}, {"ADDRESS", 22}, {"STATE", 0}});
     for (auto& worker : body.at("workers").items()) {
@@ -60,7 +60,7 @@
 }
 
 ExitStatus leaders(Session& session) {
-  return show(session, session.client.get("/v1/duties"), [](const base::Json& body) {
+  return print_reply(session, session.client.get("/v1/duties"), [](const base::Json& body) {
     for (auto& [name, leader] : body.members())
       std::cout << name << ": " << leader.at("holder").string_or() << ", understudy "
                 << leader.at("understudy").string_or() << ", term " << leader.at("term").string_or() << "\n";
@@ -80,13 +80,13 @@
   const auto& service = session.arguments[0];
   auto version = base::quote(session.arguments[1]);
   if (session.arguments.size() <= 2)
-    return show_done(
+    return print_confirmation(
         session, session.client.put("/v1/services/" + service, fmt::format(R"({{"version":{}}})", version)),
         "stated; watch it with: console get services/" + service);
   auto within_ms = std::strtoll(session.arguments[2].c_str(), nullptr, 10) * 1000;
   auto body = fmt::format(R"({{"version":{},"within_ms":{}}})", version, within_ms);
-  return show_done(session, session.client.put("/v1/moves/" + service, body),
-                   "asked for; see how it goes with: console get moves/" + service);
+  return print_confirmation(session, session.client.put("/v1/moves/" + service, body),
+                            "asked for; see how it goes with: console get moves/" + service);
 }
 
 ExitStatus purge(Session& session) {
@@ -94,14 +94,15 @@
   auto path = arguments.size() > 3 ? fmt::format(R"(,"path":{})", base::quote(arguments[3])) : "";
   auto body = fmt::format(R"({{"service":{},"kind":{}{}}})", base::quote(arguments[1]),
                           base::quote(arguments[2]), path);
-  return show_done(session, session.client.put("/v1/purges/" + arguments[0], body),
-                   "purged; no relay serves it two seconds from now");
+  return print_confirmation(session, session.client.put("/v1/purges/" + arguments[0], body),
+                            "purged; no relay serves it two seconds from now");
 }
 
 ExitStatus put_drain(Session& session, bool drained) {
   auto path = fmt::format("/v1/drains/{}/{}", session.arguments[0], session.arguments[1]);
   auto body = fmt::format(R"({{"drained":{},"reason":{}}})", drained, base::quote(session.reason));
-  return show_done(session, session.client.put(path, body), drained ? "draining" : "no longer drained");
+  return print_confirmation(session, session.client.put(path, body),
+                            drained ? "draining" : "no longer drained");
 }
 
 ExitStatus drain(Session& session) {
--- a/src/console/output.cpp
+++ b/src/console/output.cpp
@@ -14,8 +14,8 @@
   return line + "\n";
 }
 
-ExitStatus show(const Session& session, const Reply& reply,
-                const std::function<void(const base::Json&)>& print_table) {
+ExitStatus print_reply(const Session& session, const Reply& reply,
+                       const std::function<void(const base::Json&)>& print_table) {
   if (reply.status != 200 && reply.status != 202) return report_rejection(reply);
   if (session.json)
     std::cout << reply.text;
@@ -24,8 +24,8 @@
   return ExitStatus::ok;
 }
 
-ExitStatus show_done(const Session& session, const Reply& reply, const std::string& words) {
-  return show(session, reply, [&](const base::Json&) { std::cout << words << "\n"; });
+ExitStatus print_confirmation(const Session& session, const Reply& reply, const std::string& words) {
+  return print_reply(session, reply, [&](const base::Json&) { std::cout << words << "\n"; });
 }
 
 ExitStatus report_rejection(const Reply& reply) {
--- a/src/console/output.hpp
+++ b/src/console/output.hpp
@@ -16,12 +16,12 @@
 std::string row(const std::vector<Cell>& cells);
 
 /// Prints a reply: as received with --json, otherwise by `print_table`; or reports why the request failed.
-ExitStatus show(const Session& session, const Reply& reply,
-                const std::function<void(const base::Json&)>& print_table);
+ExitStatus print_reply(const Session& session, const Reply& reply,
+                       const std::function<void(const base::Json&)>& print_table);
 
-/// Like show(), for a requested change.
+/// Like print_reply(), for a requested change.
 /// @param words  printed when the change was made
-ExitStatus show_done(const Session& session, const Reply& reply, const std::string& words);
+ExitStatus print_confirmation(const Session& session, const Reply& reply, const std::string& words);
 
 /// Reports why a request was not carried out.
 ExitStatus report_rejection(const Reply& reply);
--- a/src/console/release_commands.cpp
+++ b/src/console/release_commands.cpp
@@ -41,7 +41,7 @@
   auto document = read_file(session.arguments[2]);
   if (!document) return ExitStatus::usage;
   auto reply = session.client.put(release_path(session), *document);
-  return show_done(
+  return print_confirmation(
       session, reply,
       reply.status == 202 ? "recorded; rollout will take it up" : "was recorded before, unchanged");
 }
@@ -58,7 +58,7 @@
 ExitStatus list(Session& session) {
   auto reply =
       session.client.get(session.arguments.empty() ? "/v1/releases" : "/v1/releases/" + session.arguments[0]);
-  return show(session, reply, [](const base::Json& body) {
+  return print_reply(session, reply, [](const base::Json& body) {
     std::cout << row({{"KIND", 9}, {"NAME", 20}, {"PHASE", 12}, {"ZONE", 6}, {"WHY", 0}});
     for (auto& release : body.at("releases").items()) print_release_row(release);
   });
@@ -83,7 +83,7 @@
 
 ExitStatus status(Session& session) {
   auto reply = session.client.get(release_path(session));
-  auto shown = show(session, reply, print_release);
+  auto shown = print_reply(session, reply, print_release);
   if (shown != ExitStatus::ok) return shown;
   return has_failed(reply.body.at("course").at("phase").string_or()) ? ExitStatus::negative : ExitStatus::ok;
 }
@@ -179,7 +179,7 @@
 ExitStatus put_with_reason(Session& session, const std::string& resource, const std::string& words) {
   if (session.reason.empty()) return report_missing_reason();
   auto body = fmt::format(R"({{"reason":{}}})", base::quote(session.reason));
-  return show_done(session, session.client.put(release_path(session) + resource, body), words);
+  return print_confirmation(session, session.client.put(release_path(session) + resource, body), words);
 }
 
 ExitStatus waive(Session& session) {
