--- a/src/console/commands.hpp
+++ b/src/console/commands.hpp
@@ -7,8 +7,8 @@
 namespace dunlinwing::console {
 
 struct Command {
-  std::string form;  ///< the syntax, for the help text
-  std::string what;  ///< what it does, for the help text
+  std::string syntax;       ///< the syntax, for the help text
+  std::string description;  ///< what it does, for the help text
   size_t min_arguments;
   size_t max_arguments;
   std::function<ExitStatus(Session&)> run;
--- a/src/console/main.cpp
+++ b/src/console/main.cpp
@@ -26,7 +26,7 @@
 std::string usage() {
   std::string text = "the operators' command line\n  console --seeds IP:PORT[,IP:PORT...] COMMAND\n";
   for (const auto& [name, command] : console::commands())
-    text += fmt::format("  {:<48} {}\n", command.form, command.what);
+    text += fmt::format("  {:<48} {}\n", command.syntax, command.description);
   return text +
          "  exit status: 0 success, 1 negative result, 2 usage error, 3 not found, 4 rejected, 5 no answer, "
          "6 outcome unknown";
@@ -69,7 +69,7 @@
   const auto& command = found->second;
   const std::vector<std::string> arguments(argv + 2, argv + argc);
   if (arguments.size() < command.min_arguments || arguments.size() > command.max_arguments)
-    return report_usage("usage: " + command.form);
+    return report_usage("usage: " + command.syntax);
   const auto addresses = seeds();
   for (const auto& address : addresses)
     if (!net::split_address(address)) return report_usage("\"" + address + "\" is not IP:port");
