--- a/src/console/output.cpp
+++ b/src/console/output.cpp
@@ -24,8 +24,8 @@
   return ExitStatus::ok;
 }
 
-ExitStatus print_confirmation(const Session& session, const Reply& reply, const std::string& words) {
-  return print_reply(session, reply, [&](const base::Json&) { std::cout << words << "\n"; });
+ExitStatus print_confirmation(const Session& session, const Reply& reply, const std::string& message) {
+  return print_reply(session, reply, [&](const base::Json&) { std::cout << message << "\n"; });
 }
 
 ExitStatus report_rejection(const Reply& reply) {
--- a/src/console/output.hpp
+++ b/src/console/output.hpp
@@ -20,8 +20,8 @@
                        const std::function<void(const base::Json&)>& print_table);
 
 /// Like print_reply(), for a requested change.
-/// @param words  printed when the change was made
-ExitStatus print_confirmation(const Session& session, const Reply& reply, const std::string& words);
+/// @param message  printed when the change was made
+ExitStatus print_confirmation(const Session& session, const Reply& reply, const std::string& message);
 
 /// Reports why a request was not carried out.
 ExitStatus report_rejection(const Reply& reply);
--- a/src/console/release_commands.cpp
+++ b/src/console/release_commands.cpp
@@ -176,10 +176,10 @@
 
 /// Records an operator action on a release together with the reason.
 /// @param resource  path of the action, below the release's path
-ExitStatus put_with_reason(Session& session, const std::string& resource, const std::string& words) {
+ExitStatus put_with_reason(Session& session, const std::string& resource, const std::string& message) {
   if (session.reason.empty()) return report_missing_reason();
   auto body = fmt::format(R"({{"reason":{}}})", base::quote(session.reason));
-  return print_confirmation(session, session.client.put(release_path(session) + resource, body), words);
+  return print_confirmation(session, session.client.put(release_path(session) + resource, body), message);
 }
 
 ExitStatus waive(Session& session) {
