--- a/src/console/diagnose.cpp
+++ b/src/console/diagnose.cpp
@@ -17,17 +17,19 @@
 
 constexpr Duration kReadinessLimit{2000};  ///< for a seed's response to GET /readyz
 
-uint64_t number(const base::Json& json) { return std::strtoull(json.string_or("0").c_str(), nullptr, 10); }
+uint64_t parse_uint64(const base::Json& json) {
+  return std::strtoull(json.string_or("0").c_str(), nullptr, 10);
+}
 
 /// @return whether any seed answers
 bool check_seeds(Session& session, Findings& findings) {
-  size_t silent = 0;
+  size_t unreachable_seeds = 0;
   for (const auto& seed : session.client.seeds()) {
     if (session.client.get_from(seed, "/readyz", kReadinessLimit).status != 0) continue;
-    ++silent;
+    ++unreachable_seeds;
     findings.push_back(fmt::format("seed {} does not answer", seed));
   }
-  return silent < session.client.seeds().size();
+  return unreachable_seeds < session.client.seeds().size();
 }
 
 void check_node(const base::Json& node, Findings& findings) {
@@ -142,7 +144,7 @@
 void check_leaders(const base::Json& body, Findings& findings) {
   auto leader = body.at("rollout");
   if (leader.at("holder").string_or().empty()) findings.emplace_back("nobody does the rollout duty");
-  if (number(leader.at("term")) && leader.at("understudy").string_or().empty())
+  if (parse_uint64(leader.at("term")) && leader.at("understudy").string_or().empty())
     findings.emplace_back("the rollout leadership has no understudy");
 }
 
