--- a/src/console/diagnose.cpp
+++ b/src/console/diagnose.cpp
@@ -98,9 +98,9 @@
 std::map<std::string, VersionCounts> count_workers(const base::Json& body) {
   std::map<std::string, VersionCounts> by_service;
   for (auto& worker : body.at("workers").items()) {
-    auto beat = worker.at("beat");
+    auto heartbeat = worker.at("beat");
     if (!worker.at("gone").bool_or())
-      ++by_service[beat.at("service").string_or()][beat.at("version").string_or()];
+      ++by_service[heartbeat.at("service").string_or()][heartbeat.at("version").string_or()];
   }
   return by_service;
 }
--- a/src/console/fleet_commands.cpp
+++ b/src/console/fleet_commands.cpp
@@ -48,12 +48,12 @@
     std::cout << row(
         {{"INSTANCE", 16}, {"SERVICE", 14}, {"VERSION", 10}, {"ZONE", 6}, {"ADDRESS", 22}, {"STATE", 0}});
     for (auto& worker : body.at("workers").items()) {
-      auto beat = worker.at("beat");
+      auto heartbeat = worker.at("beat");
       std::cout << row({{worker.at("instance").string_or(), 16},
-                        {beat.at("service").string_or(), 14},
-                        {beat.at("version").string_or(), 10},
-                        {beat.at("zone").string_or(), 6},
-                        {beat.at("address").string_or(), 22},
+                        {heartbeat.at("service").string_or(), 14},
+                        {heartbeat.at("version").string_or(), 10},
+                        {heartbeat.at("zone").string_or(), 6},
+                        {heartbeat.at("address").string_or(), 22},
                         {worker_state(worker), 0}});
     }
   });
