--- a/src/console/replica_commands.cpp
+++ b/src/console/replica_commands.cpp
@@ -68,7 +68,7 @@
   return all_vote ? ExitStatus::ok : ExitStatus::negative;
 }
 
-bool votes(Session& session, const std::string& name) {
+bool is_voting(Session& session, const std::string& name) {
   auto result = read_replicas(session);
   if (auto* states = std::get_if<ReplicaStates>(&result))
     for (auto& state : *states)
@@ -86,7 +86,7 @@
   const int seconds = session.wait_seconds ? session.wait_seconds : kDefaultWaitSeconds;
   for (auto end = session.clock.now() + Duration(1000 * seconds); session.clock.now() < end;
        session.clock.sleep(kVoteInterval)) {
-    if (!votes(session, name)) continue;
+    if (!is_voting(session, name)) continue;
     std::cout << name << " votes\n";
     return ExitStatus::ok;
   }
