--- a/src/console/release_commands.cpp
+++ b/src/console/release_commands.cpp
@@ -132,9 +132,10 @@
   auto progress = session.client.get(path);
   if (progress.status != 200) return report_rejection(progress);
   while (!progress.body.at("whole").bool_or()) {
-    auto held = static_cast<uint64_t>(progress.body.at("held").integer_or());
-    if (held >= data->size()) return report_wrong_file();
-    auto reply = session.client.put(fmt::format("{}?offset={}", path, held), data->substr(held, kChunkBytes));
+    auto stored_bytes = static_cast<uint64_t>(progress.body.at("held").integer_or());
+    if (stored_bytes >= data->size()) return report_wrong_file();
+    auto reply = session.client.put(fmt::format("{}?offset={}", path, stored_bytes),
+                                    data->substr(stored_bytes, kChunkBytes));
     if (reply.status == 409) return report_wrong_file(", or another upload is under way");
     if (reply.status != 200) return report_rejection(reply);
     progress = reply;
