--- a/test/unit/control_api/control_state_test.cpp
+++ b/test/unit/control_api/control_state_test.cpp
@@ -18,13 +18,13 @@
     expect(done.number == static_cast<uint64_t>(i) + 1, "a purge did not raise the number");
     expect(set.purges_size() <= kMostKept, "the set exceeds its bound");
   }
-  uint64_t folded = 0, oldest_kept = kPurges;
+  uint64_t merged = 0, oldest_kept = kPurges;
   for (auto& purge : set.purges())
     if (purge.kind() == "service")
-      folded = std::max(folded, purge.number());
+      merged = std::max(merged, purge.number());
     else
       oldest_kept = std::min(oldest_kept, purge.number());
-  expect(folded + 1 == oldest_kept, "some purge is neither kept nor merged into a wider one");
+  expect(merged + 1 == oldest_kept, "some purge is neither kept nor merged into a wider one");
 }
 }  // namespace
 
