--- a/test/unit/platform/translation_test.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -275,7 +275,7 @@
 }
 }  // namespace
 
-std::vector<Case> platform_words_cases() {
+std::vector<Case> platform_translation_cases() {
   return {{"platform: a configuration's fields", configuration_fields},
           {"platform: each invalid form is refused", invalid_configurations},
           {"platform: a configuration goes in and comes back as it was", configuration_round_trip},
