--- a/test/unit/consensus/register_test.cpp
+++ b/test/unit/consensus/register_test.cpp
@@ -122,7 +122,7 @@
 
 }  // namespace
 
-std::vector<Case> registry_cases() {
+std::vector<Case> register_cases() {
   return {
       property("register: at most one value is chosen for a version by competing proposers",
                racing_proposers),
--- a/test/unit/main.cpp
+++ b/test/unit/main.cpp
@@ -13,7 +13,7 @@
   for (auto* part : {&disk_cases,
                      &disk_fault_cases,
                      &acceptor_cases,
-                     &registry_cases,
+                     &register_cases,
                      &consensus_trace_cases,
                      &consensus_property_cases,
                      &rollout_cases,
--- a/test/unit/unit_cases.hpp
+++ b/test/unit/unit_cases.hpp
@@ -9,7 +9,7 @@
 std::vector<Case> disk_cases();
 std::vector<Case> disk_fault_cases();
 std::vector<Case> acceptor_cases();
-std::vector<Case> registry_cases();
+std::vector<Case> register_cases();
 std::vector<Case> consensus_trace_cases();
 std::vector<Case> consensus_property_cases();
 std::vector<Case> rollout_cases();
