--- a/test/unit/main.cpp
+++ b/test/unit/main.cpp
@@ -17,7 +17,7 @@
                      &consensus_trace_cases,
                      &consensus_property_cases,
                      &rollout_cases,
-                     &fence_cases,
+                     &leadership_fence_cases,
                      &control_state_cases,
                      &contact_cases,
                      &version_rollout_cases,
--- a/test/unit/membership/leadership_fence_test.cpp
+++ b/test/unit/membership/leadership_fence_test.cpp
@@ -38,7 +38,7 @@
 }
 }  // namespace
 
-std::vector<Case> fence_cases() {
+std::vector<Case> leadership_fence_cases() {
   return {{"fence: a write needs the lease of its decision and no higher term", examples},
           property("fence: the term of a register never decreases", terms_never_fall)};
 }
--- a/test/unit/unit_cases.hpp
+++ b/test/unit/unit_cases.hpp
@@ -13,7 +13,7 @@
 std::vector<Case> consensus_trace_cases();
 std::vector<Case> consensus_property_cases();
 std::vector<Case> rollout_cases();
-std::vector<Case> fence_cases();
+std::vector<Case> leadership_fence_cases();
 std::vector<Case> control_state_cases();
 std::vector<Case> contact_cases();
 std::vector<Case> version_rollout_cases();
