--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Addresses as settings, heartbeats and the control API state them.
+/// Parses the addresses in settings, heartbeats and the control API.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,7 +12,7 @@
   uint16_t port = 0;
 };
 
-/// Reads `IP:port`; nothing when the text is anything else.
+/// Parses `IP:port`; returns nullopt for any other text.
 [[nodiscard]] std::optional<Address> split_address(const std::string& text);
 
 }  // namespace dunlinwing::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -1,5 +1,5 @@
-// Asio waits; the bytes themselves are sent by plain calls first, so that a response that fits costs one
-// system call and no round through the reactor.
+// Writes are first tried with a direct sendmsg(), so that a response that fits into the socket's send buffer
+// costs one system call and no pass through the reactor. Asio is used only to wait.
 #include "net/connection.hpp"
 
 #include <netinet/tcp.h>
@@ -15,20 +15,20 @@
 namespace asio = boost::asio;
 
 namespace {
-// A peer behind a cut that acknowledges nothing is given up after this.
+// TCP_USER_TIMEOUT: a connection whose peer acknowledges nothing, as in a partition, fails after this.
 constexpr int kUserTimeoutMs = 5000;
-constexpr size_t kSpareBuffer = 16 << 10;  // a larger buffer is given back once it is empty
+constexpr size_t kSpareBuffer = 16 << 10;  // a larger buffer is freed once it is empty
 
-// Looks at what has come on a socket without reading it: above 0 bytes, 0 the end, below 0 an error.
+// Peeks at a socket's receive buffer: > 0 when bytes are there, 0 at the end of the stream, < 0 on an error.
 ssize_t peek(int fd) {
   char byte = 0;
   return ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 }
 
-// Whether nothing has come on a socket, and it is open.
+// Whether the socket is open and its receive buffer empty.
 bool still_idle(int fd) { return peek(fd) < 0 && (errno == EAGAIN || errno == EWOULDBLOCK); }
 
-// Whether bytes have come on a socket that were not read yet.
+// Whether the socket's receive buffer holds unread bytes.
 bool has_unread_bytes(int fd) { return peek(fd) > 0; }
 
 iovec io_vector(std::string_view bytes) { return {const_cast<char*>(bytes.data()), bytes.size()}; }
@@ -99,7 +99,7 @@
     fiber->suspend();
   }
   if (error_ == asio::error::operation_aborted && interrupted_)
-    return std::exchange(error_, ErrorCode());  // it may be used again
+    return std::exchange(error_, ErrorCode());  // the connection may be used again
   if (end_ - begin_ > had) return {};
   return error_;
 }
@@ -108,7 +108,7 @@
   ErrorCode error = read_more(room);
   bool is_last = std::exchange(interrupted_, false);
   while (error && is_last && has_unread_bytes(socket_.native_handle())) {
-    error = read_more(room);  // may be interrupted once more: until it ends the connection looks idle
+    error = read_more(room);  // may be interrupted again: the connection looks idle until it returns
     interrupted_ = false;
   }
   if (error) return MessageWait::ended;
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -1,5 +1,5 @@
-// An idle connection has a read pending, so its end is noticed at once and the descriptor given back. Those
-// that have only grown old are closed when any other is acquired: no timer watches over them.
+// Each idle connection has a read pending, so that its end is noticed at once and the descriptor released.
+// Connections that exceed their idle time are closed when any connection is acquired, without a timer.
 #include "net/connection_pool.hpp"
 
 #include <boost/asio/post.hpp>
@@ -8,14 +8,14 @@
 namespace asio = boost::asio;
 
 namespace {
-// Of the Keep-Alive time after which a backend instance closes an idle connection, the part in which it is
-// used for what must not be sent twice, and for the rest.
+// Fractions of a backend instance's Keep-Alive time, after which it closes an idle connection, in which the
+// connection is reused for requests that must not be sent twice, and for idempotent ones.
 constexpr double kUnsafePart = 1.0 / 3;
 constexpr double kIdempotentPart = 0.7;
-// The same where it states no such time.
+// The same periods for a backend instance that states no Keep-Alive time.
 constexpr Duration kUnsafeDefault(1000);
 constexpr Duration kIdempotentDefault(4000);
-constexpr size_t kMostIdleEach = 64;  // for one address
+constexpr size_t kMostIdleEach = 64;  // per address
 constexpr Duration kPruneEvery(1000);
 
 std::chrono::steady_clock::time_point now() { return std::chrono::steady_clock::now(); }
@@ -24,7 +24,7 @@
   return std::chrono::duration_cast<Duration>(duration * part);
 }
 
-// Closes it on its own thread, which may be waiting on it.
+// Closes the connection on its own thread, which may be waiting on it.
 void close_on_thread(const std::shared_ptr<Connection>& connection, asio::io_context* io) {
   if (io == &EventLoopPool::here()) return connection->close();
   asio::post(*io, [connection] { connection->close(); });
@@ -81,8 +81,8 @@
   }
 }
 
-// Takes an idle connection, or reserves room for one that is to be opened; not granted when neither was to be
-// had within the limit.
+// Takes an idle connection, or reserves a slot for one that the caller opens; not granted when neither was
+// available within the limit.
 ConnectionPool::Reservation ConnectionPool::take_or_reserve(const std::string& address, bool idempotent,
                                                             int most, const WaitLimit& limit) {
   std::shared_ptr<base::Condition> condition;
@@ -95,7 +95,7 @@
     const bool waited = condition != nullptr;
     if (auto connection = take_idle(backend, idempotent)) return {true, waited, std::move(connection)};
     if (most > 0 && backend.open >= most && !backend.idle.empty())
-      drop(backend, 0);  // unfit for this request, or another thread's
+      drop(backend, 0);  // unsuitable for this request, or bound to another thread
     if (most <= 0 || backend.open < most) {
       ++backend.open;
       return {true, waited, nullptr};
@@ -174,7 +174,7 @@
   drop(*oldest, 0);
 }
 
-// Its end came, or bytes that nobody asked for.
+// The peer closed the idle connection or sent unexpected bytes.
 void ConnectionPool::connection_ended(const std::string& address, const Connection* ended) {
   const std::lock_guard lock(mutex_);
   const auto found = backends_.find(address);
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// Connections to backend instances: how many each address has, which are idle, and who waits for one.
+/// Connections to backend instances: the number open to each address, the idle ones, and the waiting
+/// requests.
 ///
-/// Invariants: a connection stays on the thread that opened it. Of an address at most the number that its
-/// backend instance takes are open, in use or idle. The mutex is held for all that is private, and never
-/// while a fiber is suspended. Threads: from any.
+/// Invariants: a connection stays on the thread that opened it. The connections open to an address, in use or
+/// idle, never exceed the limit given for its backend instance. The mutex guards all private members, and is
+/// never held while a fiber is suspended. Threads: any.
 #pragma once
 #include <deque>
 #include <mutex>
@@ -18,7 +19,7 @@
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
 
-  /// A connection out of the pool. Destroyed without give_back(), it is closed.
+  /// A connection taken from the pool. It is closed if the lease is destroyed without give_back().
   class Lease {
    public:
     Lease(std::shared_ptr<ConnectionPool> pool, std::string address, bool is_reused)
@@ -28,30 +29,30 @@
     ~Lease();
 
     /// Returns the connection to the pool.
-    /// @param keep_alive       the other side's Keep-Alive time; nothing: it stated none
-    /// @param only_idempotent  it is no longer used for what must not run twice
+    /// @param keep_alive       the peer's Keep-Alive time; nullopt: it stated none
+    /// @param only_idempotent  the connection is no longer used for requests that must not run twice
     void give_back(std::optional<Duration> keep_alive, bool only_idempotent = false);
 
-    /// Resets the connection: what was not delivered yet never will be.
+    /// Resets the connection, so that undelivered bytes are never delivered.
     void abandon();
 
     std::shared_ptr<Connection> connection;
-    bool reused = false;  ///< a response was read from it before
+    bool reused = false;  ///< a response has been read from the connection before
 
    private:
     std::shared_ptr<ConnectionPool> pool_;  ///< null once given back
     std::string address_;
   };
 
-  /// @param max_idle  idle connections over all addresses
+  /// @param max_idle  limit on idle connections over all addresses
   explicit ConnectionPool(size_t max_idle) : max_idle_(max_idle) {}
 
-  /// Takes an idle connection or opens one; suspends the calling fiber while neither may be.
+  /// Takes an idle connection or opens one; suspends the calling fiber while neither is possible.
   /// @param address     IP:port
-  /// @param idempotent  a connection will do that the other side may be about to close
-  /// @param most        connections open to the address at once; 0: no bound
-  /// @param on_wait     told when it had to wait for one, with whether it got one; may be null
-  /// @return null when there is none within the limit
+  /// @param idempotent  the connection may be one that the peer is about to close
+  /// @param most        limit on connections open to the address; 0: no limit
+  /// @param on_wait     called if the caller had to wait, with whether a connection was granted; may be null
+  /// @return null when no connection was available within the limit
   [[nodiscard]] std::unique_ptr<Lease> acquire(const std::string& address, bool idempotent, int most,
                                                const WaitLimit& limit,
                                                const std::function<void(bool granted)>& on_wait = {});
@@ -67,20 +68,20 @@
     std::shared_ptr<Connection> connection;
     boost::asio::io_context* io_context;  ///< of the thread that opened it
     TimePoint since;
-    TimePoint unsafe_until;      ///< until then for every request
-    TimePoint idempotent_until;  ///< until then for those that may run twice
+    TimePoint unsafe_until;      ///< may be used for every request until then
+    TimePoint idempotent_until;  ///< may be used for idempotent requests until then
   };
   struct Backend {
-    std::vector<IdleConnection> idle;  ///< the latest used last
+    std::vector<IdleConnection> idle;  ///< most recently used last
     int open = 0;                      ///< in use or idle
     std::deque<std::shared_ptr<base::Condition>> waiting;
   };
 
-  /// What take_or_reserve() came to.
+  /// Result of take_or_reserve().
   struct Reservation {
     bool granted = false;
     bool waited = false;
-    std::shared_ptr<Connection> connection;  ///< null: there is room for one that is to be opened
+    std::shared_ptr<Connection> connection;  ///< null: a slot is reserved for one that the caller opens
   };
 
   Reservation take_or_reserve(const std::string& address, bool idempotent, int most, const WaitLimit& limit);
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,5 +1,5 @@
-// The reactor is asked when no fiber is ready, and once in a number of rounds when some always is: each
-// asking is a system call.
+// The reactor is polled when no fiber is ready, and once in kRoundsBetweenPolls scheduling rounds when some
+// fiber always is: each poll is a system call.
 #include "net/event_loop.hpp"
 
 #include <unistd.h>
@@ -24,7 +24,7 @@
 
   bool wait(Duration limit) override {
     if (notified_) {
-      boost::this_fiber::yield();  // one that is always notified must not keep the others out
+      boost::this_fiber::yield();  // a condition that is always notified must not starve other fibers
     } else if (limit > Duration(0)) {
       auto* fiber = waiting_ = fibers::context::active();
       Timer timeout;
@@ -54,12 +54,12 @@
   fibers::context* waiting_ = nullptr;
 };
 
-/// What a thread does when its fibers are not running.
+/// Runs a thread's I/O handlers and timers while none of its fibers runs.
 class LoopDriver {
  public:
   explicit LoopDriver(asio::io_context& io) : io_(io) {}
 
-  /// No fiber is ready.
+  /// Called when no fiber is ready.
   void idle() {
     rounds_ = 0;
     const auto earliest = timers_.earliest();
@@ -71,7 +71,7 @@
     if (io_.run_one_until(*earliest) == 0) timers_.run_due(std::chrono::steady_clock::now());
   }
 
-  /// Once a round.
+  /// Called once per scheduling round.
   void poll() {
     if (++rounds_ < kRoundsBetweenPolls) return;
     rounds_ = 0;
@@ -82,10 +82,10 @@
  private:
   asio::io_context& io_;
   TimerQueue& timers_ = TimerQueue::of_this_thread();
-  int rounds_ = 0;  ///< since the reactor was last asked
+  int rounds_ = 0;  ///< since the reactor was last polled
 };
 
-// Each thread's main fiber is suspended for good; the work is done by others.
+// Each thread's main fiber stays suspended; other fibers do the work.
 void run_loop(asio::io_context& io, const std::function<void()>& first) {
   current_io = &io;
   const auto guard = asio::make_work_guard(io);
@@ -100,7 +100,7 @@
 
 struct EventLoopPool::Impl {
   std::vector<std::unique_ptr<asio::io_context>> io;  ///< by thread
-  std::vector<std::thread> threads;                   ///< without the first, which is the caller's of run()
+  std::vector<std::thread> threads;  ///< all but the first, which is the thread that calls run()
 };
 
 EventLoopPool::EventLoopPool(int threads) : impl_(std::make_unique<Impl>()) {
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -2,7 +2,7 @@
 /// The threads of a process, each with an event loop (net/fiber.hpp). When no fiber is ready a thread sleeps
 /// until a handler completes or its earliest timer is due.
 ///
-/// Threads: thread 0 is for control, the others are for traffic.
+/// Threads: thread 0 runs control tasks, the others serve traffic.
 #pragma once
 #include <boost/asio/io_context.hpp>
 
@@ -14,7 +14,7 @@
 
 namespace dunlinwing::net {
 
-/// A condition whose wait() is called on the calling thread only.
+/// Creates a condition whose wait() may be called only on the calling thread.
 std::shared_ptr<base::Condition> make_condition();
 
 class EventLoopPool final : public base::Tasks {
@@ -31,7 +31,7 @@
   /// @param first  runs in a fiber of thread 0
   [[noreturn]] void run(const std::function<void()>& first);
 
-  /// Ends the process at once: whatever must last has been synced before.
+  /// Ends the process at once, without destructors: durable data must have been synced before.
   [[noreturn]] static void stop(int status);
 
   /// Runs the task in a fiber of the given thread.
@@ -42,7 +42,7 @@
 
   std::shared_ptr<base::Condition> condition() override;
 
-  /// That of the calling thread, which has to be one of a pool's.
+  /// The io_context of the calling thread, which must belong to a pool.
   static boost::asio::io_context& here();
 
  private:
--- a/src/net/fiber.cpp
+++ b/src/net/fiber.cpp
@@ -1,5 +1,5 @@
-// The scheduler is a plain list of the fibers that are ready. Fibers meet across threads through the
-// io_context alone, so to make one ready on its own thread is a mere push.
+// The scheduler is a list of ready fibers. Threads interact only through their io_contexts, so a fiber is
+// always made ready on its own thread, and that needs no lock.
 #include "net/fiber.hpp"
 
 #include <sys/mman.h>
@@ -40,11 +40,11 @@
   fibers::scheduler::ready_queue_type ready_;
 };
 
-/// Allocates fibers' stacks: mapped, with a page below that faults, and used again, so that a new connection
-/// maps nothing.
+/// Allocates fibers' stacks with mmap, each with a guard page below it. Stacks are reused, so that a new
+/// connection usually needs no new mapping.
 class StackPool {
  public:
-  using traits_type = boost::context::stack_traits;  // Boost's name for it
+  using traits_type = boost::context::stack_traits;  // name required by Boost.Context
 
   boost::context::stack_context allocate() {
     auto& spare = spare_mappings();
@@ -73,7 +73,7 @@
  private:
   static constexpr size_t kStackBytes = 128 << 10;
   static constexpr size_t kGuardBytes = 4096;
-  static constexpr size_t kMostSpare = 256;  // of a thread
+  static constexpr size_t kMostSpare = 256;  // per thread
 
   static void* map_stack() {
     void* mapping = ::mmap(nullptr, kStackBytes + kGuardBytes, PROT_READ | PROT_WRITE,
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,6 +1,6 @@
-// HTTP/1.1 behind a narrow face: a server that hands whole requests to a
-// function, and a client that fires one request at a worker and says honestly
-// how far it got.
+// HTTP/1.1: a server that passes complete requests to a handler function, and a
+// client that sends one request to a backend instance and reports whether it
+// may have been executed.
 #pragma once
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,5 +1,5 @@
-// An attempt: a connection, one gathered write, and responses read until one is this request's. Beast does
-// the parsing.
+// An attempt takes a connection, sends the request in one gathered write, and reads responses until one
+// belongs to the request. Beast parses them.
 #include "net/http_client.hpp"
 
 #include <boost/beast/http.hpp>
@@ -16,16 +16,16 @@
 
 namespace {
 constexpr int kMostSkipped = 2;  // responses to earlier requests
-constexpr int kMostInterim = 8;  // 1xx before a response
+constexpr int kMostInterim = 8;  // 1xx responses before the final one
 constexpr uint32_t kMostHeadBytes = 64 << 10;
 constexpr size_t kBodyRoom = 32 << 10;   // bytes of a body read at once
-constexpr Duration kLongestPause(1000);  // in reading a body for the link's sake
+constexpr Duration kLongestPause(1000);  // in reading a body, while waiting for link capacity
 constexpr int64_t kMostKeepAliveSeconds = 3600;
 
 struct ReceivedResponse {
   base::Response response;
   bool keep_alive = false;
-  std::optional<Duration> keep_alive_time;  ///< as the Keep-Alive header states it
+  std::optional<Duration> keep_alive_time;  ///< from the Keep-Alive header
 };
 
 bool needs_content_length(const base::Request& request) {
@@ -44,7 +44,7 @@
   for (const auto& [name, value] : request.headers) {
     if (base::equals_ignore_case(name, "Content-Length") ||
         base::equals_ignore_case(name, "Transfer-Encoding"))
-      continue;  // the client states them itself
+      continue;  // the client generates these
     has_host |= base::equals_ignore_case(name, "Host");
     head.append(name).append(": ").append(value).append("\r\n");
   }
@@ -54,7 +54,7 @@
   return head.append("\r\n");
 }
 
-/// The time-out of a Keep-Alive header.
+/// The timeout parameter of a Keep-Alive header.
 std::optional<Duration> keep_alive_time(std::string_view header) {
   for (const auto& parameter : base::split_list(header, ',')) {
     const auto equals = parameter.find('=');
@@ -81,11 +81,11 @@
 
 /// How a response's body is read.
 struct BodyTerms {
-  size_t max_bytes;  ///< of longer ones no response is had
+  size_t max_bytes;  ///< responses with longer bodies are rejected
   const link::LinkUse& link;
 };
 
-/// Reads one response of any status; nothing when it was cut, garbled or of no known length.
+/// Reads one response of any status; nullopt when it was truncated, malformed or of unknown length.
 class ResponseReader {
  public:
   ResponseReader(Connection& connection, bool to_head, const BodyTerms& terms)
@@ -113,7 +113,7 @@
     return !error;
   }
 
-  // A long body is read no faster than the link has room for: its sender waits meanwhile.
+  // Reads a long body no faster than the link's pacer allows; TCP flow control slows its sender.
   bool await_link() {
     if (!link_.link || !has_head_) return true;
     link::Pacer& inbound = link_.link->inbound;
@@ -131,7 +131,7 @@
       if (error && error != http::error::need_more) return false;
       if (!has_head_ && parser_.is_header_done()) {
         has_head_ = true;
-        // A body that runs until the connection closes cannot be told from one cut short.
+        // A body that runs until the connection closes cannot be distinguished from a truncated one.
         if (!parser_.is_done() && parser_.need_eof()) return false;
         copy_head(parser_.get(), received_);  // before any trailer
       }
@@ -148,7 +148,7 @@
   bool has_head_ = false;
 };
 
-/// The next response that is not an interim one.
+/// Reads the next response that is not an interim (1xx) one.
 std::optional<ReceivedResponse> read_response(Connection& connection, bool to_head, const BodyTerms& terms) {
   for (int interim = 0; interim <= kMostInterim; ++interim) {
     auto received = ResponseReader(connection, to_head, terms).read();
@@ -158,13 +158,13 @@
   return {};
 }
 
-/// Reads responses on a connection until one is the request's.
+/// Reads responses on a connection until one belongs to the request.
 class ResponseMatcher {
  public:
   ResponseMatcher(ConnectionPool::Lease& lease, const base::Request& request, const base::AttemptRules& rules)
       : lease_(lease), rules_(rules), to_head_(request.method == "HEAD") {}
 
-  /// @return nothing when it can't be told whether one is; the connection has to be abandoned
+  /// @return nullopt when no response certainly belongs to the request; the connection must be abandoned
   std::optional<base::Response> read(const BodyTerms& terms) {
     const Connection& connection = *lease_.connection;
     const bool early = connection.received_during_write();
@@ -172,12 +172,13 @@
       auto received = read_response(*lease_.connection, to_head_, terms);
       if (!received) return {};
       if (rules_.is_own_response && !rules_.is_own_response(received->response)) {
-        // It may answer an earlier request; whether that one's response has a body is not known to a HEAD.
+        // It may answer an earlier request. After a HEAD it is unknown whether that response has a body.
         if (!lease_.reused || to_head_ || !received->keep_alive) return {};
         continue;
       }
       const bool anonymous = rules_.is_anonymous && rules_.is_anonymous(received->response);
-      // Beside another's response, or ahead of the request, one that names no request may be anybody's.
+      // A response that names no request may belong to any request if it came after another response was
+      // skipped, or before the request was sent completely.
       if (anonymous && lease_.reused && (skipped > 0 || early)) return {};
       const bool alone = !skipped && !early && connection.buffered().empty();
       may_reuse_ =
@@ -189,7 +190,7 @@
     return {};
   }
 
-  /// After a response was read: returns the connection to the pool, if it may be used again.
+  /// Returns the connection to the pool after a response was read, if it may be reused.
   void give_back() {
     if (may_reuse_) lease_.give_back(keep_alive_time_, only_idempotent_);
   }
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// An HTTP/1.1 client that sends one request to a backend instance and says truthfully how far it got.
-/// Connections that ended well are used again (net/connection_pool.hpp).
+/// An HTTP/1.1 client that sends one request to a backend instance and reports whether it may have been sent.
+/// Connections are reused after a complete response (net/connection_pool.hpp).
 ///
-/// Invariants: whatever leaves a doubt about where a response ends, or whose it is, costs the connection, and
-/// the response too. A connection that was given up is reset, so that what lies in its buffer is not
-/// delivered later. Threads: from any fiber of an event loop.
+/// Invariants: when it is uncertain where a response ends, or which request it belongs to, the response is
+/// discarded and the connection closed. An abandoned connection is reset, so that bytes in its send buffer
+/// are not delivered later. Threads: any fiber of an event loop.
 #pragma once
 #include "link/link.hpp"
 #include "net/event_loop.hpp"
@@ -17,10 +17,10 @@
  public:
   static constexpr size_t kDefaultMaxIdle = 512;
 
-  /// @param max_body_bytes  responses with longer bodies are not taken
-  /// @param max_idle        idle connections
-  /// @param link            that attempts go over; long bodies are read at its pace. Null: they are not
-  /// counted
+  /// @param max_body_bytes  responses with longer bodies are rejected
+  /// @param max_idle        limit on idle connections
+  /// @param link            that carries the attempts and paces the reading of long bodies. Null: traffic is
+  /// not counted
   explicit HttpClient(size_t max_body_bytes, size_t max_idle = kDefaultMaxIdle, link::Link* link = nullptr);
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -1,4 +1,4 @@
-// Time limits are enforced by one coarse sweep a thread, in place of a timer for each read and write.
+// One coarse periodic sweep per thread enforces the time limits, instead of a timer for each read and write.
 #include "net/http_server.hpp"
 
 #include <algorithm>
@@ -19,13 +19,13 @@
 constexpr int kSweepsInLimit = 4;
 constexpr Duration kShortestSweep(50);
 constexpr Duration kLongestSweep(500);
-constexpr Duration kNoDescriptors(100);  // until the next try, when a connection could not be taken
-constexpr Duration kLogPeriod(10000);    // of lines about that, at most
+constexpr Duration kNoDescriptors(100);  // before accepting again after a failed accept
+constexpr Duration kLogPeriod(10000);    // at most one log line about that per period
 constexpr Duration kRoomCheck(1000);     // how soon it is checked again whether a connection has ended
 
 using State = HttpServerConnection::State;
 
-/// The connections of one thread, which alone touches them, and what ends them in time.
+/// The connections of one thread, used by that thread only, and the sweep that enforces their time limits.
 class ConnectionTable {
  public:
   explicit ConnectionTable(HttpServerState& server) : server_(server) {}
@@ -45,7 +45,7 @@
   /// From any thread.
   int size() const { return size_; }
 
-  /// Ends the connection that is idle for longest.
+  /// Ends the connection that has been idle for longest.
   void evict() {
     HttpServerConnection* oldest = nullptr;
     for (auto* connection : connections_)
@@ -140,11 +140,11 @@
 void HttpServer::Impl::report_accept_error(ErrorCode error) {
   const TimePoint now = steady_now();
   if (now - accept_error_logged <= kLogPeriod) return;
-  logger.warn("A connection to {} was lost while being accepted: {}.", name, error.message());
+  logger.warn("Accepting a connection to {} failed: {}.", name, error.message());
   accept_error_logged = now;
 }
 
-// While there are as many connections as may be, has the fullest thread end idle ones.
+// While the connection limit is reached, makes the thread with the most connections evict idle ones.
 void HttpServer::Impl::wait_for_room() {
   for (;;) {
     const size_t most = state.limits.load()->max_connections;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// An HTTP/1.1 server that hands requests, read to their end, to a function; each connection has a fiber of
-/// its own. Its limits may be changed while it runs.
+/// An HTTP/1.1 server that passes completely read requests to a handler function. Each connection has its own
+/// fiber. The limits may be changed while it runs.
 ///
 /// Threads: every function may be called from any thread.
 #pragma once
@@ -12,13 +12,13 @@
 struct HttpLimits {
   size_t head_bytes = 16 << 10;          ///< of a request
   size_t body_bytes = 1 << 20;           ///< of a request
-  size_t all_bodies_bytes = 256U << 20;  ///< of all requests' bodies that this process holds at once
-  size_t max_connections = 0;            ///< open connections; 0: no bound
+  size_t all_bodies_bytes = 256U << 20;  ///< of all request bodies in this process's memory at once
+  size_t max_connections = 0;            ///< open connections; 0: no limit
   Duration idle_timeout{60000};          ///< until a request begins
-  Duration head_timeout{10000};          ///< from a head's first byte to its last
-  Duration body_timeout{30000};          ///< from a head's end to its body's
-  Duration write_timeout{10000};         ///< without a response's bytes moving
-  bool advertise_idle = false;           ///< state the idle time in Keep-Alive
+  Duration head_timeout{10000};          ///< from the first byte of a request's head to its last
+  Duration body_timeout{30000};          ///< from the end of the head to the end of the body
+  Duration write_timeout{10000};         ///< without progress in sending a response
+  bool advertise_idle = false;           ///< send the idle timeout in a Keep-Alive header
 };
 
 /// Answers a request; may suspend the calling fiber.
@@ -26,34 +26,34 @@
 
 class HttpServer {
  public:
-  /// @param pool  has to outlive the server
-  /// @param name  in log lines
-  /// @param link  over which requests come; clients' responses go at its pace
+  /// @param pool  must outlive the server
+  /// @param name  used in log lines
+  /// @param link  that carries the requests and paces responses to clients
   HttpServer(EventLoopPool& pool, std::string name, HttpLimits limits, HttpHandler handler,
              link::LinkUse link = {});
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
   ~HttpServer();
 
-  /// Takes connections and spreads them over the threads from `first_thread` up to, without, `end_thread`.
+  /// Accepts connections and spreads them over the threads [first_thread, end_thread).
   /// @param address  IP:port
-  /// @return why the address can't be had
+  /// @return an error text when the address cannot be listened on
   [[nodiscard]] std::optional<std::string> listen(const std::string& address, int first_thread,
                                                   int end_thread);
 
-  /// The limits hold from each connection's next step on.
+  /// New limits take effect at each connection's next step.
   void set_limits(HttpLimits limits);
 
   /// From now on each response is the last on its connection.
   void drain();
 
-  /// Ends the connections on which no byte of a request was read.
+  /// Ends the connections on which no byte of a further request was received.
   void close_idle();
 
-  /// Takes no new connections; the open ones end after the response that is due on them.
+  /// Accepts no new connections; the open ones end after their pending response.
   void close();
 
-  /// Requests that are with the handler or whose response is being written.
+  /// Number of requests that are being handled or whose response is being written.
   int running_requests() const;
   int open_connections() const;
 
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -1,5 +1,5 @@
-// Beast does the parsing. What is ours: whole bodies within bounds, framing that Beast would let pass but
-// RFC 9112 forbids, and one write for a response.
+// Beast does the parsing. This file adds limits on complete bodies, rejection of framing that Beast accepts
+// but RFC 9112 forbids, and a single write for a response.
 #include "net/http_server_connection.hpp"
 
 #include <fmt/format.h>
@@ -15,16 +15,17 @@
 
 namespace {
 constexpr base::Log logger("http");
-constexpr Duration kUndeliveredLogPeriod(1000);  // of lines about responses that could not be written
-constexpr Duration kLinger(1000);                // in which a client that was turned away may go on sending
-constexpr size_t kMostLinger = 1 << 20;          // and how many bytes
-constexpr size_t kBodyRoom = 32 << 10;           // bytes of a body read at once
-constexpr size_t kMostPipelined = 16 << 10;      // bytes of further requests read while one is handled
-constexpr const char* kRetryAfterSeconds = "1";  // after which a body that found no room may be sent again
+constexpr Duration kUndeliveredLogPeriod(
+    1000);                                   // between log lines about responses that could not be written
+constexpr Duration kLinger(1000);            // how long bytes are read and dropped before a close
+constexpr size_t kMostLinger = 1 << 20;      // and how many bytes of them
+constexpr size_t kBodyRoom = 32 << 10;       // bytes of a body read at once
+constexpr size_t kMostPipelined = 16 << 10;  // bytes of further requests read while one is handled
+constexpr const char* kRetryAfterSeconds = "1";  // for requests rejected because of the limit on all bodies
 
 std::atomic<size_t> reserved_body_bytes{0};  // of all requests in this process
 
-/// A request's share of what all bodies together may take.
+/// A request's reservation from the limit on all request bodies together.
 class BodyReservation {
  public:
   BodyReservation() = default;
@@ -32,7 +33,7 @@
   BodyReservation& operator=(const BodyReservation&) = delete;
   ~BodyReservation() { reserved_body_bytes -= bytes_; }
 
-  /// @return false when all together would exceed `most`; the share stays as it was
+  /// @return false when the total would exceed `most`; the reservation is then unchanged
   [[nodiscard]] bool grow_to(size_t bytes, size_t most) {
     if (bytes <= bytes_) return true;
     const size_t added = bytes - bytes_;
@@ -48,7 +49,7 @@
   size_t bytes_ = 0;
 };
 
-/// Why a head is turned away: lengths that could be read in two ways, and a Host that is missing or doubled.
+/// Reason to reject a head: ambiguous body length, missing or repeated Host, or a target that is not a path.
 template <class Head>
 std::optional<std::string> framing_error(const Head& head) {
   const auto lengths = head.count(http::field::content_length);
@@ -64,7 +65,7 @@
 
 template <class Head>
 void copy_head(const Head& head, base::Request& request) {
-  constexpr size_t kAddedHeaders = 8;  // that the proxy may add
+  constexpr size_t kAddedHeaders = 8;  // reserved for headers that the proxy adds
   request.method = std::string(head.method_string());
   request.target = std::string(head.target());
   request.headers.reserve(std::distance(head.begin(), head.end()) + kAddedHeaders);
@@ -72,7 +73,7 @@
     request.headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
 }
 
-/// Headers about the connection or the framing, which the server states itself.
+/// Whether a header concerns the connection or the framing: the server generates these itself.
 bool is_of_connection(std::string_view name) {
   for (const char* own : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length"})
     if (base::equals_ignore_case(name, own)) return true;
@@ -87,7 +88,7 @@
 
 bool is_without_body(int status) { return status == 204 || status == 304 || status / 100 == 1; }
 
-/// What of a request its response depends on.
+/// Properties of a request that its response depends on.
 struct ResponseContext {
   bool to_head = false;   ///< the request's method is HEAD
   unsigned version = 11;  ///< of HTTP, 10 or 11
@@ -104,7 +105,7 @@
       to_head || response.status == 304 ? base::header(response.headers, "Content-Length") : std::string();
   if (!stated.empty())
     append_header(head, "Content-Length", stated);
-  else if (!without_body && !(to_head && response.body.empty()))  // a HEAD's response has no length by itself
+  else if (!without_body && !(to_head && response.body.empty()))  // an empty body after HEAD gives no length
     append_header(head, "Content-Length", fmt::format_int(response.body.size()).c_str());
 }
 
@@ -135,14 +136,14 @@
   return std::chrono::duration_cast<TimePoint>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-/// A request while it is read.
+/// A request that is being read.
 struct HttpServerConnection::IncomingRequest {
-  std::shared_ptr<const HttpLimits> limits;  ///< as they were when it was awaited
+  std::shared_ptr<const HttpLimits> limits;  ///< those in force when the wait for it began
   Parser parser;
   base::Request request;
   BodyReservation reservation;
   bool has_head = false;
-  bool is_last = false;  ///< the connection was to end when its bytes came
+  bool is_last = false;  ///< the connection was already due to end when its bytes were received
 
   explicit IncomingRequest(std::shared_ptr<const HttpLimits> current) : limits(std::move(current)) {
     parser.eager(true);
@@ -184,7 +185,7 @@
 void HttpServerConnection::end_if_overdue(const HttpLimits& limits, TimePoint now) {
   if (now - state_since_ < time_limit(limits) || connection_->is_interrupted()) return;
   const bool awaits_bytes = state_ != State::writing;
-  if (awaits_bytes && !connection_->is_reading()) return;  // they have come, and count
+  if (awaits_bytes && !connection_->is_reading()) return;  // bytes have been received, and count as progress
   if (state_ == State::idle && !is_at_rest()) return;
   overdue_ = state_ == State::reading_head || state_ == State::reading_body;
   connection_->interrupt();
@@ -196,7 +197,7 @@
   connection_->close();
 }
 
-// One request and its response; false when the connection is to end.
+// Serves one request; false when the connection must end.
 bool HttpServerConnection::serve_request() {
   enter(connection_->buffered().empty() ? State::idle : State::reading_head);
   IncomingRequest incoming(server_.limits.load());
@@ -215,7 +216,7 @@
   }
 }
 
-// Parses what has been read so far; false when the connection is to end.
+// Parses the buffered bytes; false when the connection must end.
 bool HttpServerConnection::parse_buffered(IncomingRequest& incoming) {
   Parser& parser = incoming.parser;
   while (!parser.is_done() && !connection_->buffered().empty()) {
@@ -233,7 +234,7 @@
   return true;
 }
 
-// Checks a head that has just been read; false when the connection is to end.
+// Checks a head that has just been read; false when the connection must end.
 bool HttpServerConnection::accept_head(IncomingRequest& incoming) {
   Parser& parser = incoming.parser;
   const auto& head = parser.get();
@@ -252,21 +253,21 @@
   return !expects_continue || !connection_->write("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
-// Waits for bytes; false when the connection is to end.
+// Waits for bytes; false when the connection must end.
 bool HttpServerConnection::read_more(IncomingRequest& incoming) {
   const bool awaits_first = connection_->buffered().empty() && !incoming.has_head && state_ == State::idle;
   if (awaits_first) return await_request(incoming);
   const ErrorCode error = connection_->read_more(incoming.has_head ? kBodyRoom : Connection::kReadSize);
   if (error && overdue_) return refuse(408, "the request did not come in time");
   if (error) return false;
-  // Found overdue while these bytes were being read: what is handled has to be answered.
+  // The request became overdue while these bytes were being read; since it is handled, it must be answered.
   overdue_ = false;
   incoming.is_last |= connection_->is_interrupted();
   connection_->clear_interrupt();
   return true;
 }
 
-// Waits for the first bytes of a request; false when the connection is to end.
+// Waits for the first bytes of a request; false when the connection must end.
 bool HttpServerConnection::await_request(IncomingRequest& incoming) {
   const MessageWait wait = connection_->await_message();
   if (wait == MessageWait::ended) return false;
@@ -283,7 +284,7 @@
   return response;
 }
 
-// Reads on, so that the end of the connection is noticed; more requests may come first.
+// Keeps reading, so that the end of the connection is noticed; pipelined requests may arrive before it.
 void HttpServerConnection::watch_client() {
   connection_->on_read_done([this] {
     if (connection_->has_ended())
@@ -294,7 +295,7 @@
   connection_->start_read();
 }
 
-// Has a request handled and writes the response; false when the connection is to end.
+// Calls the handler and writes its response; false when the connection must end.
 bool HttpServerConnection::respond(IncomingRequest& incoming) {
   auto message = incoming.parser.release();
   incoming.request.body = std::move(message.body());
@@ -314,7 +315,7 @@
     if (!client_left_->is_cancelled()) report_undelivered(incoming.request, response, error);
     return false;
   }
-  // Closing with bytes unread would take the response back.
+  // Closing with unread bytes sends a reset, which may discard the response before the client has read it.
   if (!context.keep_alive && !connection_->buffered().empty()) linger();
   return context.keep_alive;
 }
@@ -326,7 +327,7 @@
   return write_parts(head, no_body ? std::string_view() : response.body);
 }
 
-// Each part when the link has room for it; the head goes with the first.
+// Writes each part once the link has capacity for it; the head is sent with the first.
 ErrorCode HttpServerConnection::write_parts(std::string_view head, std::string_view body) {
   const TimePoint since = steady_now();
   const size_t most = server_.link.outbound_part();
@@ -343,7 +344,7 @@
   return {};
 }
 
-// Only clients' responses wait; what operators are told is control.
+// Only responses to clients wait; responses to operators are control traffic.
 bool HttpServerConnection::await_link(size_t bytes, TimePoint since, size_t remaining) {
   const link::LinkUse& link = server_.link;
   if (link.traffic_class == link::TrafficClass::clients)
@@ -352,7 +353,7 @@
   return true;
 }
 
-// Clients that leave meanwhile are many, so the lines are bounded; each response is counted.
+// Many clients disconnect early, so log lines are rate-limited; every undelivered response is counted.
 void HttpServerConnection::report_undelivered(const base::Request& request, const base::Response& response,
                                               ErrorCode error) {
   const uint64_t count = ++server_.undelivered_responses;
@@ -360,12 +361,13 @@
   const TimePoint logged = server_.undelivered_logged;
   if (logged != TimePoint::min() && now - logged < kUndeliveredLogPeriod) return;
   server_.undelivered_logged = now;
-  logger.warn("A response with status {} to {} {} was not delivered: {}; {} bytes were written, {} so far.",
-              response.status, request.method, request.target, error.message(), connection_->bytes_written(),
-              count);
+  logger.warn(
+      "A response with status {} to {} {} was not delivered: {}; {} bytes were written; {} undelivered "
+      "responses so far.",
+      response.status, request.method, request.target, error.message(), connection_->bytes_written(), count);
 }
 
-// Answers what was not understood. The connection ends, but not before the client could read why: always
+// Sends an error response, then lingers so that the client can read it. The connection ends: always returns
 // false.
 bool HttpServerConnection::refuse(int status, const std::string& error) {
   base::Response response{
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -1,13 +1,13 @@
 /// @file
-/// One client's connection to an HTTP server: reads a request, has it handled, writes the response, and so on
-/// until the connection is to end.
+/// A client's connection to an HTTP server: reads a request, calls the handler, writes the response, and
+/// repeats until the connection must end.
 ///
-/// Invariants: a request is handled only once it has been read to its end; one whose bytes have been read is
-/// answered. While it is handled the connection is read on, so that the handler learns at once when the
-/// client has left: its end of the stream counts as that. Which request a byte belongs to is never in doubt:
-/// what could be framed in two ways (RFC 9112, sections 3.2 and 6.3) is turned away and the connection ends.
-/// Threads: used by the event loop that its socket belongs to. Time limits are enforced from outside, by
-/// end_if_overdue().
+/// Invariants: a request is handled only once it has been read completely; a request that has been read is
+/// answered. While it is handled the connection is still read, so that the handler is notified at once when
+/// the client disconnects; the end of the client's stream counts as a disconnect. Requests with ambiguous
+/// framing (RFC 9112, sections 3.2 and 6.3) are rejected and the connection ends.
+/// Threads: used only on the event loop that its socket belongs to. The server enforces the time limits by
+/// calling end_if_overdue().
 #pragma once
 #include <atomic>
 
@@ -16,14 +16,14 @@
 
 namespace dunlinwing::net {
 
-/// What all connections of one server share. The atomics may be used from any thread.
+/// State shared by all connections of one server. The atomics may be used from any thread.
 struct HttpServerState {
   HttpHandler handler;
   link::LinkUse link;
   std::atomic<std::shared_ptr<const HttpLimits>> limits;
-  std::atomic<bool> closing{false};   ///< each connection ends after the request that it serves
+  std::atomic<bool> closing{false};   ///< each connection ends after its current request
   std::atomic<bool> draining{false};  ///< each response is the last on its connection
-  std::atomic<bool> crowded{false};   ///< no connection may be opened until one has ended
+  std::atomic<bool> crowded{false};   ///< the connection limit is reached: a new one waits until one ends
   std::atomic<int> running_requests{0};
   std::atomic<uint64_t> undelivered_responses{0};  ///< requests handled whose response could not be written
   std::atomic<TimePoint> undelivered_logged{TimePoint::min()};  ///< when such a response was last logged
@@ -37,26 +37,26 @@
     reading_body,
     handling,
     writing,
-    lingering,  ///< turned away; what still comes is read and dropped
+    lingering,  ///< last response sent; further bytes are read and dropped
   };
 
-  /// @param server  has to outlive the connection
+  /// @param server  must outlive the connection
   HttpServerConnection(Connection::Socket socket, HttpServerState& server);
 
-  /// Serves requests until the connection is to end, then closes it.
+  /// Serves requests until the connection must end, then closes it.
   void serve();
 
   State state() const { return state_; }
   TimePoint state_since() const { return state_since_; }
 
-  /// Whether it is idle and no byte of a further request has come, the system's own buffer included: a
-  /// process that lags may not have read it yet.
+  /// Whether the connection is idle and no byte of a further request has arrived, including in the socket's
+  /// receive buffer, which a lagging process may not have read yet.
   bool is_at_rest() const;
 
-  /// Ends it as soon as its fiber runs.
+  /// Ends the connection as soon as its fiber runs.
   void interrupt() { connection_->interrupt(); }
 
-  /// Interrupts it when its state has lasted longer than the limits allow.
+  /// Interrupts the connection when its current state has lasted longer than the limits allow.
   void end_if_overdue(const HttpLimits& limits, TimePoint now);
 
  private:
@@ -84,9 +84,9 @@
   HttpServerState& server_;
   base::CancellationPtr client_left_ = std::make_shared<base::Cancellation>();  ///< of all its requests
   State state_ = State::idle;
-  TimePoint state_since_{0};  ///< of the steady clock; while writing: when bytes last moved
-  Duration idle_limit_{0};    ///< as it was when the client was last told, or could know, of it
-  bool overdue_ = false;      ///< interrupted while a request was read
+  TimePoint state_since_{0};  ///< steady clock; while writing: time of the last progress
+  Duration idle_limit_{0};  ///< idle timeout that the client may rely on: the one when its current wait began
+  bool overdue_ = false;    ///< interrupted for exceeding a time limit while a request was read
 };
 
 /// Milliseconds of the steady clock.
--- a/src/net/listen.cpp
+++ b/src/net/listen.cpp
@@ -8,7 +8,7 @@
 namespace asio = boost::asio;
 
 namespace {
-constexpr int kBacklog = 1024;  // connections that the system accepts before the process does
+constexpr int kBacklog = 1024;  // connections that the kernel queues until the process accepts them
 }
 
 std::variant<std::shared_ptr<Acceptor>, std::string> listen_on(asio::io_context& io,
--- a/src/net/listen.hpp
+++ b/src/net/listen.hpp
@@ -10,9 +10,10 @@
 
 using Acceptor = boost::asio::ip::tcp::acceptor;
 
-/// Opens a socket that listens on an address; the address may have been in use a moment ago.
+/// Opens a socket that listens on an address. SO_REUSEADDR is set, since the address may have been in use
+/// until just before.
 /// @param address  IP:port
-/// @return the socket, or why the address can't be had
+/// @return the socket, or an error text when the address cannot be listened on
 [[nodiscard]] std::variant<std::shared_ptr<Acceptor>, std::string> listen_on(boost::asio::io_context& io,
                                                                              const std::string& address);
 
--- a/src/net/peer_client.cpp
+++ b/src/net/peer_client.cpp
@@ -10,18 +10,18 @@
 namespace {
 using SteadyClock = std::chrono::steady_clock;
 
-// Of the calls of this process: no number is used twice, on whichever connection.
+// Unique among all calls of this process, across connections.
 uint64_t next_request_id() {
   static std::atomic<uint64_t> last{0};
   return ++last;
 }
 
-/// How a call went on one connection.
+/// Outcome of a call on one connection.
 struct Exchange {
   pb::PeerResponse response;
   ErrorCode error;
   bool sent = false;
-  bool answers_other = false;  ///< the response names another call
+  bool answers_other = false;  ///< the response has another call's request id
 };
 
 Exchange exchange(Connection& connection, const pb::PeerRequest& request, const WaitLimit& limit) {
@@ -32,7 +32,7 @@
   result.error = write_frame(connection, request, &number);
   result.sent = !result.error;
   if (result.sent) result.error = read_frame(connection, result.response);
-  // 0: an older process, which repeats none.
+  // 0: from an older process, which does not return request ids.
   result.answers_other =
       result.response.request_id() != 0 && result.response.request_id() != number.request_id();
   return result;
@@ -64,15 +64,15 @@
   }
   const bool timed_out = connection->is_interrupted();
   connections.discard(address, connection, terms);
-  // An idle connection may have been ended for room just now. Calls may come twice, but for forwarded
-  // requests.
+  // The peer may have just evicted the idle connection. Calls may be received twice, except forwarded
+  // requests, so all others are retried.
   if (result.error && reused && !timed_out && !bytes_left && !request.has_forward())
     return call(address, request,
                 {std::chrono::duration_cast<Duration>(limit.end - SteadyClock::now()), rules.cancellation});
   return error_of(result, timed_out);
 }
 
-// The bytes of fetched bodies are counted by who waits for their turn.
+// The bytes of fetched bodies are counted by the code that waits for link capacity for them.
 void PeerClient::count(const pb::PeerRequest& request, const pb::PeerResponse& response) const {
   const link::LinkUse use{link_, traffic_class_of(request)};
   use.sent(request.ByteSizeLong());
--- a/src/net/peer_client.hpp
+++ b/src/net/peer_client.hpp
@@ -2,8 +2,8 @@
 /// Calls to other nodes over TCP. A call and its response use one connection at a time; idle connections are
 /// pooled per thread (net/peer_connections.hpp).
 ///
-/// Invariants: each call has a number, which its response repeats. A connection whose call did not end well
-/// is reset, so no response can be taken for another call's, and no call is delivered after it was given up.
+/// Invariants: each call has a request id, which its response repeats. A connection whose call failed is
+/// reset, so no response is matched to another call, and no call is delivered after it was abandoned.
 /// Threads: call() from any fiber of an event loop.
 #pragma once
 #include "link/link.hpp"
@@ -15,8 +15,8 @@
  public:
   static constexpr size_t kDefaultMaxConnections = 4096;
 
-  /// @param max_connections  to other nodes, open at once for each thread that calls
-  /// @param link             that the calls go over; null: they are not counted
+  /// @param max_connections  limit on connections to other nodes, for each calling thread
+  /// @param link             that carries the calls; null: traffic is not counted
   explicit PeerClient(size_t max_connections = kDefaultMaxConnections, link::Link* link = nullptr)
       : max_connections_(max_connections), link_(link) {}
 
--- a/src/net/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -4,11 +4,11 @@
 
 namespace dunlinwing::net {
 namespace {
-constexpr std::chrono::seconds kIdleTimeout(20);  // well before the other side closes it
+constexpr std::chrono::seconds kIdleTimeout(20);  // well before the peer closes it
 constexpr std::chrono::seconds kPruneEvery(5);
 constexpr size_t kMostIdleEach = 8;
-constexpr size_t kLentShare = 3;     // one address may borrow a third of all
-constexpr size_t kControlShare = 3;  // a third of all is left for control
+constexpr size_t kLentShare = 3;     // one address may borrow a third of the connections
+constexpr size_t kControlShare = 3;  // a third of the connections is reserved for control calls
 }  // namespace
 
 PeerConnections& peer_connections() {
@@ -16,8 +16,8 @@
   return connections;
 }
 
-// Forwarded requests may all be waiting for one slow shield, and a write of a register is to go through
-// meanwhile.
+// Limits forwarded requests, which may all wait for one slow shield, so that control calls such as register
+// writes still get connections.
 bool PeerConnections::may_lend(const std::string& address, const Terms& terms) {
   if (peers_[address].lent >= std::max<size_t>(1, terms.most / kLentShare)) return false;
   const size_t for_traffic = std::max<size_t>(1, terms.most - terms.most / kControlShare);
@@ -55,7 +55,7 @@
   return oldest;
 }
 
-// True when a new connection may be opened; closes those that are idle longest for it.
+// Closes the longest idle connections until a new one may be opened; false when that is not possible.
 bool PeerConnections::make_room(size_t most) {
   while (open() >= most) {
     auto* peer = longest_idle();
@@ -66,7 +66,7 @@
   return true;
 }
 
-// Waits until a connection may be lent; false when the limit is over.
+// Waits until a connection may be lent; false when the limit has expired.
 bool PeerConnections::await_room(const std::string& address, const WaitLimit& limit, const Terms& terms) {
   if (limit.is_over()) return false;
   const auto condition = make_condition();
@@ -75,7 +75,7 @@
   condition->wait(std::chrono::ceil<Duration>(limit.end - Clock::now()));
   waiters_.erase(waiter);
   if (!limit.is_over()) return true;
-  wake_next(terms.most);  // this one may have been woken, and does not use it
+  wake_next(terms.most);  // this waiter may have been notified, and does not use the connection
   return false;
 }
 
--- a/src/net/peer_connections.hpp
+++ b/src/net/peer_connections.hpp
@@ -1,9 +1,8 @@
 /// @file
-/// The connections from one thread of this process to other nodes: those that are lent for a call, and the
-/// idle ones that may be used again.
+/// A thread's pool of connections to other nodes: those lent for a call, and idle ones for reuse.
 ///
 /// Invariant: their number is bounded, because a process that runs out of descriptors accepts no connections.
-/// Threads: used by its own thread only.
+/// Threads: used only by the thread that owns it.
 #pragma once
 #include <list>
 #include <map>
@@ -18,28 +17,28 @@
   using Clock = std::chrono::steady_clock;
 
   struct Lease {
-    std::shared_ptr<Connection> connection;  ///< null: none could be had in time
-    bool reused = false;                     ///< a call went over it before
+    std::shared_ptr<Connection> connection;  ///< null: none was available within the limit
+    bool reused = false;                     ///< it has carried a call before
   };
 
-  /// What connections are lent by.
+  /// Conditions for lending a connection.
   struct Terms {
-    size_t most = 0;  ///< connections that are open in all; only a part of them is lent to one address,
-                      ///< so that a silent node leaves room for the others
-    bool for_traffic = false;  ///< clients' requests are forwarded over it: some are left for control
+    size_t most = 0;           ///< limit on open connections; one address may borrow only a part of them, so
+                               ///< that an unresponsive node does not exhaust them
+    bool for_traffic = false;  ///< for forwarded client requests: some connections are reserved for control
   };
 
-  /// Waits for an idle connection, or for room for a new one, within the limit.
+  /// Waits within the limit for an idle connection, or until a new one may be opened.
   /// @param address  IP:port
   Lease borrow(const std::string& address, const WaitLimit& limit, const Terms& terms);
 
-  /// After a complete response, with nothing left to read.
+  /// Returns a connection after a complete response, with no unread bytes.
   void give_back(const std::string& address, std::shared_ptr<Connection> connection, const Terms& terms);
 
-  /// Resets it: what was not delivered never will be.
+  /// Resets the connection, so that undelivered bytes are never delivered.
   void discard(const std::string& address, const std::shared_ptr<Connection>& connection, const Terms& terms);
 
-  /// Idle and lent ones.
+  /// Number of open connections, idle and lent.
   size_t open() const { return lent_ + idle_count(); }
 
  private:
@@ -48,7 +47,7 @@
     Clock::time_point since;
   };
   struct Peer {
-    std::vector<Idle> idle;  ///< the latest used last
+    std::vector<Idle> idle;  ///< most recently used last
     size_t lent = 0;
   };
   struct Waiter {
@@ -70,13 +69,13 @@
   size_t idle_count() const;
 
   std::map<std::string, Peer> peers_;
-  std::list<Waiter> waiters_;  ///< the first to come first
+  std::list<Waiter> waiters_;  ///< in order of arrival
   size_t lent_ = 0;
   size_t lent_for_traffic_ = 0;  ///< of these
   Clock::time_point pruned_{};
 };
 
-/// Those of the calling thread.
+/// The pool of the calling thread.
 PeerConnections& peer_connections();
 
 }  // namespace dunlinwing::net
--- a/src/net/peer_server.cpp
+++ b/src/net/peer_server.cpp
@@ -14,10 +14,10 @@
 constexpr Duration kIdleTimeout(30000);  // without a byte from the peer
 constexpr Duration kWriteTimeout(5000);  // for a response
 constexpr Duration kRoomCheck(50);       // how soon it is checked again whether a connection has ended
-constexpr Duration kAcceptRetry(50);     // until the next try, when a connection could not be accepted
+constexpr Duration kAcceptRetry(50);     // before accepting again after a failed accept
 
-/// The connections of peers. When more than half of them are open none stays open after its response, and
-/// when all are, no more are accepted until one has ended: who waits outside is not turned away.
+/// The connections from peers. Above half of the limit, connections are closed after their response. At the
+/// limit no more are accepted until one has ended; new ones wait in the backlog and are not rejected.
 class PeerServer : public std::enable_shared_from_this<PeerServer> {
  public:
   PeerServer(EventLoopPool& pool, PeerHandler handler, size_t max_connections, link::Link* link)
@@ -31,7 +31,7 @@
       Connection::Socket socket(pool_.io(0));
       const auto [error] = await<>([&](auto handler) { acceptor.async_accept(socket, std::move(handler)); });
       if (error) {
-        logger.warn("A peer's connection was lost while being accepted: {}.", error.message());
+        logger.warn("Accepting a connection from a peer failed: {}.", error.message());
         SystemClock().sleep(kAcceptRetry);
         continue;
       }
@@ -57,7 +57,7 @@
     room_->notify();
   }
 
-  /// Waits for the first bytes of a further call. Until they come the connection may be evicted.
+  /// Waits for the first bytes of the next call. Until they arrive the connection may be evicted.
   MessageWait await_next_call(const std::shared_ptr<Connection>& connection) {
     if (!connection->buffered().empty()) return MessageWait::received;
     Timer timeout;
@@ -68,7 +68,7 @@
     return wait;
   }
 
-  /// Reads a call and answers it; false when the connection is to end.
+  /// Reads a call and answers it; false when the connection must end.
   bool serve_call(Connection& connection) {
     Timer timeout;
     interrupt_after(timeout, kIdleTimeout, connection);
@@ -76,7 +76,7 @@
     if (read_frame(connection, request, [&] { interrupt_after(timeout, kIdleTimeout, connection); }))
       return false;
     timeout.clear();
-    connection.clear_interrupt();  // the call came whole as its time ended: what is handled is answered
+    connection.clear_interrupt();  // the call was complete as its time ended, so it is handled and answered
     auto response = handle(connection, request);
     response.set_request_id(request.request_id());
     if (!await_link(request, response)) return false;
@@ -84,7 +84,7 @@
     return !write_frame(connection, response);
   }
 
-  /// Accounts for a call on the link. A response with a body waits until the link has room for it.
+  /// Accounts for a call on the link. A response to a fetch waits until the link has capacity for it.
   bool await_link(const pb::PeerRequest& request, const pb::PeerResponse& response) {
     const link::LinkUse use{link_, traffic_class_of(request)};
     use.received(request.ByteSizeLong());
@@ -95,9 +95,9 @@
     return true;
   }
 
-  /// The caller sends nothing more before the response: what its connection brings is its end.
+  /// The caller sends no bytes between its call and the response, so only the connection's end is read.
   pb::PeerResponse handle(Connection& connection, const pb::PeerRequest& request) {
-    base::CancellationPtr caller_left;  // calls of control are short, and go on
+    base::CancellationPtr caller_left;  // null for control calls: they are short and are not cancelled
     if (request.has_forward()) {
       caller_left = std::make_shared<base::Cancellation>();
       connection.on_read_done([&connection, caller_left] {
@@ -123,7 +123,7 @@
     }
   }
 
-  /// Ends the connection that waits longest for a further call, if one does.
+  /// Ends the connection that has waited longest for its next call, if any is idle.
   void evict() {
     for (const auto& connection : idle_)
       if (connection->is_idle_in_system()) return connection->interrupt();
@@ -132,9 +132,9 @@
   EventLoopPool& pool_;
   PeerHandler handler_;
   size_t max_connections_;
-  link::Link* link_;  ///< null: its rate is not known
+  link::Link* link_;  ///< null: traffic is not paced
   size_t open_ = 0;
-  IdleList idle_;  ///< those that wait for a further call, the one that waits longest first
+  IdleList idle_;                          ///< those that wait for their next call, longest waiting first
   std::shared_ptr<base::Condition> room_;  ///< where the accepting fiber waits for a connection to end
 };
 }  // namespace
--- a/src/net/peer_server.hpp
+++ b/src/net/peer_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Answers the calls of other nodes.
+/// Serves calls from other nodes.
 ///
 /// Threads: connections are accepted and served on thread 0.
 #pragma once
@@ -8,8 +8,8 @@
 
 namespace dunlinwing::net {
 
-/// Answers a call; may suspend the calling fiber. The cancellation tells that the caller has given it
-/// up; null: it does not matter to this call.
+/// Answers a call; may suspend the calling fiber. The cancellation is triggered when the caller
+/// disconnects; null: this call is not cancelled.
 using PeerHandler =
     std::function<pb::PeerResponse(const pb::PeerRequest&, const base::CancellationPtr& cancellation)>;
 
@@ -17,9 +17,9 @@
 
 /// Listens for other nodes until the process ends.
 /// @param address          IP:port
-/// @param max_connections  beyond them those that are idle longest end
-/// @param link             over which the calls come, and at whose pace bodies go; null: not paced
-/// @return why the address can't be had
+/// @param max_connections  at this limit the longest idle connections are evicted
+/// @param link             that carries the calls and paces response bodies; null: not paced
+/// @return an error text when the address cannot be listened on
 [[nodiscard]] std::optional<std::string> serve_peers(EventLoopPool& pool, const std::string& address,
                                                      PeerHandler handler,
                                                      size_t max_connections = kDefaultMaxPeerConnections,
--- a/src/net/system_clock.hpp
+++ b/src/net/system_clock.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The machine's clocks.
+/// The operating system's clocks.
 #pragma once
 #include "base/ports.hpp"
 
@@ -7,9 +7,9 @@
 
 class SystemClock final : public base::Clock {
  public:
-  TimePoint now() override;  ///< of CLOCK_BOOTTIME, which goes on while the machine is suspended
+  TimePoint now() override;  ///< CLOCK_BOOTTIME, which advances while the machine is suspended
   int64_t wall_ms() override;
-  void sleep(Duration duration) override;  ///< only in a fiber of an event loop
+  void sleep(Duration duration) override;  ///< call only in a fiber of an event loop
 };
 
 }  // namespace dunlinwing::net
--- a/src/net/system_random.hpp
+++ b/src/net/system_random.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Randomness, seeded by the system. Not for secrets.
+/// A pseudo-random generator seeded by the operating system. Not for secrets.
 #pragma once
 #include "base/ports.hpp"
 
--- a/src/net/timer.hpp
+++ b/src/net/timer.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Timers of an event loop. They cost no system call: the loop asks for the earliest before it sleeps.
+/// Timers of an event loop. They cost no system calls: the loop looks up the earliest before it sleeps.
 ///
-/// Threads: a timer is used by one thread, whose loop runs it.
+/// Threads: a timer is used by one thread, whose event loop runs its callback.
 #pragma once
 #include <chrono>
 #include <functional>
@@ -12,7 +12,7 @@
 
 class TimerQueue;
 
-/// Calls something once, between fibers, at a given time.
+/// Runs a callback once at a given time, on the dispatcher's fiber.
 class Timer {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
@@ -22,7 +22,7 @@
   Timer& operator=(const Timer&) = delete;
   ~Timer() { clear(); }
 
-  /// In place of what was set before.
+  /// Replaces any earlier time and callback.
   /// @param callback  must not suspend
   void set(TimePoint time, std::function<void()> callback);
   void clear();
@@ -33,17 +33,17 @@
   std::function<void()> callback_;
 };
 
-/// The timers of one thread that are set.
+/// The pending timers of one thread.
 class TimerQueue {
  public:
-  /// That of the calling thread.
+  /// The queue of the calling thread.
   static TimerQueue& of_this_thread();
 
-  /// Calls what is due.
-  /// @return whether anything was
+  /// Runs the callbacks of due timers.
+  /// @return whether any timer was due
   bool run_due(Timer::TimePoint now);
 
-  /// When the earliest is due; nothing when none is set.
+  /// When the earliest timer is due; nullopt when none is set.
   std::optional<Timer::TimePoint> earliest() const;
 
  private:
--- a/src/net/wait_limit.hpp
+++ b/src/net/wait_limit.hpp
@@ -1,30 +1,30 @@
 /// @file
-/// Ends what waits on a connection once its limit is over.
+/// Applies wait limits to operations on a connection.
 #pragma once
 #include "net/connection.hpp"
 
 namespace dunlinwing::net {
 
-/// Interrupts a connection once a limit is over, for as long as this lives.
-/// Threads: used by the connection's own thread. A cancellation may come from any.
+/// Interrupts a connection when a limit expires during this guard's lifetime.
+/// Threads: used by the connection's own thread. The cancellation may be triggered on any thread.
 class WaitLimitGuard {
  public:
-  /// @param connection  outlives the guard, or its release()
+  /// @param connection  must outlive the guard, or exist until release()
   WaitLimitGuard(Connection& connection, const WaitLimit& limit);
   WaitLimitGuard(const WaitLimitGuard&) = delete;
   WaitLimitGuard& operator=(const WaitLimitGuard&) = delete;
   ~WaitLimitGuard() { release(); }
 
-  /// The connection is not interrupted any more.
+  /// Disables the guard: it no longer interrupts the connection.
   void release();
 
  private:
-  /// What a cancellation on another thread posts to the connection's own refers to.
+  /// Shared with handlers that a cancellation on another thread posts to the connection's event loop.
   struct Target {
     Connection* connection;  ///< null once released
   };
 
-  std::shared_ptr<Target> target_;  ///< null where nothing can be cancelled
+  std::shared_ptr<Target> target_;  ///< null without a cancellation
   Timer timer_;
   std::optional<base::CancellationSubscription> subscription_;
 };
