--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -1,34 +1,36 @@
-// The whole way of a request through Traffic and real connections to a backend that
-// fails at every single byte. Whatever is lost, a request that may not be repeated
-// reaches a backend whole at most once, nobody gets another's answer, a cut answer
-// never passes for a whole one, and what was promised not to run never runs.
+// Requests through RequestHandler and real connections to a backend that fails at
+// each byte in turn. A non-idempotent request reaches a backend completely at most
+// once, no client gets another request's response, a truncated response never counts
+// as complete, and a request reported as not executed never runs.
 #include "net/node_under_test.hpp"
 #include "support/byte_backend.hpp"
 
 namespace dunlinwing::test {
 namespace {
-constexpr int kFibers = 24;      // cases under way at once
-constexpr int kPatienceMs = 60;  // of a client whose backend falls silent
+constexpr int kFibers = 24;      // cases run concurrently
+constexpr int kPatienceMs = 60;  // timeout of a client whose backend stops responding
 
 bool promises_not_run(int status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 
-// What a client may be told, whatever happened.
+// Checks that a response is allowed, whatever fault occurred.
 void judge(const base::Response& answer, const std::string& id, const ByteBackend& backend, bool safe) {
   bool named_other = base::header(answer.headers, "Attempt-Id") != id;
-  expect(!named_other, "the answer names another request");
+  expect(!named_other, "the response has another request's Attempt-Id");
   if (answer.status < 300) {
-    same(answer.body, good_body(id), "a success with a body that is not its own whole one");
-    same(base::header(answer.headers, "Edge-Signature"), "s." + id, "a success with another's stamp");
+    same(answer.body, good_body(id), "a successful response without its complete body");
+    same(base::header(answer.headers, "Edge-Signature"), "s." + id,
+         "a successful response with another request's Edge-Signature");
   }
   if (safe) return;
-  expect(backend.whole(id) <= 1, fmt::format("it ran {} times", backend.whole(id)));
-  if (promises_not_run(answer.status)) same(backend.whole(id), 0, "runs of what was promised not to run");
+  expect(backend.whole(id) <= 1, fmt::format("the request ran {} times", backend.whole(id)));
+  if (promises_not_run(answer.status))
+    same(backend.whole(id), 0, "runs of a request reported as not executed");
 }
 
 struct ClientAttempt {
   Plan plan;
   bool safe = false;
-  bool kept = false;  // the connection has carried a request before
+  bool kept = false;  // the connection has carried an earlier request
   std::string text() const {
     return fmt::format("trouble {} {} byte {}, {}, {}, {}", static_cast<int>(plan.trouble),
                        plan.receiving ? "receiving" : "sending", plan.at, plan.chunked ? "chunked" : "length",
@@ -36,24 +38,26 @@
   }
 };
 
-// The victim meets the trouble, then another client asks on the same relay.
+// Sends the request that meets the fault, then another client's request to the same relay.
 base::Response play_day(const ClientAttempt& one) {
   ByteBackend backend(one.plan);
   Relay relay(backend.address());
-  if (one.kept) same(relay.ask("warm-up", false, kPlentyMs).status, 200, "the first on the connection");
+  if (one.kept)
+    same(relay.ask("warm-up", false, kPlentyMs).status, 200,
+         "the status of the first request on the connection");
   backend.expect_victim();
   bool silent = one.plan.trouble == Trouble::silence;
   auto answer = relay.ask(one.plan.victim, one.safe, silent ? kPatienceMs : kPlentyMs);
   auto next = relay.ask("follower", false, kPlentyMs);
-  // What comes late may stand where the next answer is due, and nobody can tell what that was.
+  // Late bytes may arrive where the next response is expected, so the next request's outcome may be unknown.
   bool in_doubt = !one.plan.later.empty() && next.status == 502;
-  if (!in_doubt) same(next.status, 200, "the status of the next client's answer");
+  if (!in_doubt) same(next.status, 200, "the status of the next client's response");
   judge(next, "follower", backend, false);
   judge(answer, one.plan.victim, backend, one.safe);
   return answer;
 }
 
-// Plays all cases, a number of them at once, and tells the first that failed.
+// Runs all cases, kFibers of them concurrently, and reports the first that failed.
 void play_all(const std::vector<ClientAttempt>& all, const std::function<void(const ClientAttempt&)>& one) {
   size_t next = 0;
   int running = kFibers, failures = 0;
@@ -87,7 +91,8 @@
   for (bool chunked : {false, true}) {
     if (receiving && chunked) continue;
     auto bytes = receiving ? request_bytes() : good_answer("victim", chunked).size();
-    bool lasting = !receiving && trouble == Trouble::silence;  // after a whole answer it is the next one's
+    bool lasting =
+        !receiving && trouble == Trouble::silence;  // after a complete response it would affect the next one
     for (bool safe : {false, true})
       for (bool kept : {false, true})
         for (size_t at = 0; at < bytes + !lasting; ++at) {
@@ -99,7 +104,7 @@
 }
 
 void each_byte(bool receiving) {
-  constexpr size_t kDigits = 4;  // by which the time left may be written shorter
+  constexpr size_t kDigits = 4;  // by which the Time-Remaining value may be shorter
   auto shortest = request_bytes() - kDigits;
   for (auto trouble : {Trouble::close, Trouble::reset, Trouble::silence}) {
     play_all(cuts(receiving, trouble), [&](const ClientAttempt& one) {
@@ -107,14 +112,14 @@
       bool lost = one.plan.at < (receiving ? shortest : good_answer("victim", one.plan.chunked).size());
       if (!lost) return;
       if (one.safe && trouble != Trouble::silence)
-        same(answer.status, 200, "a repeatable request has a second backend instance");
+        same(answer.status, 200, "an idempotent request is retried at the second backend instance");
       else if (!receiving || one.plan.at > 0)  // at 0 the connection may end before a byte is sent
-        same(answer.status, 502, "what is told when the answer was lost");
+        same(answer.status, 502, "the status after the response was lost");
     });
   }
 }
 
-// Answers nobody asked for, in every place they may stand.
+// Unsolicited responses, at every position where they may occur.
 std::vector<ClientAttempt> extra_answers() {
   std::vector<ClientAttempt> all;
   const std::string bare_decline = "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -134,7 +139,7 @@
           plan.chunked = chunked;
           bool own = extra == named(200, "victim"), bare = extra == bare_decline;
           for (auto place : {&Plan::before, &Plan::together, &Plan::later}) {
-            // Taken for its own: a backend instance gives its extra answers a name.
+            // Would count as the request's own response: backend instances name their extra responses.
             if (place != &Plan::together && bare) continue;
             if (place == &Plan::before && own) continue;
             auto with = plan;
@@ -157,7 +162,7 @@
   play_all(extra_answers(), [](const ClientAttempt& one) { play_day(one); });
 }
 
-// A connection that carried an answer of another request ends with this one.
+// A connection that carried another request's response is closed after this request.
 void reuse() {
   auto other = good_answer("older", false);
   for (auto place : {&Plan::before, &Plan::together, &Plan::later}) {
@@ -166,14 +171,15 @@
     ByteBackend backend(plan);
     Relay relay(backend.address());
     relay.ask("warm-up", true, kPlentyMs);
-    same(relay.held(backend.address()), 1, "connections held after a good answer");
-    same(relay.ask("victim", true, kPlentyMs).status, 200, "an answer with another's beside it");
-    until([&] { return relay.held(backend.address()) == 0; }, "its connection is given up");
+    same(relay.held(backend.address()), 1, "open connections after a good response");
+    same(relay.ask("victim", true, kPlentyMs).status, 200,
+         "a response with another request's response beside it");
+    until([&] { return relay.held(backend.address()) == 0; }, "its connection is closed");
   }
 }
 
-// A backend that says by a bare answer that it is full, and says so again where the next answer
-// is due: the second is no word on the next request, which runs.
+// A backend sends a 503 without an Attempt-Id, and again where the next response is expected. The
+// second one must not count as the response to the next request, which runs.
 void bare_decline_again() {
   const std::string decline = "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n";
   StandIn backend([&](int connection, int request, const std::string& head) {
@@ -184,13 +190,13 @@
     return (connection == 0 || connection == 1 ? decline : std::string()) + good_answer(id, false);
   });
   Relay relay(backend.addr());
-  same(relay.ask("first", false, kPlentyMs).status, 503, "what both instances decline");
+  same(relay.ask("first", false, kPlentyMs).status, 503, "the status after both instances declined");
   auto answer = relay.ask("second", false, kPlentyMs);
-  same(answer.status, 200, "what ran was told as not run");
+  same(answer.status, 200, "the status of a request that ran");
   same(answer.body, good_body("second"), "its body");
 }
 
-// An error that names no request is no answer to this one.
+// An error response without an Attempt-Id does not count as the response to this request.
 void nameless_error() {
   for (int status : {400, 404, 500, 504}) {
     StandIn backend([&](int, int, const std::string&) {
@@ -198,12 +204,13 @@
     });
     Relay relay(backend.addr());
     auto answer = relay.ask("victim", false, kPlentyMs);
-    same(answer.status, 502, fmt::format("a nameless {}", status));
-    expect(answer.body.find("whose") == answer.body.npos, "a nameless body was passed on");
+    same(answer.status, 502, fmt::format("the status after a {} without an Attempt-Id", status));
+    expect(answer.body.find("whose") == answer.body.npos,
+           "the body of a response without an Attempt-Id was passed on");
   }
 }
 
-// A part of an object, or a bare confirmation, that nobody asked for is not the whole object.
+// An unrequested 206 or 304 does not count as the complete object.
 void parts_unasked() {
   for (int status : {206, 304}) {
     StandIn backend([&](int, int, const std::string&) {
@@ -217,13 +224,14 @@
       base::Request request{
           "", "GET", target, "", {{"Host", "h"}, {"Attempt-Id", "a"}, {"Time-Remaining", "5000"}}};
       same(relay.get(request).status, 502,
-           fmt::format("a {} to a request for the whole of {}", status, target));
+           fmt::format("the status after a {} to a request without a Range or condition for {}", status,
+                       target));
     }
   }
 }
 
-// A body larger than the sockets hold lies half in our buffer when the frozen backend is given
-// up. Once it thaws it must not get the rest: a client may have been told long ago.
+// A request body exceeds the socket buffers, so part of it is unsent when the request to a frozen backend
+// is abandoned. The resumed backend must not receive the rest: the client already has its response.
 void thawed() {
   constexpr int kFrozenMs = 200;
   for (bool safe : {false, true})
@@ -235,12 +243,13 @@
       auto answer = relay.ask("victim", safe, kFrozenMs, std::string(bytes, 'b'));
       backend.thaw();
       net::SystemClock().sleep(100ms);
-      same(backend.whole("victim"), 0, "runs of what was given up before it was sent whole");
-      if (promises_not_run(answer.status)) expect(!backend.begun("victim"), "some of it had left");
+      same(backend.whole("victim"), 0, "runs of a request that was abandoned before it was sent completely");
+      if (promises_not_run(answer.status))
+        expect(!backend.begun("victim"), "a request reported as not executed was partly sent");
     }
 }
 
-// Answers are kept by service, host, path and query; no client gets another object.
+// Responses are cached by service, host, path and query; no client gets another object.
 void keys() {
   StandIn backend([](int, int, const std::string& head) {
     auto value = [&](const std::string& name) {
@@ -264,20 +273,20 @@
         auto answer = relay.get(request);
         if (answer.status == 404) continue;
         same(answer.body, target + " HTTP/1.1 of " + host, "the object");
-        same(base::header(answer.headers, "Attempt-Id"), std::to_string(number), "the request's name");
+        same(base::header(answer.headers, "Attempt-Id"), std::to_string(number), "the request's Attempt-Id");
         request.headers.emplace_back("Range", "bytes=3-");
         auto part = relay.get(request);
         same(part.status, 206, "a range's status");
         same(part.body, answer.body.substr(3), "a range");
-        same(relay.get(request).status, 206, "a range, again");
+        same(relay.get(request).status, 206, "a range's status, repeated");
         request.headers.back() = {"If-None-Match", "\"1\""};
         auto confirmed = relay.get(request);
-        same(confirmed.status, 304, "a confirmation's status");
-        same(confirmed.body, "", "a confirmation's body");
+        same(confirmed.status, 304, "a 304's status");
+        same(confirmed.body, "", "a 304's body");
       }
 }
 
-// Many wait for one fetch; the one who fetches loses its answer, or gives up.
+// Many requests wait for one fetch; the fetching request loses its response, or times out.
 void coalesced() {
   for (bool cut : {false, true}) {
     int fetched = 0;
@@ -298,13 +307,13 @@
         base::Request request{
             "", "GET", "/kept/x", "", {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Remaining", patience}}};
         auto answer = relay.get(request);
-        if (base::header(answer.headers, "Attempt-Id") != id) wrong = id + " was named otherwise";
+        if (base::header(answer.headers, "Attempt-Id") != id) wrong = id + " got another Attempt-Id";
         bool whole = answer.body.starts_with("made for c");
         if (i > 0 && (answer.status != 200 || !whole)) wrong = fmt::format("{} got {}", id, answer.status);
         --left;
       });
-    until([&] { return left == 0; }, "all are answered");
-    same(wrong, "", "answers of one fetch");
+    until([&] { return left == 0; }, "all requests are answered");
+    same(wrong, "", "responses from one fetch");
   }
 }
 }  // namespace
@@ -312,14 +321,14 @@
 std::vector<Case> answer_cases() {
   return {{"answers: the backend fails at each byte of a request", [] { each_byte(true); }},
           {"answers: the backend fails at each byte of its answer", [] { each_byte(false); }},
-          {"answers: extra answers in every place", extras},
+          {"answers: extra answers at every position", extras},
           {"answers: a connection with another's answer on it ends", reuse},
-          {"answers: a bare decline is no word on the next request", bare_decline_again},
-          {"answers: an error without a name is nobody's", nameless_error},
-          {"answers: a part or a confirmation nobody asked for is not the object", parts_unasked},
-          {"answers: what was given up half sent does not arrive later", thawed},
-          {"answers: kept ones are told apart by host, path, query and range", keys},
-          {"answers: one fetch for many gives each its own", coalesced}};
+          {"answers: a bare decline does not answer the next request", bare_decline_again},
+          {"answers: an error without a name is not accepted", nameless_error},
+          {"answers: a partial or 304 response that was not requested is not the object", parts_unasked},
+          {"answers: what was given up before it was sent completely does not arrive later", thawed},
+          {"answers: kept ones are keyed by host, path, query and range", keys},
+          {"answers: requests that share a fetch each get their own response", coalesced}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/net/client_bytes_test.cpp
+++ b/test/net/client_bytes_test.cpp
@@ -1,6 +1,6 @@
-// The server met by clients that cut, split and pipeline their requests at every byte,
-// and that leave while their answer is made: a request runs only when it is whole, and
-// each answer goes to the connection and the request that it belongs to.
+// The HTTP server with clients that truncate, split and pipeline their requests at every
+// byte, or disconnect while a response is generated: a request runs only when complete,
+// and each response goes to the connection and the request that it belongs to.
 #include <sys/socket.h>
 
 #include "net/net_cases.hpp"
@@ -38,7 +38,7 @@
   if (how == End::half_close) client.connection->shutdown_send();
 }
 
-// A request that was cut at any byte never runs, and is never told that it went well.
+// A request truncated at any byte never runs, and never gets a success response.
 void cut() {
   for (auto how : {End::close, End::reset, End::half_close, End::silence})
     for (auto& request : {kByLength, kInChunks, kBare}) {
@@ -55,14 +55,14 @@
           for (auto& client : clients) {
             auto told = client->read();
             expect(told.empty() || told.starts_with("HTTP/1.1 408") || told.starts_with("HTTP/1.1 400"),
-                   "a cut request was told " + told);
+                   "a truncated request was answered " + told);
           }
       }
-      expect(counted.runs.empty(), "a cut request ran: " + request);
+      expect(counted.runs.empty(), "a truncated request ran: " + request);
     }
 }
 
-// Three requests in one stream, split in two segments at any byte.
+// Three pipelined requests, split into two segments at any byte.
 void split() {
   Counted counted;
   Served server({}, counted.handler());
@@ -82,7 +82,7 @@
   same(counted.runs.size(), size_t(3), "different requests that ran");
 }
 
-// A pipelined request that is cut leaves the answers before it whole.
+// A truncated pipelined request does not affect the responses to the requests before it.
 void pipelined_cut() {
   for (size_t at = 0; at < kInChunks.size(); ++at) {
     Counted counted;
@@ -96,7 +96,7 @@
   }
 }
 
-// A client leaves while its answer is made, another's connection takes the descriptor's number.
+// A client disconnects while its response is generated, and another connection reuses the descriptor number.
 void descriptor_reused() {
   for (auto how : {End::close, End::reset}) {
     auto go = pool().condition();
@@ -113,22 +113,23 @@
     {
       Raw leaving(server.address);
       leaving.send("GET /slow HTTP/1.1\r\nHost: h\r\n\r\nGET /behind HTTP/1.1\r\nHost: h\r\n\r\n");
-      until([&] { return slow == 1; }, "the slow one runs");
+      until([&] { return slow == 1; }, "the slow request runs");
       end(leaving, how);
     }
     std::vector<std::unique_ptr<Raw>> others;
     for (int i = 0; i < 8; ++i) others.push_back(std::make_unique<Raw>(server.address));
     go->notify();
-    until([&] { return told == 1; }, "the answer for the one who left");
+    until([&] { return told == 1; }, "the response to the client that disconnected");
     for (int i = 0; i < 8; ++i) {
       auto target = fmt::format("/{}", i);
       auto answer = others[i]->ask(fmt::format("GET {} HTTP/1.1\r\nHost: h\r\n\r\n", target), "]");
-      same(answer, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[" + target + "]", "another client's answer");
+      same(answer, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[" + target + "]",
+           "another client's response");
     }
   }
 }
 
-// An answer that cannot be delivered whole shows that it is cut.
+// A response that cannot be delivered completely is recognizable as truncated.
 void undelivered() {
   net::HttpLimits limits;
   limits.write_timeout = 200ms;
@@ -136,20 +137,21 @@
   Served server(limits, [](base::Request&) -> base::Response { return {200, {}, std::string(kLong, 'x')}; });
   Raw client(server.address);
   client.send(kBare);
-  until([&] { return server.s.running_requests() == 1; }, "it runs");
-  until([&] { return server.s.open_connections() == 0; }, "it is given up");
+  until([&] { return server.s.running_requests() == 1; }, "the request runs");
+  until([&] { return server.s.open_connections() == 0; }, "the connection is closed");
   auto told = client.read();
-  expect(told.find(fmt::format("Content-Length: {}\r\n", kLong)) != told.npos, "no length was told");
-  expect(told.size() < kLong, "it was delivered after all");
+  expect(told.find(fmt::format("Content-Length: {}\r\n", kLong)) != told.npos,
+         "the response has no Content-Length");
+  expect(told.size() < kLong, "the response was delivered completely");
 }
 }  // namespace
 
 std::vector<Case> client_byte_cases() {
   return {{"client: a request cut at any byte never runs", cut},
           {"client: requests split at any byte are each answered", split},
-          {"client: a pipelined request that is cut costs no other its answer", pipelined_cut},
-          {"client: who takes the number of one who left gets its own answer", descriptor_reused},
-          {"client: an answer that is given up shows that it is cut", undelivered}};
+          {"client: a truncated pipelined request does not affect other responses", pipelined_cut},
+          {"client: a connection that reuses a descriptor number gets its own response", descriptor_reused},
+          {"client: an abandoned response is recognizable as truncated", undelivered}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/net/client_gone_test.cpp
+++ b/test/net/client_gone_test.cpp
@@ -1,5 +1,5 @@
-// Clients that leave before their response: all that waits for one learns of it at once, wherever it waits. A
-// fetch that others share goes on, and so does what may not be sent twice once it runs.
+// Clients that disconnect before their response: every operation that waits on their behalf is cancelled at
+// once. A fetch that others share continues, and so does a running request that must not be sent twice.
 #include "net/node_under_test.hpp"
 #include "net/peer_server.hpp"
 #include "support/holding_backend.hpp"
@@ -7,10 +7,10 @@
 
 namespace dunlinwing::test {
 namespace {
-constexpr Duration kAtOnce{400};  // in which everybody has learnt that a client has left
-constexpr Duration kLater{300};   // after which what has not happened is taken not to happen
+constexpr Duration kAtOnce{400};  // within which a disconnect must take effect everywhere
+constexpr Duration kLater{300};   // after which an event is assumed not to happen
 
-/// A relay behind a server of its own, as clients meet it.
+/// A relay behind its own HTTP server, as clients reach it.
 struct Front {
   Relay relay;
   Served server;
@@ -30,7 +30,7 @@
   }
 };
 
-/// Waits until it holds, for as long as "at once" lasts.
+/// Waits for the condition, at most kAtOnce.
 void expect_at_once(const std::function<bool()>& holds, const std::string& what) {
   net::SystemClock clock;
   for (const auto end = clock.now() + kAtOnce; !holds() && clock.now() < end;) clock.sleep(1ms);
@@ -44,7 +44,7 @@
   Front front(backend.address());
   for (const std::string target : {"/any/x", "/kept/x"}) {
     auto client = front.client("GET", target, target);
-    until([&] { return backend.has(target); }, "it runs");
+    until([&] { return backend.has(target); }, "the request runs");
     client.reset();
     expect_at_once([&] { return backend.was_abandoned(target); }, "the end of the attempt on " + target);
     wait_a_while();
@@ -56,7 +56,7 @@
   HoldingBackend backend;
   Front front(backend.address());
   auto client = front.client("GET", "/any/x", "a");
-  until([&] { return backend.has("a"); }, "it runs");
+  until([&] { return backend.has("a"); }, "the request runs");
   client->connection->reset();
   expect_at_once([&] { return backend.was_abandoned("a"); }, "the end of the attempt");
 }
@@ -65,12 +65,13 @@
   HoldingBackend backend;
   Front front(backend.address());
   auto client = front.client("GET", "/any/x", "a");
-  until([&] { return backend.has("a"); }, "it runs");
+  until([&] { return backend.has("a"); }, "the request runs");
   client->send("GET /any/y HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: b\r\n\r\n");
   wait_a_while();
   expect(!backend.was_abandoned("a"), "a further request was taken for the client's end");
   client.reset();
-  expect_at_once([&] { return backend.was_abandoned("a"); }, "the end behind a further request");
+  expect_at_once([&] { return backend.was_abandoned("a"); },
+                 "the end of the attempt when the client disconnects after a further request");
   wait_a_while();
   expect(!backend.has("b"), "the further request ran");
 }
@@ -85,7 +86,7 @@
   keyed.reset();
   wait_a_while();
   for (const std::string id : {"unsafe", "keyed"}) {
-    expect(!backend.was_abandoned(id), "the run was broken off: " + id);
+    expect(!backend.was_abandoned(id), "the running attempt was cancelled: " + id);
     backend.release(id);
   }
 }
@@ -97,41 +98,41 @@
   until([&] { return backend.has("first"); }, "the first runs");
   auto repeatable = front.client("GET", "/narrow/y", "repeatable");
   auto unsafe = front.client("POST", "/narrow-once/y", "unsafe");
-  until([&] { return front.server.s.running_requests() == 3; }, "two wait");
+  until([&] { return front.server.s.running_requests() == 3; }, "two requests wait");
   repeatable.reset();
   unsafe.reset();
-  expect_at_once([&] { return front.server.s.running_requests() == 1; }, "the end of those that wait");
+  expect_at_once([&] { return front.server.s.running_requests() == 1; }, "the end of the waiting requests");
   backend.release("first");
   wait_a_while();
-  expect(!backend.has("repeatable") && !backend.has("unsafe"), "one that waited was sent");
+  expect(!backend.has("repeatable") && !backend.has("unsafe"), "a waiting request was sent");
   auto last = front.client("GET", "/narrow/z", "last");
-  until([&] { return backend.has("last"); }, "the queue goes on");
+  until([&] { return backend.has("last"); }, "the queue continues");
 }
 
 void paced_request_is_not_sent() {
   HoldingBackend backend;
   Front front(backend.address());
   auto client = front.client("GET", "/paced/x", "a");
-  until([&] { return front.server.s.running_requests() == 1; }, "it waits for the rate");
+  until([&] { return front.server.s.running_requests() == 1; }, "the request waits for the rate limit");
   client.reset();
   expect_at_once([&] { return front.server.s.running_requests() == 0; }, "the end of the wait");
   net::SystemClock().sleep(kPacedInterval);
-  expect(!backend.has("a"), "it was sent");
+  expect(!backend.has("a"), "the request was sent");
 }
 
 void no_retry() {
   HoldingBackend backend;
   Front front(backend.address());
   auto client = front.client("POST", "/any/x", "a", "Idempotency-Key: k\r\n");
-  until([&] { return backend.has("a"); }, "it runs");
+  until([&] { return backend.has("a"); }, "the request runs");
   client.reset();
   wait_a_while();
   backend.cut("a");
   wait_a_while();
-  same(backend.count("a"), 1, "attempts for a client that had left");
+  same(backend.count("a"), 1, "attempts for a client that had disconnected");
 }
 
-/// The clients of a fetch under way: the one for which it began, and another that waits for it.
+/// The clients of a running fetch: the one whose request started it, and another that waits for it.
 std::pair<std::unique_ptr<Raw>, std::unique_ptr<Raw>> share_fetch(const Front& front,
                                                                   const HoldingBackend& backend) {
   auto first = front.client("GET", "/kept/x", "first");
@@ -150,7 +151,8 @@
   expect(!backend.was_abandoned("first"), "a fetch that another waits for was ended");
   backend.release("first");
   const auto answer = second->read("made for first");
-  expect(answer.starts_with("HTTP/1.1 200") && !backend.has("second"), "the other was told " + answer);
+  expect(answer.starts_with("HTTP/1.1 200") && !backend.has("second"),
+         "the other client was answered " + answer);
 }
 
 void fetch_ends_with_the_last() {
@@ -161,7 +163,7 @@
   second.reset();
   expect_at_once([&] { return backend.was_abandoned("first"); }, "the end of the fetch");
   auto third = front.client("GET", "/kept/x", "third");
-  until([&] { return backend.has("third"); }, "who comes then fetches anew");
+  until([&] { return backend.has("third"); }, "a later request starts a new fetch");
 }
 
 void shield_is_left() {
@@ -176,14 +178,14 @@
   HoldingBackend backend;
   Front front(backend.address(), shield.address());
   auto client = front.client("GET", "/kept/x", "a");
-  until([&] { return asked == 1; }, "the shield is asked");
+  until([&] { return asked == 1; }, "the shield is called");
   client.reset();
   expect_at_once([&] { return front.server.s.running_requests() == 0; },
                  "the end of the wait for the shield");
   may_answer->notify();
   until([&] { return answered == 1; }, "the shield ends");
   wait_a_while();
-  expect(!backend.has("a"), "it was sent around the shield");
+  expect(!backend.has("a"), "the request was sent directly, bypassing the shield");
 }
 /// Serves a relay to others, as their shield.
 std::string serve_as_shield(Relay& relay) {
@@ -199,7 +201,7 @@
   }
 }
 
-// The word reaches the shield's own attempt, unless somebody else waits for what it fetches.
+// The disconnect cancels the shield's own attempt, unless another relay waits for the same fetch.
 void shield_ends_its_attempt() {
   static HoldingBackend backend;  // the server of peers lives as long as the process
   static Relay shield(backend.address());
@@ -219,17 +221,17 @@
 }  // namespace
 
 std::vector<Case> client_gone_cases() {
-  return {{"gone: the attempt of a client that has left is ended", attempt_ends},
+  return {{"gone: the attempt of a disconnected client is cancelled", attempt_ends},
           {"gone: also when the client's connection is reset", client_reset_ends_attempt},
-          {"gone: a pipelined request is no end", pipelined_request_is_no_end},
-          {"gone: unsafe and keyed requests that run go on", unsafe_and_keyed_runs_go_on},
-          {"gone: who waits in the admission queue is not sent", queued_request_is_not_sent},
-          {"gone: who waits for the origin's rate is not sent", paced_request_is_not_sent},
-          {"gone: nothing is sent again", no_retry},
-          {"gone: a fetch that others wait for goes on", shared_fetch_goes_on},
-          {"gone: a fetch ends with the last who waits for it", fetch_ends_with_the_last},
-          {"gone: nobody waits for a shield", shield_is_left},
-          {"gone: a shield ends what nobody waits for", shield_ends_its_attempt}};
+          {"gone: a pipelined request does not count as a disconnect", pipelined_request_is_no_end},
+          {"gone: running unsafe and keyed requests continue", unsafe_and_keyed_runs_go_on},
+          {"gone: a request in the admission queue is not sent", queued_request_is_not_sent},
+          {"gone: a request that waits for the origin's rate is not sent", paced_request_is_not_sent},
+          {"gone: no attempt is retried", no_retry},
+          {"gone: a fetch that others wait for continues", shared_fetch_goes_on},
+          {"gone: a fetch ends when the last client that waits for it disconnects", fetch_ends_with_the_last},
+          {"gone: the wait for a shield ends", shield_is_left},
+          {"gone: a shield ends a fetch that no relay waits for", shield_ends_its_attempt}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/net/compatibility_test.cpp
+++ b/test/net/compatibility_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Relays of commit 0a5d9f4 on a connection with today's: the bytes of test/compatibility/fixtures/frames
-/// behind their four bytes of length, in both directions.
+/// Relays of commit 0a5d9f4 exchange messages with current ones, in both directions: the bytes of
+/// test/compatibility/fixtures/frames, each after its four-byte length.
 #include <google/protobuf/io/coded_stream.h>
 #include <google/protobuf/io/zero_copy_stream_impl_lite.h>
 
@@ -26,7 +26,7 @@
   return frames;
 }
 
-/// The length that a frame begins with: four bytes, the highest first.
+/// The length prefix of a frame: four bytes, big-endian.
 std::string length_of(const std::string& bytes) {
   auto size = bytes.size();
   return {char(size >> 24), char(size >> 16), char(size >> 8), char(size)};
@@ -53,19 +53,19 @@
     return 4 + bytes;
   };
   while (connection.buffered().size() < size())
-    expect(!connection.read_more(), "the connection ended within a reply");
+    expect(!connection.read_more(), "the connection ended within a response");
   auto bytes = std::string(connection.buffered().substr(4, size() - 4));
   connection.consume(size());
   return bytes;
 }
 
-/// What the relay under test was asked last, and what it is to reply.
+/// The last call that the relay under test received, and the response that it sends.
 struct Exchange {
   std::string asked;
   pb::PeerResponse reply;
 };
 
-/// Serves on an address of its own for as long as the process lives.
+/// Serves on a free address for as long as the process lives.
 std::string serve(const std::shared_ptr<Exchange>& exchange) {
   for (int port = 23700 + static_cast<int>(::getpid() % 300);; ++port) {
     auto address = fmt::format("127.0.0.1:{}", port);
@@ -77,8 +77,8 @@
   }
 }
 
-/// An old relay asks: each kind of ask is heard as it was sent, and each kind of reply goes out as the
-/// bytes that the old relay would have sent under the number of the ask.
+/// An old relay calls this one: each kind of call is received unchanged, and each kind of response has the
+/// bytes that an old relay would have sent, apart from the call's request id.
 void asked_by_old_relays() {
   auto exchange = std::make_shared<Exchange>();
   Raw old_relay(serve(exchange));
@@ -86,20 +86,20 @@
   expect(asks.size() == 10 && replies.size() == 7, "fixtures are missing");
   for (size_t i = 0; i < asks.size(); ++i) {
     auto& reply = replies[i % replies.size()];
-    expect(exchange->reply.ParseFromString(reply), "an old reply is not read");
+    expect(exchange->reply.ParseFromString(reply), "an old response cannot be parsed");
     old_relay.send(length_of(asks[i]) + asks[i]);
     pb::PeerResponse back;
-    expect(back.ParseFromString(read_frame(*old_relay.connection)), "the reply is not read");
-    expect(exchange->asked == asks[i], fmt::format("ask {} was heard as other bytes", i));
+    expect(back.ParseFromString(read_frame(*old_relay.connection)), "the response cannot be parsed");
+    expect(exchange->asked == asks[i], fmt::format("call {} was received as other bytes", i));
     pb::PeerRequest ask;
     ask.ParseFromString(asks[i]);
     expect(back.request_id() > 0 && back.request_id() == ask.request_id(), "the reply is for another ask");
     back.set_request_id(exchange->reply.request_id());
-    expect(serialized(back) == reply, fmt::format("the reply to ask {} went out as other bytes", i));
+    expect(serialized(back) == reply, fmt::format("the response to call {} was sent as other bytes", i));
   }
 }
 
-/// An old relay is asked: each kind of reply is heard as it was sent.
+/// This relay calls an old one: each kind of response is received unchanged.
 void asks_old_relays() {
   auto asks = old_frames("Ask."), replies = old_frames("Reply.");
   expect(asks.size() == 10 && replies.size() == 7, "fixtures are missing");
@@ -108,32 +108,32 @@
   ScriptedPeer old_relay([&](int, const pb::PeerRequest& ask) {
     heard = ask;
     pb::PeerResponse number;
-    number.set_request_id(ask.request_id());  // read as one message with what stands before
+    number.set_request_id(ask.request_id());  // appended fields: parsed as one message with the response
     auto bytes = replies[next % replies.size()] + number.SerializeAsString();
     return length_of(bytes) + bytes;
   });
   net::PeerClient client;
   for (; next < asks.size(); ++next) {
     pb::PeerRequest ask;
-    expect(ask.ParseFromString(asks[next]), "an old ask is not read");
+    expect(ask.ParseFromString(asks[next]), "an old call cannot be parsed");
     auto answer = client.call(old_relay.address(), ask, kPlenty);
     auto* reply = std::get_if<pb::PeerResponse>(&answer);
-    expect(reply != nullptr, fmt::format("no reply to ask {}", next));
+    expect(reply != nullptr, fmt::format("no response to call {}", next));
     expect(reply->request_id() > 0 && reply->request_id() == heard.request_id(),
            "the reply is for another ask");
     pb::PeerResponse sent;
     sent.ParseFromString(replies[next % replies.size()]);
     reply->set_request_id(sent.request_id());
-    expect(serialized(*reply) == replies[next % replies.size()], "a reply was heard as other bytes");
+    expect(serialized(*reply) == replies[next % replies.size()], "a response was received as other bytes");
     heard.set_request_id(ask.request_id());
-    expect(serialized(heard) == asks[next], fmt::format("ask {} was sent as other bytes", next));
+    expect(serialized(heard) == asks[next], fmt::format("call {} was sent as other bytes", next));
   }
 }
 }  // namespace
 
 std::vector<Case> compatibility_wire_cases() {
-  return {{"peer: an old relay asks this one", asked_by_old_relays},
-          {"peer: this relay asks an old one", asks_old_relays}};
+  return {{"peer: an old relay calls this one", asked_by_old_relays},
+          {"peer: this relay calls an old one", asks_old_relays}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/net/connection_test.cpp
+++ b/test/net/connection_test.cpp
@@ -1,5 +1,5 @@
-// A connection that is interrupted while it waits for a message: what has come by the time its fiber runs
-// counts.
+// A connection is interrupted while it waits for a message: bytes that arrive before its fiber runs are
+// received.
 #include <boost/asio/post.hpp>
 
 #include "net/net_cases.hpp"
@@ -27,7 +27,7 @@
   }
 };
 
-/// How the wait of the near end ends while `meanwhile` runs, as a handler of its event loop.
+/// The result of waiting at the near end while `meanwhile` runs as a handler of its event loop.
 MessageWait wait_while(ConnectedPair& pair, const std::function<void()>& meanwhile) {
   boost::asio::post(pool().io(0), meanwhile);
   return pair.near_end->await_message();
@@ -56,7 +56,8 @@
   expect(!pair.near_end->write("answer"), "the answer was not sent");
 }
 
-// The second interrupt finds the bytes neither in the system's buffer nor known to the connection.
+// At the second interrupt the bytes have left the socket's receive buffer, but the read's handler has not
+// run.
 void message_after_two_interrupts_is_received() {
   ConnectedPair pair;
   const auto wait = wait_while(pair, [&] {
--- a/test/net/forward_test.cpp
+++ b/test/net/forward_test.cpp
@@ -1,14 +1,14 @@
-// Requests that go through a shield, and receipts that are kept: what a shield may have
-// had run is never promised not to run, and what it hands on is judged anew.
+// Requests forwarded to a shield, and cached responses: a request that a shield may have
+// executed is never reported as not executed, and its responses' freshness is rechecked.
 #include "net/node_under_test.hpp"
 #include "support/byte_backend.hpp"
 #include "support/scripted_peer.hpp"
 
 namespace dunlinwing::test {
 namespace {
-constexpr int kShortMs = 300;  // of a client whose shield falls silent
+constexpr int kShortMs = 300;  // timeout of a client whose shield stops responding
 
-// An address at which nobody listens.
+// An address without a listening socket.
 std::string nobody() {
   ScriptedPeer gone([](int, const pb::PeerRequest&) { return std::string(); });
   return gone.address();
@@ -29,7 +29,8 @@
   reply.set_lifetime_ms(60000);
 }
 
-// The shield had it, then fell silent or cut; no backend instance can be reached directly.
+// The shield received the request, then stopped responding or closed the connection; no backend instance can
+// be reached directly.
 void lost_shield() {
   for (std::string end : {"", "cut", "reset"}) {
     int asked = 0;
@@ -39,12 +40,12 @@
     });
     Relay relay(nobody(), shield.address());
     auto answer = relay.get("/kept/x", "a", kShortMs);
-    same(asked, 1, "asks at the shield");
-    same(answer.status, 502, "what the shield may have had run was promised not to run: status");
+    same(asked, 1, "calls to the shield");
+    same(answer.status, 502, "the status of a request that the shield may have executed");
   }
 }
 
-// A shield's word that nothing ran, and will not, is passed on with when to come back.
+// A shield's response that the request did not run is passed on, with Retry-After.
 void declined_by_shield() {
   ScriptedPeer shield([](int, const pb::PeerRequest& ask) {
     return forwarded(ask, [](pb::ForwardResponse& reply) {
@@ -57,11 +58,11 @@
   Relay relay(backend.address(), shield.address());
   auto answer = relay.get("/kept/x", "a");
   same(answer.status, 503, "its status");
-  expect(!base::header(answer.headers, "Retry-After").empty(), "it was not told when to come back");
-  same(backend.whole("a"), 0, "direct sends around the shield");
+  expect(!base::header(answer.headers, "Retry-After").empty(), "the response has no Retry-After");
+  same(backend.whole("a"), 0, "direct requests that bypassed the shield");
 }
 
-// A forwarded answer that is past its life is fetched anew; a fresh one is served and kept.
+// A forwarded response that has expired is fetched again; a fresh one is served and cached.
 void judged_again() {
   for (uint64_t age_ms : {uint64_t(0), uint64_t(59000), uint64_t(60000), uint64_t(90000)}) {
     ScriptedPeer shield([&](int, const pb::PeerRequest& ask) {
@@ -72,12 +73,12 @@
     auto answer = relay.get("/kept/x", "a");
     same(answer.status, 200, "its status");
     same(answer.body, age_ms < 60000 ? std::string("from the shield") : good_body("a"),
-         fmt::format("an answer handed on at the age of {} ms", age_ms));
-    same(base::header(answer.headers, "Attempt-Id"), "a", "the request it names");
+         fmt::format("a response forwarded at the age of {} ms", age_ms));
+    same(base::header(answer.headers, "Attempt-Id"), "a", "its Attempt-Id");
   }
 }
 
-// A kept answer is served within its life and never past it.
+// A cached response is served within its lifetime and never after it.
 void lifetime() {
   ByteBackend backend(Plan{});
   Relay relay(backend.address());
@@ -85,17 +86,18 @@
   auto from = clock.now();
   same(relay.get("/brief/x", "first").body, good_body("first"), "the fetch");
   auto again = relay.get("/brief/x", "second").body;
-  if (clock.now() - from < Duration(100)) same(again, good_body("first"), "a kept answer within its life");
+  if (clock.now() - from < Duration(100))
+    same(again, good_body("first"), "a cached response within its lifetime");
   clock.sleep(Duration(120));
-  same(relay.get("/brief/x", "third").body, good_body("third"), "a kept answer past its life");
+  same(relay.get("/brief/x", "third").body, good_body("third"), "a cached response after its lifetime");
 }
 }  // namespace
 
 std::vector<Case> forward_cases() {
-  return {{"forward: what a lost shield may have had run is not promised", lost_shield},
+  return {{"forward: what a lost shield may have executed is not reported as not executed", lost_shield},
           {"forward: a shield's decline is passed on", declined_by_shield},
-          {"forward: what a shield hands on is judged again", judged_again},
-          {"forward: a kept answer ends with its life", lifetime}};
+          {"forward: what a shield hands on is checked for freshness again", judged_again},
+          {"forward: a kept answer ends with its lifetime", lifetime}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/net/http_client_test.cpp
+++ b/test/net/http_client_test.cpp
@@ -1,4 +1,4 @@
-// UpstreamClient at a stand-in worker that cuts, babbles, is late, full or leaving.
+// HttpClient with a scripted backend that truncates responses, sends extra or invalid ones, or responds late.
 #include "net/net_cases.hpp"
 
 namespace dunlinwing::test {
@@ -40,24 +40,24 @@
   r.is_own_response = mine("0");
   same(body(o.send(w.addr(), get(), r)), "0", "the first");
   r.is_own_response = mine("1");
-  same(body(o.send(w.addr(), get(), r)), "1", "after two late answers");
+  same(body(o.send(w.addr(), get(), r)), "1", "the response after two late ones");
   same(w.conns, 1, "connections");
-  same(o.connections_to(w.addr()), 0, "connections held after another's answer");
+  same(o.connections_to(w.addr()), 0, "open connections after another request's response");
   r.is_own_response = mine("used");
-  same(body(o.send(w.addr(), get(), r)), "used", "the first on a connection of its own");
+  same(body(o.send(w.addr(), get(), r)), "used", "the first response on a new connection");
   r.is_own_response = mine("2");
-  expect(unknown(o.send(w.addr(), get(), r)), "three answers were skipped");
+  expect(unknown(o.send(w.addr(), get(), r)), "three responses were skipped");
   same(w.conns, 2, "connections");
   r.is_own_response = mine("3");
-  expect(unknown(o.send(w.addr(), get(), r)), "a fresh connection's first answer was skipped");
+  expect(unknown(o.send(w.addr(), get(), r)), "a new connection's first response was skipped");
   same(w.conns, 3, "connections");
-  same(o.connections_to(w.addr()), 0, "connections held after bad ends");
+  same(o.connections_to(w.addr()), 0, "open connections after failed attempts");
 }
 
-// An answer that is there before its request was sent whole. Named it counts, without a name
-// on a used connection it does not; either way the connection ends.
+// A response arrives before its request was sent completely. With an Id it is accepted; without one, on a
+// reused connection, it is not. In both cases the connection is closed.
 void early() {
-  const std::string large(8 << 20, 'b');  // more than the sockets hold
+  const std::string large(8 << 20, 'b');  // more than the socket buffers hold
   for (bool has_name : {true, false}) {
     StandIn w(
         [&](int, int n, auto&) { return ok(n ? "early" : "first", has_name || !n ? "Id: x\r\n" : ""); });
@@ -67,16 +67,16 @@
     same(body(o.send(w.addr(), get(), r)), "first", "the first on the connection");
     auto s = o.send(w.addr(), {"", "POST", "/", large, {}}, r);
     same(w.conns, 1, "connections");
-    same(body(s), has_name ? "early" : "a defect", "an early answer");
-    same(o.connections_to(w.addr()), 0, "connections held after an early answer");
+    same(body(s), has_name ? "early" : "a defect", "an early response");
+    same(o.connections_to(w.addr()), 0, "open connections after an early response");
   }
 }
 
 void leftovers() {
   StandIn w([](int, int n, auto&) { return n % 2 ? ok("x") : ok("good") + ok("nobody asked"); });
   net::HttpClient o(1 << 20);
-  same(body(o.send(w.addr(), get(), rules())), "good", "a whole answer with more behind it");
-  same(body(o.send(w.addr(), get(), rules())), "x", "the next");
+  same(body(o.send(w.addr(), get(), rules())), "good", "a complete response followed by extra bytes");
+  same(body(o.send(w.addr(), get(), rules())), "x", "the next response");
   same(w.conns, 2, "connections");
   StandIn late([](int, int, auto&) { return ok("good"); });
   same(body(o.send(late.addr(), get(), rules())), "good", "an answer");
@@ -90,8 +90,8 @@
                         std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")}) {
     StandIn w([a](int, int, auto&) { return a; });
     net::HttpClient o(1000);
-    expect(unknown(o.send(w.addr(), get(), rules())), "taken for a whole answer: " + a.substr(0, 60));
-    same(o.connections_to(w.addr()), 0, "connections held");
+    expect(unknown(o.send(w.addr(), get(), rules())), "accepted as a complete response: " + a.substr(0, 60));
+    same(o.connections_to(w.addr()), 0, "open connections");
   }
   StandIn w([](int, int n, auto&) {
     if (n == 0)
@@ -112,18 +112,18 @@
   same(body(o.send(w.addr(), get(), rules())), "", "a 304");
   same(body(o.send(w.addr(), get(), rules())), "last", "the last answer");
   same(w.conns, 1, "connections");
-  same(o.connections_to(w.addr()), 0, "connections held after Connection: close");
+  same(o.connections_to(w.addr()), 0, "open connections after Connection: close");
 }
 
-// An answer that ends with its connection alone cannot be told from a cut one: it is not
-// waited for.
+// A response delimited only by the end of its connection cannot be distinguished from a truncated one, so
+// the client does not wait for its end.
 void endless() {
   StandIn w([](int, int, auto&) { return std::string("HTTP/1.1 200 OK\r\n\r\nuntil I close"); });
   net::HttpClient o(1000);
   net::SystemClock clock;
   auto from = clock.now();
-  expect(unknown(o.send(w.addr(), get(), rules())), "taken for a whole answer");
-  expect(clock.now() - from < rules().timeout / 2, "it was waited for");
+  expect(unknown(o.send(w.addr(), get(), rules())), "accepted as a complete response");
+  expect(clock.now() - from < rules().timeout / 2, "the client waited for the end of the response");
 }
 
 void written() {
@@ -149,18 +149,18 @@
   net::SystemClock c;
   o.send(w.addr(), get(), rules());
   o.send(w.addr(), get(), rules(false));
-  same(w.conns, 2, "connections after one that was not to be kept");
+  same(w.conns, 2, "connections after one with Keep-Alive timeout 0");
   o.send(w.addr(), get(), rules(false));
-  same(w.conns, 2, "connections while it is fresh");
+  same(w.conns, 2, "connections within the period for non-idempotent requests");
   c.sleep(340ms);
   o.send(w.addr(), get(), rules(false));
-  same(w.conns, 3, "connections once it is not fresh for what may run only once");
+  same(w.conns, 3, "connections after the period for non-idempotent requests");
   o.send(w.addr(), get(), rules(true));
-  same(w.conns, 3, "connections for what may run twice");
+  same(w.conns, 3, "connections for an idempotent request");
   c.sleep(710ms);
   o.send(w.addr(), get(), rules(true));
-  same(w.conns, 4, "connections once they are old");
-  until([&] { return w.open == 1; }, "old connections are closed");
+  same(w.conns, 4, "connections after the period for idempotent requests");
+  until([&] { return w.open == 1; }, "expired connections are closed");
 }
 
 void noticed() {
@@ -186,7 +186,7 @@
   r.max_connections = 1;
   std::string first, second;
   pool().spawn([&] { first = body(o.send(w.addr(), get(), r)); });
-  until([&] { return inside == 1; }, "the first is there");
+  until([&] { return inside == 1; }, "the first request runs");
   auto quick = r;
   quick.connect_timeout = 20ms;
   auto s = o.send(w.addr(), get(), quick);
@@ -194,20 +194,20 @@
          "more connections than allowed");
   pool().spawn([&] { second = body(o.send(w.addr(), get(), r)); });
   condition->notify();
-  until([&] { return !second.empty(); }, "the second follows");
+  until([&] { return !second.empty(); }, "the second request is answered");
   same(first + second, "01", "answers");
   same(w.conns, 1, "connections");
-  same(o.connections_to(w.addr()), 1, "connections held");
+  same(o.connections_to(w.addr()), 1, "open connections");
   auto done = std::make_shared<std::atomic<int>>(0);
   for (int i : {1, 2})
     pool().spawn_on(i, [&o, r, a = w.addr(), done] {
       if (std::holds_alternative<base::Response>(o.send(a, get(), r))) ++*done;
     });
-  until([&] { return *done == 2; }, "other threads have their turn");
+  until([&] { return *done == 2; }, "requests on other threads are answered");
   expect(o.connections_to(w.addr()) <= 1, "more connections than allowed");
 }
 
-// A full queue of new connections says nothing, and the bound for connecting holds.
+// A full backlog does not respond to connection attempts; the connect timeout applies.
 void no_room() {
   namespace asio = boost::asio;
   asio::ip::tcp::acceptor a(pool().io(0));
@@ -219,19 +219,19 @@
   std::vector<std::shared_ptr<net::Connection>> full;
   while (auto connection = net::Connection::connect(address, soon())) {
     full.push_back(connection);
-    expect(full.size() < 20, "the queue has no end");
+    expect(full.size() < 20, "the backlog accepts more connections than expected");
   }
   net::HttpClient o(1000);
   auto r = rules();
   r.connect_timeout = 50ms;
   auto s = o.send(address, get(), r);
   auto* d = std::get_if<AttemptError>(&s);
-  expect(d && *d == AttemptError::unsent, "without a connection nothing is sent");
-  same(o.connections_to(address), 0, "connections held");
-  expect(!o.can_connect(address, 50ms), "it was reached");
+  expect(d && *d == AttemptError::unsent, "an attempt without a connection did not fail as unsent");
+  same(o.connections_to(address), 0, "open connections");
+  expect(!o.can_connect(address, 50ms), "can_connect() succeeded");
 }
 
-// Whatever a worker does, an answer taken for this request's is this request's.
+// Whatever a backend does, an accepted response belongs to the request.
 void never_mixed() {
   StandIn w([](int, int n, const std::string& head) {
     auto at = head.find("Id: ") + 4;
@@ -276,9 +276,9 @@
       }
       --left;
     });
-  until([&] { return left == 0; }, "all shots end");
-  same(wrong.load(), 0, "mixed answers");
-  expect(good > 450, fmt::format("only {} of 900 went well", good.load()));
+  until([&] { return left == 0; }, "all attempts end");
+  same(wrong.load(), 0, "responses matched to the wrong request");
+  expect(good > 450, fmt::format("only {} of 900 requests succeeded", good.load()));
 }
 
 void bounded() {
@@ -287,23 +287,23 @@
       c([](int, int, auto&) { return ok(""); });
   for (auto* w : {&a, &b, &c}) o.send(w->addr(), get(), rules());
   same(o.idle(), 2, "idle connections");
-  same(o.connections_to(a.addr()), 0, "connections to the one longest idle");
-  until([&] { return a.open == 0; }, "it is closed");
+  same(o.connections_to(a.addr()), 0, "connections to the address that was idle longest");
+  until([&] { return a.open == 0; }, "its connection is closed");
 }
 }  // namespace
 
 std::vector<Case> origin_cases() {
   return {{"origin: late answers are skipped, on used connections only", stale},
           {"origin: an early answer ends its connection", early},
-          {"origin: bytes behind an answer cost the connection", leftovers},
-          {"origin: what is not one whole answer is unknown", strange},
+          {"origin: bytes behind an answer close the connection", leftovers},
+          {"origin: anything but one complete answer gives an unknown outcome", strange},
           {"origin: an answer without an end is not waited for", endless},
           {"origin: a request is written as given", written},
           {"origin: kept connections age", ages},
           {"origin: an idle connection's end is noticed", noticed},
-          {"origin: an address is held no more often than allowed", capped},
+          {"origin: connections to an address are bounded", capped},
           {"origin: connecting is bounded", no_room},
-          {"origin: nothing is mixed, whatever a worker does", never_mixed},
+          {"origin: answers are never matched to another request", never_mixed},
           {"origin: idle connections are bounded in all", bounded}};
 }
 
--- a/test/net/http_server_test.cpp
+++ b/test/net/http_server_test.cpp
@@ -1,4 +1,4 @@
-// The server met by raw connections: framing, bounds, budgets and its end.
+// The HTTP server, tested over raw connections: framing, limits, the body budget and shutdown.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -28,7 +28,7 @@
     same(r.ask("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
          "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 8\r\n\r\n", "an answer to HEAD");
     same(r.ask("HEAD /hollow HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"), "HTTP/1.1 200 OK\r\n\r\n",
-         "an answer to HEAD whose length is not known");
+         "a response to HEAD of unknown length");
     same(r.ask("GET /hollow HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
          "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "an empty answer");
     same(r.ask("GET /none HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"), "HTTP/1.1 204 No Content\r\n\r\n",
@@ -36,7 +36,7 @@
     same(r.ask("GET /same HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
          "HTTP/1.1 304 Not Modified\r\nETag: \"1\"\r\n\r\n", "a 304");
     same(r.ask("GET /odd HTTP/1.1\r\nHost: h\r\n\r\n", "odd"),
-         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nodd", "framing by the handler");
+         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nodd", "framing headers set by the handler");
     auto c = r.ask(
         "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n3;x=y\r\n "
         "wo\r\n0\r\n\r\n",
@@ -44,7 +44,7 @@
     expect(c.find("Content-Length: 16\r\n") != c.npos, "a chunked request: " + c);
     same(
         r.ask("POST /e HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", "\r\n\r\n"),
-        "HTTP/1.1 100 Continue\r\n\r\n", "the go-ahead");
+        "HTTP/1.1 100 Continue\r\n\r\n", "the 100 Continue response");
     r.ask("ok", "POST /e ok");
     r.send(kGet + "GET /b HTTP/1.1\r\nHost: h\r\n\r\n" +
            "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nz");
@@ -54,10 +54,11 @@
     std::string big(300000, 'b');
     r.ask("POST /big HTTP/1.1\r\nHost: h\r\nContent-Length: 300000\r\n\r\n" + big, "POST /big " + big);
     auto o = r.ask("GET /a HTTP/1.0\r\n\r\n");
-    expect(r.ended && o.find("Connection: close") != o.npos, "HTTP/1.0 was kept open: " + o);
+    expect(r.ended && o.find("Connection: close") != o.npos, "an HTTP/1.0 connection was kept open: " + o);
     Raw k(v.address);
     o = k.ask("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "GET /a ");
-    expect(o.find("Connection: keep-alive") != o.npos, "HTTP/1.0 asked to be kept: " + o);
+    expect(o.find("Connection: keep-alive") != o.npos,
+           "an HTTP/1.0 request with Connection: keep-alive was answered: " + o);
   }
 }
 
@@ -84,7 +85,7 @@
   auto status = [&](const std::string& q) {
     Raw r(v.address);
     auto a = r.ask(q);
-    expect(r.ended && a.find("Connection: close") != a.npos, "its connection was to end: " + a);
+    expect(r.ended && a.find("Connection: close") != a.npos, "the connection was not closed: " + a);
     return a.substr(9, 3);
   };
   same(status("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x') + "\r\n\r\n"), "431", "a long head");
@@ -112,10 +113,10 @@
   kept.ask(kGet, "GET /a ");
   head.send("GET / HT");
   body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nx");
-  expect(head.read().starts_with("HTTP/1.1 408"), "a head that stopped was not told so");
-  expect(body.read().starts_with("HTTP/1.1 408"), "a body that stopped was not told so");
-  same(idle.read(), "", "an idle connection's last words");
-  same(kept.read(), "", "a kept connection's last words");
+  expect(head.read().starts_with("HTTP/1.1 408"), "an incomplete head was not answered with 408");
+  expect(body.read().starts_with("HTTP/1.1 408"), "an incomplete body was not answered with 408");
+  same(idle.read(), "", "bytes sent before closing an idle connection");
+  same(kept.read(), "", "bytes sent before closing a keep-alive connection");
 }
 
 void budget() {
@@ -132,9 +133,9 @@
         s = b.read("\r\n\r\n");
         return s.starts_with("HTTP/1.1 503");
       },
-      "a body beyond the budget is turned away");
-  expect(s.find("Connection: close") != s.npos, "its connection was to end: " + s);
-  expect(s.find("Retry-After: 1\r\n") != s.npos, "it was not told when to come back: " + s);
+      "a body beyond the budget is rejected");
+  expect(s.find("Connection: close") != s.npos, "no Connection: close: " + s);
+  expect(s.find("Retry-After: 1\r\n") != s.npos, "no Retry-After: " + s);
   Raw c(v.address);
   s = c.ask(
       "POST /3 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1f5\r\n" + std::string(501, 'x'),
@@ -142,7 +143,7 @@
   expect(s.starts_with("HTTP/1.1 503"), "a chunked body beyond the budget: " + s);
   a.ask(std::string(1000, 'y'), "yyy");
   Raw d(v.address);
-  expect(d.ask(q, "POST /2 x").starts_with("HTTP/1.1 200"), "the budget was not given back");
+  expect(d.ask(q, "POST /2 x").starts_with("HTTP/1.1 200"), "the budget was not released");
 }
 
 void ends() {
@@ -152,15 +153,16 @@
   b.ask(kGet, "GET /a ");
   half.send("GET /a HTTP/1.1\r\n");
   until([&] { return v.s.open_connections() == 4; }, "four connections");
-  net::SystemClock().sleep(5ms);  // for the half head to be read
+  net::SystemClock().sleep(5ms);  // until the incomplete head has been read
   v.s.drain();
   auto last = a.ask(kGet);
-  expect(a.ended && last.find("Connection: close") != last.npos, "not the last answer: " + last);
+  expect(a.ended && last.find("Connection: close") != last.npos,
+         "the connection was not closed after the response: " + last);
   v.s.close_idle();
-  same(b.read(), "", "what an idle connection was told");
-  same(fresh.read(), "", "what a fresh connection was told");
+  same(b.read(), "", "bytes sent before closing an idle connection");
+  same(fresh.read(), "", "bytes sent before closing an unused connection");
   auto h = half.ask("Host: h\r\n\r\n");
-  expect(h.starts_with("HTTP/1.1 200"), "a begun request was cut off");
+  expect(h.starts_with("HTTP/1.1 200"), "a partly received request was dropped");
 }
 
 void crowded() {
@@ -175,13 +177,13 @@
   b.ask(kGet, "GET /a ");
   Raw c(v.address);
   c.ask(kGet, "GET /a ");
-  same(a.read(), "", "the longest idle one");
+  same(a.read(), "", "bytes sent before closing the longest idle connection");
   b.ask(kGet, "GET /a ");
   expect(v.s.open_connections() <= 2, "more connections than allowed");
 }
 
-// The server's thread is busy while a request arrives on another connection and that one is
-// ended for being idle: the request must be answered all the same.
+// While the server's thread is busy, a request arrives on another connection, which is then closed as idle:
+// the request must still be answered.
 void unread_request(const std::function<void(Served&)>& end_idle) {
   std::unique_ptr<Raw> idle;
   std::unique_ptr<Served> server;
@@ -197,21 +199,21 @@
   idle->ask(kGet, "GET /a ");
   Raw busy(server->address);
   busy.ask("GET /busy HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy ");
-  expect(idle->read("GET /a ").starts_with("HTTP/1.1 200"), "a request that had come was cut off");
+  expect(idle->read("GET /a ").starts_with("HTTP/1.1 200"), "a received request was dropped");
 }
 
 void closing_spares_what_came() {
   unread_request([](Served& server) { server.s.close_idle(); });
 }
 
-// A request comes after its connection was chosen to be ended as idle, and before the connection's fiber
-// has ended it.
+// A request arrives after its connection was selected to be closed as idle, and before the connection's fiber
+// has closed it.
 void ending_spares_what_came_meanwhile() {
   std::unique_ptr<Raw> idle;
   std::unique_ptr<Served> server;
   server = std::make_unique<Served>(net::HttpLimits{}, [&](base::Request& request) -> base::Response {
     if (request.target == "/busy") {
-      server->s.close_idle();  // in the event loop's next turn
+      server->s.close_idle();  // takes effect in the event loop's next iteration
       boost::asio::post(pool().io(0), [&] { idle->send(kGet); });
     }
     return echo()(request);
@@ -221,12 +223,13 @@
   Raw busy(server->address);
   busy.ask("GET /busy HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy ");
   const auto last = idle->read();
-  expect(last.starts_with("HTTP/1.1 200"), "a request that came meanwhile was cut off");
-  expect(last.find("Connection: close") != last.npos, "not the last answer: " + last);
+  expect(last.starts_with("HTTP/1.1 200"), "a request received meanwhile was dropped");
+  expect(last.find("Connection: close") != last.npos,
+         "the connection was not closed after the response: " + last);
 }
 
-// The time of slow requests is over while their rests are read, piece by piece: what is handled all the same
-// is answered.
+// Slow requests exceed their time limit while their remaining bytes are read: every request that is handled
+// must also be answered.
 void overdue_but_read_is_answered() {
   constexpr int kRequests = 150;
   constexpr size_t kBodyBytes = 400000;
@@ -250,12 +253,12 @@
       answered += client.read("done").ends_with("done");
       --left;
     });
-  until([&] { return left == 0; }, "all clients have an answer, or an end");
+  until([&] { return left == 0; }, "all clients have a response or a closed connection");
   same(answered, handled, "requests answered, of those that were handled");
 }
 
-// Idle connections are ended again and again while requests come on new ones: whatever the
-// handler was given is answered.
+// Idle connections are closed repeatedly while requests arrive on new ones: every handled request is
+// answered.
 void what_was_read_is_answered() {
   constexpr int kRequests = 200;
   int handled = 0, answered = 0;
@@ -269,7 +272,7 @@
     if (done)
       stopped = true;
     else
-      pool().spawn(end_idle);  // at each turn of the event loop
+      pool().spawn(end_idle);  // in each iteration of the event loop
   };
   pool().spawn(end_idle);
   int left = kRequests;
@@ -280,9 +283,9 @@
       answered += client.read("GET /a ").ends_with("GET /a ");
       --left;
     });
-  until([&] { return left == 0; }, "all clients have their answers, or an end");
+  until([&] { return left == 0; }, "all clients have a response or a closed connection");
   done = true;
-  until([&] { return stopped; }, "the one who ends them ends");
+  until([&] { return stopped; }, "the fiber that closes idle connections ends");
   expect(handled > 0, "no request was read");
   same(answered, handled, "requests answered, of those that were read");
 }
@@ -294,15 +297,16 @@
   Raw a(v.address);
   a.ask(kGet, "GET /a ");
   net::SystemClock().sleep(100ms);
-  limits.idle_timeout = 50ms;  // the client went by the limit of before
+  limits.idle_timeout = 50ms;  // the client relies on the previous limit
   v.s.set_limits(limits);
   net::SystemClock().sleep(200ms);
-  expect(a.ask(kGet, "GET /a ").starts_with("HTTP/1.1 200"), "the limit of before did not hold");
+  expect(a.ask(kGet, "GET /a ").starts_with("HTTP/1.1 200"),
+         "the previous limit was not applied to the idle connection");
   net::SystemClock().sleep(300ms);
-  same(a.read(), "", "the new limit holds from the next request on");
+  same(a.read(), "", "bytes sent before closing under the new limit");
 }
 
-// Connections that wait for room make busy ones end with their answer.
+// While connections wait to be accepted, busy ones are closed after their response.
 void crowded_answers_are_the_last() {
   net::HttpLimits limits;
   limits.max_connections = 1;
@@ -313,11 +317,12 @@
   });
   Raw a(server->address);
   a.send(kGet);
-  until([&] { return server->s.running_requests() == 1; }, "it runs");
+  until([&] { return server->s.running_requests() == 1; }, "the request runs");
   Raw b(server->address);
   net::SystemClock().sleep(20ms);
   auto last = a.read();
-  expect(a.ended && last.find("Connection: close") != last.npos, "not the last answer: " + last);
+  expect(a.ended && last.find("Connection: close") != last.npos,
+         "the connection was not closed after the response: " + last);
   b.ask(kGet, "GET /a ");
 }
 
@@ -327,9 +332,9 @@
   Served v(l, [](base::Request&) -> base::Response { return {200, {}, std::string(64 << 20, 'x')}; });
   Raw a(v.address);
   a.send(kGet);
-  until([&] { return v.s.running_requests() == 1; }, "it runs");
+  until([&] { return v.s.running_requests() == 1; }, "the request runs");
   until([&] { return v.s.open_connections() == 0 && v.s.running_requests() == 0; },
-        "an answer nobody reads is given up");
+        "an unread response is abandoned");
 }
 
 void trailers() {
@@ -343,7 +348,7 @@
   expect(a.ends_with("\r\n\r\n!a"), "a trailer became a header: " + a);
 }
 
-// No descriptor is left when a connection comes; it is taken once there is one.
+// No descriptor is free when a connection arrives; it is accepted once there is one.
 void no_descriptors() {
   Served v({}, echo());
   rlimit was{};
@@ -373,7 +378,7 @@
   std::string address;
   std::thread([&] {
     one->run([&] {
-      int port = 20000 + ::getpid() % 2000;  // below those that the system gives out
+      int port = 20000 + ::getpid() % 2000;  // below the ephemeral ports
       do address = fmt::format("127.0.0.1:{}", ++port);
       while (srv->listen(address, 0, 1));
       up = true;
@@ -386,24 +391,25 @@
 }  // namespace
 
 std::vector<Case> server_cases() {
-  return {{"server: answers are framed as they must be, whatever the thread", answers},
-          {"server: what could be read in two ways is turned away", framing},
-          {"server: heads and bodies are bounded, and the bounds may change", bounds},
-          {"server: what is slow is told so, what is idle just ends", slow},
-          {"server: all bodies together are bounded", budget},
-          {"server: winding down ends idle connections and finishes begun ones", ends},
-          {"server: beyond its bound the longest idle connection goes", crowded},
+  return {{"server: answers are framed correctly on every thread", answers},
+          {"server: ambiguous framing is rejected", framing},
+          {"server: heads and bodies are limited, and the limits may change", bounds},
+          {"server: slow requests get a 408, idle connections are closed", slow},
+          {"server: the bytes of all bodies together are limited", budget},
+          {"server: draining closes idle connections and finishes running requests", ends},
+          {"server: beyond the limit the longest idle connection is closed", crowded},
           {"server: a request that has come is not cut off as idle", closing_spares_what_came},
           {"server: a request that comes while its connection is being ended is answered",
            ending_spares_what_came_meanwhile},
           {"server: a slow request that was read after all is answered", overdue_but_read_is_answered},
-          {"server: what was read is answered, whoever ends idle connections", what_was_read_is_answered},
-          {"server: a shorter idle limit spares what rests already", shorter_idle_limit_spares_what_rests},
+          {"server: what was read is answered while idle connections are closed", what_was_read_is_answered},
+          {"server: a shorter idle limit does not affect connections already idle",
+           shorter_idle_limit_spares_what_rests},
           {"server: an answer is the last while others wait for room", crowded_answers_are_the_last},
-          {"server: an answer nobody reads is given up", unread},
-          {"server: what trails a chunked body is no header", trailers},
-          {"server: running out of descriptors passes", no_descriptors},
-          {"server: one thread is enough", lone_thread}};
+          {"server: an unread answer is abandoned", unread},
+          {"server: a trailer of a chunked body does not become a header", trailers},
+          {"server: recovers from running out of descriptors", no_descriptors},
+          {"server: works with a single thread", lone_thread}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/net/main.cpp
+++ b/test/net/main.cpp
@@ -1,5 +1,5 @@
-// The glue between fibers and sockets: deadlines, waking across threads,
-// cancellation of what never answers, and kept connections that were closed.
+// Integration of fibers and sockets: deadlines, notification across threads,
+// timeouts of unresponsive peers, and idle connections that the peer has closed.
 #include <unistd.h>
 
 #include <atomic>
@@ -21,7 +21,7 @@
 net::EventLoopPool& pool = test::pool();
 net::SystemClock clk;
 
-// Takes connections and never says anything.
+// Completes TCP handshakes and never responds.
 struct Mute {
   boost::asio::ip::tcp::acceptor acc{pool.io(0), {boost::asio::ip::make_address("127.0.0.1"), 0}};
   std::string addr() { return fmt::format("127.0.0.1:{}", acc.local_endpoint().port()); }
@@ -30,20 +30,20 @@
 void spots() {
   auto s = pool.condition();
   auto from = clk.now();
-  test::expect(!s->wait(30ms), "a condition nobody woke was woken");
-  test::expect(clk.now() - from >= 30ms, "a deadline came early");
+  test::expect(!s->wait(30ms), "a condition returned true without a notify");
+  test::expect(clk.now() - from >= 30ms, "the wait ended before its deadline");
   s->notify();
   test::expect(s->wait(60s), "a notify before the wait was lost");
   pool.spawn_on(2, [s] { s->notify(); });
   test::expect(s->wait(60s), "a notify from another thread was lost");
   for (int i = 0; i < 200; ++i) {
     pool.spawn_on(1 + i % 2, [s] { s->notify(); });
-    test::expect(s->wait(60s), "one of many wakes was lost");
+    test::expect(s->wait(60s), "one of many notifies was lost");
   }
 }
 
 void fairness() {
-  // A fiber that is always ready must not keep sockets and timers waiting.
+  // A fiber that is always ready must not starve sockets and timers.
   auto stop = std::make_shared<bool>(false);
   auto turns = std::make_shared<uint64_t>(0);
   pool.spawn([stop, turns] {
@@ -66,10 +66,10 @@
   auto from = clk.now();
   auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 100ms);
   test::expect(std::get<base::AttemptError>(r) == base::AttemptError::unknown,
-               "bytes left, yet it was not unknown");
+               "bytes were sent, but the outcome was not unknown");
   auto p = net.call(m.addr(), pb::PeerRequest(), 100ms);
   test::expect(std::get<base::PeerError>(p) == base::PeerError::timed_out, "a silent peer did not time out");
-  test::expect(clk.now() - from < 20s, "the limits did not bind");
+  test::expect(clk.now() - from < 20s, "the timeouts were not applied");
   auto gone = m.addr();
   m.acc.close();
   r = http.send(gone, {"", "POST", "/", "x", {}}, 1s);
@@ -80,7 +80,7 @@
                "a refused connection was not unreachable");
 }
 
-// A server that closes each connection after its answer, saying that it keeps it.
+// A server that closes each connection after its response, without announcing it.
 void closed_behind() {
   Mute m;
   auto served = std::make_shared<int>(0);
@@ -103,14 +103,14 @@
     auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 5s);
     test::expect(std::holds_alternative<base::Response>(r),
                  fmt::format("request {} met a closed connection", i));
-    clk.sleep(2ms);  // the close is on its way
+    clk.sleep(2ms);  // for the close to arrive
   }
   test::same(*served, 20, "requests served");
   m.acc.close();
   clk.sleep(1ms);
 }
 
-// Bodies without a length, cut short, or too long are no whole answers.
+// Responses without a body length, truncated or malformed, are not complete.
 void not_whole() {
   for (std::string a :
        {"HTTP/1.1 200 OK\r\n\r\nuntil I close", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort",
@@ -127,7 +127,7 @@
     net::HttpClient http(1 << 20);
     auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 5s);
     test::expect(std::holds_alternative<base::AttemptError>(r),
-                 "taken for a whole answer: " + a.substr(0, 60));
+                 "accepted as a complete response: " + a.substr(0, 60));
     m.acc.close();
     clk.sleep(1ms);
   }
@@ -138,11 +138,12 @@
   std::string only = argc > 1 ? argv[1] : "";
   std::signal(SIGPIPE, SIG_IGN);
   pool.run([only] {
-    std::vector<test::Case> all = {{"wire: spots notify across threads and keep their deadlines", spots},
-                                   {"wire: a busy fiber does not starve timers", fairness},
-                                   {"wire: what never answers is given up in time, truthfully", silent},
-                                   {"wire: a connection closed behind our back is not used", closed_behind},
-                                   {"wire: only whole answers are answers", not_whole}};
+    std::vector<test::Case> all = {
+        {"wire: conditions are notified across threads and keep their deadlines", spots},
+        {"wire: a busy fiber does not starve timers", fairness},
+        {"wire: unresponsive peers time out with the correct error", silent},
+        {"wire: an idle connection that the peer closed is not reused", closed_behind},
+        {"wire: only complete answers are accepted", not_whole}};
     for (auto& more :
          {test::connection_cases(), test::server_cases(), test::origin_cases(), test::answer_cases(),
           test::client_byte_cases(), test::peer_cases(), test::compatibility_wire_cases(),
--- a/test/net/net_cases.hpp
+++ b/test/net/net_cases.hpp
@@ -1,5 +1,5 @@
-// What the tests of the wire share: a pool, raw connections, and a stand-in
-// worker that plays a script, one text an answer.
+// Helpers shared by the network tests: an event loop pool, raw connections, and a
+// scripted backend.
 #pragma once
 #include <unistd.h>
 
@@ -15,12 +15,12 @@
 inline void until(const std::function<bool()>& f, const std::string& what) {
   net::SystemClock c;
   for (int i = 0; !f(); ++i) {
-    if (i > 10000) throw Failed("it never came about: " + what);
+    if (i > 10000) throw Failed("timed out waiting for: " + what);
     c.sleep(1ms);
   }
 }
 
-// A raw client: sends bytes, reads until `mark` stands or the other side ends.
+// A raw client: sends bytes, and reads until `mark` or the end of the stream.
 struct Raw {
   std::shared_ptr<net::Connection> connection;
   bool ended = false;
@@ -41,7 +41,7 @@
         return s;
       }
       if (connection->read_more()) {
-        expect(!connection->is_interrupted(), "neither the mark nor an end came");
+        expect(!connection->is_interrupted(), "neither the mark nor the end of the stream was received");
         ended = true;
         std::string s(connection->buffered());
         connection->consume(s.size());
@@ -55,8 +55,8 @@
   }
 };
 
-// Answers the n-th request of all (from 0) with what the script says; the text
-// "cut" at the end of an answer closes the connection after it, "reset" resets it.
+// A backend that answers each request with the text that the script returns for its number (from 0, over
+// all connections). "cut" at the end of the text closes the connection after it, "reset" resets it.
 struct StandIn {
   using Script = std::function<std::string(int conn, int request, const std::string& head)>;
   std::shared_ptr<boost::asio::ip::tcp::acceptor> acc;
@@ -110,7 +110,7 @@
   }
 };
 
-// A server on an address of its own, on threads [from, to) of the pool.
+// A server on a free address, on threads [from, to) of the pool.
 struct Served {
   net::HttpServer s;
   std::string address;
--- a/test/net/node_under_test.hpp
+++ b/test/net/node_under_test.hpp
@@ -1,4 +1,4 @@
-// One relay's way of a request, over real connections, in the platform's words.
+// A relay's request path over real connections, with the platform's protocol adapter.
 #pragma once
 #include "net/net_cases.hpp"
 #include "net/peer_client.hpp"
@@ -7,11 +7,11 @@
 
 namespace dunlinwing::test {
 
-constexpr int kPlentyMs = 10000;         // of a client that waits long enough for anything
-constexpr Duration kPacedInterval{800};  // between two requests to the service that states a rate
+constexpr int kPlentyMs = 10000;         // timeout of a client that waits long enough for any response
+constexpr Duration kPacedInterval{800};  // between two requests to the rate-limited service
 inline const std::string kBody = "a body of a few bytes";
 
-// One relay: Traffic in the platform's words over real sockets.
+// A RequestHandler with the platform's protocol adapter, over real sockets.
 class Relay {
  public:
   explicit Relay(const std::string& backend, const std::string& shield = {})
@@ -27,7 +27,7 @@
       for (const std::string name : {"i-1", "i-2"})
         table->backend_instances[service].push_back({name, service, "v1", "zone", backend, 8});
     table->rate_quotas["paced"] = 1000.0 / static_cast<double>(kPacedInterval.count());
-    table->system.retry_ratio = 2;  // a whole retry at each of two nodes on the way of a request
+    table->system.retry_ratio = 2;  // one full retry at each of two nodes on a request's path
     table->system.retry_allowance = 1000;
     if (!shield.empty()) {
       constexpr int kNodesWithShields = 64;
--- a/test/net/peer_test.cpp
+++ b/test/net/peer_test.cpp
@@ -1,5 +1,5 @@
-// Asks between relays when the other side fails at every byte, answers twice, out of
-// turn or late, and when connections are reset under asks that wait.
+// Calls between relays when the peer fails at each byte, responds twice, out of order
+// or late, and when connections are reset while calls wait.
 #include "net/peer_client.hpp"
 #include "net/peer_connections.hpp"
 #include "net/peer_server.hpp"
@@ -23,12 +23,12 @@
 
 using Answer = std::variant<pb::PeerResponse, base::PeerError>;
 
-// True when it was answered; a reply to another ask fails the test.
+// True when the call was answered; a response to another call fails the test.
 bool own(const Answer& answer, uint64_t name) {
   auto* reply = std::get_if<pb::PeerResponse>(&answer);
   if (!reply) return false;
-  expect(reply->has_artifact_chunk(), "a reply of another kind");
-  same(reply->artifact_chunk().received(), name, "the ask that a reply belongs to");
+  expect(reply->has_artifact_chunk(), "a response of another kind");
+  same(reply->artifact_chunk().received(), name, "the call that a response belongs to");
   return true;
 }
 
@@ -38,7 +38,7 @@
   return reply;
 }
 
-// A reply cut at each byte is no reply, and the next ask gets its own.
+// A response truncated at any byte is rejected, and the next call gets its own response.
 void cut() {
   for (std::string end : {"cut", "reset", ""})
     for (bool kept : {false, true})
@@ -50,12 +50,12 @@
         net::PeerClient net;
         if (kept) expect(own(net.call(peer.address(), fetch(1), kPlenty), 1), "the first ask");
         auto answer = net.call(peer.address(), fetch(7), kPatience);
-        expect(!own(answer, 7), fmt::format("a reply cut after {} bytes was taken", at));
-        expect(own(net.call(peer.address(), fetch(9), kPlenty), 9), "the ask after it");
+        expect(!own(answer, 7), fmt::format("a response truncated after {} bytes was accepted", at));
+        expect(own(net.call(peer.address(), fetch(9), kPlenty), 9), "the call after it");
       }
 }
 
-// Replies twice, in one segment or later, and to the ask before.
+// The peer responds twice, in one segment or later, or to the previous call.
 void duplicated() {
   for (int kind = 0; kind < 4; ++kind) {
     std::string before;
@@ -78,11 +78,11 @@
     int answered = 0;
     for (uint64_t name = 1; name <= 60; ++name)
       answered += own(net.call(peer.address(), fetch(name), kPatience), name);
-    expect(answered >= 30, fmt::format("kind {}: only {} of 60 were answered", kind, answered));
+    expect(answered >= 30, fmt::format("kind {}: only {} of 60 calls were answered", kind, answered));
   }
 }
 
-// A duplicate that comes late, when the connection waits or carries the next ask.
+// A duplicate response arrives late, when the connection is idle or carries the next call.
 void late_duplicate() {
   std::vector<std::shared_ptr<net::Connection>> lines;
   ScriptedPeer peer([&](int, const pb::PeerRequest& ask) {
@@ -95,7 +95,7 @@
   for (uint64_t name = 1; name <= 40; ++name) own(net.call(peer.address(), fetch(name), kPlenty), name);
 }
 
-// Many asks wait when all connections are reset; what is asked again gets its own reply.
+// Many calls wait when all connections are reset; each later call gets its own response.
 void reset_under_asks() {
   auto go = pool().condition();
   int waiting = 0;
@@ -115,19 +115,19 @@
     pool().spawn([&, i] {
       try {
         own(net.call(peer.address(), fetch(100 + i), kPlenty), 100 + i);
-        expect(own(net.call(peer.address(), fetch(200 + i), kPlenty), 200 + i), "an ask after the resets");
+        expect(own(net.call(peer.address(), fetch(200 + i), kPlenty), 200 + i), "a call after the resets");
       } catch (const std::exception&) {
         ++wrong;
       }
       --left;
     });
-  until([&] { return waiting == kAsks; }, "all wait");
+  until([&] { return waiting == kAsks; }, "all calls wait");
   down = false;
-  until([&] { return left == 0; }, "all end");
-  same(wrong, 0, "asks with another's reply, or none after the resets");
+  until([&] { return left == 0; }, "all calls end");
+  same(wrong, 0, "calls with another call's response, or unanswered after the resets");
 }
 
-// A forwarded request whose reply is lost on a kept connection is not asked again.
+// A forwarded request whose response is lost on a reused connection is not sent again.
 void forwarded_once() {
   int asked = 0;
   ScriptedPeer peer([&](int, const pb::PeerRequest& ask) -> std::string {
@@ -140,11 +140,11 @@
   pb::PeerRequest forward;
   forward.mutable_forward()->set_id("a");
   auto answer = net.call(peer.address(), forward, kPlenty);
-  expect(std::holds_alternative<base::PeerError>(answer), "an answer that was never given");
+  expect(std::holds_alternative<base::PeerError>(answer), "a response that was never sent");
   same(asked, 1, "times a forwarded request was sent");
 }
 
-// Asks to a silent relay and to some that answer, far more than connections are allowed.
+// Calls to an unresponsive relay and to responsive ones, many more than the connection limit.
 void bounded_connections() {
   constexpr size_t kMost = 6;
   constexpr int kAsks = 40, kPrompt = 4;
@@ -159,7 +159,7 @@
     }));
   net::PeerClient net(kMost);
   expect(own(net.call(prompt[0]->address(), fetch(1), kPlenty), 1),
-         "a first ask, which ends what others left idle");
+         "a first call, which closes idle connections of earlier cases");
   int left = (kPrompt + 1) * kAsks, answered = 0;
   size_t peak = 0;
   auto ask = [&](const ScriptedPeer& peer, int name, Duration limit) {
@@ -177,13 +177,13 @@
         peak = std::max(peak, connections.open());
         return left == 0;
       },
-      "all asks end");
-  same(answered, kPrompt * kAsks, "asks answered by the prompt relays, beside a silent one");
+      "all calls end");
+  same(answered, kPrompt * kAsks, "calls answered by the responsive relays, beside an unresponsive one");
   expect(peak <= kMost, fmt::format("{} connections were open, {} are allowed", peak, kMost));
-  expect(own(net.call(prompt[0]->address(), fetch(1), kPlenty), 1), "an ask after them");
+  expect(own(net.call(prompt[0]->address(), fetch(1), kPlenty), 1), "a call after them");
 }
 
-// The number stands in every ask and comes back in the reply of our own server.
+// Every call has a request id, which this process's server returns in its response.
 void served() {
   std::string address;
   std::vector<uint64_t> numbers;
@@ -197,21 +197,21 @@
   }
   net::PeerClient net;
   for (uint64_t name = 1; name <= 5; ++name)
-    expect(own(net.call(address, fetch(name), kPlenty), name), "an ask");
+    expect(own(net.call(address, fetch(name), kPlenty), name), "a call");
   std::sort(numbers.begin(), numbers.end());
-  expect(std::unique(numbers.begin(), numbers.end()) == numbers.end(), "a number was used twice");
-  expect(numbers.front() > 0, "an ask without a number");
+  expect(std::unique(numbers.begin(), numbers.end()) == numbers.end(), "a request id was used twice");
+  expect(numbers.front() > 0, "a call without a request id");
 }
 }  // namespace
 
 std::vector<Case> peer_cases() {
-  return {{"peer: a reply cut at any byte is none", cut},
-          {"peer: replies given twice or out of turn meet no other ask", duplicated},
-          {"peer: a late duplicate meets no other ask", late_duplicate},
-          {"peer: connections reset under asks", reset_under_asks},
+  return {{"peer: a reply truncated at any byte is rejected", cut},
+          {"peer: replies given twice or out of order are not matched to another call", duplicated},
+          {"peer: a late duplicate is not matched to another call", late_duplicate},
+          {"peer: connections reset while calls wait", reset_under_asks},
           {"peer: a forwarded request is sent once", forwarded_once},
-          {"peer: connections are bounded, and a silent relay leaves room", bounded_connections},
-          {"peer: each ask has a number of its own", served}};
+          {"peer: connections are bounded, and a silent relay does not exhaust them", bounded_connections},
+          {"peer: each call has a unique request id", served}};
 }
 
 }  // namespace dunlinwing::test
--- a/test/net/soak_test.cpp
+++ b/test/net/soak_test.cpp
@@ -1,5 +1,5 @@
-// Troubles of all kinds at once, again and again: many clients on one relay, a backend that
-// draws for each request how it fails. A seed gives the same draws again.
+// Repeated faults of all kinds: many clients on one relay, and a backend that randomly chooses a
+// fault for each request. A seed repeats the same choices.
 #include <random>
 
 #include "net/node_under_test.hpp"
@@ -10,7 +10,7 @@
 constexpr int kClients = 8, kRequestsEach = 40;
 constexpr int kPatienceMs = 150;
 
-// Draws how one request is answered, and counts the requests that ran by name.
+// Randomly chooses how a request is answered, and counts runs by Attempt-Id.
 class Drawn {
  public:
   explicit Drawn(unsigned seed) : random_(seed) {}
@@ -58,14 +58,14 @@
   std::map<std::string, int> runs_;
 };
 
-// What is wrong with an answer, or nothing. A repeat may run a repeatable request again.
+// Describes what is wrong with a response; empty if nothing is. A retry may run an idempotent request again.
 std::string wrong(const base::Response& answer, const std::string& id, bool once, int runs) {
-  if (base::header(answer.headers, "Attempt-Id") != id) return "another's name";
-  if (answer.status == 200 && answer.body != good_body(id)) return "another's body: " + answer.body;
+  if (base::header(answer.headers, "Attempt-Id") != id) return "another request's Attempt-Id";
+  if (answer.status == 200 && answer.body != good_body(id)) return "another request's body: " + answer.body;
   if (answer.status != 200 && answer.status != 502 && answer.status != 503)
     return fmt::format("status {}", answer.status);
-  if (once && runs > 1) return fmt::format("it ran {} times", runs);
-  if (once && answer.status == 503 && runs > 0) return "it ran, and was promised not to";
+  if (once && runs > 1) return fmt::format("the request ran {} times", runs);
+  if (once && answer.status == 503 && runs > 0) return "the request ran, but was reported as not executed";
   return {};
 }
 
@@ -87,14 +87,14 @@
       }
       --left;
     });
-  until([&] { return left == 0; }, "all are answered");
+  until([&] { return left == 0; }, "all requests are answered");
   same(first, "", fmt::format("seed {}", seed));
-  expect(good > kClients * kRequestsEach / 3, fmt::format("seed {}: only {} went well", seed, good));
+  expect(good > kClients * kRequestsEach / 3, fmt::format("seed {}: only {} requests succeeded", seed, good));
 }
 }  // namespace
 
 std::vector<Case> soak_cases() {
-  return {{"soak: troubles of all kinds, again and again", [] {
+  return {{"soak: repeated faults of all kinds", [] {
              constexpr unsigned kSeeds = 8;
              for (unsigned seed = 1; seed <= kSeeds; ++seed) soak(seed);
            }}};
