--- a/src/console/main.cpp
+++ b/src/console/main.cpp
@@ -69,7 +69,7 @@
     return report_usage("usage: " + command.form);
   const auto addresses = seeds();
   for (const auto& address : addresses)
-    if (!net::split_address(address)) return report_usage("\"" + address + "\" is not IP:port");
+    if (!net::parse_address(address)) return report_usage("\"" + address + "\" is not IP:port");
   if (addresses.empty()) return report_usage("--seeds names no relay");
   run(command, arguments, addresses);
 }
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -5,7 +5,7 @@
 
 namespace dunlinwing::net {
 
-std::optional<Address> split_address(const std::string& text) {
+std::optional<Address> parse_address(const std::string& text) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) return {};
   Address address{text.substr(0, colon), 0};
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -13,6 +13,6 @@
 };
 
 /// Parses `IP:port`; returns nullopt for any other text.
-[[nodiscard]] std::optional<Address> split_address(const std::string& text);
+[[nodiscard]] std::optional<Address> parse_address(const std::string& text);
 
 }  // namespace dunlinwing::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -35,7 +35,7 @@
 }  // namespace
 
 std::shared_ptr<Connection> Connection::connect(const std::string& address, const WaitLimit& limit) {
-  const auto parts = split_address(address);
+  const auto parts = parse_address(address);
   if (!parts) return nullptr;
   auto connection = std::make_shared<Connection>(Socket(EventLoopPool::here()));
   const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(parts->ip), parts->port);
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -192,7 +192,7 @@
 }
 
 std::optional<std::string> HttpServer::listen(const std::string& address, int first_thread, int end_thread) {
-  if (!split_address(address)) return "the address is not IP:port";
+  if (!parse_address(address)) return "the address is not IP:port";
   end_thread = std::min(std::max(end_thread, first_thread + 1), impl_->pool.size());
   first_thread = std::min(first_thread, end_thread - 1);
   auto listening = listen_on(impl_->pool.io(0), address);
--- a/src/net/listen.cpp
+++ b/src/net/listen.cpp
@@ -13,7 +13,7 @@
 
 std::variant<std::shared_ptr<Acceptor>, std::string> listen_on(asio::io_context& io,
                                                                const std::string& address) {
-  const auto parts = split_address(address);
+  const auto parts = parse_address(address);
   if (!parts) return "the address is not IP:port";
   const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(parts->ip), parts->port);
   auto acceptor = std::make_shared<Acceptor>(io);
--- a/src/net/peer_server.cpp
+++ b/src/net/peer_server.cpp
@@ -141,7 +141,7 @@
 
 std::optional<std::string> serve_peers(EventLoopPool& pool, const std::string& address, PeerHandler handler,
                                        size_t max_connections, link::Link* link) {
-  if (!split_address(address)) return "the peer address is not IP:port";
+  if (!parse_address(address)) return "the peer address is not IP:port";
   auto listening = listen_on(pool.io(0), address);
   if (auto* error = std::get_if<std::string>(&listening)) return *error;
   auto server = std::make_shared<PeerServer>(pool, std::move(handler), max_connections, link);
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -42,7 +42,7 @@
  private:
   /// Returns `text` and adds an error at `pointer` unless it is empty or an address.
   std::string address(const std::string& pointer, const std::string& text) {
-    if (!text.empty() && !net::split_address(text)) errors_.push_back({pointer, "is not IP:port"});
+    if (!text.empty() && !net::parse_address(text)) errors_.push_back({pointer, "is not IP:port"});
     return text;
   }
 
--- a/test/fleet/fleet_test.cpp
+++ b/test/fleet/fleet_test.cpp
@@ -27,7 +27,7 @@
 std::string raw(net::EventLoopPool& pool, const std::string& address, const std::string& bytes) {
   namespace asio = boost::asio;
   asio::ip::tcp::socket s(pool.io(0));
-  auto a = net::split_address(address);
+  auto a = net::parse_address(address);
   auto [e] = net::await<>([&](auto h) {
     s.async_connect(asio::ip::tcp::endpoint(asio::ip::make_address(a->ip), a->port), std::move(h));
   });
--- a/test/fleet/links.cpp
+++ b/test/fleet/links.cpp
@@ -52,7 +52,7 @@
                  const std::string& target) {
   auto l = std::make_shared<Link>(pool_.io(0));
   auto ep = [](const std::string& s) {
-    auto a = net::split_address(s);
+    auto a = net::parse_address(s);
     return tcp::endpoint(asio::ip::make_address(a->ip), a->port);
   };
   l->to = ep(target);
