--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -37,7 +37,7 @@
 std::shared_ptr<Connection> Connection::connect(const std::string& address, const WaitLimit& limit) {
   const auto parts = parse_address(address);
   if (!parts) return nullptr;
-  auto connection = std::make_shared<Connection>(Socket(EventLoopPool::here()));
+  auto connection = std::make_shared<Connection>(Socket(EventLoopPool::io_of_this_thread()));
   const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(parts->ip), parts->port);
   ErrorCode open_error;
   connection->socket_.open(endpoint.protocol(), open_error);
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -26,14 +26,14 @@
 
 // Closes the connection on its own thread, which may be waiting on it.
 void close_on_thread(const std::shared_ptr<Connection>& connection, asio::io_context* io) {
-  if (io == &EventLoopPool::here()) return connection->close();
+  if (io == &EventLoopPool::io_of_this_thread()) return connection->close();
   asio::post(*io, [connection] { connection->close(); });
 }
 }  // namespace
 
 std::shared_ptr<Connection> ConnectionPool::take_idle(Backend& backend, bool idempotent) {
   const auto time = now();
-  const auto* here = &EventLoopPool::here();
+  const auto* here = &EventLoopPool::io_of_this_thread();
   for (size_t i = backend.idle.size(); i-- > 0;) {
     auto& idle = backend.idle[i];
     if (time >= idle.idempotent_until) {
@@ -159,7 +159,7 @@
   const std::lock_guard lock(mutex_);
   auto& backend = backends_[address];
   backend.idle.push_back(
-      {std::move(connection), &EventLoopPool::here(), time, time + unsafe, time + idempotent});
+      {std::move(connection), &EventLoopPool::io_of_this_thread(), time, time + unsafe, time + idempotent});
   ++idle_;
   if (backend.idle.size() > kMostIdleEach) drop(backend, 0);
   if (idle_ > max_idle_) drop_longest_idle();
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -110,7 +110,7 @@
 EventLoopPool::~EventLoopPool() = default;
 int EventLoopPool::size() const { return static_cast<int>(impl_->io.size()); }
 asio::io_context& EventLoopPool::io(int thread) { return *impl_->io[thread]; }
-asio::io_context& EventLoopPool::here() { return *current_io; }
+asio::io_context& EventLoopPool::io_of_this_thread() { return *current_io; }
 
 void EventLoopPool::run(const std::function<void()>& first) {
   for (int i = 1; i < size(); ++i) impl_->threads.emplace_back([this, i] { run_loop(io(i), {}); });
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -43,7 +43,7 @@
   std::shared_ptr<base::Condition> condition() override;
 
   /// The io_context of the calling thread, which must belong to a pool.
-  static boost::asio::io_context& here();
+  static boost::asio::io_context& io_of_this_thread();
 
  private:
   struct Impl;
--- a/src/net/wait_limit.cpp
+++ b/src/net/wait_limit.cpp
@@ -11,8 +11,8 @@
   auto interrupt = [target = target_] {
     if (target->connection) target->connection->interrupt();
   };
-  subscription_.emplace(limit.cancellation, [interrupt, own_loop = &EventLoopPool::here()] {
-    if (own_loop == &EventLoopPool::here()) return interrupt();
+  subscription_.emplace(limit.cancellation, [interrupt, own_loop = &EventLoopPool::io_of_this_thread()] {
+    if (own_loop == &EventLoopPool::io_of_this_thread()) return interrupt();
     boost::asio::post(*own_loop, interrupt);
   });
 }
