--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -154,7 +154,7 @@
 
 bool Connection::is_idle() const { return reading_ && !interrupted_ && begin_ == end_; }
 
-bool Connection::is_idle_in_system() const {
+bool Connection::is_idle_in_kernel() const {
   return is_idle() && still_idle(const_cast<Socket&>(socket_).native_handle());
 }
 
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -87,7 +87,7 @@
   bool is_idle() const;
 
   /// The same, and the socket's receive buffer is empty too. Costs one system call.
-  bool is_idle_in_system() const;
+  bool is_idle_in_kernel() const;
 
   /// The operation that waits on the connection, or else the next one, returns operation_aborted.
   void interrupt();
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -42,7 +42,7 @@
     }
     if (idle.io_context != here) continue;
     const bool may_be_unsafe = !idempotent && time < idle.unsafe_until;
-    if (!idle.connection->is_idle() || (may_be_unsafe && !idle.connection->is_idle_in_system())) {
+    if (!idle.connection->is_idle() || (may_be_unsafe && !idle.connection->is_idle_in_kernel())) {
       drop(backend, i);
       continue;
     }
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -161,7 +161,7 @@
 }
 
 bool HttpServerConnection::is_at_rest() const {
-  return state_ == State::idle && connection_->is_idle_in_system();
+  return state_ == State::idle && connection_->is_idle_in_kernel();
 }
 
 Duration HttpServerConnection::time_limit(const HttpLimits& limits) const {
--- a/src/net/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -41,7 +41,7 @@
   while (!peer.idle.empty()) {
     auto latest = std::move(peer.idle.back());
     peer.idle.pop_back();
-    if (now - latest.since < kIdleTimeout && latest.connection->is_idle_in_system()) return latest.connection;
+    if (now - latest.since < kIdleTimeout && latest.connection->is_idle_in_kernel()) return latest.connection;
     latest.connection->close();
   }
   return nullptr;
--- a/src/net/peer_server.cpp
+++ b/src/net/peer_server.cpp
@@ -126,7 +126,7 @@
   /// Ends the connection that has waited longest for its next call, if any is idle.
   void evict() {
     for (const auto& connection : idle_)
-      if (connection->is_idle_in_system()) return connection->interrupt();
+      if (connection->is_idle_in_kernel()) return connection->interrupt();
   }
 
   EventLoopPool& pool_;
--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -235,7 +235,7 @@
       if (!exchange(*connection, sent)) break;
       connection->start_read();  // so that the other side's end is seen
       clock_.sleep(draw_duration(random, kLongestPause));
-      if (!connection->is_idle_in_system()) break;
+      if (!connection->is_idle_in_kernel()) break;
     }
     connection->close();
   }
