--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -50,14 +50,14 @@
     HttpServerConnection* oldest = nullptr;
     for (auto* connection : connections_)
       if (connection->state() == State::idle &&
-          (!oldest || connection->state_since() < oldest->state_since()) && connection->is_at_rest())
+          (!oldest || connection->state_since() < oldest->state_since()) && connection->is_evictable())
         oldest = connection;
     if (oldest) oldest->interrupt();
   }
 
   void end_idle() {
     for (auto* connection : connections_)
-      if (connection->is_at_rest()) connection->interrupt();
+      if (connection->is_evictable()) connection->interrupt();
   }
 
  private:
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -160,7 +160,7 @@
   state_since_ = steady_now();
 }
 
-bool HttpServerConnection::is_at_rest() const {
+bool HttpServerConnection::is_evictable() const {
   return state_ == State::idle && connection_->is_idle_in_kernel();
 }
 
@@ -186,7 +186,7 @@
   if (now - state_since_ < time_limit(limits) || connection_->is_interrupted()) return;
   const bool awaits_bytes = state_ != State::writing;
   if (awaits_bytes && !connection_->is_reading()) return;  // bytes have been received, and count as progress
-  if (state_ == State::idle && !is_at_rest()) return;
+  if (state_ == State::idle && !is_evictable()) return;
   overdue_ = state_ == State::reading_head || state_ == State::reading_body;
   connection_->interrupt();
 }
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -51,7 +51,7 @@
 
   /// Whether the connection is idle and no byte of a further request has arrived, including in the socket's
   /// receive buffer, which a lagging process may not have read yet.
-  bool is_at_rest() const;
+  bool is_evictable() const;
 
   /// Ends the connection as soon as its fiber runs.
   void interrupt() { connection_->interrupt(); }
