--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -84,7 +84,7 @@
 // Takes an idle connection, or reserves a slot for one that the caller opens; not granted when neither was
 // available within the limit.
 ConnectionPool::Reservation ConnectionPool::take_or_reserve(const std::string& address, bool idempotent,
-                                                            int most, const WaitLimit& limit) {
+                                                            int max_connections, const WaitLimit& limit) {
   std::shared_ptr<base::Condition> condition;
   std::optional<base::CancellationSubscription> subscription;
   for (;;) {
@@ -94,9 +94,9 @@
     if (condition) std::erase(backend.waiting, condition);
     const bool waited = condition != nullptr;
     if (auto connection = take_idle(backend, idempotent)) return {true, waited, std::move(connection)};
-    if (most > 0 && backend.open >= most && !backend.idle.empty())
+    if (max_connections > 0 && backend.open >= max_connections && !backend.idle.empty())
       drop(backend, 0);  // unsuitable for this request, or bound to another thread
-    if (most <= 0 || backend.open < most) {
+    if (max_connections <= 0 || backend.open < max_connections) {
       ++backend.open;
       return {true, waited, nullptr};
     }
@@ -112,9 +112,9 @@
 }
 
 std::unique_ptr<ConnectionPool::Lease> ConnectionPool::acquire(const std::string& address, bool idempotent,
-                                                               int most, const WaitLimit& limit,
+                                                               int max_connections, const WaitLimit& limit,
                                                                const std::function<void(bool)>& on_wait) {
-  auto reservation = take_or_reserve(address, idempotent, most, limit);
+  auto reservation = take_or_reserve(address, idempotent, max_connections, limit);
   if (reservation.waited && on_wait) on_wait(reservation.granted);
   if (!reservation.granted) return nullptr;
   auto& connection = reservation.connection;
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -50,11 +50,11 @@
   /// Takes an idle connection or opens one; suspends the calling fiber while neither is possible.
   /// @param address     IP:port
   /// @param idempotent  the connection may be one that the peer is about to close
-  /// @param most        limit on connections open to the address; 0: no limit
+  /// @param max_connections        limit on connections open to the address; 0: no limit
   /// @param on_wait     called if the caller had to wait, with whether a connection was granted; may be null
   /// @return null when no connection was available within the limit
-  [[nodiscard]] std::unique_ptr<Lease> acquire(const std::string& address, bool idempotent, int most,
-                                               const WaitLimit& limit,
+  [[nodiscard]] std::unique_ptr<Lease> acquire(const std::string& address, bool idempotent,
+                                               int max_connections, const WaitLimit& limit,
                                                const std::function<void(bool granted)>& on_wait = {});
 
   /// Closes the idle connections.
@@ -84,7 +84,8 @@
     std::shared_ptr<Connection> connection;  ///< null: a slot is reserved for one that the caller opens
   };
 
-  Reservation take_or_reserve(const std::string& address, bool idempotent, int most, const WaitLimit& limit);
+  Reservation take_or_reserve(const std::string& address, bool idempotent, int max_connections,
+                              const WaitLimit& limit);
   std::shared_ptr<Connection> take_idle(Backend& backend, bool idempotent);
   void drop(Backend& backend, size_t index);
   void drop_longest_idle();
--- a/src/net/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -19,8 +19,9 @@
 // Limits forwarded requests, which may all wait for one slow shield, so that control calls such as register
 // writes still get connections.
 bool PeerConnections::may_lend(const std::string& address, const Terms& terms) {
-  if (peers_[address].lent >= std::max<size_t>(1, terms.most / kLentShare)) return false;
-  const size_t for_traffic = std::max<size_t>(1, terms.most - terms.most / kControlShare);
+  if (peers_[address].lent >= std::max<size_t>(1, terms.max_connections / kLentShare)) return false;
+  const size_t for_traffic =
+      std::max<size_t>(1, terms.max_connections - terms.max_connections / kControlShare);
   return !terms.for_traffic || lent_for_traffic_ < for_traffic;
 }
 
@@ -56,8 +57,8 @@
 }
 
 // Closes the longest idle connections until a new one may be opened; false when that is not possible.
-bool PeerConnections::make_room(size_t most) {
-  while (open() >= most) {
+bool PeerConnections::make_room(size_t max_connections) {
+  while (open() >= max_connections) {
     auto* peer = longest_idle();
     if (!peer) return false;
     peer->idle.front().connection->close();
@@ -75,7 +76,7 @@
   condition->wait(std::chrono::ceil<Duration>(limit.end - Clock::now()));
   waiters_.erase(waiter);
   if (!limit.is_over()) return true;
-  wake_next(terms.most);  // this waiter may have been notified, and does not use the connection
+  wake_next(terms.max_connections);  // this waiter may have been notified, and does not use the connection
   return false;
 }
 
@@ -88,7 +89,7 @@
         lend(address, terms);
         return {connection, true};
       }
-      if (make_room(terms.most)) break;
+      if (make_room(terms.max_connections)) break;
     }
     if (!await_room(address, limit, terms)) return {};
   }
@@ -120,12 +121,12 @@
   --peers_[address].lent;
   --lent_;
   lent_for_traffic_ -= terms.for_traffic;
-  wake_next(terms.most);
+  wake_next(terms.max_connections);
 }
 
-void PeerConnections::wake_next(size_t most) {
+void PeerConnections::wake_next(size_t max_connections) {
   for (auto& waiter : waiters_) {
-    if (waiter.woken || !may_lend(waiter.address, {most, waiter.for_traffic})) continue;
+    if (waiter.woken || !may_lend(waiter.address, {max_connections, waiter.for_traffic})) continue;
     waiter.woken = true;
     return waiter.condition->notify();
   }
--- a/src/net/peer_connections.hpp
+++ b/src/net/peer_connections.hpp
@@ -23,8 +23,8 @@
 
   /// Conditions for lending a connection.
   struct Terms {
-    size_t most = 0;           ///< limit on open connections; one address may borrow only a part of them, so
-                               ///< that an unresponsive node does not exhaust them
+    size_t max_connections = 0;  ///< limit on open connections; one address may borrow only a part of them,
+                                 ///< so that an unresponsive node does not exhaust them
     bool for_traffic = false;  ///< for forwarded client requests: some connections are reserved for control
   };
 
@@ -60,10 +60,10 @@
   bool may_lend(const std::string& address, const Terms& terms);
   std::shared_ptr<Connection> take_idle(Peer& peer);
   Peer* longest_idle();
-  bool make_room(size_t most);
+  bool make_room(size_t max_connections);
   void lend(const std::string& address, const Terms& terms);
   void returned(const std::string& address, const Terms& terms);
-  void wake_next(size_t most);
+  void wake_next(size_t max_connections);
   bool await_room(const std::string& address, const WaitLimit& limit, const Terms& terms);
   void prune(Clock::time_point now);
   size_t idle_count() const;
