--- a/src/net/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -7,8 +7,8 @@
 constexpr std::chrono::seconds kIdleTimeout(20);  // well before the peer closes it
 constexpr std::chrono::seconds kPruneEvery(5);
 constexpr size_t kMostIdleEach = 8;
-constexpr size_t kLentShare = 3;     // one address may borrow a third of the connections
-constexpr size_t kControlShare = 3;  // a third of the connections is reserved for control calls
+constexpr size_t kLentPerAddressDivisor = 3;  // one address may borrow a third of the connections
+constexpr size_t kControlDivisor = 3;         // a third of the connections is reserved for control calls
 }  // namespace
 
 PeerConnections& peer_connections() {
@@ -19,9 +19,10 @@
 // Limits forwarded requests, which may all wait for one slow shield, so that control calls such as register
 // writes still get connections.
 bool PeerConnections::may_lend(const std::string& address, const Terms& terms) {
-  if (peers_[address].lent >= std::max<size_t>(1, terms.max_connections / kLentShare)) return false;
+  if (peers_[address].lent >= std::max<size_t>(1, terms.max_connections / kLentPerAddressDivisor))
+    return false;
   const size_t for_traffic =
-      std::max<size_t>(1, terms.max_connections - terms.max_connections / kControlShare);
+      std::max<size_t>(1, terms.max_connections - terms.max_connections / kControlDivisor);
   return !terms.for_traffic || lent_for_traffic_ < for_traffic;
 }
 
