--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -10,8 +10,8 @@
 namespace {
 // Fractions of a backend instance's Keep-Alive time, after which it closes an idle connection, in which the
 // connection is reused for requests that must not be sent twice, and for idempotent ones.
-constexpr double kUnsafePart = 1.0 / 3;
-constexpr double kIdempotentPart = 0.7;
+constexpr double kUnsafeFraction = 1.0 / 3;
+constexpr double kIdempotentFraction = 0.7;
 // The same periods for a backend instance that states no Keep-Alive time.
 constexpr Duration kUnsafeDefault(1000);
 constexpr Duration kIdempotentDefault(4000);
@@ -153,9 +153,9 @@
     if (const auto self = pool.lock()) self->connection_ended(address, ended);
   });
   const auto unsafe = only_idempotent ? Duration(0)
-                      : keep_alive    ? part_of(*keep_alive, kUnsafePart)
+                      : keep_alive    ? part_of(*keep_alive, kUnsafeFraction)
                                       : kUnsafeDefault;
-  const auto idempotent = keep_alive ? part_of(*keep_alive, kIdempotentPart) : kIdempotentDefault;
+  const auto idempotent = keep_alive ? part_of(*keep_alive, kIdempotentFraction) : kIdempotentDefault;
   const std::lock_guard lock(mutex_);
   auto& backend = backends_[address];
   backend.idle.push_back(
