--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -15,7 +15,7 @@
 // The same periods for a backend instance that states no Keep-Alive time.
 constexpr Duration kUnsafeDefault(1000);
 constexpr Duration kIdempotentDefault(4000);
-constexpr size_t kMostIdleEach = 64;  // per address
+constexpr size_t kMaxIdlePerAddress = 64;  // per address
 constexpr Duration kPruneEvery(1000);
 
 std::chrono::steady_clock::time_point now() { return std::chrono::steady_clock::now(); }
@@ -161,7 +161,7 @@
   backend.idle.push_back(
       {std::move(connection), &EventLoopPool::io_of_this_thread(), time, time + unsafe, time + idempotent});
   ++idle_;
-  if (backend.idle.size() > kMostIdleEach) drop(backend, 0);
+  if (backend.idle.size() > kMaxIdlePerAddress) drop(backend, 0);
   if (idle_ > max_idle_) drop_longest_idle();
   notify_waiter(backend);
 }
--- a/src/net/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr std::chrono::seconds kIdleTimeout(20);  // well before the peer closes it
 constexpr std::chrono::seconds kPruneEvery(5);
-constexpr size_t kMostIdleEach = 8;
+constexpr size_t kMaxIdlePerAddress = 8;
 constexpr size_t kLentPerAddressDivisor = 3;  // one address may borrow a third of the connections
 constexpr size_t kControlDivisor = 3;         // a third of the connections is reserved for control calls
 }  // namespace
@@ -105,7 +105,7 @@
   connection->start_read();  // so that its end is noticed
   auto& idle = peers_[address].idle;
   idle.push_back({std::move(connection), Clock::now()});
-  if (idle.size() > kMostIdleEach) {
+  if (idle.size() > kMaxIdlePerAddress) {
     idle.front().connection->close();
     idle.erase(idle.begin());
   }
