--- a/src/net/fiber.cpp
+++ b/src/net/fiber.cpp
@@ -64,7 +64,7 @@
   void deallocate(boost::context::stack_context& stack) noexcept {
     void* mapping = static_cast<char*>(stack.sp) - kStackBytes - kGuardBytes;
     auto& spare = spare_mappings();
-    if (spare.size() < kMostSpare)
+    if (spare.size() < kMaxSpareStacks)
       spare.push_back(mapping);
     else
       ::munmap(mapping, kStackBytes + kGuardBytes);
@@ -73,7 +73,7 @@
  private:
   static constexpr size_t kStackBytes = 128 << 10;
   static constexpr size_t kGuardBytes = 4096;
-  static constexpr size_t kMostSpare = 256;  // per thread
+  static constexpr size_t kMaxSpareStacks = 256;  // per thread
 
   static void* map_stack() {
     void* mapping = ::mmap(nullptr, kStackBytes + kGuardBytes, PROT_READ | PROT_WRITE,
@@ -87,7 +87,7 @@
   static std::vector<void*>& spare_mappings() {
     thread_local auto* spare = [] {
       auto* reserved = new std::vector<void*>;
-      reserved->reserve(kMostSpare);
+      reserved->reserve(kMaxSpareStacks);
       return reserved;
     }();
     return *spare;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -15,12 +15,12 @@
 using Parser = http::response_parser<http::string_body>;
 
 namespace {
-constexpr int kMostSkipped = 2;  // responses to earlier requests
-constexpr int kMostInterim = 8;  // 1xx responses before the final one
-constexpr uint32_t kMostHeadBytes = 64 << 10;
+constexpr int kMaxSkippedResponses = 2;  // responses to earlier requests
+constexpr int kMaxInterimResponses = 8;  // 1xx responses before the final one
+constexpr uint32_t kMaxHeadBytes = 64 << 10;
 constexpr size_t kBodyRoom = 32 << 10;   // bytes of a body read at once
 constexpr Duration kLongestPause(1000);  // in reading a body, while waiting for link capacity
-constexpr int64_t kMostKeepAliveSeconds = 3600;
+constexpr int64_t kMaxKeepAliveSeconds = 3600;
 
 struct ReceivedResponse {
   base::Response response;
@@ -63,7 +63,7 @@
       continue;
     int64_t seconds = 0;
     std::from_chars(parameter.data() + equals + 1, parameter.data() + parameter.size(), seconds);
-    return Duration(std::clamp<int64_t>(seconds, 0, kMostKeepAliveSeconds) * 1000);
+    return Duration(std::clamp<int64_t>(seconds, 0, kMaxKeepAliveSeconds) * 1000);
   }
   return {};
 }
@@ -90,7 +90,7 @@
  public:
   ResponseReader(Connection& connection, bool to_head, const BodyTerms& terms)
       : connection_(connection), link_(terms.link) {
-    parser_.header_limit(kMostHeadBytes);
+    parser_.header_limit(kMaxHeadBytes);
     parser_.body_limit(terms.max_bytes);
     if (to_head) parser_.skip(true);
   }
@@ -150,7 +150,7 @@
 
 /// Reads the next response that is not an interim (1xx) one.
 std::optional<ReceivedResponse> read_response(Connection& connection, bool to_head, const BodyTerms& terms) {
-  for (int interim = 0; interim <= kMostInterim; ++interim) {
+  for (int interim = 0; interim <= kMaxInterimResponses; ++interim) {
     auto received = ResponseReader(connection, to_head, terms).read();
     if (!received || received->response.status == 101) return {};
     if (received->response.status / 100 != 1) return received;
@@ -168,7 +168,7 @@
   std::optional<base::Response> read(const BodyTerms& terms) {
     const Connection& connection = *lease_.connection;
     const bool early = connection.received_during_write();
-    for (int skipped = 0; skipped <= kMostSkipped; ++skipped) {
+    for (int skipped = 0; skipped <= kMaxSkippedResponses; ++skipped) {
       auto received = read_response(*lease_.connection, to_head_, terms);
       if (!received) return {};
       if (rules_.is_own_response && !rules_.is_own_response(received->response)) {
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -18,9 +18,9 @@
 constexpr Duration kUndeliveredLogPeriod(
     1000);                                   // between log lines about responses that could not be written
 constexpr Duration kLinger(1000);            // how long bytes are read and dropped before a close
-constexpr size_t kMostLinger = 1 << 20;      // and how many bytes of them
+constexpr size_t kMaxLingerBytes = 1 << 20;  // and how many bytes of them
 constexpr size_t kBodyRoom = 32 << 10;       // bytes of a body read at once
-constexpr size_t kMostPipelined = 16 << 10;  // bytes of further requests read while one is handled
+constexpr size_t kMaxPipelinedBytes = 16 << 10;  // bytes of further requests read while one is handled
 constexpr const char* kRetryAfterSeconds = "1";  // for requests rejected because of the limit on all bodies
 
 std::atomic<size_t> reserved_body_bytes{0};  // of all requests in this process
@@ -289,7 +289,7 @@
   connection_->on_read_done([this] {
     if (connection_->has_ended())
       client_left_->cancel();
-    else if (connection_->buffered().size() < kMostPipelined)
+    else if (connection_->buffered().size() < kMaxPipelinedBytes)
       watch_client();
   });
   connection_->start_read();
@@ -383,7 +383,7 @@
   connection_->shutdown_send();
   size_t dropped = connection_->buffered().size();
   connection_->consume(dropped);
-  while (dropped < kMostLinger && !connection_->read_more(kBodyRoom)) {
+  while (dropped < kMaxLingerBytes && !connection_->read_more(kBodyRoom)) {
     const size_t bytes = connection_->buffered().size();
     dropped += bytes;
     connection_->consume(bytes);
--- a/src/net/peer_frame.cpp
+++ b/src/net/peer_frame.cpp
@@ -5,7 +5,7 @@
 namespace dunlinwing::net {
 namespace {
 constexpr size_t kLengthBytes = 4;
-constexpr uint32_t kMostFrameBytes = 32U << 20;
+constexpr uint32_t kMaxFrameBytes = 32U << 20;
 constexpr size_t kFrameRoom = 64 << 10;  // bytes read at once, at most
 
 uint32_t decode_length(std::string_view bytes) {
@@ -40,7 +40,7 @@
     const auto bytes = connection.buffered();
     if (bytes.size() >= kLengthBytes) {
       const uint32_t length = decode_length(bytes);
-      if (length > kMostFrameBytes) return make_error_code(boost::system::errc::message_size);
+      if (length > kMaxFrameBytes) return make_error_code(boost::system::errc::message_size);
       needed = kLengthBytes + length;
     }
     if (bytes.size() >= needed) {
