--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -17,7 +17,7 @@
 constexpr base::Log logger("http");
 constexpr Duration kUndeliveredLogPeriod(
     1000);                                   // between log lines about responses that could not be written
-constexpr Duration kLinger(1000);            // how long bytes are read and dropped before a close
+constexpr Duration kLingerTime(1000);        // how long bytes are read and dropped before a close
 constexpr size_t kMaxLingerBytes = 1 << 20;  // and how many bytes of them
 constexpr size_t kBodyRoom = 32 << 10;       // bytes of a body read at once
 constexpr size_t kMaxPipelinedBytes = 16 << 10;  // bytes of further requests read while one is handled
@@ -175,7 +175,7 @@
     case State::writing:
       return limits.write_timeout;
     case State::lingering:
-      return kLinger;
+      return kLingerTime;
     case State::handling:
       break;
   }
