--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -19,9 +19,9 @@
 constexpr int kSweepsInLimit = 4;
 constexpr Duration kShortestSweep(50);
 constexpr Duration kLongestSweep(500);
-constexpr Duration kNoDescriptors(100);  // before accepting again after a failed accept
-constexpr Duration kLogPeriod(10000);    // at most one log line about that per period
-constexpr Duration kRoomCheck(1000);     // how soon it is checked again whether a connection has ended
+constexpr Duration kAcceptRetry(100);  // before accepting again after a failed accept
+constexpr Duration kLogPeriod(10000);  // at most one log line about that per period
+constexpr Duration kRoomCheck(1000);   // how soon it is checked again whether a connection has ended
 
 using State = HttpServerConnection::State;
 
@@ -126,7 +126,7 @@
     if (error) {
       report_accept_error(error);
       on_each_table([](ConnectionTable& table) { table.evict(); });
-      SystemClock().sleep(kNoDescriptors);
+      SystemClock().sleep(kAcceptRetry);
       continue;
     }
     wait_for_room();
