--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -18,8 +18,8 @@
 constexpr int kMaxSkippedResponses = 2;  // responses to earlier requests
 constexpr int kMaxInterimResponses = 8;  // 1xx responses before the final one
 constexpr uint32_t kMaxHeadBytes = 64 << 10;
-constexpr size_t kBodyRoom = 32 << 10;   // bytes of a body read at once
-constexpr Duration kLongestPause(1000);  // in reading a body, while waiting for link capacity
+constexpr size_t kBodyReadSize = 32 << 10;  // bytes of a body read at once
+constexpr Duration kLongestPause(1000);     // in reading a body, while waiting for link capacity
 constexpr int64_t kMaxKeepAliveSeconds = 3600;
 
 struct ReceivedResponse {
@@ -108,7 +108,7 @@
   bool read_more() {
     if (!await_link()) return false;
     const size_t before = connection_.buffered().size();
-    const ErrorCode error = connection_.read_more(has_head_ ? kBodyRoom : kResponseReadSize);
+    const ErrorCode error = connection_.read_more(has_head_ ? kBodyReadSize : kResponseReadSize);
     link_.received(connection_.buffered().size() - before);
     return !error;
   }
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -19,7 +19,7 @@
     1000);                                   // between log lines about responses that could not be written
 constexpr Duration kLingerTime(1000);        // how long bytes are read and dropped before a close
 constexpr size_t kMaxLingerBytes = 1 << 20;  // and how many bytes of them
-constexpr size_t kBodyRoom = 32 << 10;       // bytes of a body read at once
+constexpr size_t kBodyReadSize = 32 << 10;   // bytes of a body read at once
 constexpr size_t kMaxPipelinedBytes = 16 << 10;  // bytes of further requests read while one is handled
 constexpr const char* kRetryAfterSeconds = "1";  // for requests rejected because of the limit on all bodies
 
@@ -257,7 +257,7 @@
 bool HttpServerConnection::read_more(IncomingRequest& incoming) {
   const bool awaits_first = connection_->buffered().empty() && !incoming.has_head && state_ == State::idle;
   if (awaits_first) return await_request(incoming);
-  const ErrorCode error = connection_->read_more(incoming.has_head ? kBodyRoom : Connection::kReadSize);
+  const ErrorCode error = connection_->read_more(incoming.has_head ? kBodyReadSize : Connection::kReadSize);
   if (error && overdue_) return refuse(408, "the request did not come in time");
   if (error) return false;
   // The request became overdue while these bytes were being read; since it is handled, it must be answered.
@@ -383,7 +383,7 @@
   connection_->shutdown_send();
   size_t dropped = connection_->buffered().size();
   connection_->consume(dropped);
-  while (dropped < kMaxLingerBytes && !connection_->read_more(kBodyRoom)) {
+  while (dropped < kMaxLingerBytes && !connection_->read_more(kBodyReadSize)) {
     const size_t bytes = connection_->buffered().size();
     dropped += bytes;
     connection_->consume(bytes);
--- a/src/net/peer_frame.cpp
+++ b/src/net/peer_frame.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr size_t kLengthBytes = 4;
 constexpr uint32_t kMaxFrameBytes = 32U << 20;
-constexpr size_t kFrameRoom = 64 << 10;  // bytes read at once, at most
+constexpr size_t kFrameReadSize = 64 << 10;  // bytes read at once, at most
 
 uint32_t decode_length(std::string_view bytes) {
   uint32_t length = 0;
@@ -49,7 +49,7 @@
       connection.consume(needed);
       return parsed ? ErrorCode() : make_error_code(boost::system::errc::bad_message);
     }
-    const size_t room = std::clamp(needed - bytes.size(), Connection::kReadSize, kFrameRoom);
+    const size_t room = std::clamp(needed - bytes.size(), Connection::kReadSize, kFrameReadSize);
     if (const auto error = connection.read_more(room)) return error;
     if (on_progress) on_progress();
   }
