--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -16,9 +16,9 @@
 namespace {
 constexpr base::Log logger("http");
 // The sweep runs several times within the shortest time limit, but not more or less often than this.
-constexpr int kSweepsInLimit = 4;
-constexpr Duration kShortestSweep(50);
-constexpr Duration kLongestSweep(500);
+constexpr int kSweepsPerLimit = 4;
+constexpr Duration kMinSweepPeriod(50);
+constexpr Duration kMaxSweepPeriod(500);
 constexpr Duration kAcceptRetry(100);  // before accepting again after a failed accept
 constexpr Duration kLogPeriod(10000);  // at most one log line about that per period
 constexpr Duration kRoomCheck(1000);   // how soon it is checked again whether a connection has ended
@@ -65,7 +65,7 @@
     const auto limits = server_.limits.load();
     const auto shortest =
         std::min({limits->idle_timeout, limits->head_timeout, limits->body_timeout, limits->write_timeout});
-    const auto period = std::clamp(shortest / kSweepsInLimit, kShortestSweep, kLongestSweep);
+    const auto period = std::clamp(shortest / kSweepsPerLimit, kMinSweepPeriod, kMaxSweepPeriod);
     sweep_timer_.set(std::chrono::steady_clock::now() + period, [this] { sweep(); });
   }
 
