--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -88,11 +88,11 @@
 /// Reads one response of any status; nullopt when it was truncated, malformed or of unknown length.
 class ResponseReader {
  public:
-  ResponseReader(Connection& connection, bool to_head, const BodyTerms& terms)
+  ResponseReader(Connection& connection, bool is_head_request, const BodyTerms& terms)
       : connection_(connection), link_(terms.link) {
     parser_.header_limit(kMaxHeadBytes);
     parser_.body_limit(terms.max_bytes);
-    if (to_head) parser_.skip(true);
+    if (is_head_request) parser_.skip(true);
   }
 
   std::optional<ReceivedResponse> read() {
@@ -149,9 +149,10 @@
 };
 
 /// Reads the next response that is not an interim (1xx) one.
-std::optional<ReceivedResponse> read_response(Connection& connection, bool to_head, const BodyTerms& terms) {
+std::optional<ReceivedResponse> read_response(Connection& connection, bool is_head_request,
+                                              const BodyTerms& terms) {
   for (int interim = 0; interim <= kMaxInterimResponses; ++interim) {
-    auto received = ResponseReader(connection, to_head, terms).read();
+    auto received = ResponseReader(connection, is_head_request, terms).read();
     if (!received || received->response.status == 101) return {};
     if (received->response.status / 100 != 1) return received;
   }
@@ -162,18 +163,18 @@
 class ResponseMatcher {
  public:
   ResponseMatcher(ConnectionPool::Lease& lease, const base::Request& request, const base::AttemptRules& rules)
-      : lease_(lease), rules_(rules), to_head_(request.method == "HEAD") {}
+      : lease_(lease), rules_(rules), is_head_request_(request.method == "HEAD") {}
 
   /// @return nullopt when no response certainly belongs to the request; the connection must be abandoned
   std::optional<base::Response> read(const BodyTerms& terms) {
     const Connection& connection = *lease_.connection;
     const bool early = connection.received_during_write();
     for (int skipped = 0; skipped <= kMaxSkippedResponses; ++skipped) {
-      auto received = read_response(*lease_.connection, to_head_, terms);
+      auto received = read_response(*lease_.connection, is_head_request_, terms);
       if (!received) return {};
       if (rules_.is_own_response && !rules_.is_own_response(received->response)) {
         // It may answer an earlier request. After a HEAD it is unknown whether that response has a body.
-        if (!lease_.reused || to_head_ || !received->keep_alive) return {};
+        if (!lease_.reused || is_head_request_ || !received->keep_alive) return {};
         continue;
       }
       const bool anonymous = rules_.is_anonymous && rules_.is_anonymous(received->response);
@@ -198,7 +199,7 @@
  private:
   ConnectionPool::Lease& lease_;
   const base::AttemptRules& rules_;
-  bool to_head_;
+  bool is_head_request_;
   bool may_reuse_ = false;
   bool only_idempotent_ = false;
   std::optional<Duration> keep_alive_time_;
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -90,8 +90,8 @@
 
 /// Properties of a request that its response depends on.
 struct ResponseContext {
-  bool to_head = false;   ///< the request's method is HEAD
-  unsigned version = 11;  ///< of HTTP, 10 or 11
+  bool is_head_request = false;  ///< the request's method is HEAD
+  unsigned version = 11;         ///< of HTTP, 10 or 11
   bool keep_alive = false;
 };
 
@@ -99,13 +99,15 @@
   head.append(name).append(": ").append(value).append("\r\n");
 }
 
-void append_content_length(std::string& head, const base::Response& response, bool to_head) {
+void append_content_length(std::string& head, const base::Response& response, bool is_head_request) {
   const bool without_body = is_without_body(response.status);
-  const auto stated =
-      to_head || response.status == 304 ? base::header(response.headers, "Content-Length") : std::string();
+  const auto stated = is_head_request || response.status == 304
+                          ? base::header(response.headers, "Content-Length")
+                          : std::string();
   if (!stated.empty())
     append_header(head, "Content-Length", stated);
-  else if (!without_body && !(to_head && response.body.empty()))  // an empty body after HEAD gives no length
+  else if (!without_body &&
+           !(is_head_request && response.body.empty()))  // an empty body after HEAD gives no length
     append_header(head, "Content-Length", fmt::format_int(response.body.size()).c_str());
 }
 
@@ -121,7 +123,7 @@
                  std::string_view(reason.data(), reason.size()));
   for (const auto& [name, value] : response.headers)
     if (!is_of_connection(name)) append_header(head, name, value);
-  append_content_length(head, response, context.to_head);
+  append_content_length(head, response, context.is_head_request);
   if (!context.keep_alive)
     append_header(head, "Connection", "close");
   else if (context.version < 11)
@@ -311,7 +313,7 @@
       message.method() == http::verb::head, message.version(),
       message.keep_alive() && !server_.closing && !server_.draining && !server_.crowded && !incoming.is_last};
   const std::string head = response_head(response, context, *server_.limits.load());
-  if (const ErrorCode error = write_response(response, head, context.to_head)) {
+  if (const ErrorCode error = write_response(response, head, context.is_head_request)) {
     if (!client_left_->is_cancelled()) report_undelivered(incoming.request, response, error);
     return false;
   }
