--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -279,7 +279,7 @@
 }
 
 base::Response HttpServerConnection::handle(base::Request& request) {
-  request.cancellation = client_left_;
+  request.cancellation = client_disconnected_;
   watch_client();
   base::Response response = server_.handler(request);
   connection_->on_read_done(nullptr);
@@ -290,7 +290,7 @@
 void HttpServerConnection::watch_client() {
   connection_->on_read_done([this] {
     if (connection_->has_ended())
-      client_left_->cancel();
+      client_disconnected_->cancel();
     else if (connection_->buffered().size() < kMaxPipelinedBytes)
       watch_client();
   });
@@ -314,7 +314,7 @@
       message.keep_alive() && !server_.closing && !server_.draining && !server_.crowded && !incoming.is_last};
   const std::string head = response_head(response, context, *server_.limits.load());
   if (const ErrorCode error = write_response(response, head, context.is_head_request)) {
-    if (!client_left_->is_cancelled()) report_undelivered(incoming.request, response, error);
+    if (!client_disconnected_->is_cancelled()) report_undelivered(incoming.request, response, error);
     return false;
   }
   // Closing with unread bytes sends a reset, which may discard the response before the client has read it.
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -82,7 +82,8 @@
 
   std::shared_ptr<Connection> connection_;
   HttpServerState& server_;
-  base::CancellationPtr client_left_ = std::make_shared<base::Cancellation>();  ///< of all its requests
+  base::CancellationPtr client_disconnected_ =
+      std::make_shared<base::Cancellation>();  ///< of all its requests
   State state_ = State::idle;
   TimePoint state_since_{0};  ///< steady clock; while writing: time of the last progress
   Duration idle_limit_{0};  ///< idle timeout that the client may rely on: the one when its current wait began
--- a/src/net/peer_server.cpp
+++ b/src/net/peer_server.cpp
@@ -97,15 +97,16 @@
 
   /// The caller sends no bytes between its call and the response, so only the connection's end is read.
   pb::PeerResponse handle(Connection& connection, const pb::PeerRequest& request) {
-    base::CancellationPtr caller_left;  // null for control calls: they are short and are not cancelled
+    base::CancellationPtr
+        caller_disconnected;  // null for control calls: they are short and are not cancelled
     if (request.has_forward()) {
-      caller_left = std::make_shared<base::Cancellation>();
-      connection.on_read_done([&connection, caller_left] {
-        if (connection.has_ended()) caller_left->cancel();
+      caller_disconnected = std::make_shared<base::Cancellation>();
+      connection.on_read_done([&connection, caller_disconnected] {
+        if (connection.has_ended()) caller_disconnected->cancel();
       });
       connection.start_read();
     }
-    auto response = handler_(request, caller_left);
+    auto response = handler_(request, caller_disconnected);
     connection.on_read_done(nullptr);
     return response;
   }
