--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -149,19 +149,19 @@
   for (;;) {
     const size_t most = state.limits.load()->max_connections;
     if (most == 0 || open_connections < static_cast<int>(most) || state.closing) return;
-    state.crowded = true;
+    state.connection_limit_reached = true;
     const auto fullest = std::max_element(
         tables.begin(), tables.end(), [](auto& table, auto& other) { return table->size() < other->size(); });
     on_table(static_cast<int>(fullest - tables.begin()), [](ConnectionTable& table) { table.evict(); });
     room->wait(kRoomCheck);
-    state.crowded = false;
+    state.connection_limit_reached = false;
   }
 }
 
 void HttpServer::Impl::serve(int thread, Connection::Socket socket) {
   tables[thread]->serve(std::move(socket));
   --open_connections;
-  if (state.crowded) room->notify();
+  if (state.connection_limit_reached) room->notify();
 }
 
 HttpServer::HttpServer(EventLoopPool& pool, std::string name, HttpLimits limits, HttpHandler handler,
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -309,9 +309,9 @@
     ~Running() { --count; }
   } running(server_.running_requests);
   const base::Response response = handle(incoming.request);
-  const ResponseContext context{
-      message.method() == http::verb::head, message.version(),
-      message.keep_alive() && !server_.closing && !server_.draining && !server_.crowded && !incoming.is_last};
+  const ResponseContext context{message.method() == http::verb::head, message.version(),
+                                message.keep_alive() && !server_.closing && !server_.draining &&
+                                    !server_.connection_limit_reached && !incoming.is_last};
   const std::string head = response_head(response, context, *server_.limits.load());
   if (const ErrorCode error = write_response(response, head, context.is_head_request)) {
     if (!client_disconnected_->is_cancelled()) report_undelivered(incoming.request, response, error);
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -23,7 +23,8 @@
   std::atomic<std::shared_ptr<const HttpLimits>> limits;
   std::atomic<bool> closing{false};   ///< each connection ends after its current request
   std::atomic<bool> draining{false};  ///< each response is the last on its connection
-  std::atomic<bool> crowded{false};   ///< the connection limit is reached: a new one waits until one ends
+  std::atomic<bool> connection_limit_reached{
+      false};  ///< the connection limit is reached: a new one waits until one ends
   std::atomic<int> running_requests{0};
   std::atomic<uint64_t> undelivered_responses{0};  ///< requests handled whose response could not be written
   std::atomic<TimePoint> undelivered_logged{TimePoint::min()};  ///< when such a response was last logged
