--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -74,7 +74,7 @@
 }
 
 /// Whether a header concerns the connection or the framing: the server generates these itself.
-bool is_of_connection(std::string_view name) {
+bool is_connection_header(std::string_view name) {
   for (const char* own : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length"})
     if (base::equals_ignore_case(name, own)) return true;
   return false;
@@ -122,7 +122,7 @@
   fmt::format_to(std::back_inserter(head), "HTTP/1.1 {} {}\r\n", response.status,
                  std::string_view(reason.data(), reason.size()));
   for (const auto& [name, value] : response.headers)
-    if (!is_of_connection(name)) append_header(head, name, value);
+    if (!is_connection_header(name)) append_header(head, name, value);
   append_content_length(head, response, context.is_head_request);
   if (!context.keep_alive)
     append_header(head, "Connection", "close");
