--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -80,7 +80,7 @@
 }
 
 /// How a response's body is read.
-struct BodyTerms {
+struct BodyReadOptions {
   size_t max_bytes;  ///< responses with longer bodies are rejected
   const link::LinkUse& link;
 };
@@ -88,7 +88,7 @@
 /// Reads one response of any status; nullopt when it was truncated, malformed or of unknown length.
 class ResponseReader {
  public:
-  ResponseReader(Connection& connection, bool is_head_request, const BodyTerms& terms)
+  ResponseReader(Connection& connection, bool is_head_request, const BodyReadOptions& terms)
       : connection_(connection), link_(terms.link) {
     parser_.header_limit(kMaxHeadBytes);
     parser_.body_limit(terms.max_bytes);
@@ -150,7 +150,7 @@
 
 /// Reads the next response that is not an interim (1xx) one.
 std::optional<ReceivedResponse> read_response(Connection& connection, bool is_head_request,
-                                              const BodyTerms& terms) {
+                                              const BodyReadOptions& terms) {
   for (int interim = 0; interim <= kMaxInterimResponses; ++interim) {
     auto received = ResponseReader(connection, is_head_request, terms).read();
     if (!received || received->response.status == 101) return {};
@@ -166,7 +166,7 @@
       : lease_(lease), rules_(rules), is_head_request_(request.method == "HEAD") {}
 
   /// @return nullopt when no response certainly belongs to the request; the connection must be abandoned
-  std::optional<base::Response> read(const BodyTerms& terms) {
+  std::optional<base::Response> read(const BodyReadOptions& terms) {
     const Connection& connection = *lease_.connection;
     const bool early = connection.received_during_write();
     for (int skipped = 0; skipped <= kMaxSkippedResponses; ++skipped) {
