--- a/src/net/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -96,7 +96,7 @@
   }
   lend(address, terms);
   auto connection = Connection::connect(address, limit);
-  if (!connection) returned(address, terms);
+  if (!connection) release_lent(address, terms);
   return {connection, false};
 }
 
@@ -109,16 +109,16 @@
     idle.front().connection->close();
     idle.erase(idle.begin());
   }
-  returned(address, terms);
+  release_lent(address, terms);
 }
 
 void PeerConnections::discard(const std::string& address, const std::shared_ptr<Connection>& connection,
                               const Terms& terms) {
   connection->reset();
-  returned(address, terms);
+  release_lent(address, terms);
 }
 
-void PeerConnections::returned(const std::string& address, const Terms& terms) {
+void PeerConnections::release_lent(const std::string& address, const Terms& terms) {
   --peers_[address].lent;
   --lent_;
   lent_for_traffic_ -= terms.for_traffic;
--- a/src/net/peer_connections.hpp
+++ b/src/net/peer_connections.hpp
@@ -25,7 +25,7 @@
   struct Terms {
     size_t max_connections = 0;  ///< limit on open connections; one address may borrow only a part of them,
                                  ///< so that an unresponsive node does not exhaust them
-    bool for_traffic = false;  ///< for forwarded client requests: some connections are reserved for control
+    bool for_traffic = false;    ///< for forwarded client requests: some connections are reserved for control
   };
 
   /// Waits within the limit for an idle connection, or until a new one may be opened.
@@ -62,7 +62,7 @@
   Peer* longest_idle();
   bool make_room(size_t max_connections);
   void lend(const std::string& address, const Terms& terms);
-  void returned(const std::string& address, const Terms& terms);
+  void release_lent(const std::string& address, const Terms& terms);
   void wake_next(size_t max_connections);
   bool await_room(const std::string& address, const WaitLimit& limit, const Terms& terms);
   void prune(Clock::time_point now);
