--- a/src/net/peer_server.cpp
+++ b/src/net/peer_server.cpp
@@ -47,10 +47,10 @@
   using IdleList = std::list<std::shared_ptr<Connection>>;
 
   void serve(const std::shared_ptr<Connection>& connection) {
-    bool goes_on = serve_call(*connection);
-    while (goes_on && !is_crowded()) {
+    bool keep_open = serve_call(*connection);
+    while (keep_open && !is_crowded()) {
       const MessageWait wait = await_next_call(connection);
-      goes_on = wait != MessageWait::ended && serve_call(*connection) && wait == MessageWait::received;
+      keep_open = wait != MessageWait::ended && serve_call(*connection) && wait == MessageWait::received;
     }
     connection->close();
     --open_;
