--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -181,9 +181,9 @@
       // A response that names no request may belong to any request if it came after another response was
       // skipped, or before the request was sent completely.
       if (anonymous && lease_.reused && (skipped > 0 || early)) return {};
-      const bool alone = !skipped && !early && connection.buffered().empty();
-      may_reuse_ =
-          alone && received->keep_alive && received->keep_alive_time.value_or(Duration(1)) > Duration(0);
+      const bool is_only_response = !skipped && !early && connection.buffered().empty();
+      may_reuse_ = is_only_response && received->keep_alive &&
+                   received->keep_alive_time.value_or(Duration(1)) > Duration(0);
       only_idempotent_ = anonymous;
       keep_alive_time_ = received->keep_alive_time;
       return std::move(received->response);
