--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -182,7 +182,7 @@
 // second one must not count as the response to the next request, which runs.
 void bare_decline_again() {
   const std::string decline = "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-  StandIn backend([&](int connection, int request, const std::string& head) {
+  ScriptedBackend backend([&](int connection, int request, const std::string& head) {
     auto at = head.find("Attempt-Id: ") + 12;
     auto id = head.substr(at, head.find('\r', at) - at);
     if (request == 0) return decline;
@@ -199,7 +199,7 @@
 // An error response without an Attempt-Id does not count as the response to this request.
 void nameless_error() {
   for (int status : {400, 404, 500, 504}) {
-    StandIn backend([&](int, int, const std::string&) {
+    ScriptedBackend backend([&](int, int, const std::string&) {
       return fmt::format("HTTP/1.1 {} X\r\nContent-Length: 5\r\n\r\nwhose", status);
     });
     Relay relay(backend.addr());
@@ -213,7 +213,7 @@
 // An unrequested 206 or 304 does not count as the complete object.
 void parts_unasked() {
   for (int status : {206, 304}) {
-    StandIn backend([&](int, int, const std::string&) {
+    ScriptedBackend backend([&](int, int, const std::string&) {
       return fmt::format(
           "HTTP/1.1 {} X\r\nAttempt-Id: a\r\nEdge-Signature: s.a\r\nContent-Range: bytes 0-3/9\r\n"
           "Content-Length: {}\r\n\r\n{}",
@@ -251,7 +251,7 @@
 
 // Responses are cached by service, host, path and query; no client gets another object.
 void keys() {
-  StandIn backend([](int, int, const std::string& head) {
+  ScriptedBackend backend([](int, int, const std::string& head) {
     auto value = [&](const std::string& name) {
       auto at = head.find(name) + name.size();
       return head.substr(at, head.find('\r', at) - at);
@@ -290,7 +290,7 @@
 void coalesced() {
   for (bool cut : {false, true}) {
     int fetched = 0;
-    StandIn backend([&](int, int, const std::string& head) {
+    ScriptedBackend backend([&](int, int, const std::string& head) {
       auto at = head.find("Attempt-Id: ") + 12;
       auto id = head.substr(at, head.find('\r', at) - at);
       net::SystemClock().sleep(10ms);
--- a/test/net/http_client_test.cpp
+++ b/test/net/http_client_test.cpp
@@ -28,7 +28,7 @@
   auto mine = [](const std::string& b) {
     return [b](const base::Response& response) { return response.body == b; };
   };
-  StandIn w([](int, int n, auto&) {
+  ScriptedBackend w([](int, int n, auto&) {
     return n == 0   ? ok("0")
            : n == 1 ? ok("old") + ok("older") + ok("1")
            : n == 2 ? ok("used")
@@ -59,7 +59,7 @@
 void early() {
   const std::string large(8 << 20, 'b');  // more than the socket buffers hold
   for (bool has_name : {true, false}) {
-    StandIn w(
+    ScriptedBackend w(
         [&](int, int n, auto&) { return ok(n ? "early" : "first", has_name || !n ? "Id: x\r\n" : ""); });
     net::HttpClient o(1 << 20);
     auto r = rules();
@@ -73,12 +73,12 @@
 }
 
 void leftovers() {
-  StandIn w([](int, int n, auto&) { return n % 2 ? ok("x") : ok("good") + ok("nobody asked"); });
+  ScriptedBackend w([](int, int n, auto&) { return n % 2 ? ok("x") : ok("good") + ok("nobody asked"); });
   net::HttpClient o(1 << 20);
   same(body(o.send(w.addr(), get(), rules())), "good", "a complete response followed by extra bytes");
   same(body(o.send(w.addr(), get(), rules())), "x", "the next response");
   same(w.conns, 2, "connections");
-  StandIn late([](int, int, auto&) { return ok("good"); });
+  ScriptedBackend late([](int, int, auto&) { return ok("good"); });
   same(body(o.send(late.addr(), get(), rules())), "good", "an answer");
 }
 
@@ -88,12 +88,12 @@
                         std::string("reset"), std::string("cut"), std::string("garbage garbage\r\n\r\n"),
                         std::string("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
                         std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")}) {
-    StandIn w([a](int, int, auto&) { return a; });
+    ScriptedBackend w([a](int, int, auto&) { return a; });
     net::HttpClient o(1000);
     expect(unknown(o.send(w.addr(), get(), rules())), "accepted as a complete response: " + a.substr(0, 60));
     same(o.connections_to(w.addr()), 0, "open connections");
   }
-  StandIn w([](int, int n, auto&) {
+  ScriptedBackend w([](int, int n, auto&) {
     if (n == 0)
       return "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok("zip", "Content-Encoding: gzip\r\n");
     if (n == 1) return std::string("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
@@ -118,7 +118,7 @@
 // A response delimited only by the end of its connection cannot be distinguished from a truncated one, so
 // the client does not wait for its end.
 void endless() {
-  StandIn w([](int, int, auto&) { return std::string("HTTP/1.1 200 OK\r\n\r\nuntil I close"); });
+  ScriptedBackend w([](int, int, auto&) { return std::string("HTTP/1.1 200 OK\r\n\r\nuntil I close"); });
   net::HttpClient o(1000);
   net::SystemClock clock;
   auto from = clock.now();
@@ -128,7 +128,7 @@
 
 void written() {
   std::string head;
-  StandIn w([&](int, int, auto& h) {
+  ScriptedBackend w([&](int, int, auto& h) {
     head = h;
     return ok("");
   });
@@ -142,7 +142,7 @@
 }
 
 void ages() {
-  StandIn w([](int, int n, auto&) {
+  ScriptedBackend w([](int, int n, auto&) {
     return ok("", n == 0 ? "Keep-Alive: timeout=0\r\n" : "Keep-Alive: max=9, timeout=1\r\n");
   });
   net::HttpClient o(1000);
@@ -164,7 +164,7 @@
 }
 
 void noticed() {
-  StandIn w([](int, int, auto&) { return ok("") + "cut"; });
+  ScriptedBackend w([](int, int, auto&) { return ok("") + "cut"; });
   net::HttpClient o(1000);
   o.send(w.addr(), get(), rules());
   until([&] { return o.idle() == 0 && o.connections_to(w.addr()) == 0; },
@@ -174,7 +174,7 @@
 void capped() {
   auto condition = pool().condition();
   int inside = 0;
-  StandIn w([&](int, int n, auto&) {
+  ScriptedBackend w([&](int, int n, auto&) {
     if (n == 0) {
       ++inside;
       condition->wait(10s);
@@ -233,7 +233,7 @@
 
 // Whatever a backend does, an accepted response belongs to the request.
 void never_mixed() {
-  StandIn w([](int, int n, const std::string& head) {
+  ScriptedBackend w([](int, int n, const std::string& head) {
     auto at = head.find("Id: ") + 4;
     auto id = head.substr(at, head.find('\r', at) - at);
     auto own = ok(id, "Id: " + id + "\r\n");
@@ -283,7 +283,7 @@
 
 void bounded() {
   net::HttpClient o(1000, 2);
-  StandIn a([](int, int, auto&) { return ok(""); }), b([](int, int, auto&) { return ok(""); }),
+  ScriptedBackend a([](int, int, auto&) { return ok(""); }), b([](int, int, auto&) { return ok(""); }),
       c([](int, int, auto&) { return ok(""); });
   for (auto* w : {&a, &b, &c}) o.send(w->addr(), get(), rules());
   same(o.idle(), 2, "idle connections");
--- a/test/net/net_cases.hpp
+++ b/test/net/net_cases.hpp
@@ -57,13 +57,13 @@
 
 // A backend that answers each request with the text that the script returns for its number (from 0, over
 // all connections). "cut" at the end of the text closes the connection after it, "reset" resets it.
-struct StandIn {
+struct ScriptedBackend {
   using Script = std::function<std::string(int conn, int request, const std::string& head)>;
   std::shared_ptr<boost::asio::ip::tcp::acceptor> acc;
   std::vector<std::weak_ptr<net::Connection>> lines;
   int conns = 0, served = 0, open = 0;
   Script f;
-  explicit StandIn(Script s)
+  explicit ScriptedBackend(Script s)
       : acc(std::make_shared<boost::asio::ip::tcp::acceptor>(
             pool().io(0), boost::asio::ip::tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0))),
         f(std::move(s)) {
@@ -84,7 +84,7 @@
       }
     });
   }
-  ~StandIn() {
+  ~ScriptedBackend() {
     acc->close();
     for (auto& w : lines)
       if (auto connection = w.lock()) connection->interrupt();
--- a/test/net/soak_test.cpp
+++ b/test/net/soak_test.cpp
@@ -71,7 +71,7 @@
 
 void soak(unsigned seed) {
   Drawn drawn(seed);
-  StandIn backend([&](int, int, const std::string& head) { return drawn.answer(head); });
+  ScriptedBackend backend([&](int, int, const std::string& head) { return drawn.answer(head); });
   Relay relay(backend.addr());
   int left = kClients, good = 0;
   std::string first;
