--- a/test/net/client_bytes_test.cpp
+++ b/test/net/client_bytes_test.cpp
@@ -32,7 +32,7 @@
 
 enum class End { close, reset, half_close, silence };
 
-void end(Raw& client, End how) {
+void end(RawClient& client, End how) {
   if (how == End::reset) client.connection->socket().set_option(boost::asio::socket_base::linger(true, 0));
   if (how == End::close || how == End::reset) client.connection->close();
   if (how == End::half_close) client.connection->shutdown_send();
@@ -45,9 +45,9 @@
       Counted counted;
       {
         Served server(quick(), counted.handler());
-        std::vector<std::unique_ptr<Raw>> clients;
+        std::vector<std::unique_ptr<RawClient>> clients;
         for (size_t at = 0; at < request.size(); ++at) {
-          clients.push_back(std::make_unique<Raw>(server.address));
+          clients.push_back(std::make_unique<RawClient>(server.address));
           clients.back()->send(std::string_view(request).substr(0, at));
           end(*clients.back(), how);
         }
@@ -68,7 +68,7 @@
   Served server({}, counted.handler());
   auto stream = kByLength + kInChunks + kBare;
   for (size_t at = 0; at <= stream.size(); ++at) {
-    Raw client(server.address);
+    RawClient client(server.address);
     client.send(std::string_view(stream).substr(0, at));
     net::SystemClock().sleep(1ms);
     client.send(std::string_view(stream).substr(at));
@@ -87,7 +87,7 @@
   for (size_t at = 0; at < kInChunks.size(); ++at) {
     Counted counted;
     Served server(quick(), counted.handler());
-    Raw client(server.address);
+    RawClient client(server.address);
     client.send(kByLength + kInChunks.substr(0, at));
     client.connection->shutdown_send();
     auto told = client.read();
@@ -111,13 +111,13 @@
       return {200, {}, "[" + request.target + "]"};
     });
     {
-      Raw leaving(server.address);
+      RawClient leaving(server.address);
       leaving.send("GET /slow HTTP/1.1\r\nHost: h\r\n\r\nGET /behind HTTP/1.1\r\nHost: h\r\n\r\n");
       until([&] { return slow == 1; }, "the slow request runs");
       end(leaving, how);
     }
-    std::vector<std::unique_ptr<Raw>> others;
-    for (int i = 0; i < 8; ++i) others.push_back(std::make_unique<Raw>(server.address));
+    std::vector<std::unique_ptr<RawClient>> others;
+    for (int i = 0; i < 8; ++i) others.push_back(std::make_unique<RawClient>(server.address));
     go->notify();
     until([&] { return told == 1; }, "the response to the client that disconnected");
     for (int i = 0; i < 8; ++i) {
@@ -135,7 +135,7 @@
   limits.write_timeout = 200ms;
   constexpr size_t kLong = 32 << 20;
   Served server(limits, [](base::Request&) -> base::Response { return {200, {}, std::string(kLong, 'x')}; });
-  Raw client(server.address);
+  RawClient client(server.address);
   client.send(kBare);
   until([&] { return server.s.running_requests() == 1; }, "the request runs");
   until([&] { return server.s.open_connections() == 0; }, "the connection is closed");
--- a/test/net/client_gone_test.cpp
+++ b/test/net/client_gone_test.cpp
@@ -19,9 +19,9 @@
       : relay(backend, shield), server({}, [this](base::Request& request) { return relay.get(request); }) {}
 
   /// A client that has sent a request.
-  std::unique_ptr<Raw> client(const std::string& method, const std::string& target, const std::string& id,
-                              const std::string& more_headers = {}) const {
-    auto client = std::make_unique<Raw>(server.address);
+  std::unique_ptr<RawClient> client(const std::string& method, const std::string& target,
+                                    const std::string& id, const std::string& more_headers = {}) const {
+    auto client = std::make_unique<RawClient>(server.address);
     client->send(
         fmt::format("{} {} HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {}\r\n"
                     "Time-Remaining: {}\r\n{}Content-Length: 0\r\n\r\n",
@@ -133,8 +133,8 @@
 }
 
 /// The clients of a running fetch: the one whose request started it, and another that waits for it.
-std::pair<std::unique_ptr<Raw>, std::unique_ptr<Raw>> share_fetch(const Front& front,
-                                                                  const HoldingBackend& backend) {
+std::pair<std::unique_ptr<RawClient>, std::unique_ptr<RawClient>> share_fetch(const Front& front,
+                                                                              const HoldingBackend& backend) {
   auto first = front.client("GET", "/kept/x", "first");
   until([&] { return backend.has("first"); }, "the fetch runs");
   auto second = front.client("GET", "/kept/x", "second");
--- a/test/net/compatibility_test.cpp
+++ b/test/net/compatibility_test.cpp
@@ -81,7 +81,7 @@
 /// bytes that an old relay would have sent, apart from the call's request id.
 void asked_by_old_relays() {
   auto exchange = std::make_shared<Exchange>();
-  Raw old_relay(serve(exchange));
+  RawClient old_relay(serve(exchange));
   auto asks = old_frames("Ask."), replies = old_frames("Reply.");
   expect(asks.size() == 10 && replies.size() == 7, "fixtures are missing");
   for (size_t i = 0; i < asks.size(); ++i) {
--- a/test/net/http_server_test.cpp
+++ b/test/net/http_server_test.cpp
@@ -23,7 +23,7 @@
 void answers() {
   for (int to : {1, 3}) {
     Served v({}, echo(), 0, to);
-    Raw r(v.address);
+    RawClient r(v.address);
     same(r.ask(kGet, "GET /a "), "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 7\r\n\r\nGET /a ", "an answer");
     same(r.ask("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
          "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 8\r\n\r\n", "an answer to HEAD");
@@ -55,7 +55,7 @@
     r.ask("POST /big HTTP/1.1\r\nHost: h\r\nContent-Length: 300000\r\n\r\n" + big, "POST /big " + big);
     auto o = r.ask("GET /a HTTP/1.0\r\n\r\n");
     expect(r.ended && o.find("Connection: close") != o.npos, "an HTTP/1.0 connection was kept open: " + o);
-    Raw k(v.address);
+    RawClient k(v.address);
     o = k.ask("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "GET /a ");
     expect(o.find("Connection: keep-alive") != o.npos,
            "an HTTP/1.0 request with Connection: keep-alive was answered: " + o);
@@ -70,7 +70,7 @@
         "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
         "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "GET x HTTP/1.1\r\nHost: h\r\n\r\n",
         "nonsense\r\n\r\n", "GET / HTTP/1.1\r\nHo st: h\r\n\r\n"}) {
-    Raw r(v.address);
+    RawClient r(v.address);
     auto a = r.ask(q + kGet);
     expect(a.starts_with("HTTP/1.1 400") && r.ended && a.find("HTTP/1.1 ", 1) == a.npos,
            q + " was answered " + a);
@@ -83,7 +83,7 @@
   l.body_bytes = 1000;
   Served v(l, echo());
   auto status = [&](const std::string& q) {
-    Raw r(v.address);
+    RawClient r(v.address);
     auto a = r.ask(q);
     expect(r.ended && a.find("Connection: close") != a.npos, "the connection was not closed: " + a);
     return a.substr(9, 3);
@@ -96,11 +96,11 @@
   same(status("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n" +
               std::string(1001, 'x')),
        "413", "a long body in chunks");
-  Raw r(v.address);
+  RawClient r(v.address);
   r.ask("POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n" + std::string(1000, 'x'), "xxx");
   l.head_bytes = 2000;
   v.s.set_limits(l);
-  Raw after(v.address);
+  RawClient after(v.address);
   after.ask("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x') + "\r\n\r\n", "GET / ");
 }
 
@@ -109,7 +109,7 @@
   l.idle_timeout = 200ms;
   l.head_timeout = l.body_timeout = l.write_timeout = 200ms;
   Served v(l, echo());
-  Raw idle(v.address), head(v.address), body(v.address), kept(v.address);
+  RawClient idle(v.address), head(v.address), body(v.address), kept(v.address);
   kept.ask(kGet, "GET /a ");
   head.send("GET / HT");
   body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nx");
@@ -123,12 +123,12 @@
   net::HttpLimits l;
   l.all_bodies_bytes = 1500;
   Served v(l, echo());
-  Raw a(v.address);
+  RawClient a(v.address);
   a.send("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n");
   std::string q = "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 501\r\n\r\n" + std::string(501, 'x'), s;
   until(
       [&] {
-        Raw b(v.address);
+        RawClient b(v.address);
         b.send(q);
         s = b.read("\r\n\r\n");
         return s.starts_with("HTTP/1.1 503");
@@ -136,19 +136,19 @@
       "a body beyond the budget is rejected");
   expect(s.find("Connection: close") != s.npos, "no Connection: close: " + s);
   expect(s.find("Retry-After: 1\r\n") != s.npos, "no Retry-After: " + s);
-  Raw c(v.address);
+  RawClient c(v.address);
   s = c.ask(
       "POST /3 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1f5\r\n" + std::string(501, 'x'),
       "\r\n\r\n");
   expect(s.starts_with("HTTP/1.1 503"), "a chunked body beyond the budget: " + s);
   a.ask(std::string(1000, 'y'), "yyy");
-  Raw d(v.address);
+  RawClient d(v.address);
   expect(d.ask(q, "POST /2 x").starts_with("HTTP/1.1 200"), "the budget was not released");
 }
 
 void ends() {
   Served v({}, echo());
-  Raw a(v.address), b(v.address), fresh(v.address), half(v.address);
+  RawClient a(v.address), b(v.address), fresh(v.address), half(v.address);
   a.ask(kGet, "GET /a ");
   b.ask(kGet, "GET /a ");
   half.send("GET /a HTTP/1.1\r\n");
@@ -169,13 +169,13 @@
   net::HttpLimits l;
   l.max_connections = 2;
   Served v(l, echo());
-  Raw a(v.address);
+  RawClient a(v.address);
   a.ask(kGet, "GET /a ");
-  Raw b(v.address);
+  RawClient b(v.address);
   b.ask(kGet, "GET /a ");
   net::SystemClock().sleep(2ms);
   b.ask(kGet, "GET /a ");
-  Raw c(v.address);
+  RawClient c(v.address);
   c.ask(kGet, "GET /a ");
   same(a.read(), "", "bytes sent before closing the longest idle connection");
   b.ask(kGet, "GET /a ");
@@ -185,7 +185,7 @@
 // While the server's thread is busy, a request arrives on another connection, which is then closed as idle:
 // the request must still be answered.
 void unread_request(const std::function<void(Served&)>& end_idle) {
-  std::unique_ptr<Raw> idle;
+  std::unique_ptr<RawClient> idle;
   std::unique_ptr<Served> server;
   net::HttpHandler handler = [&](base::Request& request) -> base::Response {
     if (request.target == "/busy") {
@@ -195,9 +195,9 @@
     return echo()(request);
   };
   server = std::make_unique<Served>(net::HttpLimits{}, handler);
-  idle = std::make_unique<Raw>(server->address);
+  idle = std::make_unique<RawClient>(server->address);
   idle->ask(kGet, "GET /a ");
-  Raw busy(server->address);
+  RawClient busy(server->address);
   busy.ask("GET /busy HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy ");
   expect(idle->read("GET /a ").starts_with("HTTP/1.1 200"), "a received request was dropped");
 }
@@ -209,7 +209,7 @@
 // A request arrives after its connection was selected to be closed as idle, and before the connection's fiber
 // has closed it.
 void ending_spares_what_came_meanwhile() {
-  std::unique_ptr<Raw> idle;
+  std::unique_ptr<RawClient> idle;
   std::unique_ptr<Served> server;
   server = std::make_unique<Served>(net::HttpLimits{}, [&](base::Request& request) -> base::Response {
     if (request.target == "/busy") {
@@ -218,9 +218,9 @@
     }
     return echo()(request);
   });
-  idle = std::make_unique<Raw>(server->address);
+  idle = std::make_unique<RawClient>(server->address);
   idle->ask(kGet, "GET /a ");
-  Raw busy(server->address);
+  RawClient busy(server->address);
   busy.ask("GET /busy HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy ");
   const auto last = idle->read();
   expect(last.starts_with("HTTP/1.1 200"), "a request received meanwhile was dropped");
@@ -246,7 +246,7 @@
   });
   for (int i = 0; i < kRequests; ++i)
     pool().spawn([&, i] {
-      Raw client(server.address);
+      RawClient client(server.address);
       client.send(head);
       net::SystemClock().sleep(Duration(40 + i % 30));
       client.send(std::string(kBodyBytes, 'x'));
@@ -278,7 +278,7 @@
   int left = kRequests;
   for (int i = 0; i < kRequests; ++i)
     pool().spawn([&] {
-      Raw client(server.address);
+      RawClient client(server.address);
       client.send(kGet);
       answered += client.read("GET /a ").ends_with("GET /a ");
       --left;
@@ -294,7 +294,7 @@
   net::HttpLimits limits;
   limits.idle_timeout = 400ms;
   Served v(limits, echo());
-  Raw a(v.address);
+  RawClient a(v.address);
   a.ask(kGet, "GET /a ");
   net::SystemClock().sleep(100ms);
   limits.idle_timeout = 50ms;  // the client relies on the previous limit
@@ -315,10 +315,10 @@
     net::SystemClock().sleep(50ms);
     return echo()(request);
   });
-  Raw a(server->address);
+  RawClient a(server->address);
   a.send(kGet);
   until([&] { return server->s.running_requests() == 1; }, "the request runs");
-  Raw b(server->address);
+  RawClient b(server->address);
   net::SystemClock().sleep(20ms);
   auto last = a.read();
   expect(a.ended && last.find("Connection: close") != last.npos,
@@ -330,7 +330,7 @@
   net::HttpLimits l;
   l.write_timeout = 200ms;
   Served v(l, [](base::Request&) -> base::Response { return {200, {}, std::string(64 << 20, 'x')}; });
-  Raw a(v.address);
+  RawClient a(v.address);
   a.send(kGet);
   until([&] { return v.s.running_requests() == 1; }, "the request runs");
   until([&] { return v.s.open_connections() == 0 && v.s.running_requests() == 0; },
@@ -341,7 +341,7 @@
   Served v({}, [](base::Request& request) -> base::Response {
     return {200, {}, base::header(request.headers, "X") + "!" + request.body};
   });
-  Raw r(v.address);
+  RawClient r(v.address);
   auto a =
       r.ask("POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: late\r\n\r\n",
             "!a");
@@ -362,7 +362,7 @@
     taken.pop_back();
   }
   {
-    Raw r(v.address);
+    RawClient r(v.address);
     r.send(kGet);
     net::SystemClock().sleep(5ms);
     for (int fd : taken) ::close(fd);
@@ -385,7 +385,7 @@
     });
   }).detach();
   until([&] { return up.load(); }, "the lone thread runs");
-  Raw r(address);
+  RawClient r(address);
   for (int i = 0; i < 50; ++i) r.ask(kGet, "GET /a ");
 }
 }  // namespace
--- a/test/net/net_cases.hpp
+++ b/test/net/net_cases.hpp
@@ -21,14 +21,14 @@
 }
 
 // A raw client: sends bytes, and reads until `mark` or the end of the stream.
-struct Raw {
+struct RawClient {
   std::shared_ptr<net::Connection> connection;
   bool ended = false;
-  explicit Raw(const std::string& address)
+  explicit RawClient(const std::string& address)
       : connection(net::Connection::connect(address, std::chrono::steady_clock::now() + 10s)) {
     expect(connection != nullptr, "no connection to " + address);
   }
-  ~Raw() { connection->close(); }
+  ~RawClient() { connection->close(); }
   void send(std::string_view b) { connection->write(b); }
   std::string read(std::string_view mark = {}) {
     net::Timer a;
