--- a/test/net/client_bytes_test.cpp
+++ b/test/net/client_bytes_test.cpp
@@ -44,7 +44,7 @@
     for (auto& request : {kByLength, kInChunks, kBare}) {
       Counted counted;
       {
-        Served server(quick(), counted.handler());
+        TestServer server(quick(), counted.handler());
         std::vector<std::unique_ptr<RawClient>> clients;
         for (size_t at = 0; at < request.size(); ++at) {
           clients.push_back(std::make_unique<RawClient>(server.address));
@@ -65,7 +65,7 @@
 // Three pipelined requests, split into two segments at any byte.
 void split() {
   Counted counted;
-  Served server({}, counted.handler());
+  TestServer server({}, counted.handler());
   auto stream = kByLength + kInChunks + kBare;
   for (size_t at = 0; at <= stream.size(); ++at) {
     RawClient client(server.address);
@@ -86,7 +86,7 @@
 void pipelined_cut() {
   for (size_t at = 0; at < kInChunks.size(); ++at) {
     Counted counted;
-    Served server(quick(), counted.handler());
+    TestServer server(quick(), counted.handler());
     RawClient client(server.address);
     client.send(kByLength + kInChunks.substr(0, at));
     client.connection->shutdown_send();
@@ -101,7 +101,7 @@
   for (auto how : {End::close, End::reset}) {
     auto go = pool().condition();
     int slow = 0, told = 0;
-    Served server({}, [&](base::Request& request) -> base::Response {
+    TestServer server({}, [&](base::Request& request) -> base::Response {
       if (request.target == "/slow") {
         ++slow;
         go->wait(10s);
@@ -134,7 +134,9 @@
   net::HttpLimits limits;
   limits.write_timeout = 200ms;
   constexpr size_t kLong = 32 << 20;
-  Served server(limits, [](base::Request&) -> base::Response { return {200, {}, std::string(kLong, 'x')}; });
+  TestServer server(limits, [](base::Request&) -> base::Response {
+    return {200, {}, std::string(kLong, 'x')};
+  });
   RawClient client(server.address);
   client.send(kBare);
   until([&] { return server.s.running_requests() == 1; }, "the request runs");
--- a/test/net/client_gone_test.cpp
+++ b/test/net/client_gone_test.cpp
@@ -13,7 +13,7 @@
 /// A relay behind its own HTTP server, as clients reach it.
 struct Front {
   Relay relay;
-  Served server;
+  TestServer server;
 
   explicit Front(const std::string& backend, const std::string& shield = {})
       : relay(backend, shield), server({}, [this](base::Request& request) { return relay.get(request); }) {}
--- a/test/net/http_server_test.cpp
+++ b/test/net/http_server_test.cpp
@@ -22,7 +22,7 @@
 
 void answers() {
   for (int to : {1, 3}) {
-    Served v({}, echo(), 0, to);
+    TestServer v({}, echo(), 0, to);
     RawClient r(v.address);
     same(r.ask(kGet, "GET /a "), "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 7\r\n\r\nGET /a ", "an answer");
     same(r.ask("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
@@ -63,7 +63,7 @@
 }
 
 void framing() {
-  Served v({}, echo());
+  TestServer v({}, echo());
   for (std::string q :
        {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
@@ -81,7 +81,7 @@
   net::HttpLimits l;
   l.head_bytes = 500;
   l.body_bytes = 1000;
-  Served v(l, echo());
+  TestServer v(l, echo());
   auto status = [&](const std::string& q) {
     RawClient r(v.address);
     auto a = r.ask(q);
@@ -108,7 +108,7 @@
   net::HttpLimits l;
   l.idle_timeout = 200ms;
   l.head_timeout = l.body_timeout = l.write_timeout = 200ms;
-  Served v(l, echo());
+  TestServer v(l, echo());
   RawClient idle(v.address), head(v.address), body(v.address), kept(v.address);
   kept.ask(kGet, "GET /a ");
   head.send("GET / HT");
@@ -122,7 +122,7 @@
 void budget() {
   net::HttpLimits l;
   l.all_bodies_bytes = 1500;
-  Served v(l, echo());
+  TestServer v(l, echo());
   RawClient a(v.address);
   a.send("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n");
   std::string q = "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 501\r\n\r\n" + std::string(501, 'x'), s;
@@ -147,7 +147,7 @@
 }
 
 void ends() {
-  Served v({}, echo());
+  TestServer v({}, echo());
   RawClient a(v.address), b(v.address), fresh(v.address), half(v.address);
   a.ask(kGet, "GET /a ");
   b.ask(kGet, "GET /a ");
@@ -168,7 +168,7 @@
 void crowded() {
   net::HttpLimits l;
   l.max_connections = 2;
-  Served v(l, echo());
+  TestServer v(l, echo());
   RawClient a(v.address);
   a.ask(kGet, "GET /a ");
   RawClient b(v.address);
@@ -184,9 +184,9 @@
 
 // While the server's thread is busy, a request arrives on another connection, which is then closed as idle:
 // the request must still be answered.
-void unread_request(const std::function<void(Served&)>& end_idle) {
+void unread_request(const std::function<void(TestServer&)>& end_idle) {
   std::unique_ptr<RawClient> idle;
-  std::unique_ptr<Served> server;
+  std::unique_ptr<TestServer> server;
   net::HttpHandler handler = [&](base::Request& request) -> base::Response {
     if (request.target == "/busy") {
       idle->send(kGet);
@@ -194,7 +194,7 @@
     }
     return echo()(request);
   };
-  server = std::make_unique<Served>(net::HttpLimits{}, handler);
+  server = std::make_unique<TestServer>(net::HttpLimits{}, handler);
   idle = std::make_unique<RawClient>(server->address);
   idle->ask(kGet, "GET /a ");
   RawClient busy(server->address);
@@ -203,15 +203,15 @@
 }
 
 void closing_spares_what_came() {
-  unread_request([](Served& server) { server.s.close_idle(); });
+  unread_request([](TestServer& server) { server.s.close_idle(); });
 }
 
 // A request arrives after its connection was selected to be closed as idle, and before the connection's fiber
 // has closed it.
 void ending_spares_what_came_meanwhile() {
   std::unique_ptr<RawClient> idle;
-  std::unique_ptr<Served> server;
-  server = std::make_unique<Served>(net::HttpLimits{}, [&](base::Request& request) -> base::Response {
+  std::unique_ptr<TestServer> server;
+  server = std::make_unique<TestServer>(net::HttpLimits{}, [&](base::Request& request) -> base::Response {
     if (request.target == "/busy") {
       server->s.close_idle();  // takes effect in the event loop's next iteration
       boost::asio::post(pool().io(0), [&] { idle->send(kGet); });
@@ -240,7 +240,7 @@
   int left = kRequests;
   net::HttpLimits limits;
   limits.body_timeout = 50ms;
-  Served server(limits, [&](base::Request&) -> base::Response {
+  TestServer server(limits, [&](base::Request&) -> base::Response {
     ++handled;
     return {200, {}, "done"};
   });
@@ -263,7 +263,7 @@
   constexpr int kRequests = 200;
   int handled = 0, answered = 0;
   bool done = false, stopped = false;
-  Served server({}, [&](base::Request& request) -> base::Response {
+  TestServer server({}, [&](base::Request& request) -> base::Response {
     ++handled;
     return echo()(request);
   });
@@ -293,7 +293,7 @@
 void shorter_idle_limit_spares_what_rests() {
   net::HttpLimits limits;
   limits.idle_timeout = 400ms;
-  Served v(limits, echo());
+  TestServer v(limits, echo());
   RawClient a(v.address);
   a.ask(kGet, "GET /a ");
   net::SystemClock().sleep(100ms);
@@ -310,8 +310,8 @@
 void crowded_answers_are_the_last() {
   net::HttpLimits limits;
   limits.max_connections = 1;
-  std::unique_ptr<Served> server;
-  server = std::make_unique<Served>(limits, [](base::Request& request) -> base::Response {
+  std::unique_ptr<TestServer> server;
+  server = std::make_unique<TestServer>(limits, [](base::Request& request) -> base::Response {
     net::SystemClock().sleep(50ms);
     return echo()(request);
   });
@@ -329,7 +329,7 @@
 void unread() {
   net::HttpLimits l;
   l.write_timeout = 200ms;
-  Served v(l, [](base::Request&) -> base::Response { return {200, {}, std::string(64 << 20, 'x')}; });
+  TestServer v(l, [](base::Request&) -> base::Response { return {200, {}, std::string(64 << 20, 'x')}; });
   RawClient a(v.address);
   a.send(kGet);
   until([&] { return v.s.running_requests() == 1; }, "the request runs");
@@ -338,7 +338,7 @@
 }
 
 void trailers() {
-  Served v({}, [](base::Request& request) -> base::Response {
+  TestServer v({}, [](base::Request& request) -> base::Response {
     return {200, {}, base::header(request.headers, "X") + "!" + request.body};
   });
   RawClient r(v.address);
@@ -350,7 +350,7 @@
 
 // No descriptor is free when a connection arrives; it is accepted once there is one.
 void no_descriptors() {
-  Served v({}, echo());
+  TestServer v({}, echo());
   rlimit was{};
   ::getrlimit(RLIMIT_NOFILE, &was);
   rlimit few{256, was.rlim_max};
--- a/test/net/net_cases.hpp
+++ b/test/net/net_cases.hpp
@@ -111,17 +111,17 @@
 };
 
 // A server on a free address, on threads [from, to) of the pool.
-struct Served {
+struct TestServer {
   net::HttpServer s;
   std::string address;
-  explicit Served(net::HttpLimits l, net::HttpHandler h, int from = 0, int to = 1)
+  explicit TestServer(net::HttpLimits l, net::HttpHandler h, int from = 0, int to = 1)
       : s(pool(), "test", l, std::move(h)) {
     for (int port = 24100 + static_cast<int>(::getpid() % 500) * 16;; ++port) {
       address = fmt::format("127.0.0.1:{}", port);
       if (!s.listen(address, from, to)) break;
     }
   }
-  ~Served() {
+  ~TestServer() {
     s.close();
     s.close_idle();
     until([this] { return s.open_connections() == 0; }, "all connections end");
