--- a/test/net/client_bytes_test.cpp
+++ b/test/net/client_bytes_test.cpp
@@ -139,8 +139,8 @@
   });
   RawClient client(server.address);
   client.send(kBare);
-  until([&] { return server.s.running_requests() == 1; }, "the request runs");
-  until([&] { return server.s.open_connections() == 0; }, "the connection is closed");
+  until([&] { return server.http_server.running_requests() == 1; }, "the request runs");
+  until([&] { return server.http_server.open_connections() == 0; }, "the connection is closed");
   auto told = client.read();
   expect(told.find(fmt::format("Content-Length: {}\r\n", kLong)) != told.npos,
          "the response has no Content-Length");
--- a/test/net/client_gone_test.cpp
+++ b/test/net/client_gone_test.cpp
@@ -98,10 +98,11 @@
   until([&] { return backend.has("first"); }, "the first runs");
   auto repeatable = front.client("GET", "/narrow/y", "repeatable");
   auto unsafe = front.client("POST", "/narrow-once/y", "unsafe");
-  until([&] { return front.server.s.running_requests() == 3; }, "two requests wait");
+  until([&] { return front.server.http_server.running_requests() == 3; }, "two requests wait");
   repeatable.reset();
   unsafe.reset();
-  expect_at_once([&] { return front.server.s.running_requests() == 1; }, "the end of the waiting requests");
+  expect_at_once([&] { return front.server.http_server.running_requests() == 1; },
+                 "the end of the waiting requests");
   backend.release("first");
   wait_a_while();
   expect(!backend.has("repeatable") && !backend.has("unsafe"), "a waiting request was sent");
@@ -113,9 +114,10 @@
   HoldingBackend backend;
   Front front(backend.address());
   auto client = front.client("GET", "/paced/x", "a");
-  until([&] { return front.server.s.running_requests() == 1; }, "the request waits for the rate limit");
+  until([&] { return front.server.http_server.running_requests() == 1; },
+        "the request waits for the rate limit");
   client.reset();
-  expect_at_once([&] { return front.server.s.running_requests() == 0; }, "the end of the wait");
+  expect_at_once([&] { return front.server.http_server.running_requests() == 0; }, "the end of the wait");
   net::SystemClock().sleep(kPacedInterval);
   expect(!backend.has("a"), "the request was sent");
 }
@@ -138,7 +140,7 @@
   auto first = front.client("GET", "/kept/x", "first");
   until([&] { return backend.has("first"); }, "the fetch runs");
   auto second = front.client("GET", "/kept/x", "second");
-  until([&] { return front.server.s.running_requests() == 2; }, "another waits for it");
+  until([&] { return front.server.http_server.running_requests() == 2; }, "another waits for it");
   return {std::move(first), std::move(second)};
 }
 
@@ -180,7 +182,7 @@
   auto client = front.client("GET", "/kept/x", "a");
   until([&] { return asked == 1; }, "the shield is called");
   client.reset();
-  expect_at_once([&] { return front.server.s.running_requests() == 0; },
+  expect_at_once([&] { return front.server.http_server.running_requests() == 0; },
                  "the end of the wait for the shield");
   may_answer->notify();
   until([&] { return answered == 1; }, "the shield ends");
--- a/test/net/http_server_test.cpp
+++ b/test/net/http_server_test.cpp
@@ -99,7 +99,7 @@
   RawClient r(v.address);
   r.ask("POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n" + std::string(1000, 'x'), "xxx");
   l.head_bytes = 2000;
-  v.s.set_limits(l);
+  v.http_server.set_limits(l);
   RawClient after(v.address);
   after.ask("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x') + "\r\n\r\n", "GET / ");
 }
@@ -152,13 +152,13 @@
   a.ask(kGet, "GET /a ");
   b.ask(kGet, "GET /a ");
   half.send("GET /a HTTP/1.1\r\n");
-  until([&] { return v.s.open_connections() == 4; }, "four connections");
+  until([&] { return v.http_server.open_connections() == 4; }, "four connections");
   net::SystemClock().sleep(5ms);  // until the incomplete head has been read
-  v.s.drain();
+  v.http_server.drain();
   auto last = a.ask(kGet);
   expect(a.ended && last.find("Connection: close") != last.npos,
          "the connection was not closed after the response: " + last);
-  v.s.close_idle();
+  v.http_server.close_idle();
   same(b.read(), "", "bytes sent before closing an idle connection");
   same(fresh.read(), "", "bytes sent before closing an unused connection");
   auto h = half.ask("Host: h\r\n\r\n");
@@ -179,7 +179,7 @@
   c.ask(kGet, "GET /a ");
   same(a.read(), "", "bytes sent before closing the longest idle connection");
   b.ask(kGet, "GET /a ");
-  expect(v.s.open_connections() <= 2, "more connections than allowed");
+  expect(v.http_server.open_connections() <= 2, "more connections than allowed");
 }
 
 // While the server's thread is busy, a request arrives on another connection, which is then closed as idle:
@@ -203,7 +203,7 @@
 }
 
 void closing_spares_what_came() {
-  unread_request([](TestServer& server) { server.s.close_idle(); });
+  unread_request([](TestServer& server) { server.http_server.close_idle(); });
 }
 
 // A request arrives after its connection was selected to be closed as idle, and before the connection's fiber
@@ -213,7 +213,7 @@
   std::unique_ptr<TestServer> server;
   server = std::make_unique<TestServer>(net::HttpLimits{}, [&](base::Request& request) -> base::Response {
     if (request.target == "/busy") {
-      server->s.close_idle();  // takes effect in the event loop's next iteration
+      server->http_server.close_idle();  // takes effect in the event loop's next iteration
       boost::asio::post(pool().io(0), [&] { idle->send(kGet); });
     }
     return echo()(request);
@@ -268,7 +268,7 @@
     return echo()(request);
   });
   std::function<void()> end_idle = [&] {
-    server.s.close_idle();
+    server.http_server.close_idle();
     if (done)
       stopped = true;
     else
@@ -298,7 +298,7 @@
   a.ask(kGet, "GET /a ");
   net::SystemClock().sleep(100ms);
   limits.idle_timeout = 50ms;  // the client relies on the previous limit
-  v.s.set_limits(limits);
+  v.http_server.set_limits(limits);
   net::SystemClock().sleep(200ms);
   expect(a.ask(kGet, "GET /a ").starts_with("HTTP/1.1 200"),
          "the previous limit was not applied to the idle connection");
@@ -317,7 +317,7 @@
   });
   RawClient a(server->address);
   a.send(kGet);
-  until([&] { return server->s.running_requests() == 1; }, "the request runs");
+  until([&] { return server->http_server.running_requests() == 1; }, "the request runs");
   RawClient b(server->address);
   net::SystemClock().sleep(20ms);
   auto last = a.read();
@@ -332,8 +332,8 @@
   TestServer v(l, [](base::Request&) -> base::Response { return {200, {}, std::string(64 << 20, 'x')}; });
   RawClient a(v.address);
   a.send(kGet);
-  until([&] { return v.s.running_requests() == 1; }, "the request runs");
-  until([&] { return v.s.open_connections() == 0 && v.s.running_requests() == 0; },
+  until([&] { return v.http_server.running_requests() == 1; }, "the request runs");
+  until([&] { return v.http_server.open_connections() == 0 && v.s.running_requests() == 0; },
         "an unread response is abandoned");
 }
 
--- a/test/net/net_cases.hpp
+++ b/test/net/net_cases.hpp
@@ -112,19 +112,19 @@
 
 // A server on a free address, on threads [from, to) of the pool.
 struct TestServer {
-  net::HttpServer s;
+  net::HttpServer http_server;
   std::string address;
   explicit TestServer(net::HttpLimits l, net::HttpHandler h, int from = 0, int to = 1)
-      : s(pool(), "test", l, std::move(h)) {
+      : http_server(pool(), "test", l, std::move(h)) {
     for (int port = 24100 + static_cast<int>(::getpid() % 500) * 16;; ++port) {
       address = fmt::format("127.0.0.1:{}", port);
-      if (!s.listen(address, from, to)) break;
+      if (!http_server.listen(address, from, to)) break;
     }
   }
   ~TestServer() {
-    s.close();
-    s.close_idle();
-    until([this] { return s.open_connections() == 0; }, "all connections end");
+    http_server.close();
+    http_server.close_idle();
+    until([this] { return http_server.open_connections() == 0; }, "all connections end");
   }
 };
 
