--- a/test/net/soak_test.cpp
+++ b/test/net/soak_test.cpp
@@ -11,9 +11,9 @@
 constexpr int kPatienceMs = 150;
 
 // Randomly chooses how a request is answered, and counts runs by Attempt-Id.
-class Drawn {
+class RandomBackend {
  public:
-  explicit Drawn(unsigned seed) : random_(seed) {}
+  explicit RandomBackend(unsigned seed) : random_(seed) {}
   int runs(const std::string& id) const {
     auto found = runs_.find(id);
     return found == runs_.end() ? 0 : found->second;
@@ -70,8 +70,8 @@
 }
 
 void soak(unsigned seed) {
-  Drawn drawn(seed);
-  ScriptedBackend backend([&](int, int, const std::string& head) { return drawn.answer(head); });
+  RandomBackend random_backend(seed);
+  ScriptedBackend backend([&](int, int, const std::string& head) { return random_backend.answer(head); });
   Relay relay(backend.addr());
   int left = kClients, good = 0;
   std::string first;
@@ -82,7 +82,7 @@
         auto id = fmt::format("{}-{}", client, i);
         auto answer = relay.get(once ? "/once/x" : "/any/x", id, kPatienceMs);
         good += answer.status == 200;
-        auto what = wrong(answer, id, once, drawn.runs(id));
+        auto what = wrong(answer, id, once, random_backend.runs(id));
         if (!what.empty() && first.empty()) first = id + ": " + what;
       }
       --left;
