--- a/test/net/main.cpp
+++ b/test/net/main.cpp
@@ -22,7 +22,7 @@
 net::SystemClock clk;
 
 // Completes TCP handshakes and never responds.
-struct Mute {
+struct UnresponsiveServer {
   boost::asio::ip::tcp::acceptor acc{pool.io(0), {boost::asio::ip::make_address("127.0.0.1"), 0}};
   std::string addr() { return fmt::format("127.0.0.1:{}", acc.local_endpoint().port()); }
 };
@@ -60,7 +60,7 @@
 }
 
 void silent() {
-  Mute m;
+  UnresponsiveServer m;
   net::HttpClient http(1 << 20);
   net::PeerClient net;
   auto from = clk.now();
@@ -82,7 +82,7 @@
 
 // A server that closes each connection after its response, without announcing it.
 void closed_behind() {
-  Mute m;
+  UnresponsiveServer m;
   auto served = std::make_shared<int>(0);
   pool.spawn([&m, served] {
     for (;;) {
@@ -115,7 +115,7 @@
   for (std::string a :
        {"HTTP/1.1 200 OK\r\n\r\nuntil I close", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", "nonsense\r\n\r\n"}) {
-    Mute m;
+    UnresponsiveServer m;
     pool.spawn([&m, a] {
       boost::asio::ip::tcp::socket s(pool.io(0));
       auto [e] = net::await<>([&](auto h) { m.acc.async_accept(s, std::move(h)); });
