--- a/test/net/main.cpp
+++ b/test/net/main.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 net::EventLoopPool& pool = test::pool();
-net::SystemClock clk;
+net::SystemClock system_clock;
 
 // Completes TCP handshakes and never responds.
 struct UnresponsiveServer {
@@ -27,11 +27,11 @@
   std::string addr() { return fmt::format("127.0.0.1:{}", acc.local_endpoint().port()); }
 };
 
-void spots() {
+void conditions() {
   auto s = pool.condition();
-  auto from = clk.now();
+  auto from = system_clock.now();
   test::expect(!s->wait(30ms), "a condition returned true without a notify");
-  test::expect(clk.now() - from >= 30ms, "the wait ended before its deadline");
+  test::expect(system_clock.now() - from >= 30ms, "the wait ended before its deadline");
   s->notify();
   test::expect(s->wait(60s), "a notify before the wait was lost");
   pool.spawn_on(2, [s] { s->notify(); });
@@ -54,7 +54,7 @@
       s->wait(60s);
     }
   });
-  clk.sleep(20ms);
+  system_clock.sleep(20ms);
   *stop = true;
   test::expect(*turns > 10, "the busy fiber did not run");
 }
@@ -63,13 +63,13 @@
   UnresponsiveServer m;
   net::HttpClient http(1 << 20);
   net::PeerClient net;
-  auto from = clk.now();
+  auto from = system_clock.now();
   auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 100ms);
   test::expect(std::get<base::AttemptError>(r) == base::AttemptError::unknown,
                "bytes were sent, but the outcome was not unknown");
   auto p = net.call(m.addr(), pb::PeerRequest(), 100ms);
   test::expect(std::get<base::PeerError>(p) == base::PeerError::timed_out, "a silent peer did not time out");
-  test::expect(clk.now() - from < 20s, "the timeouts were not applied");
+  test::expect(system_clock.now() - from < 20s, "the timeouts were not applied");
   auto gone = m.addr();
   m.acc.close();
   r = http.send(gone, {"", "POST", "/", "x", {}}, 1s);
@@ -103,11 +103,11 @@
     auto r = http.send(m.addr(), {"", "GET", "/", "", {}}, 5s);
     test::expect(std::holds_alternative<base::Response>(r),
                  fmt::format("request {} met a closed connection", i));
-    clk.sleep(2ms);  // for the close to arrive
+    system_clock.sleep(2ms);  // for the close to arrive
   }
   test::same(*served, 20, "requests served");
   m.acc.close();
-  clk.sleep(1ms);
+  system_clock.sleep(1ms);
 }
 
 // Responses without a body length, truncated or malformed, are not complete.
@@ -129,7 +129,7 @@
     test::expect(std::holds_alternative<base::AttemptError>(r),
                  "accepted as a complete response: " + a.substr(0, 60));
     m.acc.close();
-    clk.sleep(1ms);
+    system_clock.sleep(1ms);
   }
 }
 }  // namespace
@@ -139,7 +139,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   pool.run([only] {
     std::vector<test::Case> all = {
-        {"wire: conditions are notified across threads and keep their deadlines", spots},
+        {"wire: conditions are notified across threads and keep their deadlines", conditions},
         {"wire: a busy fiber does not starve timers", fairness},
         {"wire: unresponsive peers time out with the correct error", silent},
         {"wire: an idle connection that the peer closed is not reused", closed_behind},
