--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -13,7 +13,8 @@
 bool promises_not_run(int status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 
 // Checks that a response is allowed, whatever fault occurred.
-void judge(const base::Response& answer, const std::string& id, const ByteBackend& backend, bool safe) {
+void check_response(const base::Response& answer, const std::string& id, const ByteBackend& backend,
+                    bool safe) {
   bool named_other = base::header(answer.headers, "Attempt-Id") != id;
   expect(!named_other, "the response has another request's Attempt-Id");
   if (answer.status < 300) {
@@ -52,8 +53,8 @@
   // Late bytes may arrive where the next response is expected, so the next request's outcome may be unknown.
   bool in_doubt = !one.plan.later.empty() && next.status == 502;
   if (!in_doubt) same(next.status, 200, "the status of the next client's response");
-  judge(next, "follower", backend, false);
-  judge(answer, one.plan.victim, backend, one.safe);
+  check_response(next, "follower", backend, false);
+  check_response(answer, one.plan.victim, backend, one.safe);
   return answer;
 }
 
