--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -40,7 +40,7 @@
 };
 
 // Sends the request that meets the fault, then another client's request to the same relay.
-base::Response play_day(const ClientAttempt& one) {
+base::Response run_case(const ClientAttempt& one) {
   ByteBackend backend(one.plan);
   Relay relay(backend.address());
   if (one.kept)
@@ -59,7 +59,7 @@
 }
 
 // Runs all cases, kFibers of them concurrently, and reports the first that failed.
-void play_all(const std::vector<ClientAttempt>& all, const std::function<void(const ClientAttempt&)>& one) {
+void run_cases(const std::vector<ClientAttempt>& all, const std::function<void(const ClientAttempt&)>& one) {
   size_t next = 0;
   int running = kFibers, failures = 0;
   std::string first;
@@ -108,8 +108,8 @@
   constexpr size_t kDigits = 4;  // by which the Time-Remaining value may be shorter
   auto shortest = request_bytes() - kDigits;
   for (auto trouble : {Trouble::close, Trouble::reset, Trouble::silence}) {
-    play_all(cuts(receiving, trouble), [&](const ClientAttempt& one) {
-      auto answer = play_day(one);
+    run_cases(cuts(receiving, trouble), [&](const ClientAttempt& one) {
+      auto answer = run_case(one);
       bool lost = one.plan.at < (receiving ? shortest : good_answer("victim", one.plan.chunked).size());
       if (!lost) return;
       if (one.safe && trouble != Trouble::silence)
@@ -160,7 +160,7 @@
 }
 
 void extras() {
-  play_all(extra_answers(), [](const ClientAttempt& one) { play_day(one); });
+  run_cases(extra_answers(), [](const ClientAttempt& one) { run_case(one); });
 }
 
 // A connection that carried another request's response is closed after this request.
