--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -28,7 +28,7 @@
     same(backend.whole(id), 0, "runs of a request reported as not executed");
 }
 
-struct ClientAttempt {
+struct FaultCase {
   Plan plan;
   bool safe = false;
   bool kept = false;  // the connection has carried an earlier request
@@ -40,7 +40,7 @@
 };
 
 // Sends the request that meets the fault, then another client's request to the same relay.
-base::Response run_case(const ClientAttempt& one) {
+base::Response run_case(const FaultCase& one) {
   ByteBackend backend(one.plan);
   Relay relay(backend.address());
   if (one.kept)
@@ -59,7 +59,7 @@
 }
 
 // Runs all cases, kFibers of them concurrently, and reports the first that failed.
-void run_cases(const std::vector<ClientAttempt>& all, const std::function<void(const ClientAttempt&)>& one) {
+void run_cases(const std::vector<FaultCase>& all, const std::function<void(const FaultCase&)>& one) {
   size_t next = 0;
   int running = kFibers, failures = 0;
   std::string first;
@@ -87,8 +87,8 @@
   return backend.request_bytes();
 }
 
-std::vector<ClientAttempt> cuts(bool receiving, Trouble trouble) {
-  std::vector<ClientAttempt> all;
+std::vector<FaultCase> cuts(bool receiving, Trouble trouble) {
+  std::vector<FaultCase> all;
   for (bool chunked : {false, true}) {
     if (receiving && chunked) continue;
     auto bytes = receiving ? request_bytes() : good_answer("victim", chunked).size();
@@ -108,7 +108,7 @@
   constexpr size_t kDigits = 4;  // by which the Time-Remaining value may be shorter
   auto shortest = request_bytes() - kDigits;
   for (auto trouble : {Trouble::close, Trouble::reset, Trouble::silence}) {
-    run_cases(cuts(receiving, trouble), [&](const ClientAttempt& one) {
+    run_cases(cuts(receiving, trouble), [&](const FaultCase& one) {
       auto answer = run_case(one);
       bool lost = one.plan.at < (receiving ? shortest : good_answer("victim", one.plan.chunked).size());
       if (!lost) return;
@@ -121,8 +121,8 @@
 }
 
 // Unsolicited responses, at every position where they may occur.
-std::vector<ClientAttempt> extra_answers() {
-  std::vector<ClientAttempt> all;
+std::vector<FaultCase> extra_answers() {
+  std::vector<FaultCase> all;
   const std::string bare_decline = "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n";
   const std::string bare_error = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
   auto named = [](int status, const char* id) {
@@ -160,7 +160,7 @@
 }
 
 void extras() {
-  run_cases(extra_answers(), [](const ClientAttempt& one) { run_case(one); });
+  run_cases(extra_answers(), [](const FaultCase& one) { run_case(one); });
 }
 
 // A connection that carried another request's response is closed after this request.
