--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -10,7 +10,9 @@
 constexpr int kFibers = 24;      // cases run concurrently
 constexpr int kPatienceMs = 60;  // timeout of a client whose backend stops responding
 
-bool promises_not_run(int status) { return status == 408 || status == 421 || status == 429 || status == 503; }
+bool reports_not_executed(int status) {
+  return status == 408 || status == 421 || status == 429 || status == 503;
+}
 
 // Checks that a response is allowed, whatever fault occurred.
 void check_response(const base::Response& answer, const std::string& id, const ByteBackend& backend,
@@ -24,7 +26,7 @@
   }
   if (safe) return;
   expect(backend.whole(id) <= 1, fmt::format("the request ran {} times", backend.whole(id)));
-  if (promises_not_run(answer.status))
+  if (reports_not_executed(answer.status))
     same(backend.whole(id), 0, "runs of a request reported as not executed");
 }
 
@@ -245,7 +247,7 @@
       backend.thaw();
       net::SystemClock().sleep(100ms);
       same(backend.whole("victim"), 0, "runs of a request that was abandoned before it was sent completely");
-      if (promises_not_run(answer.status))
+      if (reports_not_executed(answer.status))
         expect(!backend.begun("victim"), "a request reported as not executed was partly sent");
     }
 }
