--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -46,12 +46,12 @@
   ByteBackend backend(one.plan);
   Relay relay(backend.address());
   if (one.kept)
-    same(relay.ask("warm-up", false, kPlentyMs).status, 200,
+    same(relay.post("warm-up", false, kPlentyMs).status, 200,
          "the status of the first request on the connection");
   backend.expect_victim();
   bool silent = one.plan.trouble == Trouble::silence;
-  auto answer = relay.ask(one.plan.victim, one.safe, silent ? kPatienceMs : kPlentyMs);
-  auto next = relay.ask("follower", false, kPlentyMs);
+  auto answer = relay.post(one.plan.victim, one.safe, silent ? kPatienceMs : kPlentyMs);
+  auto next = relay.post("follower", false, kPlentyMs);
   // Late bytes may arrive where the next response is expected, so the next request's outcome may be unknown.
   bool in_doubt = !one.plan.later.empty() && next.status == 502;
   if (!in_doubt) same(next.status, 200, "the status of the next client's response");
@@ -85,7 +85,7 @@
 size_t request_bytes() {
   ByteBackend backend(Plan{});
   Relay relay(backend.address());
-  relay.ask("victim", false, kPlentyMs);
+  relay.post("victim", false, kPlentyMs);
   return backend.request_bytes();
 }
 
@@ -173,11 +173,11 @@
     plan.*place = other;
     ByteBackend backend(plan);
     Relay relay(backend.address());
-    relay.ask("warm-up", true, kPlentyMs);
-    same(relay.held(backend.address()), 1, "open connections after a good response");
-    same(relay.ask("victim", true, kPlentyMs).status, 200,
+    relay.post("warm-up", true, kPlentyMs);
+    same(relay.connections_to(backend.address()), 1, "open connections after a good response");
+    same(relay.post("victim", true, kPlentyMs).status, 200,
          "a response with another request's response beside it");
-    until([&] { return relay.held(backend.address()) == 0; }, "its connection is closed");
+    until([&] { return relay.connections_to(backend.address()) == 0; }, "its connection is closed");
   }
 }
 
@@ -193,8 +193,8 @@
     return (connection == 0 || connection == 1 ? decline : std::string()) + good_answer(id, false);
   });
   Relay relay(backend.addr());
-  same(relay.ask("first", false, kPlentyMs).status, 503, "the status after both instances declined");
-  auto answer = relay.ask("second", false, kPlentyMs);
+  same(relay.post("first", false, kPlentyMs).status, 503, "the status after both instances declined");
+  auto answer = relay.post("second", false, kPlentyMs);
   same(answer.status, 200, "the status of a request that ran");
   same(answer.body, good_body("second"), "its body");
 }
@@ -206,7 +206,7 @@
       return fmt::format("HTTP/1.1 {} X\r\nContent-Length: 5\r\n\r\nwhose", status);
     });
     Relay relay(backend.addr());
-    auto answer = relay.ask("victim", false, kPlentyMs);
+    auto answer = relay.post("victim", false, kPlentyMs);
     same(answer.status, 502, fmt::format("the status after a {} without an Attempt-Id", status));
     expect(answer.body.find("whose") == answer.body.npos,
            "the body of a response without an Attempt-Id was passed on");
@@ -241,9 +241,9 @@
     for (size_t bytes : {size_t(512) << 10, size_t(1) << 20, size_t(2) << 20, size_t(12) << 20}) {
       ByteBackend backend(Plan{"none"});
       Relay relay(backend.address());
-      relay.ask("warm-up", true, kPlentyMs);
+      relay.post("warm-up", true, kPlentyMs);
       backend.freeze();
-      auto answer = relay.ask("victim", safe, kFrozenMs, std::string(bytes, 'b'));
+      auto answer = relay.post("victim", safe, kFrozenMs, std::string(bytes, 'b'));
       backend.thaw();
       net::SystemClock().sleep(100ms);
       same(backend.whole("victim"), 0, "runs of a request that was abandoned before it was sent completely");
--- a/test/net/node_under_test.hpp
+++ b/test/net/node_under_test.hpp
@@ -37,7 +37,7 @@
     traffic_.set_snapshot(table);
   }
 
-  base::Response ask(const std::string& id, bool safe, int patience_ms, std::string body = kBody) {
+  base::Response post(const std::string& id, bool safe, int patience_ms, std::string body = kBody) {
     base::Request request{"", "POST", safe ? "/any/x" : "/once/x", std::move(body), {}};
     request.headers = {
         {"Host", "h.example"}, {"Attempt-Id", id}, {"Time-Remaining", std::to_string(patience_ms)}};
@@ -55,7 +55,7 @@
   pb::ForwardResponse forward(const pb::ForwardRequest& request, const base::CancellationPtr& cancellation) {
     return traffic_.handle_forwarded(request, cancellation);
   }
-  int held(const std::string& backend) const { return origin_.connections_to(backend); }
+  int connections_to(const std::string& backend) const { return origin_.connections_to(backend); }
 
  private:
   static std::shared_ptr<const config::RoutingConfiguration> layout() {
