--- a/test/net/node_under_test.hpp
+++ b/test/net/node_under_test.hpp
@@ -15,10 +15,10 @@
 class Relay {
  public:
   explicit Relay(const std::string& backend, const std::string& shield = {})
-      : face_(platform::protocol_adapter()),
+      : adapter_(platform::protocol_adapter()),
         origin_(1 << 20),
-        ports_{clock_, random_, pool(), net_, origin_},
-        traffic_(ports_, *face_, "relay", "zone", [] { return true; }) {
+        ports_{clock_, random_, pool(), peer_client_, origin_},
+        handler_(ports_, *adapter_, "relay", "zone", [] { return true; }) {
     auto table = std::make_shared<proxy::RoutingSnapshot>();
     table->configuration = layout();
     table->configurations[table->configuration->name] = table->configuration;
@@ -34,16 +34,16 @@
       table->nodes = kNodesWithShields;
       table->shields = {{"shield", shield}};
     }
-    traffic_.set_snapshot(table);
+    handler_.set_snapshot(table);
   }
 
   base::Response post(const std::string& id, bool safe, int patience_ms, std::string body = kBody) {
     base::Request request{"", "POST", safe ? "/any/x" : "/once/x", std::move(body), {}};
     request.headers = {
         {"Host", "h.example"}, {"Attempt-Id", id}, {"Time-Remaining", std::to_string(patience_ms)}};
-    return traffic_.handle(request);
+    return handler_.handle(request);
   }
-  base::Response get(base::Request request) { return traffic_.handle(request); }
+  base::Response get(base::Request request) { return handler_.handle(request); }
   base::Response get(const std::string& target, const std::string& id, int patience_ms = kPlentyMs) {
     return get(
         {"",
@@ -53,7 +53,7 @@
          {{"Host", "h.example"}, {"Attempt-Id", id}, {"Time-Remaining", std::to_string(patience_ms)}}});
   }
   pb::ForwardResponse forward(const pb::ForwardRequest& request, const base::CancellationPtr& cancellation) {
-    return traffic_.handle_forwarded(request, cancellation);
+    return handler_.handle_forwarded(request, cancellation);
   }
   int connections_to(const std::string& backend) const { return origin_.connections_to(backend); }
 
@@ -75,11 +75,11 @@
 
   net::SystemClock clock_;
   net::SystemRandom random_;
-  net::PeerClient net_;
-  std::unique_ptr<proxy::ProtocolAdapter> face_;
+  net::PeerClient peer_client_;
+  std::unique_ptr<proxy::ProtocolAdapter> adapter_;
   net::HttpClient origin_;
   base::Ports ports_;
-  proxy::RequestHandler traffic_;
+  proxy::RequestHandler handler_;
 };
 
 }  // namespace dunlinwing::test
