--- a/test/net/client_bytes_test.cpp
+++ b/test/net/client_bytes_test.cpp
@@ -122,7 +122,7 @@
     until([&] { return told == 1; }, "the response to the client that disconnected");
     for (int i = 0; i < 8; ++i) {
       auto target = fmt::format("/{}", i);
-      auto answer = others[i]->ask(fmt::format("GET {} HTTP/1.1\r\nHost: h\r\n\r\n", target), "]");
+      auto answer = others[i]->exchange(fmt::format("GET {} HTTP/1.1\r\nHost: h\r\n\r\n", target), "]");
       same(answer, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[" + target + "]",
            "another client's response");
     }
--- a/test/net/http_server_test.cpp
+++ b/test/net/http_server_test.cpp
@@ -24,39 +24,40 @@
   for (int to : {1, 3}) {
     TestServer v({}, echo(), 0, to);
     RawClient r(v.address);
-    same(r.ask(kGet, "GET /a "), "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 7\r\n\r\nGET /a ", "an answer");
-    same(r.ask("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
+    same(r.exchange(kGet, "GET /a "), "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 7\r\n\r\nGET /a ",
+         "an answer");
+    same(r.exchange("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
          "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 8\r\n\r\n", "an answer to HEAD");
-    same(r.ask("HEAD /hollow HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"), "HTTP/1.1 200 OK\r\n\r\n",
+    same(r.exchange("HEAD /hollow HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"), "HTTP/1.1 200 OK\r\n\r\n",
          "a response to HEAD of unknown length");
-    same(r.ask("GET /hollow HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
+    same(r.exchange("GET /hollow HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
          "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "an empty answer");
-    same(r.ask("GET /none HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"), "HTTP/1.1 204 No Content\r\n\r\n",
+    same(r.exchange("GET /none HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"), "HTTP/1.1 204 No Content\r\n\r\n",
          "a 204");
-    same(r.ask("GET /same HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
+    same(r.exchange("GET /same HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
          "HTTP/1.1 304 Not Modified\r\nETag: \"1\"\r\n\r\n", "a 304");
-    same(r.ask("GET /odd HTTP/1.1\r\nHost: h\r\n\r\n", "odd"),
+    same(r.exchange("GET /odd HTTP/1.1\r\nHost: h\r\n\r\n", "odd"),
          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nodd", "framing headers set by the handler");
-    auto c = r.ask(
+    auto c = r.exchange(
         "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n3;x=y\r\n "
         "wo\r\n0\r\n\r\n",
         "hello wo");
     expect(c.find("Content-Length: 16\r\n") != c.npos, "a chunked request: " + c);
-    same(
-        r.ask("POST /e HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", "\r\n\r\n"),
-        "HTTP/1.1 100 Continue\r\n\r\n", "the 100 Continue response");
-    r.ask("ok", "POST /e ok");
+    same(r.exchange("POST /e HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n",
+                    "\r\n\r\n"),
+         "HTTP/1.1 100 Continue\r\n\r\n", "the 100 Continue response");
+    r.exchange("ok", "POST /e ok");
     r.send(kGet + "GET /b HTTP/1.1\r\nHost: h\r\n\r\n" +
            "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nz");
     r.read("GET /a ");
     r.read("GET /b ");
     r.read("POST /d z");
     std::string big(300000, 'b');
-    r.ask("POST /big HTTP/1.1\r\nHost: h\r\nContent-Length: 300000\r\n\r\n" + big, "POST /big " + big);
-    auto o = r.ask("GET /a HTTP/1.0\r\n\r\n");
+    r.exchange("POST /big HTTP/1.1\r\nHost: h\r\nContent-Length: 300000\r\n\r\n" + big, "POST /big " + big);
+    auto o = r.exchange("GET /a HTTP/1.0\r\n\r\n");
     expect(r.ended && o.find("Connection: close") != o.npos, "an HTTP/1.0 connection was kept open: " + o);
     RawClient k(v.address);
-    o = k.ask("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "GET /a ");
+    o = k.exchange("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "GET /a ");
     expect(o.find("Connection: keep-alive") != o.npos,
            "an HTTP/1.0 request with Connection: keep-alive was answered: " + o);
   }
@@ -71,7 +72,7 @@
         "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "GET x HTTP/1.1\r\nHost: h\r\n\r\n",
         "nonsense\r\n\r\n", "GET / HTTP/1.1\r\nHo st: h\r\n\r\n"}) {
     RawClient r(v.address);
-    auto a = r.ask(q + kGet);
+    auto a = r.exchange(q + kGet);
     expect(a.starts_with("HTTP/1.1 400") && r.ended && a.find("HTTP/1.1 ", 1) == a.npos,
            q + " was answered " + a);
   }
@@ -84,7 +85,7 @@
   TestServer v(l, echo());
   auto status = [&](const std::string& q) {
     RawClient r(v.address);
-    auto a = r.ask(q);
+    auto a = r.exchange(q);
     expect(r.ended && a.find("Connection: close") != a.npos, "the connection was not closed: " + a);
     return a.substr(9, 3);
   };
@@ -97,11 +98,11 @@
               std::string(1001, 'x')),
        "413", "a long body in chunks");
   RawClient r(v.address);
-  r.ask("POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n" + std::string(1000, 'x'), "xxx");
+  r.exchange("POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n" + std::string(1000, 'x'), "xxx");
   l.head_bytes = 2000;
   v.http_server.set_limits(l);
   RawClient after(v.address);
-  after.ask("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x') + "\r\n\r\n", "GET / ");
+  after.exchange("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x') + "\r\n\r\n", "GET / ");
 }
 
 void slow() {
@@ -110,7 +111,7 @@
   l.head_timeout = l.body_timeout = l.write_timeout = 200ms;
   TestServer v(l, echo());
   RawClient idle(v.address), head(v.address), body(v.address), kept(v.address);
-  kept.ask(kGet, "GET /a ");
+  kept.exchange(kGet, "GET /a ");
   head.send("GET / HT");
   body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nx");
   expect(head.read().starts_with("HTTP/1.1 408"), "an incomplete head was not answered with 408");
@@ -137,31 +138,31 @@
   expect(s.find("Connection: close") != s.npos, "no Connection: close: " + s);
   expect(s.find("Retry-After: 1\r\n") != s.npos, "no Retry-After: " + s);
   RawClient c(v.address);
-  s = c.ask(
+  s = c.exchange(
       "POST /3 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1f5\r\n" + std::string(501, 'x'),
       "\r\n\r\n");
   expect(s.starts_with("HTTP/1.1 503"), "a chunked body beyond the budget: " + s);
-  a.ask(std::string(1000, 'y'), "yyy");
+  a.exchange(std::string(1000, 'y'), "yyy");
   RawClient d(v.address);
-  expect(d.ask(q, "POST /2 x").starts_with("HTTP/1.1 200"), "the budget was not released");
+  expect(d.exchange(q, "POST /2 x").starts_with("HTTP/1.1 200"), "the budget was not released");
 }
 
 void ends() {
   TestServer v({}, echo());
   RawClient a(v.address), b(v.address), fresh(v.address), half(v.address);
-  a.ask(kGet, "GET /a ");
-  b.ask(kGet, "GET /a ");
+  a.exchange(kGet, "GET /a ");
+  b.exchange(kGet, "GET /a ");
   half.send("GET /a HTTP/1.1\r\n");
   until([&] { return v.http_server.open_connections() == 4; }, "four connections");
   net::SystemClock().sleep(5ms);  // until the incomplete head has been read
   v.http_server.drain();
-  auto last = a.ask(kGet);
+  auto last = a.exchange(kGet);
   expect(a.ended && last.find("Connection: close") != last.npos,
          "the connection was not closed after the response: " + last);
   v.http_server.close_idle();
   same(b.read(), "", "bytes sent before closing an idle connection");
   same(fresh.read(), "", "bytes sent before closing an unused connection");
-  auto h = half.ask("Host: h\r\n\r\n");
+  auto h = half.exchange("Host: h\r\n\r\n");
   expect(h.starts_with("HTTP/1.1 200"), "a partly received request was dropped");
 }
 
@@ -170,15 +171,15 @@
   l.max_connections = 2;
   TestServer v(l, echo());
   RawClient a(v.address);
-  a.ask(kGet, "GET /a ");
+  a.exchange(kGet, "GET /a ");
   RawClient b(v.address);
-  b.ask(kGet, "GET /a ");
+  b.exchange(kGet, "GET /a ");
   net::SystemClock().sleep(2ms);
-  b.ask(kGet, "GET /a ");
+  b.exchange(kGet, "GET /a ");
   RawClient c(v.address);
-  c.ask(kGet, "GET /a ");
+  c.exchange(kGet, "GET /a ");
   same(a.read(), "", "bytes sent before closing the longest idle connection");
-  b.ask(kGet, "GET /a ");
+  b.exchange(kGet, "GET /a ");
   expect(v.http_server.open_connections() <= 2, "more connections than allowed");
 }
 
@@ -196,9 +197,9 @@
   };
   server = std::make_unique<TestServer>(net::HttpLimits{}, handler);
   idle = std::make_unique<RawClient>(server->address);
-  idle->ask(kGet, "GET /a ");
+  idle->exchange(kGet, "GET /a ");
   RawClient busy(server->address);
-  busy.ask("GET /busy HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy ");
+  busy.exchange("GET /busy HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy ");
   expect(idle->read("GET /a ").starts_with("HTTP/1.1 200"), "a received request was dropped");
 }
 
@@ -219,9 +220,9 @@
     return echo()(request);
   });
   idle = std::make_unique<RawClient>(server->address);
-  idle->ask(kGet, "GET /a ");
+  idle->exchange(kGet, "GET /a ");
   RawClient busy(server->address);
-  busy.ask("GET /busy HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy ");
+  busy.exchange("GET /busy HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy ");
   const auto last = idle->read();
   expect(last.starts_with("HTTP/1.1 200"), "a request received meanwhile was dropped");
   expect(last.find("Connection: close") != last.npos,
@@ -295,12 +296,12 @@
   limits.idle_timeout = 400ms;
   TestServer v(limits, echo());
   RawClient a(v.address);
-  a.ask(kGet, "GET /a ");
+  a.exchange(kGet, "GET /a ");
   net::SystemClock().sleep(100ms);
   limits.idle_timeout = 50ms;  // the client relies on the previous limit
   v.http_server.set_limits(limits);
   net::SystemClock().sleep(200ms);
-  expect(a.ask(kGet, "GET /a ").starts_with("HTTP/1.1 200"),
+  expect(a.exchange(kGet, "GET /a ").starts_with("HTTP/1.1 200"),
          "the previous limit was not applied to the idle connection");
   net::SystemClock().sleep(300ms);
   same(a.read(), "", "bytes sent before closing under the new limit");
@@ -323,7 +324,7 @@
   auto last = a.read();
   expect(a.ended && last.find("Connection: close") != last.npos,
          "the connection was not closed after the response: " + last);
-  b.ask(kGet, "GET /a ");
+  b.exchange(kGet, "GET /a ");
 }
 
 void unread() {
@@ -342,9 +343,9 @@
     return {200, {}, base::header(request.headers, "X") + "!" + request.body};
   });
   RawClient r(v.address);
-  auto a =
-      r.ask("POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: late\r\n\r\n",
-            "!a");
+  auto a = r.exchange(
+      "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: late\r\n\r\n",
+      "!a");
   expect(a.ends_with("\r\n\r\n!a"), "a trailer became a header: " + a);
 }
 
@@ -386,7 +387,7 @@
   }).detach();
   until([&] { return up.load(); }, "the lone thread runs");
   RawClient r(address);
-  for (int i = 0; i < 50; ++i) r.ask(kGet, "GET /a ");
+  for (int i = 0; i < 50; ++i) r.exchange(kGet, "GET /a ");
 }
 }  // namespace
 
--- a/test/net/net_cases.hpp
+++ b/test/net/net_cases.hpp
@@ -49,7 +49,7 @@
       }
     }
   }
-  std::string ask(std::string_view b, std::string_view mark = {}) {
+  std::string exchange(std::string_view b, std::string_view mark = {}) {
     send(b);
     return read(mark);
   }
