--- a/test/net/http_server_test.cpp
+++ b/test/net/http_server_test.cpp
@@ -22,8 +22,8 @@
 
 void answers() {
   for (int to : {1, 3}) {
-    TestServer v({}, echo(), 0, to);
-    RawClient r(v.address);
+    TestServer server({}, echo(), 0, to);
+    RawClient r(server.address);
     same(r.exchange(kGet, "GET /a "), "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 7\r\n\r\nGET /a ",
          "an answer");
     same(r.exchange("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"),
@@ -56,7 +56,7 @@
     r.exchange("POST /big HTTP/1.1\r\nHost: h\r\nContent-Length: 300000\r\n\r\n" + big, "POST /big " + big);
     auto o = r.exchange("GET /a HTTP/1.0\r\n\r\n");
     expect(r.ended && o.find("Connection: close") != o.npos, "an HTTP/1.0 connection was kept open: " + o);
-    RawClient k(v.address);
+    RawClient k(server.address);
     o = k.exchange("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "GET /a ");
     expect(o.find("Connection: keep-alive") != o.npos,
            "an HTTP/1.0 request with Connection: keep-alive was answered: " + o);
@@ -64,14 +64,14 @@
 }
 
 void framing() {
-  TestServer v({}, echo());
+  TestServer server({}, echo());
   for (std::string q :
        {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
         "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
         "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "GET x HTTP/1.1\r\nHost: h\r\n\r\n",
         "nonsense\r\n\r\n", "GET / HTTP/1.1\r\nHo st: h\r\n\r\n"}) {
-    RawClient r(v.address);
+    RawClient r(server.address);
     auto a = r.exchange(q + kGet);
     expect(a.starts_with("HTTP/1.1 400") && r.ended && a.find("HTTP/1.1 ", 1) == a.npos,
            q + " was answered " + a);
@@ -82,9 +82,9 @@
   net::HttpLimits l;
   l.head_bytes = 500;
   l.body_bytes = 1000;
-  TestServer v(l, echo());
+  TestServer server(l, echo());
   auto status = [&](const std::string& q) {
-    RawClient r(v.address);
+    RawClient r(server.address);
     auto a = r.exchange(q);
     expect(r.ended && a.find("Connection: close") != a.npos, "the connection was not closed: " + a);
     return a.substr(9, 3);
@@ -97,11 +97,11 @@
   same(status("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n" +
               std::string(1001, 'x')),
        "413", "a long body in chunks");
-  RawClient r(v.address);
+  RawClient r(server.address);
   r.exchange("POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n" + std::string(1000, 'x'), "xxx");
   l.head_bytes = 2000;
-  v.http_server.set_limits(l);
-  RawClient after(v.address);
+  server.http_server.set_limits(l);
+  RawClient after(server.address);
   after.exchange("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x') + "\r\n\r\n", "GET / ");
 }
 
@@ -109,8 +109,8 @@
   net::HttpLimits l;
   l.idle_timeout = 200ms;
   l.head_timeout = l.body_timeout = l.write_timeout = 200ms;
-  TestServer v(l, echo());
-  RawClient idle(v.address), head(v.address), body(v.address), kept(v.address);
+  TestServer server(l, echo());
+  RawClient idle(server.address), head(server.address), body(server.address), kept(server.address);
   kept.exchange(kGet, "GET /a ");
   head.send("GET / HT");
   body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nx");
@@ -123,13 +123,13 @@
 void budget() {
   net::HttpLimits l;
   l.all_bodies_bytes = 1500;
-  TestServer v(l, echo());
-  RawClient a(v.address);
+  TestServer server(l, echo());
+  RawClient a(server.address);
   a.send("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n");
   std::string q = "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 501\r\n\r\n" + std::string(501, 'x'), s;
   until(
       [&] {
-        RawClient b(v.address);
+        RawClient b(server.address);
         b.send(q);
         s = b.read("\r\n\r\n");
         return s.starts_with("HTTP/1.1 503");
@@ -137,29 +137,29 @@
       "a body beyond the budget is rejected");
   expect(s.find("Connection: close") != s.npos, "no Connection: close: " + s);
   expect(s.find("Retry-After: 1\r\n") != s.npos, "no Retry-After: " + s);
-  RawClient c(v.address);
+  RawClient c(server.address);
   s = c.exchange(
       "POST /3 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1f5\r\n" + std::string(501, 'x'),
       "\r\n\r\n");
   expect(s.starts_with("HTTP/1.1 503"), "a chunked body beyond the budget: " + s);
   a.exchange(std::string(1000, 'y'), "yyy");
-  RawClient d(v.address);
+  RawClient d(server.address);
   expect(d.exchange(q, "POST /2 x").starts_with("HTTP/1.1 200"), "the budget was not released");
 }
 
 void ends() {
-  TestServer v({}, echo());
-  RawClient a(v.address), b(v.address), fresh(v.address), half(v.address);
+  TestServer server({}, echo());
+  RawClient a(server.address), b(server.address), fresh(server.address), half(server.address);
   a.exchange(kGet, "GET /a ");
   b.exchange(kGet, "GET /a ");
   half.send("GET /a HTTP/1.1\r\n");
-  until([&] { return v.http_server.open_connections() == 4; }, "four connections");
+  until([&] { return server.http_server.open_connections() == 4; }, "four connections");
   net::SystemClock().sleep(5ms);  // until the incomplete head has been read
-  v.http_server.drain();
+  server.http_server.drain();
   auto last = a.exchange(kGet);
   expect(a.ended && last.find("Connection: close") != last.npos,
          "the connection was not closed after the response: " + last);
-  v.http_server.close_idle();
+  server.http_server.close_idle();
   same(b.read(), "", "bytes sent before closing an idle connection");
   same(fresh.read(), "", "bytes sent before closing an unused connection");
   auto h = half.exchange("Host: h\r\n\r\n");
@@ -169,18 +169,18 @@
 void crowded() {
   net::HttpLimits l;
   l.max_connections = 2;
-  TestServer v(l, echo());
-  RawClient a(v.address);
+  TestServer server(l, echo());
+  RawClient a(server.address);
   a.exchange(kGet, "GET /a ");
-  RawClient b(v.address);
+  RawClient b(server.address);
   b.exchange(kGet, "GET /a ");
   net::SystemClock().sleep(2ms);
   b.exchange(kGet, "GET /a ");
-  RawClient c(v.address);
+  RawClient c(server.address);
   c.exchange(kGet, "GET /a ");
   same(a.read(), "", "bytes sent before closing the longest idle connection");
   b.exchange(kGet, "GET /a ");
-  expect(v.http_server.open_connections() <= 2, "more connections than allowed");
+  expect(server.http_server.open_connections() <= 2, "more connections than allowed");
 }
 
 // While the server's thread is busy, a request arrives on another connection, which is then closed as idle:
@@ -294,12 +294,12 @@
 void shorter_idle_limit_spares_what_rests() {
   net::HttpLimits limits;
   limits.idle_timeout = 400ms;
-  TestServer v(limits, echo());
-  RawClient a(v.address);
+  TestServer server(limits, echo());
+  RawClient a(server.address);
   a.exchange(kGet, "GET /a ");
   net::SystemClock().sleep(100ms);
   limits.idle_timeout = 50ms;  // the client relies on the previous limit
-  v.http_server.set_limits(limits);
+  server.http_server.set_limits(limits);
   net::SystemClock().sleep(200ms);
   expect(a.exchange(kGet, "GET /a ").starts_with("HTTP/1.1 200"),
          "the previous limit was not applied to the idle connection");
@@ -330,19 +330,21 @@
 void unread() {
   net::HttpLimits l;
   l.write_timeout = 200ms;
-  TestServer v(l, [](base::Request&) -> base::Response { return {200, {}, std::string(64 << 20, 'x')}; });
-  RawClient a(v.address);
+  TestServer server(l, [](base::Request&) -> base::Response {
+    return {200, {}, std::string(64 << 20, 'x')};
+  });
+  RawClient a(server.address);
   a.send(kGet);
-  until([&] { return v.http_server.running_requests() == 1; }, "the request runs");
-  until([&] { return v.http_server.open_connections() == 0 && v.s.running_requests() == 0; },
+  until([&] { return server.http_server.running_requests() == 1; }, "the request runs");
+  until([&] { return server.http_server.open_connections() == 0 && server.s.running_requests() == 0; },
         "an unread response is abandoned");
 }
 
 void trailers() {
-  TestServer v({}, [](base::Request& request) -> base::Response {
+  TestServer server({}, [](base::Request& request) -> base::Response {
     return {200, {}, base::header(request.headers, "X") + "!" + request.body};
   });
-  RawClient r(v.address);
+  RawClient r(server.address);
   auto a = r.exchange(
       "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: late\r\n\r\n",
       "!a");
@@ -351,7 +353,7 @@
 
 // No descriptor is free when a connection arrives; it is accepted once there is one.
 void no_descriptors() {
-  TestServer v({}, echo());
+  TestServer server({}, echo());
   rlimit was{};
   ::getrlimit(RLIMIT_NOFILE, &was);
   rlimit few{256, was.rlim_max};
@@ -363,7 +365,7 @@
     taken.pop_back();
   }
   {
-    RawClient r(v.address);
+    RawClient r(server.address);
     r.send(kGet);
     net::SystemClock().sleep(5ms);
     for (int fd : taken) ::close(fd);
