--- a/test/net/http_client_test.cpp
+++ b/test/net/http_client_test.cpp
@@ -41,16 +41,16 @@
   same(body(client.send(backend.addr(), get(), r)), "0", "the first");
   r.is_own_response = mine("1");
   same(body(client.send(backend.addr(), get(), r)), "1", "the response after two late ones");
-  same(backend.conns, 1, "connections");
+  same(backend.connection_count, 1, "connections");
   same(client.connections_to(backend.addr()), 0, "open connections after another request's response");
   r.is_own_response = mine("used");
   same(body(client.send(backend.addr(), get(), r)), "used", "the first response on a new connection");
   r.is_own_response = mine("2");
   expect(unknown(client.send(backend.addr(), get(), r)), "three responses were skipped");
-  same(backend.conns, 2, "connections");
+  same(backend.connection_count, 2, "connections");
   r.is_own_response = mine("3");
   expect(unknown(client.send(backend.addr(), get(), r)), "a new connection's first response was skipped");
-  same(backend.conns, 3, "connections");
+  same(backend.connection_count, 3, "connections");
   same(client.connections_to(backend.addr()), 0, "open connections after failed attempts");
 }
 
@@ -66,7 +66,7 @@
     r.is_anonymous = [](const base::Response& x) { return base::header(x.headers, "Id").empty(); };
     same(body(client.send(backend.addr(), get(), r)), "first", "the first on the connection");
     auto s = client.send(backend.addr(), {"", "POST", "/", large, {}}, r);
-    same(backend.conns, 1, "connections");
+    same(backend.connection_count, 1, "connections");
     same(body(s), has_name ? "early" : "a defect", "an early response");
     same(client.connections_to(backend.addr()), 0, "open connections after an early response");
   }
@@ -79,7 +79,7 @@
   same(body(client.send(backend.addr(), get(), rules())), "good",
        "a complete response followed by extra bytes");
   same(body(client.send(backend.addr(), get(), rules())), "x", "the next response");
-  same(backend.conns, 2, "connections");
+  same(backend.connection_count, 2, "connections");
   ScriptedBackend late([](int, int, auto&) { return ok("good"); });
   same(body(client.send(late.addr(), get(), rules())), "good", "an answer");
 }
@@ -114,7 +114,7 @@
   same(body(client.send(backend.addr(), get(), rules())), "abc", "a chunked answer");
   same(body(client.send(backend.addr(), get(), rules())), "", "a 304");
   same(body(client.send(backend.addr(), get(), rules())), "last", "the last answer");
-  same(backend.conns, 1, "connections");
+  same(backend.connection_count, 1, "connections");
   same(client.connections_to(backend.addr()), 0, "open connections after Connection: close");
 }
 
@@ -154,17 +154,17 @@
   net::SystemClock c;
   client.send(backend.addr(), get(), rules());
   client.send(backend.addr(), get(), rules(false));
-  same(backend.conns, 2, "connections after one with Keep-Alive timeout 0");
+  same(backend.connection_count, 2, "connections after one with Keep-Alive timeout 0");
   client.send(backend.addr(), get(), rules(false));
-  same(backend.conns, 2, "connections within the period for non-idempotent requests");
+  same(backend.connection_count, 2, "connections within the period for non-idempotent requests");
   c.sleep(340ms);
   client.send(backend.addr(), get(), rules(false));
-  same(backend.conns, 3, "connections after the period for non-idempotent requests");
+  same(backend.connection_count, 3, "connections after the period for non-idempotent requests");
   client.send(backend.addr(), get(), rules(true));
-  same(backend.conns, 3, "connections for an idempotent request");
+  same(backend.connection_count, 3, "connections for an idempotent request");
   c.sleep(710ms);
   client.send(backend.addr(), get(), rules(true));
-  same(backend.conns, 4, "connections after the period for idempotent requests");
+  same(backend.connection_count, 4, "connections after the period for idempotent requests");
   until([&] { return backend.open == 1; }, "expired connections are closed");
 }
 
@@ -201,7 +201,7 @@
   condition->notify();
   until([&] { return !second.empty(); }, "the second request is answered");
   same(first + second, "01", "answers");
-  same(backend.conns, 1, "connections");
+  same(backend.connection_count, 1, "connections");
   same(client.connections_to(backend.addr()), 1, "open connections");
   auto done = std::make_shared<std::atomic<int>>(0);
   for (int i : {1, 2})
--- a/test/net/net_cases.hpp
+++ b/test/net/net_cases.hpp
@@ -60,22 +60,22 @@
 struct ScriptedBackend {
   using Script = std::function<std::string(int conn, int request, const std::string& head)>;
   std::shared_ptr<boost::asio::ip::tcp::acceptor> acc;
-  std::vector<std::weak_ptr<net::Connection>> lines;
-  int conns = 0, served = 0, open = 0;
-  Script f;
+  std::vector<std::weak_ptr<net::Connection>> connections;
+  int connection_count = 0, served = 0, open = 0;
+  Script script;
   explicit ScriptedBackend(Script s)
       : acc(std::make_shared<boost::asio::ip::tcp::acceptor>(
             pool().io(0), boost::asio::ip::tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0))),
-        f(std::move(s)) {
+        script(std::move(s)) {
     pool().spawn([this, acc = acc] {
       for (;;) {
         boost::asio::ip::tcp::socket s(pool().io(0));
         auto [e] = net::await<>([&](auto h) { acc->async_accept(s, std::move(h)); });
         if (e) return;
-        int c = conns++;
+        int c = connection_count++;
         ++open;
         auto connection = std::make_shared<net::Connection>(std::move(s));
-        lines.push_back(connection);
+        connections.push_back(connection);
         pool().spawn([this, acc, c, connection] {
           serve(c, *connection);
           connection->close();
@@ -86,7 +86,7 @@
   }
   ~ScriptedBackend() {
     acc->close();
-    for (auto& w : lines)
+    for (auto& w : connections)
       if (auto connection = w.lock()) connection->interrupt();
     net::SystemClock c;
     while (open) c.sleep(1ms);
@@ -101,7 +101,7 @@
         if (connection.read_more()) return;
       std::string head(connection.buffered().substr(0, e + 4));
       connection.consume(head.size());
-      auto a = f(c, served++, head);
+      auto a = script(c, served++, head);
       bool cut = a.ends_with("cut"), reset = a.ends_with("reset");
       a.resize(a.size() - (cut ? 3 : reset ? 5 : 0));
       if (reset) connection.socket().set_option(boost::asio::socket_base::linger(true, 0));
