--- a/test/net/forward_test.cpp
+++ b/test/net/forward_test.cpp
@@ -9,24 +9,24 @@
 constexpr int kShortMs = 300;  // timeout of a client whose shield stops responding
 
 // An address without a listening socket.
-std::string nobody() {
+std::string unused_address() {
   ScriptedPeer gone([](int, const pb::PeerRequest&) { return std::string(); });
   return gone.address();
 }
 
-std::string forwarded(const pb::PeerRequest& ask, const std::function<void(pb::ForwardResponse&)>& fill) {
-  pb::PeerResponse reply;
-  reply.set_request_id(ask.request_id());
-  fill(*reply.mutable_forward());
-  return ScriptedPeer::frame(reply);
+std::string forwarded(const pb::PeerRequest& request, const std::function<void(pb::ForwardResponse&)>& fill) {
+  pb::PeerResponse response;
+  response.set_request_id(request.request_id());
+  fill(*response.mutable_forward());
+  return ScriptedPeer::frame(response);
 }
 
-void hand_on(pb::ForwardResponse& reply, uint64_t age_ms) {
-  reply.set_status(200);
-  reply.set_body("from the shield");
-  reply.set_cacheable(true);
-  reply.set_age_ms(age_ms);
-  reply.set_lifetime_ms(60000);
+void fill_response(pb::ForwardResponse& response, uint64_t age_ms) {
+  response.set_status(200);
+  response.set_body("from the shield");
+  response.set_cacheable(true);
+  response.set_age_ms(age_ms);
+  response.set_lifetime_ms(60000);
 }
 
 // The shield received the request, then stopped responding or closed the connection; no backend instance can
@@ -38,7 +38,7 @@
       ++asked;
       return end;
     });
-    Relay relay(nobody(), shield.address());
+    Relay relay(unused_address(), shield.address());
     auto answer = relay.get("/kept/x", "a", kShortMs);
     same(asked, 1, "calls to the shield");
     same(answer.status, 502, "the status of a request that the shield may have executed");
@@ -47,11 +47,11 @@
 
 // A shield's response that the request did not run is passed on, with Retry-After.
 void declined_by_shield() {
-  ScriptedPeer shield([](int, const pb::PeerRequest& ask) {
-    return forwarded(ask, [](pb::ForwardResponse& reply) {
-      reply.set_not_executed(true);
-      reply.set_rejected(true);
-      reply.set_retry_after_ms(200);
+  ScriptedPeer shield([](int, const pb::PeerRequest& request) {
+    return forwarded(request, [](pb::ForwardResponse& response) {
+      response.set_not_executed(true);
+      response.set_rejected(true);
+      response.set_retry_after_ms(200);
     });
   });
   ByteBackend backend(Plan{});
@@ -65,8 +65,8 @@
 // A forwarded response that has expired is fetched again; a fresh one is served and cached.
 void judged_again() {
   for (uint64_t age_ms : {uint64_t(0), uint64_t(59000), uint64_t(60000), uint64_t(90000)}) {
-    ScriptedPeer shield([&](int, const pb::PeerRequest& ask) {
-      return forwarded(ask, [&](pb::ForwardResponse& reply) { hand_on(reply, age_ms); });
+    ScriptedPeer shield([&](int, const pb::PeerRequest& request) {
+      return forwarded(request, [&](pb::ForwardResponse& response) { fill_response(response, age_ms); });
     });
     ByteBackend backend(Plan{});
     Relay relay(backend.address(), shield.address());
