--- a/test/net/compatibility_test.cpp
+++ b/test/net/compatibility_test.cpp
@@ -79,7 +79,7 @@
 
 /// An old relay calls this one: each kind of call is received unchanged, and each kind of response has the
 /// bytes that an old relay would have sent, apart from the call's request id.
-void asked_by_old_relays() {
+void called_by_old_relays() {
   auto exchange = std::make_shared<Exchange>();
   RawClient old_relay(serve(exchange));
   auto asks = old_frames("Ask."), replies = old_frames("Reply.");
@@ -100,7 +100,7 @@
 }
 
 /// This relay calls an old one: each kind of response is received unchanged.
-void asks_old_relays() {
+void calls_old_relays() {
   auto asks = old_frames("Ask."), replies = old_frames("Reply.");
   expect(asks.size() == 10 && replies.size() == 7, "fixtures are missing");
   size_t next = 0;
@@ -132,8 +132,8 @@
 }  // namespace
 
 std::vector<Case> compatibility_wire_cases() {
-  return {{"peer: an old relay calls this one", asked_by_old_relays},
-          {"peer: this relay calls an old one", asks_old_relays}};
+  return {{"peer: an old relay calls this one", called_by_old_relays},
+          {"peer: this relay calls an old one", calls_old_relays}};
 }
 
 }  // namespace dunlinwing::test
