--- a/test/net/http_server_test.cpp
+++ b/test/net/http_server_test.cpp
@@ -336,8 +336,11 @@
   RawClient a(server.address);
   a.send(kGet);
   until([&] { return server.http_server.running_requests() == 1; }, "the request runs");
-  until([&] { return server.http_server.open_connections() == 0 && server.s.running_requests() == 0; },
-        "an unread response is abandoned");
+  until(
+      [&] {
+        return server.http_server.open_connections() == 0 && server.http_server.running_requests() == 0;
+      },
+      "an unread response is abandoned");
 }
 
 void trailers() {
