--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -1,5 +1,5 @@
 // Writes are first tried with a direct sendmsg(), so that a response that fits into the socket's send buffer
-// costs one system call and no pass through the reactor. Asio is used only to wait.
+// costs one system call and no pass through the reactor. Asio handles the rest.
 #include "net/connection.hpp"
 
 #include <netinet/tcp.h>
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -19,8 +19,7 @@
       : end(time), cancellation(std::move(cancelled_by)) {}
 
   std::chrono::steady_clock::time_point end;
-  base::CancellationPtr
-      cancellation;  ///< of the request that the operation is for; null: only the deadline applies
+  base::CancellationPtr cancellation;  ///< of the request that the operation serves; null: no cancellation
 
   bool is_over() const { return base::is_cancelled(cancellation) || std::chrono::steady_clock::now() >= end; }
 };
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -15,7 +15,7 @@
 // The same periods for a backend instance that states no Keep-Alive time.
 constexpr Duration kUnsafeDefault(1000);
 constexpr Duration kIdempotentDefault(4000);
-constexpr size_t kMaxIdlePerAddress = 64;  // per address
+constexpr size_t kMaxIdlePerAddress = 64;
 constexpr Duration kPruneEvery(1000);
 
 std::chrono::steady_clock::time_point now() { return std::chrono::steady_clock::now(); }
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -48,10 +48,10 @@
   explicit ConnectionPool(size_t max_idle) : max_idle_(max_idle) {}
 
   /// Takes an idle connection or opens one; suspends the calling fiber while neither is possible.
-  /// @param address     IP:port
-  /// @param idempotent  the connection may be one that the peer is about to close
-  /// @param max_connections        limit on connections open to the address; 0: no limit
-  /// @param on_wait     called if the caller had to wait, with whether a connection was granted; may be null
+  /// @param address          IP:port
+  /// @param idempotent       the connection may be one that the peer is about to close
+  /// @param max_connections  limit on connections open to the address; 0: no limit
+  /// @param on_wait          called if the caller had to wait, with whether it was granted one; may be null
   /// @return null when no connection was available within the limit
   [[nodiscard]] std::unique_ptr<Lease> acquire(const std::string& address, bool idempotent,
                                                int max_connections, const WaitLimit& limit,
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -15,11 +15,10 @@
 
 namespace {
 constexpr base::Log logger("http");
-constexpr Duration kUndeliveredLogPeriod(
-    1000);                                   // between log lines about responses that could not be written
-constexpr Duration kLingerTime(1000);        // how long bytes are read and dropped before a close
-constexpr size_t kMaxLingerBytes = 1 << 20;  // and how many bytes of them
-constexpr size_t kBodyReadSize = 32 << 10;   // bytes of a body read at once
+constexpr Duration kUndeliveredLogPeriod(1000);  // between log lines about undelivered responses
+constexpr Duration kLingerTime(1000);            // how long bytes are read and dropped before a close
+constexpr size_t kMaxLingerBytes = 1 << 20;      // and how many bytes of them
+constexpr size_t kBodyReadSize = 32 << 10;       // bytes of a body read at once
 constexpr size_t kMaxPipelinedBytes = 16 << 10;  // bytes of further requests read while one is handled
 constexpr const char* kRetryAfterSeconds = "1";  // for requests rejected because of the limit on all bodies
 
@@ -106,8 +105,7 @@
                           : std::string();
   if (!stated.empty())
     append_header(head, "Content-Length", stated);
-  else if (!without_body &&
-           !(is_head_request && response.body.empty()))  // an empty body after HEAD gives no length
+  else if (!without_body && !(is_head_request && response.body.empty()))  // HEAD: length unknown
     append_header(head, "Content-Length", fmt::format_int(response.body.size()).c_str());
 }
 
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -21,10 +21,9 @@
   HttpHandler handler;
   link::LinkUse link;
   std::atomic<std::shared_ptr<const HttpLimits>> limits;
-  std::atomic<bool> closing{false};   ///< each connection ends after its current request
-  std::atomic<bool> draining{false};  ///< each response is the last on its connection
-  std::atomic<bool> connection_limit_reached{
-      false};  ///< the connection limit is reached: a new one waits until one ends
+  std::atomic<bool> closing{false};                   ///< each connection ends after its current request
+  std::atomic<bool> draining{false};                  ///< each response is the last on its connection
+  std::atomic<bool> connection_limit_reached{false};  ///< a new connection waits until one ends
   std::atomic<int> running_requests{0};
   std::atomic<uint64_t> undelivered_responses{0};  ///< requests handled whose response could not be written
   std::atomic<TimePoint> undelivered_logged{TimePoint::min()};  ///< when such a response was last logged
@@ -83,8 +82,8 @@
 
   std::shared_ptr<Connection> connection_;
   HttpServerState& server_;
-  base::CancellationPtr client_disconnected_ =
-      std::make_shared<base::Cancellation>();  ///< of all its requests
+  /// Cancels all requests of this connection.
+  base::CancellationPtr client_disconnected_ = std::make_shared<base::Cancellation>();
   State state_ = State::idle;
   TimePoint state_since_{0};  ///< steady clock; while writing: time of the last progress
   Duration idle_limit_{0};  ///< idle timeout that the client may rely on: the one when its current wait began
--- a/test/net/http_server_test.cpp
+++ b/test/net/http_server_test.cpp
@@ -158,7 +158,7 @@
   server.http_server.drain();
   auto last = a.exchange(kGet);
   expect(a.ended && last.find("Connection: close") != last.npos,
-         "the connection was not closed after the response: " + last);
+         "the response is not the last on its connection: " + last);
   server.http_server.close_idle();
   same(b.read(), "", "bytes sent before closing an idle connection");
   same(fresh.read(), "", "bytes sent before closing an unused connection");
@@ -226,7 +226,7 @@
   const auto last = idle->read();
   expect(last.starts_with("HTTP/1.1 200"), "a request received meanwhile was dropped");
   expect(last.find("Connection: close") != last.npos,
-         "the connection was not closed after the response: " + last);
+         "the response is not the last on its connection: " + last);
 }
 
 // Slow requests exceed their time limit while their remaining bytes are read: every request that is handled
@@ -323,7 +323,7 @@
   net::SystemClock().sleep(20ms);
   auto last = a.read();
   expect(a.ended && last.find("Connection: close") != last.npos,
-         "the connection was not closed after the response: " + last);
+         "the response is not the last on its connection: " + last);
   b.exchange(kGet, "GET /a ");
 }
 
--- a/test/net/peer_test.cpp
+++ b/test/net/peer_test.cpp
@@ -48,7 +48,7 @@
           return request.artifact_read().offset() == 7 ? whole.substr(0, at) + end : whole;
         });
         net::PeerClient net;
-        if (kept) expect(own(net.call(peer.address(), fetch(1), kPlenty), 1), "the first ask");
+        if (kept) expect(own(net.call(peer.address(), fetch(1), kPlenty), 1), "the first call");
         auto answer = net.call(peer.address(), fetch(7), kPatience);
         expect(!own(answer, 7), fmt::format("a response truncated after {} bytes was accepted", at));
         expect(own(net.call(peer.address(), fetch(9), kPlenty), 9), "the call after it");
@@ -137,7 +137,7 @@
     return "reset";
   });
   net::PeerClient net;
-  expect(own(net.call(peer.address(), fetch(1), kPlenty), 1), "the first ask");
+  expect(own(net.call(peer.address(), fetch(1), kPlenty), 1), "the first call");
   pb::PeerRequest forward;
   forward.mutable_forward()->set_id("a");
   auto answer = net.call(peer.address(), forward, kPlenty);
