--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -88,10 +88,10 @@
 /// Reads one response of any status; nullopt when it was truncated, malformed or of unknown length.
 class ResponseReader {
  public:
-  ResponseReader(Connection& connection, bool is_head_request, const BodyReadOptions& terms)
-      : connection_(connection), link_(terms.link) {
+  ResponseReader(Connection& connection, bool is_head_request, const BodyReadOptions& options)
+      : connection_(connection), link_(options.link) {
     parser_.header_limit(kMaxHeadBytes);
-    parser_.body_limit(terms.max_bytes);
+    parser_.body_limit(options.max_bytes);
     if (is_head_request) parser_.skip(true);
   }
 
@@ -150,9 +150,9 @@
 
 /// Reads the next response that is not an interim (1xx) one.
 std::optional<ReceivedResponse> read_response(Connection& connection, bool is_head_request,
-                                              const BodyReadOptions& terms) {
+                                              const BodyReadOptions& options) {
   for (int interim = 0; interim <= kMaxInterimResponses; ++interim) {
-    auto received = ResponseReader(connection, is_head_request, terms).read();
+    auto received = ResponseReader(connection, is_head_request, options).read();
     if (!received || received->response.status == 101) return {};
     if (received->response.status / 100 != 1) return received;
   }
@@ -166,11 +166,11 @@
       : lease_(lease), rules_(rules), is_head_request_(request.method == "HEAD") {}
 
   /// @return nullopt when no response certainly belongs to the request; the connection must be abandoned
-  std::optional<base::Response> read(const BodyReadOptions& terms) {
+  std::optional<base::Response> read(const BodyReadOptions& options) {
     const Connection& connection = *lease_.connection;
     const bool early = connection.received_during_write();
     for (int skipped = 0; skipped <= kMaxSkippedResponses; ++skipped) {
-      auto received = read_response(*lease_.connection, is_head_request_, terms);
+      auto received = read_response(*lease_.connection, is_head_request_, options);
       if (!received) return {};
       if (rules_.is_own_response && !rules_.is_own_response(received->response)) {
         // It may answer an earlier request. After a HEAD it is unknown whether that response has a body.
