--- a/src/net/peer_client.cpp
+++ b/src/net/peer_client.cpp
@@ -51,7 +51,7 @@
                                                                  const base::CallRules& rules) {
   const WaitLimit limit{SteadyClock::now() + rules.timeout, rules.cancellation};
   const bool is_traffic = traffic_class_of(request) != link::TrafficClass::control;
-  const PeerConnections::Terms terms{max_connections_, is_traffic};
+  const PeerConnections::LendingTerms terms{max_connections_, is_traffic};
   PeerConnections& connections = peer_connections();
   auto [connection, reused] = connections.borrow(address, limit, terms);
   if (!connection) return base::PeerError::unreachable;
--- a/src/net/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -18,7 +18,7 @@
 
 // Limits forwarded requests, which may all wait for one slow shield, so that control calls such as register
 // writes still get connections.
-bool PeerConnections::may_lend(const std::string& address, const Terms& terms) {
+bool PeerConnections::may_lend(const std::string& address, const LendingTerms& terms) {
   if (peers_[address].lent >= std::max<size_t>(1, terms.max_connections / kLentPerAddressDivisor))
     return false;
   const size_t for_traffic =
@@ -26,7 +26,7 @@
   return !terms.for_traffic || lent_for_traffic_ < for_traffic;
 }
 
-void PeerConnections::lend(const std::string& address, const Terms& terms) {
+void PeerConnections::lend(const std::string& address, const LendingTerms& terms) {
   ++peers_[address].lent;
   ++lent_;
   lent_for_traffic_ += terms.for_traffic;
@@ -69,7 +69,8 @@
 }
 
 // Waits until a connection may be lent; false when the limit has expired.
-bool PeerConnections::await_room(const std::string& address, const WaitLimit& limit, const Terms& terms) {
+bool PeerConnections::await_room(const std::string& address, const WaitLimit& limit,
+                                 const LendingTerms& terms) {
   if (limit.is_over()) return false;
   const auto condition = make_condition();
   const base::CancellationSubscription subscription(limit.cancellation, [&] { condition->notify(); });
@@ -82,7 +83,7 @@
 }
 
 PeerConnections::Lease PeerConnections::borrow(const std::string& address, const WaitLimit& limit,
-                                               const Terms& terms) {
+                                               const LendingTerms& terms) {
   prune(Clock::now());
   for (;;) {
     if (may_lend(address, terms)) {
@@ -101,7 +102,7 @@
 }
 
 void PeerConnections::give_back(const std::string& address, std::shared_ptr<Connection> connection,
-                                const Terms& terms) {
+                                const LendingTerms& terms) {
   connection->start_read();  // so that its end is noticed
   auto& idle = peers_[address].idle;
   idle.push_back({std::move(connection), Clock::now()});
@@ -113,12 +114,12 @@
 }
 
 void PeerConnections::discard(const std::string& address, const std::shared_ptr<Connection>& connection,
-                              const Terms& terms) {
+                              const LendingTerms& terms) {
   connection->reset();
   release_lent(address, terms);
 }
 
-void PeerConnections::release_lent(const std::string& address, const Terms& terms) {
+void PeerConnections::release_lent(const std::string& address, const LendingTerms& terms) {
   --peers_[address].lent;
   --lent_;
   lent_for_traffic_ -= terms.for_traffic;
--- a/src/net/peer_connections.hpp
+++ b/src/net/peer_connections.hpp
@@ -22,7 +22,7 @@
   };
 
   /// Conditions for lending a connection.
-  struct Terms {
+  struct LendingTerms {
     size_t max_connections = 0;  ///< limit on open connections; one address may borrow only a part of them,
                                  ///< so that an unresponsive node does not exhaust them
     bool for_traffic = false;    ///< for forwarded client requests: some connections are reserved for control
@@ -30,13 +30,15 @@
 
   /// Waits within the limit for an idle connection, or until a new one may be opened.
   /// @param address  IP:port
-  Lease borrow(const std::string& address, const WaitLimit& limit, const Terms& terms);
+  Lease borrow(const std::string& address, const WaitLimit& limit, const LendingTerms& terms);
 
   /// Returns a connection after a complete response, with no unread bytes.
-  void give_back(const std::string& address, std::shared_ptr<Connection> connection, const Terms& terms);
+  void give_back(const std::string& address, std::shared_ptr<Connection> connection,
+                 const LendingTerms& terms);
 
   /// Resets the connection, so that undelivered bytes are never delivered.
-  void discard(const std::string& address, const std::shared_ptr<Connection>& connection, const Terms& terms);
+  void discard(const std::string& address, const std::shared_ptr<Connection>& connection,
+               const LendingTerms& terms);
 
   /// Number of open connections, idle and lent.
   size_t open() const { return lent_ + idle_count(); }
@@ -57,14 +59,14 @@
     bool woken = false;
   };
 
-  bool may_lend(const std::string& address, const Terms& terms);
+  bool may_lend(const std::string& address, const LendingTerms& terms);
   std::shared_ptr<Connection> take_idle(Peer& peer);
   Peer* longest_idle();
   bool make_room(size_t max_connections);
-  void lend(const std::string& address, const Terms& terms);
-  void release_lent(const std::string& address, const Terms& terms);
+  void lend(const std::string& address, const LendingTerms& terms);
+  void release_lent(const std::string& address, const LendingTerms& terms);
   void wake_next(size_t max_connections);
-  bool await_room(const std::string& address, const WaitLimit& limit, const Terms& terms);
+  bool await_room(const std::string& address, const WaitLimit& limit, const LendingTerms& terms);
   void prune(Clock::time_point now);
   size_t idle_count() const;
 
