--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -19,7 +19,7 @@
 constexpr int kMaxInterimResponses = 8;  // 1xx responses before the final one
 constexpr uint32_t kMaxHeadBytes = 64 << 10;
 constexpr size_t kBodyReadSize = 32 << 10;  // bytes of a body read at once
-constexpr Duration kLongestPause(1000);     // in reading a body, while waiting for link capacity
+constexpr Duration kMaxReadPause(1000);     // in reading a body, while waiting for link capacity
 constexpr int64_t kMaxKeepAliveSeconds = 3600;
 
 struct ReceivedResponse {
@@ -119,7 +119,7 @@
     link::Pacer& inbound = link_.link->inbound;
     const size_t remaining = parser_.content_length_remaining().value_or(0);
     if (remaining <= inbound.part_bytes()) return true;
-    return inbound.acquire({link_.traffic_class, began_, remaining}, 0, kLongestPause);
+    return inbound.acquire({link_.traffic_class, began_, remaining}, 0, kMaxReadPause);
   }
 
   bool parse_buffered() {
