--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -20,7 +20,7 @@
 
 std::chrono::steady_clock::time_point now() { return std::chrono::steady_clock::now(); }
 
-Duration part_of(Duration duration, double part) {
+Duration fraction_of(Duration duration, double part) {
   return std::chrono::duration_cast<Duration>(duration * part);
 }
 
@@ -153,9 +153,9 @@
     if (const auto self = pool.lock()) self->connection_ended(address, ended);
   });
   const auto unsafe = only_idempotent ? Duration(0)
-                      : keep_alive    ? part_of(*keep_alive, kUnsafeFraction)
+                      : keep_alive    ? fraction_of(*keep_alive, kUnsafeFraction)
                                       : kUnsafeDefault;
-  const auto idempotent = keep_alive ? part_of(*keep_alive, kIdempotentFraction) : kIdempotentDefault;
+  const auto idempotent = keep_alive ? fraction_of(*keep_alive, kIdempotentFraction) : kIdempotentDefault;
   const std::lock_guard lock(mutex_);
   auto& backend = backends_[address];
   backend.idle.push_back(
