--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -19,9 +19,9 @@
 constexpr int kSweepsPerLimit = 4;
 constexpr Duration kMinSweepPeriod(50);
 constexpr Duration kMaxSweepPeriod(500);
-constexpr Duration kAcceptRetry(100);  // before accepting again after a failed accept
-constexpr Duration kLogPeriod(10000);  // at most one log line about that per period
-constexpr Duration kRoomCheck(1000);   // how soon it is checked again whether a connection has ended
+constexpr Duration kAcceptRetry(100);       // before accepting again after a failed accept
+constexpr Duration kLogPeriod(10000);       // at most one log line about that per period
+constexpr Duration kRoomCheckPeriod(1000);  // how soon it is checked again whether a connection has ended
 
 using State = HttpServerConnection::State;
 
@@ -153,7 +153,7 @@
     const auto fullest = std::max_element(
         tables.begin(), tables.end(), [](auto& table, auto& other) { return table->size() < other->size(); });
     on_table(static_cast<int>(fullest - tables.begin()), [](ConnectionTable& table) { table.evict(); });
-    room->wait(kRoomCheck);
+    room->wait(kRoomCheckPeriod);
     state.connection_limit_reached = false;
   }
 }
--- a/src/net/peer_server.cpp
+++ b/src/net/peer_server.cpp
@@ -11,10 +11,10 @@
 namespace dunlinwing::net {
 namespace {
 constexpr base::Log logger("peer");
-constexpr Duration kIdleTimeout(30000);  // without a byte from the peer
-constexpr Duration kWriteTimeout(5000);  // for a response
-constexpr Duration kRoomCheck(50);       // how soon it is checked again whether a connection has ended
-constexpr Duration kAcceptRetry(50);     // before accepting again after a failed accept
+constexpr Duration kIdleTimeout(30000);   // without a byte from the peer
+constexpr Duration kWriteTimeout(5000);   // for a response
+constexpr Duration kRoomCheckPeriod(50);  // how soon it is checked again whether a connection has ended
+constexpr Duration kAcceptRetry(50);      // before accepting again after a failed accept
 
 /// The connections from peers. Above half of the limit, connections are closed after their response. At the
 /// limit no more are accepted until one has ended; new ones wait in the backlog and are not rejected.
@@ -120,7 +120,7 @@
   void wait_for_room() {
     while (open_ >= max_connections_) {
       evict();
-      room_->wait(kRoomCheck);
+      room_->wait(kRoomCheckPeriod);
     }
   }
 
