--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -85,7 +85,7 @@
   return 400;
 }
 
-bool is_without_body(int status) { return status == 204 || status == 304 || status / 100 == 1; }
+bool has_no_body(int status) { return status == 204 || status == 304 || status / 100 == 1; }
 
 /// Properties of a request that its response depends on.
 struct ResponseContext {
@@ -99,7 +99,7 @@
 }
 
 void append_content_length(std::string& head, const base::Response& response, bool is_head_request) {
-  const bool without_body = is_without_body(response.status);
+  const bool without_body = has_no_body(response.status);
   const auto stated = is_head_request || response.status == 304
                           ? base::header(response.headers, "Content-Length")
                           : std::string();
@@ -323,7 +323,7 @@
 ErrorCode HttpServerConnection::write_response(const base::Response& response, const std::string& head,
                                                bool without_body) {
   enter(State::writing);
-  const bool no_body = without_body || is_without_body(response.status);
+  const bool no_body = without_body || has_no_body(response.status);
   return write_parts(head, no_body ? std::string_view() : response.body);
 }
 
