--- a/src/base/cancellation.hpp
+++ b/src/base/cancellation.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// Tells those who work on a request that nobody waits for its response any more. Whoever waits for such a
-/// request's sake subscribes, and is called once when the request is cancelled.
+/// Signals the code that handles a request that its response is no longer needed. Code that waits on behalf
+/// of the request subscribes; its callback is called once when the request is cancelled.
 ///
-/// Threads: every function may be called from any thread. Callbacks run on the thread that cancels, under the
-/// cancellation's own lock: they must be short, must not suspend the fiber and must not use the cancellation.
+/// Threads: every function may be called from any thread. Callbacks run on the thread that calls cancel(),
+/// under the lock of the Cancellation: they must be short, must not suspend the fiber and must not use the
+/// Cancellation.
 #pragma once
 #include <atomic>
 #include <functional>
@@ -19,7 +20,7 @@
   Cancellation(const Cancellation&) = delete;
   Cancellation& operator=(const Cancellation&) = delete;
 
-  /// Calls all who have subscribed. Once cancelled it stays so.
+  /// Calls every subscribed callback. A cancellation cannot be undone.
   void cancel();
 
   bool is_cancelled() const { return cancelled_; }
@@ -40,8 +41,8 @@
   return cancellation && cancellation->is_cancelled();
 }
 
-/// Has a function called when a request is cancelled, at once if it is already. Once this is destroyed the
-/// function is not called, and does not run.
+/// Calls a function when a request is cancelled, or at once if it is cancelled already. Once this object is
+/// destroyed, the function is not running and will not be called.
 class CancellationSubscription {
  public:
   CancellationSubscription(CancellationPtr cancellation, std::function<void()> callback);
--- a/src/base/common.hpp
+++ b/src/base/common.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What every part uses: the names for time, and the standard headers that nearly all need. Nothing here
-/// does any work.
+/// Declarations that every part uses: the time types, and the standard headers that nearly all parts need.
+/// This file contains no logic.
 #pragma once
 #include <chrono>
 #include <cstdint>
@@ -17,10 +17,10 @@
 namespace dunlinwing {
 
 using Duration = std::chrono::milliseconds;
-/// Since boot, counting the time that the machine slept; comparable on one machine only.
+/// Time since boot, including time in suspend; comparable on one machine only.
 using TimePoint = std::chrono::milliseconds;
 
-/// The alternative of type T, or null when the variant holds another.
+/// The alternative of type T, or null when the variant holds another alternative.
 template <class T, class... Alternatives>
 const T* as(const std::variant<Alternatives...>& value) {
   return std::get_if<T>(&value);
--- a/src/base/http.hpp
+++ b/src/base/http.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP requests and responses as plain data, apart from any connection.
+/// HTTP requests and responses as plain data, independent of any connection.
 #pragma once
 #include "base/cancellation.hpp"
 #include "base/common.hpp"
@@ -14,15 +14,15 @@
   std::string name;
   std::string value;
 };
-using Headers = std::vector<Header>;  ///< in their order; a name may stand more than once
+using Headers = std::vector<Header>;  ///< in message order; a name may occur more than once
 
 struct Request {
-  std::string id;  ///< the client's, for its journey through the relays; empty where there is none
+  std::string id;  ///< of the client, kept on the way through the relays; empty: none
   std::string method;
   std::string target;  ///< path and query
   std::string body;
   Headers headers;
-  CancellationPtr cancellation;  ///< tells that the client has left
+  CancellationPtr cancellation;  ///< signals that the client has disconnected
 };
 
 struct Response {
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// RapidJSON behind Json and Schema. Its validator stops at the first error, so a schema is taken apart
-/// into levels, each checked by itself; members that are missing or unknown are found here, not by
-/// RapidJSON. Thus a document hears of all that is wrong with it.
+/// Implements Json and Schema with RapidJSON. Its validator stops at the first error, so a schema is split
+/// into levels that are checked separately; missing and unknown members are found here, not by RapidJSON.
+/// Thus every error of a document is reported.
 #include "base/json.hpp"
 
 #define RAPIDJSON_HAS_STDSTRING 1
@@ -18,7 +18,7 @@
 namespace rj = rapidjson;
 
 struct Json::Impl {
-  std::shared_ptr<const rj::Document> document;  ///< holds the memory of `value`
+  std::shared_ptr<const rj::Document> document;  ///< owns the memory of `value`
   const rj::Value* value = nullptr;
 };
 
@@ -34,8 +34,8 @@
   return buffer.GetString();
 }
 
-/// RapidJSON keeps the last of two members of one name; an operator who wrote a key twice should be told
-/// instead.
+/// RapidJSON keeps the last of two members with the same name; a repeated key in an operator's document is
+/// reported as an error instead.
 std::optional<ValidationError> find_repeated_key(const rj::Value& value, const std::string& pointer) {
   if (value.IsObject()) {
     std::map<std::string, int> counts;
@@ -122,13 +122,13 @@
 std::string Json::text() const { return to_text(*impl_->value); }
 
 namespace {
-/// One level of a schema, its children taken out and compiled by themselves.
+/// One level of a schema; its children are removed from it and compiled separately.
 struct SchemaLevel {
   std::unique_ptr<rj::Document> text;
   std::unique_ptr<rj::SchemaDocument> compiled;  ///< of `text`
   std::map<std::string, std::unique_ptr<SchemaLevel>> properties;
-  std::unique_ptr<SchemaLevel> other_properties;  ///< null: whatever `closed` says
-  std::unique_ptr<SchemaLevel> items;             ///< null: any
+  std::unique_ptr<SchemaLevel> other_properties;  ///< null: `closed` decides
+  std::unique_ptr<SchemaLevel> items;             ///< null: any items are valid
   bool closed = false;                            ///< properties that the schema does not name are errors
   std::vector<std::string> required;
 };
@@ -168,7 +168,7 @@
   return level;
 }
 
-/// Checks documents against a compiled schema and collects what is wrong.
+/// Checks documents against a compiled schema and collects the errors.
 struct Validation {
   std::vector<ValidationError> errors;
 
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -1,35 +1,35 @@
 /// @file
-/// Reading and checking of JSON, behind a narrow interface so that RapidJSON is included in one file.
-/// Views of a document share it: each stays valid by itself, and may be read from any thread.
+/// Parses and validates JSON, behind a narrow interface so that RapidJSON is included in one file only.
+/// Views share ownership of their document: each stays valid on its own and may be read from any thread.
 #pragma once
 #include "base/common.hpp"
 
 namespace dunlinwing::base {
 
-/// One thing that is wrong with a document.
+/// One error in a document.
 struct ValidationError {
-  std::string pointer;  ///< JSON pointer of its place; empty: the whole document
-  std::string message;  ///< for people
+  std::string pointer;  ///< JSON pointer to the invalid value; empty: the whole document
+  std::string message;  ///< human-readable
 };
 
-/// A read-only view of a parsed document or of a part of it. Reading what is absent or of another type is
-/// no error: it gives the fallback, or nothing.
+/// A read-only view of a parsed document or of a part of it. Reading an absent value or one of another
+/// type is no error: it returns the fallback, or an empty result.
 class Json {
  public:
   struct Member;
 
-  /// An object that names one key twice is an error too.
+  /// A repeated key in an object is an error too.
   static std::variant<Json, ValidationError> parse(std::string_view text);
 
   /// A view of null.
   Json();
 
   bool has(const char* key) const;
-  /// The member of an object; a view of null when it is absent or this is no object.
+  /// The member of an object; a view of null when it is absent or this is not an object.
   Json at(const char* key) const;
-  /// The members of an object in their order; none when this is no object.
+  /// The members of an object in document order; empty when this is not an object.
   std::vector<Member> members() const;
-  /// The elements of an array; none when this is no array.
+  /// The elements of an array; empty when this is not an array.
   std::vector<Json> items() const;
 
   std::string string_or(const std::string& fallback = {}) const;
@@ -54,13 +54,13 @@
   Json value;
 };
 
-/// A JSON schema (of draft 4, without references). It lists everything that is wrong with a document.
+/// A JSON schema (draft 4, without references). It reports every error in a document.
 class Schema {
  public:
-  /// @param text  the schema; one that is not JSON is a fault of the program and throws std::logic_error
+  /// @param text  the schema; one that is not JSON is a programming error and throws std::logic_error
   explicit Schema(std::string_view text);
 
-  /// @return none when the document is valid
+  /// @return empty when the document is valid
   std::vector<ValidationError> check(const Json& document) const;
 
  private:
@@ -68,7 +68,7 @@
   std::shared_ptr<const Impl> impl_;
 };
 
-/// The text as a JSON string, quotes included.
+/// The text as a JSON string, including the quotes.
 std::string quote(std::string_view text);
 
 }  // namespace dunlinwing::base
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// One write a line, so that lines of several threads do not mix.
+/// Each line is one write call, so that lines of different threads do not interleave.
 #include "base/log.hpp"
 
 #include <unistd.h>
@@ -36,7 +36,7 @@
                           date.tm_mon + 1, date.tm_mday, date.tm_hour, date.tm_min, date.tm_sec,
                           now.tv_nsec / kNanosecondsPerMillisecond, kLevelNames[static_cast<size_t>(level)],
                           part, text);
-  // A line that cannot be written has nowhere to be told of.
+  // There is nowhere to report that a line could not be written.
   if (::write(STDERR_FILENO, line.data(), line.size()) < 0) return;
 }
 
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Logs: one short sentence a line on standard error, each part under its own fixed prefix.
-/// Threads: every function may be called from any thread; lines do not mix.
+/// Logging: one short sentence per line on standard error, with a fixed prefix for each part.
+/// Threads: every function may be called from any thread; lines do not interleave.
 #pragma once
 #include <fmt/format.h>
 
@@ -10,11 +10,11 @@
 
 enum class Level { debug, info, warn, error };
 
-/// Lines below the level are dropped from now on; at first those below info.
+/// Drops lines below this level from now on; the default is info.
 void set_level(Level level);
 
-/// @param name  as the enumerators are called
-/// @return whether the name is known; `level` is left alone when it is not
+/// @param name  the name of an enumerator
+/// @return whether the name is known; if not, `level` is unchanged
 bool parse_level(std::string_view name, Level& level);
 
 /// Writes one line: the time (UTC), the level, the part's name and the text.
@@ -23,7 +23,7 @@
 /// The logger of one part.
 class Log {
  public:
-  /// @param part  the prefix of its lines; has to outlive the logger
+  /// @param part  the prefix of its lines; must outlive the logger
   explicit constexpr Log(const char* part) : part_(part) {}
 
   template <class... Arguments>
--- a/src/base/version.cpp
+++ b/src/base/version.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The version of this program, alone in its file so that a test can link another.
+/// The version of this program, in a separate file so that a test can link another version.
 #include "base/common.hpp"
 
 namespace dunlinwing {
