--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -1,5 +1,5 @@
-// Hosts keep their platters over restarts; everything else of a process is
-// made anew. A killed process is buried once its last fiber has unwound.
+// A host keeps its disk contents across restarts; all other state of a process is
+// created again. The objects of a killed process are kept, since its fibers unwind later.
 #include "simulation/fleet.hpp"
 
 #include <fmt/format.h>
@@ -24,7 +24,7 @@
   return shape;
 }
 
-// Half a millisecond between zones is none or one on a clock of milliseconds.
+// The delay of 0.5 ms between zones is 0 or 1 ms, since the clock counts milliseconds.
 FleetShape practice_shape() {
   auto shape = lobby_shape();
   shape.second_backends = 7;
@@ -82,7 +82,7 @@
   throw std::logic_error("no host " + n);
 }
 
-// As net/peer_server does it with sockets.
+// Mirrors net/peer_server, which uses sockets.
 static pb::PeerResponse answer_peer(node::Node& node, link::Link& link, const pb::PeerRequest& request) {
   constexpr Duration kWriteTimeout(5000);
   const link::LinkUse use{&link, net::traffic_class_of(request)};
@@ -171,7 +171,7 @@
 
 void Fleet::wipe(const std::string& n) {
   ++world_.faults_met["lost_disk"];
-  // What a dying process still writes must not land on the new disk.
+  // The last writes of the killed process must not reach the new disk.
   world_.after(Duration(1), [this, n] { at(n).disk_contents.files.clear(); });
 }
 
@@ -260,7 +260,7 @@
 };
 }  // namespace
 
-// As net/http_server_connection does it with sockets: part by part at the link's pace.
+// Mirrors net/http_server_connection, which uses sockets: sends part by part at the rate of the link.
 static void send_response(World& world, link::Link& link, const std::string& host, bool control,
                           const std::shared_ptr<Visit>& visit) {
   constexpr Duration kWriteTimeout(10000);
@@ -279,7 +279,7 @@
   } while (remaining > 0);
 }
 
-// One HTTP exchange with a host: lost when its process dies or never answers.
+// One HTTP exchange with a host: lost when its process dies or does not respond.
 static std::shared_ptr<Visit> visit(World& world, const FleetShape& shape, const ProcessRunPtr& out,
                                     Host& host, base::Request request, bool control, Duration most) {
   auto v = std::make_shared<Visit>();
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -1,6 +1,6 @@
-// A simulated deployment: relays of the product, workers, callers and
-// operators, and the faults that can befall them. Journals come out in the
-// form of the stand-ins', so that one checker reads both.
+// A simulated deployment: relays of the product, backend instances, clients and
+// operators, with fault injection. Journals have the format of those of the
+// stand-in programs, so that one checker reads both.
 #pragma once
 #include "control_api/router.hpp"
 #include "link/link.hpp"
@@ -9,23 +9,23 @@
 namespace dunlinwing::simulation {
 
 struct FleetShape {
-  int shield_nodes = 0;         // that only fetch for others, named s1 and so on; clients do not reach them
+  int shield_nodes = 0;         // only fetch for other nodes, named s1 and so on; clients cannot reach them
   bool replica_shields = true;  // the last two replicas are shields too
-  int replicas = 5, edge_nodes = 4, spares = 0;  // spares have a disk, and no settings name them as holders
-  bool seeded = false;  // the first set of holders forms out of the seeds, the hosts h1 to h3
+  int replicas = 5, edge_nodes = 4, spares = 0;  // spares have a disk, but no settings list them as replicas
+  bool seeded = false;  // the first replica set forms from the seeds, the hosts h1 to h3
   int tolerate = 0;
   double scale = 600;
   Duration bound{2000};
   int64_t wall0 = 1700000000000;
-  // What a release of this name breaks on the nodes that run it: nothing, beats or reach.
+  // What the release of this name breaks on the nodes that run it: nothing (empty), beats or reach.
   std::string broken_release, broken_aspect;
-  int first_backends = 3, second_backends = 3;  // workers of the cached and of the other service
-  Duration min_delay{1}, max_delay{3};          // a message's way
-  // Million bits a second of a machine's link, each way; 0: without bounds. Machines with a disk, other
-  // relays, and those that only fetch for others.
+  int first_backends = 3, second_backends = 3;  // backend instances of the cached and of the other service
+  Duration min_delay{1}, max_delay{3};          // of a message between hosts
+  // Link rates in Mbit/s, each direction, 0: unlimited; of hosts with a disk, other relays, and nodes that
+  // only fetch for others.
   double replica_mbps = 0, edge_mbps = 0, shield_mbps = 0;
-  // A deployment that speaks other words: they go into each relay's settings, stand
-  // before its control face, and take the place of the workers below.
+  // Hooks for a deployment with other protocols: they change each relay's settings, wrap
+  // its control API, and replace the simulated backend instances.
   using Handler = std::function<base::Response(base::Request&)>;
   std::function<void(node::NodeConfig&)> settings;
   std::function<base::Response(base::Request&, const Handler& product)> translate;
@@ -35,7 +35,7 @@
   std::function<bool(const std::string& address)> stands;
 };
 
-// The brief's two deployments: fourteen machines, five of them with a disk.
+// The two deployments of the specification: fourteen machines, five of them with a disk.
 FleetShape lobby_shape();
 FleetShape practice_shape();
 
@@ -43,7 +43,7 @@
   std::string name, zone, address;
   bool has_disk = false, shield = false, spare = false;
   bool takes_clients = true;
-  bool started_before = false;  // started before
+  bool started_before = false;
   DiskContents disk_contents;
   int64_t wall_offset_ms = 0;
   ProcessRunPtr process;
@@ -63,33 +63,34 @@
 struct SimulatedBackend {
   std::string service, version, zone, instance, address;
   bool alive = true, leaving = false;
-  bool foreign = false;  // a program of somebody else: runs what it gets, says 421, and never beats
+  bool foreign =
+      false;  // an unrelated program: runs every request, responds with 421, never sends heartbeats
   int bad_percent = 0, lose_percent = 0, wrong_percent = 0, refuse_percent = 0;
   std::function<void(const std::string& by)>
-      on_deregistered;  // told who took its word that it leaves; it says nothing more then
+      on_deregistered;  // called with the host that acknowledged the deregistration; no heartbeat follows
   Duration min_latency{1}, max_latency{8};
   int64_t max_age = 0, period_ms = 1000;
-  int reported_load = 0;  // as it says in its answers; the work that others give it
+  int reported_load = 0;  // load from other clients, reported in its responses
   uint64_t heartbeats = 0;
-  // A version that is bad in its own way: how many times slower this request is, 0 when it fails.
+  // Fault of a version: the factor by which a request is slower; 0: the request fails.
   std::function<int(const std::string& target)> slowdown;
-  std::function<size_t(const std::string& target)> body_bytes;  // of its answers, at the least; null: 0
-  // Since when the object at a target has been as it is. Its answers then say so, are the same for all, and
-  // carry a tag, by which clients may ask whether theirs is current. Null: each answer is another.
+  std::function<size_t(const std::string& target)> body_bytes;  // minimum size of its responses; null: 0
+  // When the object at a target last changed. Its responses then state this time, are the same for all
+  // clients, and have an ETag for conditional requests. Null: every response differs.
   std::function<int64_t(const std::string& target)> changed_at;
-  TimePoint warm_at{0};  // until then it is twice as slow, and says so
+  TimePoint warm_at{0};  // until then it is twice as slow, and reports that
   int running = 0;
 };
 
-struct OperatorResponse {  // an operator's call and its answer
+struct OperatorResponse {  // the response to an operator's request
   int status = 0;
   std::string body, etag;
   bool lost = false;
-  std::string by;  // the host that answered
+  std::string by;  // the host that responded
 };
 
 struct Exchange {                       // with one host
-  bool complete = false, read = false;  // the answer came; the process began on the request
+  bool complete = false, read = false;  // the response arrived; the process began to handle the request
   base::Response response;
 };
 
@@ -101,7 +102,7 @@
   void start_all();
   void kill(const std::string& host);
   void wipe(const std::string& host);
-  void isolate(const std::string& host);  // both ways, from all
+  void isolate(const std::string& host);  // both directions, from all other hosts
   Host& at(const std::string& name);
   std::vector<std::unique_ptr<Host>>& hosts() { return hosts_; }
   Host* random_host(bool only_ready);
@@ -109,7 +110,7 @@
   SimulatedBackend& add_backend(const std::string& service, const std::string& version, int64_t max_age);
   std::vector<std::unique_ptr<SimulatedBackend>>& backends() { return backends_; }
 
-  // Fibers of the outside world.
+  // For fibers of outside clients and operators.
   int call(const std::string& method, const std::string& target, const std::string& body = {},
            Host* to = nullptr);
   void generate_requests(int per_second, TimePoint until, std::function<void()> one);
@@ -121,14 +122,15 @@
   bool wait_until(Duration most, const std::function<bool()>& f);
   void event(const std::string& fields);
 
-  bool breaks(const std::string& host, const std::string& what);  // whether its release does that
+  bool breaks(const std::string& host,
+              const std::string& what);  // whether the release of the host breaks `what`
   FleetShape& faults() { return shape_; }
   World& world() { return world_; }
   const FleetShape& shape() const { return shape_; }
   NetworkConditions normal_conditions() const {
     return {0, 0, shape_.min_delay, shape_.max_delay};
-  }            // the network of a good day
-  void end();  // kills all, so that every fiber unwinds
+  }            // of the network without injected faults
+  void end();  // kills all hosts, so that every fiber unwinds
   uint64_t calls = 0, good = 0;
 
  private:
@@ -144,7 +146,7 @@
   std::vector<std::unique_ptr<TerminatedHost>> terminated_;
   ProcessRunPtr outside_process_;
   uint64_t next_request_id_ = 0;
-  bool started_before_ = false;  // all were started once
+  bool started_before_ = false;  // all hosts were started once
 };
 
 }  // namespace dunlinwing::simulation
--- a/src/simulation/link_queue.hpp
+++ b/src/simulation/link_queue.hpp
@@ -12,13 +12,13 @@
 /// One direction of a link.
 class LinkQueue {
  public:
-  /// @param mbps  million bits a second; 0: whatever comes passes at once
+  /// @param mbps  in Mbit/s; 0: bytes pass without delay
   void set_rate(double mbps) { bytes_per_ms_ = mbps * kBytesPerMegabit / kMsPerSecond; }
 
   bool has_rate() const { return bytes_per_ms_ > 0; }
 
-  /// Queues bytes behind all that came before.
-  /// @return how long it takes until the last of them has passed
+  /// Queues bytes behind those queued before.
+  /// @return the time until the last of them has passed
   Duration transfer(TimePoint now, size_t bytes) {
     passed_ += bytes;
     if (!has_rate()) return Duration(0);
@@ -27,7 +27,7 @@
     return Duration(static_cast<int64_t>(free_at_ - time));
   }
 
-  /// Bytes that were ever queued.
+  /// Total bytes queued so far.
   uint64_t passed() const { return passed_; }
 
  private:
@@ -35,7 +35,7 @@
   static constexpr double kMsPerSecond = 1000;
 
   double bytes_per_ms_ = 0;
-  double free_at_ = 0;  ///< when all that was queued will have passed, in milliseconds
+  double free_at_ = 0;  ///< when all queued bytes will have passed, in milliseconds
   uint64_t passed_ = 0;
 };
 
--- a/src/simulation/origin.cpp
+++ b/src/simulation/origin.cpp
@@ -1,4 +1,4 @@
-// What a simulated worker does with a request; what it ran goes to the journal.
+// How a simulated backend instance handles a request; requests that it ran are written to the journal.
 #include "simulation/origin.hpp"
 
 #include <fmt/format.h>
@@ -14,7 +14,7 @@
   return more;
 }
 
-// Counts an attempt as long as it lasts.
+// Counts an attempt while it is in progress.
 class ConnectionInUse {
  public:
   explicit ConnectionInUse(int& count) : count_(count) { ++count_; }
@@ -69,7 +69,7 @@
   };
   if (!await_connection(address, rules)) return base::AttemptError::unsent;
   const ConnectionInUse connection(connections_[address]);
-  // What has left this process arrives also when it is frozen meanwhile.
+  // A request that was sent arrives even if this process is frozen meanwhile.
   Wait way;
   world.wait(fleet_.outside_process_, Duration(1), way);
   auto* backend = find();
@@ -151,7 +151,7 @@
   return response;
 }
 
-// The way of an answer over the link of this process, read as net/http_client does it.
+// Transfers a response over the link of this process, reading it like net/http_client does.
 void SimOrigin::receive(size_t bytes) {
   auto& world = fleet_.world_;
   if (!world.links[process_->host].has_rate()) return;
--- a/src/simulation/origin.hpp
+++ b/src/simulation/origin.hpp
@@ -1,5 +1,5 @@
-// Requests reach a simulated worker by its address, whoever stands there now, and a
-// relay's control face by its name.
+// Requests reach a simulated backend instance by address, whichever instance has it now, and the
+// control API of a relay by name.
 #pragma once
 #include "simulation/fleet.hpp"
 
@@ -14,8 +14,7 @@
                                                         const base::AttemptRules& rules) override;
 
  private:
-  // Waits until this process has fewer attempts at the address than it may have connections; false when that
-  // was not to be had in time.
+  // Waits until this process has fewer attempts at the address than its connection limit; false on timeout.
   bool await_connection(const std::string& address, const base::AttemptRules& rules);
   void receive(size_t bytes);
   void receive_part(size_t bytes);
@@ -23,7 +22,7 @@
                                                          const base::Request& request, Duration limit);
   Fleet& fleet_;
   ProcessRunPtr process_;
-  std::map<std::string, int> connections_;  // in use by this process, by address
+  std::map<std::string, int> connections_;  // in use by this process; key: address
 };
 
 }  // namespace dunlinwing::simulation
--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -1,5 +1,5 @@
-// Messages take their time, get lost, come twice and overtake each other; both
-// directions of a link can be cut apart from each other.
+// Messages are delayed, lost, duplicated and reordered; each direction between two
+// hosts can be partitioned separately.
 #include "simulation/ports.hpp"
 
 #include "net/peer_frame.hpp"
@@ -64,7 +64,7 @@
         world_.network.min_delay +
         Duration(world_.below(
             static_cast<uint64_t>((world_.network.max_delay - world_.network.min_delay).count()) + 1));
-    // What a frozen host is sent waits in its sockets until the thaw.
+    // A message to a frozen host waits in its sockets until the freeze ends.
     auto arrive = std::make_shared<std::function<void()>>();
     *arrive = [this, address, request, host, back, arrive] {
       auto p = directory_.find(address);
@@ -103,7 +103,7 @@
 
 bool MemoryFiles::replace(const std::string& n, const std::string& b) {
   if (contents_.failing) return false;
-  if (contents_.full) {  // it was cut to nothing before the first byte was refused
+  if (contents_.full) {  // the file was truncated before the first write failed
     contents_.files[n].clear();
     return false;
   }
@@ -116,7 +116,7 @@
 
 bool MemoryFiles::append(const std::string& n, const std::string& b) {
   if (contents_.failing) return false;
-  if (contents_.full) {  // the last block had some room left
+  if (contents_.full) {  // the last block had some space left
     contents_.files[n] += b.substr(0, b.size() / 2);
     return false;
   }
--- a/src/simulation/ports.hpp
+++ b/src/simulation/ports.hpp
@@ -41,7 +41,7 @@
   ProcessRunPtr process_;
 };
 
-// What stands at an address: its process, when one lives, and how it answers.
+// The peer at an address: its process, if one runs, and its request handler.
 struct Peer {
   std::string host;
   ProcessRunPtr life;
@@ -61,17 +61,17 @@
   World& world_;
   ProcessRunPtr process_;
   Directory& directory_;
-  link::Link* link_;  // null: what it carries is not counted
+  link::Link* link_;  // null: its traffic is not counted
 };
 
-// Bytes that outlive the process. A write under way when it dies is lost,
-// done, or torn.
+// Disk state that outlives the process. A write in progress when the process dies is lost,
+// complete, or torn.
 struct DiskContents {
   std::map<std::string, std::string> files;
   Duration min_latency{1}, max_latency{4};
-  bool failing = false;        // refuses every write and sync
-  bool full = false;           // takes no more bytes: a write leaves a part of them, or none
-  TimePoint stalled_until{0};  // answers nothing before then
+  bool failing = false;        // every write and sync fails
+  bool full = false;           // no space left: a write stores part of its bytes, or none
+  TimePoint stalled_until{0};  // no write completes before then
 };
 
 class MemoryFiles final : public storage::Files {
@@ -82,7 +82,7 @@
   bool append(const std::string& n, const std::string& b) override;
   bool sync_folder() override { return !contents_.failing; }
   std::string location() const override { return "memory"; }
-  size_t remaining_bytes = std::string::npos;  // bytes that still reach the platter
+  size_t remaining_bytes = std::string::npos;  // that can still be written; npos: unlimited
 
  private:
   DiskContents& contents_;
@@ -97,8 +97,8 @@
   std::optional<base::DiskError> rewrite(const pb::Snapshot& complete) override;
 
  private:
-  // Lets the disk's time pass, then runs the write; a process that dies meanwhile leaves it
-  // done, torn or not begun.
+  // Waits for the disk's latency, then runs the write; if the process dies meanwhile, the write is
+  // complete, torn or not started.
   std::optional<base::DiskError> timed(const std::function<std::optional<base::DiskError>()>& write);
   World& world_;
   ProcessRunPtr process_;
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -1,6 +1,6 @@
-// The event list is the idle hook of the fiber scheduler: when no fiber is
-// ready, the next event happens. A frozen host's fibers are not woken before
-// its thaw; a dead one's are woken once, to unwind.
+// The event list runs in the idle hook of the fiber scheduler: when no fiber is
+// ready, the next event runs. Fibers of a frozen host are not resumed before
+// the freeze ends; fibers of a killed process are resumed once, to unwind.
 #include "simulation/world.hpp"
 
 #include <fmt/format.h>
@@ -14,7 +14,7 @@
 namespace bf = boost::fibers;
 
 namespace {
-constexpr size_t kWindowBytes = 64 << 10;  // of one connection, on their way at once
+constexpr size_t kWindowBytes = 64 << 10;  // in flight at once, per connection
 }
 
 World::World(uint64_t seed) : rng_(seed) {}
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -1,7 +1,7 @@
-// A whole fleet in one thread on invented time. Every host runs the product's
-// own Node and Control; only the ports are simulated. All that happens is an
-// event in one list, drawn from one seed, so that a run can be had again to
-// the letter. A rule check runs after each event.
+// A complete fleet in one thread and in simulated time. Every host runs the product's
+// own Node and Router; only the ports are simulated. All activity is driven by one
+// event list and by random numbers from one seed, so that a run can be replayed
+// exactly. Invariants are checked after each event.
 #pragma once
 #include <random>
 #include <set>
@@ -13,7 +13,7 @@
 
 struct ProcessKilled {};  // thrown in the fibers of a process that was killed
 
-// One run of one process: what its fibers wait on dies with it.
+// One run of one process. Its fibers stop waiting when it is killed.
 struct ProcessRun {
   std::string host;
   bool dead = false;
@@ -22,7 +22,7 @@
 };
 using ProcessRunPtr = std::shared_ptr<ProcessRun>;
 
-struct NetworkConditions {  // what the network does to messages
+struct NetworkConditions {  // message loss, duplication and delay
   int loss_permille = 0, duplicate_permille = 0;
   Duration min_delay{1}, max_delay{3};
 };
@@ -38,12 +38,12 @@
 
   void at(TimePoint t, std::function<void()> f);
   void after(Duration s, std::function<void()> f) { at(now_ + s, std::move(f)); }
-  // Runs events and the fibers they notify until the time has come.
+  // Runs events and the fibers that they notify until the given time. `check` runs after each event.
   void run(TimePoint until, std::function<void()> check, std::function<void()> first);
   uint64_t steps() const { return steps_; }
 
   void spawn(const ProcessRunPtr& process, std::function<void()> f);
-  bool wait(const ProcessRunPtr& process, Duration s, struct Wait& w);  // true when woken
+  bool wait(const ProcessRunPtr& process, Duration s, struct Wait& w);  // true when notified
   void notify(struct Wait& w);
   void kill(const ProcessRunPtr& process);
   void freeze(const std::string& host, TimePoint until);
@@ -55,17 +55,17 @@
   bool is_partitioned(const std::string& from, const std::string& to) const {
     return cuts_.count({from, to}) > 0;
   }
-  /// Carries a message from one host to another: window by window over the links of both, each window after
-  /// the one before has come. Both names may be those of no host: its link has no rate.
+  /// Transfers a message between two hosts window by window over the links of both; each window starts when
+  /// the previous one has arrived. A name without a host is allowed: its link has no rate.
   void carry(const std::string& from, const std::string& to, size_t bytes, Duration delay,
              std::function<void()> arrived);
   std::map<std::string, HostLink> links;  ///< by host
   NetworkConditions network;
-  std::map<std::string, uint64_t> faults_met;  // faults that a run in truth met
-  uint64_t messages = 0, bytes = 0;            // between hosts, both ways
+  std::map<std::string, uint64_t> faults_met;  // how often each fault took effect
+  uint64_t messages = 0, bytes = 0;            // between hosts, both directions
   std::function<void(const std::string& host, const pb::LogRecord&)>
-      synced;                        // told of each record once it is on a disk
-  std::vector<std::string> journal;  // lines as the stand-ins write them
+      synced;                        // called for each record once it is on a disk
+  std::vector<std::string> journal;  // lines in the format of the stand-in programs
 
  private:
   void step();
@@ -87,7 +87,7 @@
   ProcessRunPtr life;
   void* fiber = nullptr;
   bool woken = false, timed_out = false;
-  uint64_t wait_id = 0;  // tells a late timer from this one's
+  uint64_t wait_id = 0;  // distinguishes the current wait's timer from an earlier one's
 };
 
 }  // namespace dunlinwing::simulation
