--- a/test/scenarios/control_api_scenarios.cpp
+++ b/test/scenarios/control_api_scenarios.cpp
@@ -1,12 +1,12 @@
 /// @file
-/// The responses that operators get, and when: from a node that is cut off, from two nodes that get requests
-/// under one number at once, and from another node after a response was lost.
+/// The responses to operators, and their timing: from a partitioned node, from two nodes that concurrently
+/// get requests with the same number, and from another node after a response was lost.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
 
-constexpr Duration kClientTimeout{1000};  // of a client, before it goes on to another node
+constexpr Duration kClientTimeout{1000};  // after which a client tries another node
 // Numbers of configurations are above 1000 here, since the checker compares them with the
 // generations of releases.
 
@@ -34,7 +34,7 @@
   return json ? *json : base::Json();
 }
 
-/// One attempt at one host: status 0 when it was silent for as long as a client waits.
+/// One attempt at one host; status 0 when it did not respond within the client's timeout.
 base::Response ask(Scene& scene, simulation::Host& host, const OperatorRequest& request) {
   base::Request http{"", request.method, request.target, request.body, request.headers};
   auto exchange = scene.fleet.exchange(host, http, true, kClientTimeout);
@@ -42,7 +42,7 @@
   return exchange.response;
 }
 
-/// Retries as an operator does: at another host after silence or a 5xx, until the response is clear.
+/// Retries as an operator does: at another host after a timeout or a 5xx, until the response is conclusive.
 base::Response request_until_clear(Scene& scene, const OperatorRequest& request, Duration longest) {
   base::Response response;
   scene.fleet.wait_until(longest, [&] {
@@ -85,8 +85,8 @@
   }
 }
 
-/// Each has another response at a node that knows what was acknowledged since the cut, or needs a
-/// majority in any case.
+/// Requests whose response changes with what was acknowledged since the partition, or which always need a
+/// majority.
 std::vector<OperatorRequest> requests_about_state() {
   return {
       {"GET", "/v1/layouts/current", ""},
@@ -113,8 +113,7 @@
   };
 }
 
-/// The requests to a node that is cut off: each needs a majority, so each gets a 503 that says when to come
-/// back.
+/// Sends requests to a partitioned node: each needs a majority, so each gets a 503 with Retry-After.
 struct CutOffNode {
   Scene& scene;
   simulation::Host& host;
@@ -129,14 +128,14 @@
       ++*node.sent;
       --*node.unanswered;
       auto summary =
-          fmt::format("{} {} at a relay cut off got {} after {} ms: {}", request.method, request.target,
+          fmt::format("{} {} at a partitioned relay got {} after {} ms: {}", request.method, request.target,
                       response.status, (node.scene.world.now() - from).count(), response.body);
       node.scene.require(response.status == 503 && !base::header(response.headers, "Retry-After").empty(),
                          summary);
     });
   }
 
-  /// What is invalid in itself may be rejected.
+  /// A document that is invalid in itself may be rejected without a majority.
   void send_invalid(const char* document) const {
     auto status = ask(scene, host, put_numbered(1030, document)).status;
     scene.require(status == 422 || status == 503, fmt::format("an invalid configuration got {}", status));
@@ -148,26 +147,26 @@
   }
 };
 
-/// The others go on meanwhile, and what they acknowledge is unknown to the one cut off.
+/// The other nodes acknowledge a change meanwhile, which the partitioned node does not receive.
 void change_configuration_elsewhere(Scene& scene, const simulation::Host& cut_off) {
   scene.fleet.spawn_outside([&scene, &cut_off] {
     for (auto& other : scene.fleet.hosts())
       if (other->name != cut_off.name &&
           ask(scene, *other, put_numbered(1020, numbered(4, true))).status == 200)
         return;
-    scene.require(false, "nobody else took a configuration");
+    scene.require(false, "no other node accepted a configuration");
   });
 }
 
-/// A node is cut off for twenty seconds and gets requests all the while: it shows no state, neither confirms
-/// nor rejects, and says so before the client goes away.
+/// A node is partitioned for 20 s and gets requests meanwhile: it returns no state, neither confirms nor
+/// rejects, and responds so before the client's timeout.
 void control_cut(Scene& scene, Cut how) {
   scene.duration = Duration(60000);
   scene.required_faults = {"cut"};
   scene.script = [&scene, how] {
     if (!begin_numbered(scene, 1010)) return;
-    if (!purge(scene, "known", "path", "/c/1")) scene.require(false, "a purge was not taken");
-    scene.fleet.sleep(Duration(1000));  // every node has it
+    if (!purge(scene, "known", "path", "/c/1")) scene.require(false, "a purge was not accepted");
+    scene.fleet.sleep(Duration(1000));  // every node has received it
     CutOffNode node{scene, scene.fleet.at(scene.world.below(2) ? "h2" : "e1")};
     cut(scene, node.host.name, how);
     change_configuration_elsewhere(scene, node.host);
@@ -178,16 +177,16 @@
       scene.fleet.sleep(Duration(50 + scene.world.below(900)));
     }
     scene.require(scene.fleet.wait_until(Duration(2000), [&] { return *node.unanswered == 0; }),
-                  "a call was never answered");
+                  "a request got no response");
     scene.world.heal_all();
     scene.require(scene.fleet.wait_until(Duration(3000), [&] { return node.has_configuration(1020); }),
-                  "the newest configuration does not come from a relay that is joined again");
+                  "a relay does not return the newest configuration after its partition has ended");
     scene.figures["asked"] = static_cast<uint64_t>(*node.sent);
   };
 }
 
-/// Two operators send another content under one number at once, at two nodes: exactly one is
-/// acknowledged, and that is the content in force; the other gets a conflict, now and later.
+/// Two operators concurrently send different content with the same number, to two nodes: exactly one is
+/// acknowledged, and its content is in force; the other gets a conflict, now and later.
 void same_number(Scene& scene) {
   scene.duration = Duration(60000);
   scene.script = [&scene] {
@@ -203,26 +202,26 @@
           --left;
         });
       scene.require(scene.fleet.wait_until(Duration(9000), [&] { return left == 0; }),
-                    "an operator got no clear answer");
+                    "an operator got no conclusive response");
       bool one = (statuses[0] == 200) != (statuses[1] == 200);
       scene.require(one && statuses[0] + statuses[1] == 200 + 409,
-                    fmt::format("under one number {} and {} were answered", statuses[0], statuses[1]));
+                    fmt::format("requests with the same number got {} and {}", statuses[0], statuses[1]));
       size_t won = statuses[0] == 200 ? 0 : 1;
       auto held = request_until_clear(scene, {"GET", "/v1/layouts/current", ""}, Duration(4000));
       scene.require(
           parsed(held.body).at("stated").string_or() == parsed(requests[won].body).at("stated").string_or(),
-          "what is held is not what was confirmed: " + held.body);
+          "the current configuration is not the acknowledged one: " + held.body);
       auto again = request_until_clear(scene, requests[won], Duration(4000));
       scene.require(again.status == 200 && !parsed(again.body).at("changed").bool_or(),
-                    "the same again under its number got " + again.body);
+                    "repeating the acknowledged request got " + again.body);
       auto older = request_until_clear(scene, put_numbered(number - 1, numbered(8)), Duration(4000));
       scene.require(older.status == 200 && !parsed(older.body).at("changed").bool_or(),
-                    "an older number got " + older.body);
+                    "a request with an older number got " + older.body);
     }
   };
 }
 
-/// A request whose response was lost is sent again, here to a node drawn anew, by several at once.
+/// Repeats a request as after a lost response: concurrently, each copy to a random node.
 void again_at_once(Scene& scene, const OperatorRequest& request, int copies) {
   int left = copies;
   for (int k = 0; k < copies; ++k)
@@ -231,11 +230,11 @@
       --left;
     });
   scene.require(scene.fleet.wait_until(Duration(8000), [&] { return left == 0; }),
-                "a request sent again got no clear response");
+                "a repeated request got no conclusive response");
 }
 
-/// Each kind of request is sent again after it was acknowledged, after a newer one and eight times at
-/// once: it is acknowledged again, and done once.
+/// Each kind of request is repeated after it was acknowledged, after a newer one and eight times
+/// concurrently: it is acknowledged again, and executed once.
 void orders_again(Scene& scene) {
   scene.duration = Duration(90000);
   scene.script = [&scene] {
@@ -261,15 +260,15 @@
     }
     auto held = request_until_clear(scene, {"GET", "/v1/layouts/current", ""}, Duration(4000));
     scene.require(parsed(held.body).at("number").integer_or() == 1013,
-                  "an older configuration came back: " + held.body);
+                  "an older configuration replaced a newer one: " + held.body);
     auto known = request_until_clear(scene, pairs[2].first, Duration(4000));
     scene.require(parsed(known.body).at("was_known").bool_or(),
-                  "a named purge was done twice: " + known.body);
+                  "a named purge was executed twice: " + known.body);
   };
 }
 
-/// A version rollout is requested again while it runs, after a newer one replaced it, and after that
-/// one has ended; the newer one is not disturbed.
+/// A version rollout is requested again while it runs, after a newer one replaced it, and after the newer
+/// one has ended; the newer one is not affected.
 void moves_again(Scene& scene) {
   scene.duration = Duration(90000);
   scene.script = [&scene] {
@@ -286,18 +285,18 @@
       auto state = request_until_clear(scene, {"GET", "/v1/services/app", ""}, Duration(4000));
       return parsed(state.body).at("trial_number").string_or();
     };
-    scene.require(trial() == "1", "one move asked for eight times at once opened several trials");
+    scene.require(trial() == "1", "a rollout requested eight times concurrently started several canaries");
     if (!acknowledged(scene, move_to("1"))) return;
     again_at_once(scene, move_to("2"), 4);
-    scene.require(trial() == "1", "a move that a newer one had replaced was begun again");
+    scene.require(trial() == "1", "a rollout that a newer one had replaced was started again");
     scene.require(latest().at("version").string_or() == "1",
-                  "a move sent again took the place of a newer one");
+                  "a repeated rollout request replaced a newer rollout");
     if (!acknowledged(scene, move_to("1"))) return;
-    // After a while the same words are a new request.
+    // After some time an identical request counts as a new one.
     scene.fleet.sleep(Duration(31000));
     if (!acknowledged(scene, move_to("2"))) return;
     scene.require(trial() == "2" && latest().at("version").string_or() == "2",
-                  "a new move in old words was not begun");
+                  "a new rollout with an earlier request's content was not started");
   };
 }
 
--- a/test/scenarios/disk_scenarios.cpp
+++ b/test/scenarios/disk_scenarios.cpp
@@ -1,6 +1,6 @@
-// Disks of replicas that fail for some seconds and work again: full, refusing every write, or
-// answering nothing. The replica is mute meanwhile, votes again within a second of the end, and
-// nothing that was acknowledged is lost, whichever other replica falls right then.
+// Disks of replicas that fail for some seconds and recover: full, failing every write, or
+// stalled. The replica does not vote meanwhile, votes again within a second after the fault, and
+// nothing acknowledged is lost, whichever other replica is killed at that moment.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
@@ -12,7 +12,7 @@
 
 using Acked = std::map<std::string, std::string>;
 
-// Records one layout after the other until it is stopped.
+// Records configurations one after the other until it is stopped.
 struct Writer {
   std::shared_ptr<bool> stop = std::make_shared<bool>(false);
   std::shared_ptr<Acked> acked = std::make_shared<Acked>();
@@ -43,7 +43,7 @@
   host.disk_contents.stalled_until = TimePoint(0);
 }
 
-// Whether the replica gives a promise, asked for a register of which nobody makes use.
+// Whether the replica grants a promise for a register that is not used otherwise.
 bool votes(Scene& scene, simulation::Host& host) {
   struct Asked {
     bool yes = false, done = false;
@@ -77,8 +77,8 @@
   return names;
 }
 
-// Whether a layout stated now is recorded in time. Asked anew, since the writer may still wait for
-// an answer of a process that was killed.
+// Whether a configuration sent now is recorded in time. Sends its own requests, since the writer may
+// still wait for a response of a process that was killed.
 bool records(Scene& scene, const Writer& w, Duration most) {
   return scene.fleet.wait_until(most, [&] {
     auto name = fmt::format("probe{}", scene.world.now().count());
@@ -89,8 +89,8 @@
   });
 }
 
-// One disk fails under traffic. Right after it works again two others are killed, so that its
-// replica is needed for every majority; then it is restarted from what it wrote.
+// One disk fails under traffic. Right after it recovers two other replicas are killed, so that its
+// replica is needed for every majority; then it is restarted from its disk.
 void one_disk(Scene& scene, DiskFault fault) {
   scene.duration = Duration(150000);
   scene.script = [&scene, fault] {
@@ -105,25 +105,25 @@
       auto from = scene.world.now();
       begin_fault(scene, host, fault, lasts);
       scene.fleet.sleep(lasts / 2);
-      // Its process may end meanwhile and start on the disk as it is.
+      // The process may be killed meanwhile and restarted on the failing disk.
       if (scene.world.random(300)) {
         scene.fleet.kill(host.name);
         scene.fleet.start(host.name);
       } else if (fault != DiskFault::stalled) {
-        scene.require(host.node->acceptor()->non_voting(), host.name + " votes on a disk that fails");
+        scene.require(host.node->acceptor()->non_voting(), host.name + " votes while its disk fails");
       }
       scene.require(records(scene, w, lasts - lasts / 2),
-                    "one failing disk of five, and control stood still");
+                    "no configuration was recorded while one of five disks failed");
       scene.fleet.sleep(std::max(Duration(0), from + lasts - scene.world.now()));
       end_fault(host);
       from = scene.world.now();
       scene.fleet.kill(names[1]);
       bool again = scene.fleet.wait_until(kVotesAgain, [&] { return votes(scene, host); });
-      scene.require(again, host.name + " does not vote a second after its disk works again");
+      scene.require(again, host.name + " does not vote within a second after its disk recovered");
       longest = std::max<Duration>(longest, scene.world.now() - from);
       scene.fleet.kill(names[2]);
       scene.require(records(scene, w, Duration(5000)),
-                    "control stands still though three replicas of five vote");
+                    "no configuration was recorded though three of five replicas vote");
       scene.fleet.sleep(Duration(2000));
       scene.fleet.start(names[1]);
       scene.fleet.start(names[2]);
@@ -133,19 +133,19 @@
       scene.fleet.start(host.name);
       scene.fleet.sleep(Duration(3000));
       scene.require(!host.node->acceptor()->non_voting(),
-                    host.name + " lost what it wrote when its disk worked again");
+                    host.name + " does not vote after a restart on its recovered disk");
     }
     *w.stop = true;
     scene.fleet.sleep(Duration(8000));
     all_know(scene, *w.acked);
     scene.figures["longest_until_vote_ms"] = static_cast<uint64_t>(longest.count());
     scene.figures["layouts_acked"] = w.acked->size();
-    scene.require(w.acked->size() > 20, "hardly anything was acknowledged");
+    scene.require(w.acked->size() > 20, "too few configurations were acknowledged");
   };
 }
 
-// All disks are full at once, as on one shared volume; processes end and start meanwhile, and
-// in the end all lose power.
+// All disks are full at once, as on one shared volume; processes are restarted meanwhile, and
+// finally all nodes lose power.
 void every_disk(Scene& scene) {
   scene.duration = Duration(120000);
   scene.required_faults = {"full_disk", "disk_back", "kill"};
@@ -169,18 +169,19 @@
       for (auto& n : names) end_fault(scene.fleet.at(n));
       for (auto& n : names)
         scene.require(scene.fleet.wait_until(kVotesAgain, [&] { return votes(scene, scene.fleet.at(n)); }),
-                      n + " does not vote a second after its disk works again");
+                      n + " does not vote within a second after its disk recovered");
       scene.fleet.event(R"("t":"returned")");
       scene.require(await_all_ready(scene, Duration(8000)),
-                    "the fleet did not serve again after its disks worked again");
-      scene.require(records(scene, w, Duration(3000)), "nothing is recorded though every disk works again");
+                    "not all nodes were ready after their disks recovered");
+      scene.require(records(scene, w, Duration(3000)),
+                    "no configuration was recorded though every disk recovered");
       scene.fleet.sleep(Duration(2000));
       for (auto& host : scene.fleet.hosts()) scene.fleet.kill(host->name);
       scene.fleet.sleep(Duration(300));
       scene.fleet.start_all();
       scene.fleet.event(R"("t":"returned")");
       scene.require(await_all_ready(scene, Duration(15000)),
-                    "the fleet did not serve again 15 s after a restart of all");
+                    "not all nodes were ready 15 s after a restart of all nodes");
     }
     *w.stop = true;
     scene.fleet.sleep(Duration(8000));
--- a/test/scenarios/fault_scenarios.cpp
+++ b/test/scenarios/fault_scenarios.cpp
@@ -1,4 +1,4 @@
-// Faults in the moment that hurts most, and several kinds at once.
+// Faults at critical moments, and several kinds of faults at once.
 #include "rollout/rollout_controller.hpp"
 #include "scenarios/scenario.hpp"
 
@@ -15,8 +15,8 @@
   return b;
 }
 
-// The relay that acknowledged something is killed in that very moment, now and then
-// with the duty's holder; what it acknowledged is still there afterwards.
+// The relay that acknowledged a request is killed at that moment, sometimes together
+// with the leader; what it acknowledged is not lost.
 void kill_after_ack(Scene& scene) {
   scene.duration = Duration(120000);
   scene.required_faults = {"kill"};
@@ -44,7 +44,7 @@
     auto has = [&](const std::string& target, const std::string& what) {
       auto b = body_of(scene, target);
       scene.require(b.find(what) != b.npos,
-                    fmt::format("{} was acknowledged and is gone from {}", what, target));
+                    fmt::format("{} was acknowledged and is missing from {}", what, target));
     };
     for (int i = 0; i < 3; ++i) {
       auto n = fmt::format("k{}", i);
@@ -71,13 +71,13 @@
     scene.fleet.sleep(Duration(3000));
     scene.fleet.event(R"("t":"returned")");
     scene.require(await_all_ready(scene, Duration(15000)),
-                  "the fleet did not serve again 15 s after the machines returned");
+                  "not all nodes were ready 15 s after the hosts were restarted");
     scene.fleet.sleep(Duration(21000));
   };
 }
 
-// The only relay that a worker told that it leaves dies right after it acknowledged
-// that, and comes back knowing nothing; the worker says it no second time.
+// The only relay that received a backend instance's deregistration is killed right after it
+// acknowledged it, and restarts without state; the instance does not repeat the request.
 void last_word(Scene& scene) {
   scene.duration = Duration(110000);
   scene.required_faults = {"kill"};
@@ -100,8 +100,8 @@
   };
 }
 
-// One zone goes away whole, then both machines of the second tier; callers of the rest
-// go on, a layout is recorded meanwhile.
+// All hosts of one zone are killed, later both shields; clients of the other nodes are
+// still served, and a configuration is recorded meanwhile.
 void zone_lost(Scene& scene) {
   scene.duration = Duration(120000);
   scene.required_faults = {"kill"};
@@ -118,21 +118,21 @@
                            simulated_configuration("\"1\"", 3));
       scene.fleet.sleep(Duration(6000));
       scene.require((scene.fleet.good - g) * 100 >= (scene.fleet.calls - c) * 97,
-                    fmt::format("{} away: only {} of {} calls went well", what, scene.fleet.good - g,
+                    fmt::format("{} killed: only {} of {} calls succeeded", what, scene.fleet.good - g,
                                 scene.fleet.calls - c));
       for (auto& n : gone) scene.fleet.start(n);
       scene.fleet.event(R"("t":"returned")");
       scene.require(await_all_ready(scene, Duration(15000)),
-                    std::string("no service after the return of ") + what);
+                    std::string("not all nodes were ready after the restart of ") + what);
       scene.fleet.sleep(Duration(20500));
     };
     part("a zone", [&](simulation::Host& host) { return host.zone == "a"; });
-    part("the second tier", [&](simulation::Host& host) { return host.shield; });
+    part("the shields", [&](simulation::Host& host) { return host.shield; });
   };
 }
 
-// The disk of whoever holds the leadership turns slow, again and again; releases, trials and
-// purges go on.
+// The disk of the current leader becomes slow, again and again; rollouts and purges
+// still make progress.
 void slow_duty(Scene& scene) {
   scene.duration = Duration(120000);
   scene.required_faults = {"slow_disk"};
@@ -152,13 +152,13 @@
       purge(scene, fmt::format("p{}", i), "prefix", "/c/");
       scene.fleet.sleep(Duration(4000));
     }
-    scene.require(
-        await_phase(scene, "second", "DONE", Duration(60000)),
-        "a slow disk at the duty's holder held a release up: " + release_state(scene, "second").text());
+    scene.require(await_phase(scene, "second", "DONE", Duration(60000)),
+                  "the release did not finish while the leader's disk was slow: " +
+                      release_state(scene, "second").text());
   };
 }
 
-// A storm of purges while relays are cut off and come back, one way and both.
+// Many purges at once while relays are partitioned and rejoin, in one or both directions.
 void storm_cut(Scene& scene) {
   scene.duration = Duration(80000);
   scene.required_faults = {"cut"};
@@ -182,13 +182,13 @@
       scene.fleet.sleep(Duration(scene.world.below(1500)));
     }
     scene.fleet.event(R"("t":"returned")");
-    scene.require(await_all_ready(scene, Duration(15000)), "no service after the cuts");
+    scene.require(await_all_ready(scene, Duration(15000)), "not all nodes were ready after the partitions");
     scene.fleet.sleep(Duration(20500));
   };
 }
 
-// Workers are replaced one by one while a layout rolls out and a service moves to a
-// new version; invalid layouts come in between.
+// Backend instances are replaced one by one during the rollouts of a configuration and of a
+// service's new version; invalid configurations are sent in between.
 void busy_evening(Scene& scene) {
   scene.duration = Duration(150000);
   scene.script = [&scene] {
@@ -203,7 +203,7 @@
             [&] {
               return scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 200;
             }),
-        "the move was not taken");
+        "the version change was not accepted");
     auto calls = scene.fleet.calls, good = scene.fleet.good;
     static const char* const bad[] = {
         "{",
@@ -219,7 +219,7 @@
       auto response = scene.fleet.operator_call("PUT", fmt::format("/v1/releases/layout/bad{}", i),
                                                 bad[i % std::size(bad)]);
       scene.require(response.lost || response.status == 422 || response.status == 503,
-                    fmt::format("an invalid layout gave {} {}", response.status, response.body));
+                    fmt::format("an invalid configuration got {} {}", response.status, response.body));
       scene.fleet.sleep(Duration(1500));
       scene.fleet.backends()[i]->leaving = true;
       scene.fleet.sleep(Duration(3500));
@@ -227,19 +227,20 @@
     }
     calls = scene.fleet.calls - calls;
     good = scene.fleet.good - good;
-    scene.require(good * 1000 >= calls * 998, fmt::format("only {} of {} calls went well", good, calls));
-    scene.require(await_phase(scene, "second", "DONE", Duration(60000)), "the layout did not run everywhere");
+    scene.require(good * 1000 >= calls * 998, fmt::format("only {} of {} calls succeeded", good, calls));
+    scene.require(await_phase(scene, "second", "DONE", Duration(60000)),
+                  "the configuration was not rolled out to all nodes");
     scene.require(
         scene.fleet.wait_until(Duration(60000),
                                [&] {
                                  return body_of(scene, "/v1/services/app").find("\"current\":\"2\"") !=
                                         std::string::npos;
                                }),
-        "the move did not end");
+        "the version change did not finish");
   };
 }
 
-// A node is assigned a release that it cannot load: it may not go on under the old one.
+// A node is assigned a release that it cannot load: it must not continue to serve under the old one.
 void unloadable(Scene& scene) {
   scene.duration = Duration(40000);
   scene.script = [&scene] {
@@ -263,10 +264,11 @@
     }
     scene.require(*ok, "the assignment was not written");
     scene.fleet.sleep(Duration(2000));
-    scene.require(!host->node->ready(), "a node serves on under a layout that it was taken off");
+    scene.require(!host->node->ready(),
+                  "a node is ready under a configuration that is no longer assigned to it");
     for (int i = 0; i < 10; ++i)
       scene.require(scene.fleet.call("GET", "/a/1", "", host) == 503,
-                    "it took a request under the old layout");
+                    "the node served a request under the old configuration");
     scene.fleet.sleep(Duration(3000));
   };
 }
--- a/test/scenarios/fetch_scenarios.cpp
+++ b/test/scenarios/fetch_scenarios.cpp
@@ -1,22 +1,21 @@
-// What users saw: on a fleet of some ninety nodes half of the requests for cacheable objects were refused, on
-// calm days too, while requests of the other services were answered in time. Order of events: each node
-// fetched each object for itself; the origin's stated rate, split among all nodes, was used up from the first
-// second on, and the rest was refused. Where a few nodes fetched for all, they had one connection each to an
-// instance, since its cap was split among all nodes as well, and what they had of the rate was lost in
-// waiting for that one. Evidence: the origin got the same number of requests whatever was asked; refusals
-// counted by reason were rate_limited; with the cap divided among the fetching nodes alone nine tenths were
-// served.
+// Guards against this failure: on a fleet of about ninety nodes half of the requests for cacheable objects
+// were rejected, even without faults, while requests of other services were served in time. Each node fetched
+// each object itself; the origin's configured rate, split among all nodes, was used up from the first second
+// on, and the rest was rejected as rate_limited. Where a few nodes fetched for all, each had one connection
+// to an instance, since the connection limit was split among all nodes as well, and their share of the rate
+// expired while they waited for it. The origin got the same number of requests whatever the demand; with the
+// limit split among the fetching nodes only, nine tenths were served.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
-constexpr int kObjects = 150;            // of a lifetime of three seconds: fifty fetches a second, if shared
-constexpr int kRate = 90;                // that the origin takes, a second
-constexpr int kConnections = 40;         // that each of its instances takes
-constexpr int kRequestsPerSecond = 333;  // what each node fetches for itself would be five times the rate
+constexpr int kObjects = 150;            // with a lifetime of 3 s: 50 fetches a second if nodes share them
+constexpr int kRate = 90;                // requests per second that the origin accepts
+constexpr int kConnections = 40;         // that each of its instances accepts
+constexpr int kRequestsPerSecond = 333;  // if each node fetched for itself, fetches would be five times kRate
 constexpr int kFirstInstances = 3;
 constexpr Duration kMinLatency{150}, kMaxLatency{250};
-constexpr double kCalmShare = 0.97;  // of the requests that have to be served
+constexpr double kCalmShare = 0.97;  // of the requests that must be served
 constexpr double kTroubleShare = 0.9;
 
 std::string rated_configuration() {
@@ -31,7 +30,7 @@
   double share() const { return asked ? static_cast<double>(served) / static_cast<double>(asked) : 0; }
 };
 
-/// Clients that ask any ready node for some object, the first ones more often than the last.
+/// Generates requests to any ready node for random objects; lower-numbered objects are requested more often.
 std::shared_ptr<Served> ask_for_objects(Scene& scene, Duration duration) {
   auto served = std::make_shared<Served>();
   scene.fleet.generate_requests(kRequestsPerSecond, scene.world.now() + duration, [&scene, served] {
@@ -54,7 +53,7 @@
   return true;
 }
 
-/// Lets clients ask for a while and looks at what part is served.
+/// Counts requests for the duration and checks the share that is served.
 void expect_share(Scene& scene, Served& served, Duration duration, double least, const std::string& when) {
   served = {};
   scene.fleet.sleep(duration);
@@ -74,7 +73,7 @@
   };
 }
 
-/// The nodes that fetch for others, by what clients see alone: those that send most to the origin.
+/// The nodes by their number of fetches from the origin, highest first: the first ones fetch for others.
 std::vector<std::string> fetching_nodes(Scene& scene) {
   std::vector<std::pair<uint64_t, std::string>> fetches;
   for (auto& host : scene.fleet.hosts())
@@ -85,7 +84,7 @@
   return names;
 }
 
-/// One after the other a fetching node is killed, frozen, cut off and made slow, while configurations change.
+/// A fetching node is killed, another frozen and another partitioned, while the configuration changes.
 void faults(Scene& scene) {
   scene.duration = Duration(110000);
   scene.required_faults = {"kill", "freeze", "cut"};
@@ -111,7 +110,7 @@
   };
 }
 
-/// All dedicated fetching nodes are gone for good: the others share fetches among themselves.
+/// All shield nodes are killed permanently: the other nodes split the fetches among themselves.
 void all_gone(Scene& scene) {
   scene.duration = Duration(80000);
   scene.required_faults = {"kill"};
--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -1,5 +1,5 @@
-// Leaders of the rollout that are frozen or cut off for longer than their lease, at each point
-// between reading a register and having it written, while their successors write too.
+// Rollout leaders are frozen or partitioned for longer than their lease, at each point between
+// reading a register and completing its write, while their successors write too.
 #include "limits/rate_quotas.hpp"
 #include "rollout/rollout_controller.hpp"
 #include "rollout/version_rollout.hpp"
@@ -8,11 +8,11 @@
 namespace dunlinwing::test {
 namespace {
 
-constexpr size_t kMajority = 3;          // of the five replicas
+constexpr size_t kMajority = 3;          // of five replicas
 constexpr uint64_t kPoints = 10;         // promises and accepts of one write, on five disks
 constexpr Duration kPastTheLease{9000};  // the lease is four seconds, and a successor waits six at most
 
-// The term that a value carries, when the register is one that only a leader decides.
+// The leader's term in a value, when only a leader may write the register.
 std::optional<uint64_t> term_in(const std::string& name, const std::string& data) {
   if (name == rollout::kRolloutKey) {
     pb::RolloutState r;
@@ -32,7 +32,7 @@
   return {};
 }
 
-// What the disks say was chosen, version by version.
+// The terms of the versions that were chosen according to the disks.
 class History {
  public:
   void synced(const std::string& host, const pb::RegisterState& slot) {
@@ -61,7 +61,7 @@
   std::map<std::string, std::map<uint64_t, uint64_t>> terms_;
 };
 
-// Springs on the leader when so many of its votes have reached a disk.
+// Freezes or partitions the leader once the given number of its votes has reached a disk.
 struct Trap {
   std::string leader;
   uint64_t votes_left = 0;
@@ -119,8 +119,9 @@
       scene.fleet.sleep(Duration(2500));
     }
     scene.require(history->broken.empty(), history->broken);
-    scene.require(trap->sprung >= 4, fmt::format("only {} leaders were stopped in a write", trap->sprung));
-    scene.require(history->highest >= trap->sprung, "the leadership did not change hands");
+    scene.require(trap->sprung >= 4,
+                  fmt::format("only {} leaders were stopped during a write", trap->sprung));
+    scene.require(history->highest >= trap->sprung, "the leadership did not change often enough");
     scene.figures["leaders_stopped"] = trap->sprung;
     scene.figures["highest_term"] = history->highest;
   };
--- a/test/scenarios/limit_scenarios.cpp
+++ b/test/scenarios/limit_scenarios.cpp
@@ -1,12 +1,12 @@
-// What holds over the whole fleet in figures: a trial's share and its end, repeats,
-// a stated rate, and how early those who are turned away are told.
+// Limits that hold fleet-wide: a canary's share and duration, retries, a configured rate,
+// and how early rejected requests get their response.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
 
-// Around the fiftieth bad answer the duty's holder and its understudy are killed,
-// frozen or cut off, and relays restart; the verdict may not wait for them.
+// Around the fiftieth bad response the leader and its standby are killed, frozen or
+// partitioned, or relays are restarted; this must not delay the canary's verdict.
 void trouble_in_trial(Scene& scene) {
   scene.fleet.spawn_outside([&scene] {
     auto how = scene.world.below(4);
@@ -45,7 +45,7 @@
     bool took = scene.fleet.wait_until(Duration(10000), [&] {
       return scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 200;
     });
-    scene.require(took, "the move was not taken");
+    scene.require(took, "the version change was not accepted");
     for (auto& backend : scene.fleet.backends())
       if (backend->service == "app" && backend->version == "1") backend->bad_percent = old_bad;
     if (trouble) trouble_in_trial(scene);
@@ -60,15 +60,15 @@
       return bad ? !json.at("quarantined").at("2").string_or().empty()
                  : json.at("current").string_or() == "2";
     });
-    scene.require(end, "the move did not come to its end: " + state().text());
+    scene.require(end, "the version change did not finish: " + state().text());
     if (bad) scene.fleet.sleep(Duration(10000));
     if (bad)
       scene.require(scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 409,
-                    "a quarantined version came back unasked");
+                    "a request for a quarantined version was not rejected");
   };
 }
 
-// Workers lose half their answers while relays are restarted again and again.
+// Every response of the backend instances is bad while relays are restarted repeatedly.
 void repeat_storm(Scene& scene) {
   scene.duration = Duration(40000);
   scene.required_faults = {"bad_answer", "kill"};
@@ -89,8 +89,8 @@
   };
 }
 
-// Whoever is turned away is told so early: behind workers that hang, behind another's
-// fetch that hangs, on a waitlist that stops moving, at an origin's pace.
+// Rejections come early: when backend instances hang, when another request's fetch
+// hangs, on a waitlist that makes no progress, under an origin's rate limit.
 void given_up(Scene& scene) {
   scene.duration = Duration(60000);
   scene.reject_within = Duration(1200);  // of a deadline of 2000
@@ -111,8 +111,8 @@
   };
 }
 
-// Callers crowd one relay, then another; the origin's rate holds over all, and
-// the share follows the demand.
+// Clients overload one relay, then another; the origin's rate limit holds fleet-wide,
+// and the quotas follow the demand.
 void slow_origin(Scene& scene) {
   scene.duration = Duration(80000);
   scene.reject_within = Duration(1200);
@@ -131,9 +131,10 @@
     scene.fleet.sleep(Duration(15000));
     n->first = n->second = 0;
     scene.fleet.sleep(Duration(10000));
-    // The crowd alone asks 60 a second of 30; an even split would give it 3.
-    scene.require(n->second > 120,
-                  fmt::format("only {} of {} got through where the demand is", n->second, n->first));
+    // These clients send 60 requests a second for a rate of 30; an even split would admit 3.
+    scene.require(
+        n->second > 120,
+        fmt::format("only {} of {} requests succeeded at the relay with the demand", n->second, n->first));
     scene.figures["through_in_10s"] = n->second;
     *at = "e3";
     scene.fleet.kill("e1");
@@ -141,13 +142,15 @@
     n->first = n->second = 0;
     scene.fleet.sleep(Duration(10000));
     scene.figures["followed_in_10s"] = n->second;
-    scene.require(n->second > 120, fmt::format("the share did not follow: {} of {}", n->second, n->first));
+    scene.require(
+        n->second > 120,
+        fmt::format("the quota did not follow the demand: {} of {} requests succeeded", n->second, n->first));
   };
 }
 
-// What could make the sends at a paced origin bunch: relays that freeze and thaw with
-// many naps due, all relays restarted at once, cuts, the leadership changing hands, and a
-// layout that lowers the rate to a third.
+// Causes of bursts at a rate-limited origin: relays that resume after a freeze with many
+// timers due, a restart of all relays at once, partitions, changes of the leader, and a
+// configuration that lowers the rate to a third.
 void pace_faults(Scene& scene) {
   scene.duration = Duration(90000);
   scene.required_faults = {"kill", "freeze", "cut"};
@@ -186,20 +189,20 @@
     scene.require(scene.fleet.wait_until(
                       Duration(8000),
                       [&] { return read_rollout_state(scene, r) && r.in_force().at("layout") == "slower"; }),
-                  "the lower rate did not come in force");
+                  "the lower rate did not come into force");
     scene.fleet.sleep(Duration(2000));
     scene.fleet.event(R"("t":"rate","service":"app","n":10)");
     scene.fleet.sleep(Duration(12000));
   };
 }
 
-// A relay is away for longer than its session stands, under a stated rate far above what
-// is asked. Once it is back its requests go on as before: its share waited for it.
+// A relay is down for longer than its session lasts, under a configured rate far above the
+// demand. After the restart its requests are served at once: its quota was kept.
 void share_waits(Scene& scene) {
   struct Seen {
     int early = 0, refused = 0;
     Duration longest{0};
-    TimePoint back{0};  // requests within a second of it count
+    TimePoint back{0};  // requests within one second after it are counted
   };
   scene.duration = Duration(75000);
   scene.required_faults = {"kill"};
@@ -226,7 +229,7 @@
       scene.fleet.start("e1");
       scene.require(
           scene.fleet.wait_until(Duration(8000), [&] { return scene.fleet.at("e1").node->ready(); }),
-          "the relay did not come back");
+          "the relay did not become ready after its restart");
       x->back = scene.world.now();
       scene.fleet.sleep(Duration(4000));
       x->back = TimePoint(0);
@@ -234,16 +237,17 @@
     scene.figures["early"] = static_cast<uint64_t>(x->early);
     scene.figures["refused"] = static_cast<uint64_t>(x->refused);
     scene.figures["longest_ms"] = static_cast<uint64_t>(x->longest.count());
-    scene.require(x->early >= 60, fmt::format("only {} requests came in the first seconds", x->early));
-    scene.require(!x->refused, fmt::format("{} of {} requests right after a restart were turned away",
-                                           x->refused, x->early));
+    scene.require(x->early >= 60,
+                  fmt::format("only {} requests were sent in the first second after restarts", x->early));
+    scene.require(!x->refused,
+                  fmt::format("{} of {} requests right after a restart were rejected", x->refused, x->early));
     scene.require(x->longest < Duration(150),
                   fmt::format("a request waited {} ms right after a restart", x->longest.count()));
   };
 }
 
-// Most of what is asked comes to one relay, and the leadership changes hands while all relays
-// stand. Who takes it up has looked at no demand yet, and may not lower a share for that.
+// One relay has most of the demand, and the leader is killed while the other relays run. The new
+// leader has not measured the demand yet, and must not lower a quota for that reason.
 void share_and_duty(Scene& scene) {
   struct Seen {
     int asked = 0, refused = 0;
@@ -273,10 +277,10 @@
     }
     scene.figures["asked"] = static_cast<uint64_t>(x->asked);
     scene.figures["refused"] = static_cast<uint64_t>(x->refused);
-    scene.require(x->asked > 1500, fmt::format("only {} were asked", x->asked));
+    scene.require(x->asked > 1500, fmt::format("only {} requests were sent", x->asked));
     scene.require(
         x->refused * 50 < x->asked,
-        fmt::format("{} of {} requests where the demand is were turned away", x->refused, x->asked));
+        fmt::format("{} of {} requests at the relay with the demand were rejected", x->refused, x->asked));
   };
 }
 
--- a/test/scenarios/link_scenarios.cpp
+++ b/test/scenarios/link_scenarios.cpp
@@ -10,18 +10,17 @@
 constexpr int kSmallObjects = 300;
 constexpr int kLargeObjects = 60;
 constexpr size_t kSmallBytes = 2000;
-constexpr size_t kLargeBytes =
-    16000;                         // of the smallest of the large ones; the largest are four times as long
-constexpr int kLargePercent = 18;  // of the requests
-constexpr int kRequestsPerSecond = 450;  // which take the links of the small relays for the most part
+constexpr size_t kLargeBytes = 16000;    // of the smallest large objects; the largest are four times as long
+constexpr int kLargePercent = 18;        // of the requests
+constexpr int kRequestsPerSecond = 450;  // which use most of the capacity of the edge nodes' links
 constexpr int kLifetimeSeconds = 10;
 constexpr Duration kMinLatency{60}, kMaxLatency{120};
 
-constexpr Duration kAckTimeout(4000);   // for an order to be acknowledged
-constexpr Duration kCallTimeout(1000);  // after which an operator goes on to another node
+constexpr Duration kAckTimeout(4000);   // for an operator's request to be acknowledged
+constexpr Duration kCallTimeout(1000);  // after which an operator tries another node
 constexpr Duration kWatched(20000);
-constexpr Duration kEnd(8000);   // for what is still under way then
-constexpr double kFloor = 0.95;  // of the requests of each class that have to be served in time
+constexpr Duration kEnd(8000);   // for requests that are still in progress at the end
+constexpr double kFloor = 0.95;  // share of each class's requests that must be served in time
 
 size_t body_bytes(const std::string& target) {
   if (target.starts_with("/c/large")) return kLargeBytes * (1 + target.back() % 4);
@@ -41,7 +40,7 @@
   double share() const { return asked ? static_cast<double>(served) / static_cast<double>(asked) : 0; }
 };
 
-/// What clients and operators saw.
+/// Results as observed by clients and operators.
 struct Observed {
   std::map<std::string, Served> classes;
   Duration slowest_order{0};
@@ -64,10 +63,10 @@
   });
 }
 
-/// When objects last changed; at the start, where nothing is said.
+/// When objects last changed, by path; objects without an entry changed at the start.
 using Changes = std::map<std::string, int64_t>;
 
-/// Sends an order as operators do: to one node after the other until one acknowledges it.
+/// Sends a request as operators do: to one node after the other until one acknowledges it.
 void send_order(Scene& scene, const ObservedPtr& observed, const std::string& target,
                 const std::string& body) {
   const TimePoint began = scene.world.now();
@@ -84,7 +83,7 @@
   observed->slowest_order_text = target;
 }
 
-/// Changes an object, and purges it at once.
+/// Changes an object and purges it immediately.
 void change_object(Scene& scene, const ObservedPtr& observed, const std::shared_ptr<Changes>& changes,
                    int number) {
   const auto path = fmt::format("/c/{}/{}", number % 2 ? "small" : "large", number % kLargeObjects);
@@ -94,7 +93,7 @@
   scene.fleet.event(fmt::format(R"("t":"purged","path":"{}","prefix":false,"asked":{})", path, now));
 }
 
-/// A purge or a configuration every half second.
+/// Sends a purge or a configuration every half second.
 void send_orders(Scene& scene, const ObservedPtr& observed, const std::shared_ptr<Changes>& changes,
                  Duration duration) {
   constexpr Duration kPeriod(500);
@@ -122,7 +121,7 @@
 
 bool start(Scene& scene, const std::shared_ptr<Changes>& changes) {
   constexpr int kOtherRequests = 5;
-  constexpr int kNoLifetimeJudged = 1 << 30;  // an object that has not changed is as it was long ago
+  constexpr int kNoLifetimeJudged = 1 << 30;  // an object that has not changed stays correct at any age
   if (!start_traffic(scene, kOtherRequests, slow_link_configuration(0))) return false;
   scene.fleet.event(fmt::format(R"("t":"lifetime","ms":{})", kNoLifetimeJudged));
   const int64_t began = scene.world.now().count();
@@ -161,7 +160,7 @@
                               rejections_by_reason(scene)));
 }
 
-/// Cold caches and full traffic from the first moment on, with orders all the while.
+/// Starts with cold caches and full traffic, and sends operator requests throughout.
 void full_links(Scene& scene) {
   scene.duration = Duration(60000);
   scene.required_faults = {"not_modified"};
@@ -177,7 +176,7 @@
   };
 }
 
-/// The node that fetches most for others.
+/// The node with the most fetches from the origin.
 std::string fetching_node(Scene& scene) {
   std::pair<uint64_t, std::string> most;
   for (auto& host : scene.fleet.hosts())
@@ -191,8 +190,8 @@
   scene.world.links[host].outbound.set_rate(mbps);
 }
 
-/// Under full links a node that fetches for others is killed, frozen, cut off and made slow, one after the
-/// other, while configurations change and objects are purged.
+/// Under full links, nodes that fetch for others are in turn killed, frozen, partitioned and given a slow
+/// link, while configurations change and objects are purged.
 void fetching_nodes_fail(Scene& scene) {
   scene.duration = Duration(100000);
   scene.required_faults = {"not_modified", "kill", "freeze", "cut"};
--- a/test/scenarios/machine_scenarios.cpp
+++ b/test/scenarios/machine_scenarios.cpp
@@ -1,4 +1,4 @@
-// Stories. Each begins with a fleet that serves its first layout.
+// Host and network faults. Each scenario starts with a fleet that serves its first configuration.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
@@ -10,13 +10,14 @@
     if (!start_traffic(scene, 60)) return;
     record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
     scene.require(await_phase(scene, "second", "DONE", Duration(90000)),
-                  "the second layout did not run everywhere, it is " + release_phase(scene, "second"));
+                  "the second configuration was not rolled out to all nodes; its phase is " +
+                      release_phase(scene, "second"));
     scene.require(scene.fleet.good * 100 > scene.fleet.calls * 99,
-                  fmt::format("only {} of {} calls went well", scene.fleet.good, scene.fleet.calls));
+                  fmt::format("only {} of {} calls succeeded", scene.fleet.good, scene.fleet.calls));
   };
 }
 
-// ReplicaSetView and others are killed at random, also right after they acknowledged.
+// Replicas and other nodes are killed at random, also right after they acknowledged a request.
 void kills(Scene& scene) {
   scene.duration = Duration(80000);
   scene.required_faults = {"kill"};
@@ -33,9 +34,9 @@
     scene.fleet.start_all();
     scene.fleet.event(R"("t":"returned")");
     scene.require(await_all_ready(scene, Duration(15000)),
-                  "the fleet did not serve again 15 s after the machines returned");
+                  "not all nodes were ready 15 s after the hosts were restarted");
     scene.require(scene.fleet.operator_call("GET", "/v1/releases/layout/second", "").status == 200,
-                  "an acknowledged layout is gone");
+                  "an acknowledged configuration was lost");
     scene.fleet.sleep(Duration(15000));
   };
 }
@@ -52,15 +53,15 @@
       scene.fleet.start_all();
       scene.fleet.event(R"("t":"returned")");
       scene.require(await_all_ready(scene, Duration(15000)),
-                    "the fleet did not serve again 15 s after a restart of all");
+                    "not all nodes were ready 15 s after a restart of all nodes");
       scene.require(scene.fleet.operator_call("GET", "/v1/releases/layout/second", "").status == 200,
-                    "an acknowledged layout is gone");
+                    "an acknowledged configuration was lost");
       scene.fleet.sleep(Duration(1000 + scene.world.below(12000)));
     }
   };
 }
 
-// One machine after the other loses its disk and comes back blank.
+// One replica after the other loses its disk and restarts with an empty one.
 void lost_disks(Scene& scene) {
   scene.duration = Duration(100000);
   scene.required_faults = {"lost_disk"};
@@ -75,11 +76,11 @@
       scene.fleet.start(name);
       bool back = scene.fleet.wait_until(
           Duration(10000), [&] { return !scene.fleet.at(name).node->acceptor()->non_voting(); });
-      scene.require(back, name + " was not refilled");
+      scene.require(back, name + " did not get its registers back");
       for (int k = 0; k <= i; ++k)
         scene.require(
             scene.fleet.operator_call("GET", fmt::format("/v1/releases/layout/r{}", k), "").status == 200,
-            "an acknowledged layout is gone");
+            "an acknowledged configuration was lost");
     }
   };
 }
@@ -96,11 +97,11 @@
       if (scene.world.random(500)) purge(scene, fmt::format("p{}", i), "prefix", "/c/");
       scene.fleet.sleep(Duration(500 + scene.world.below(5000)));
     }
-    scene.require(await_all_ready(scene, Duration(20000)), "the fleet did not serve again after the freezes");
+    scene.require(await_all_ready(scene, Duration(20000)), "not all nodes were ready after the freezes");
   };
 }
 
-// The core is split, one way and both; the small side must turn away.
+// The fleet is partitioned into two sides, in one or both directions; the minority must reject.
 void splits(Scene& scene) {
   scene.duration = Duration(90000);
   scene.required_faults = {"cut"};
@@ -121,7 +122,7 @@
       scene.fleet.sleep(Duration(1000 + scene.world.below(6000)));
       scene.world.heal_all();
       scene.fleet.event(R"("t":"returned")");
-      scene.require(await_all_ready(scene, Duration(15000)), "the fleet did not serve again after a split");
+      scene.require(await_all_ready(scene, Duration(15000)), "not all nodes were ready after a partition");
       scene.fleet.sleep(Duration(1000));
     }
   };
@@ -143,8 +144,8 @@
 }  // namespace
 
 namespace {
-// Two machines that hold state are replaced by two others, one after the other,
-// while layouts are recorded and machines fail; nothing acknowledged is lost.
+// Two replicas are replaced by two other hosts, one after the other, while
+// configurations are recorded and hosts fail; nothing acknowledged is lost.
 void replaced_holders(Scene& scene) {
   scene.duration = Duration(120000);
   scene.required_faults = {"kill", "loss"};
@@ -170,24 +171,25 @@
         bool ok = scene.fleet.wait_until(Duration(20000), [&] {
           return scene.fleet.operator_call("PUT", "/v1/holders/" + n, body).status == 200;
         });
-        scene.require(ok, "the set of holders could not be changed for " + n);
+        scene.require(ok, "the replica set could not be changed for " + n);
       };
-      scene.fleet.kill(out);  // the machine is gone for good
+      scene.fleet.kill(out);  // the replaced host fails permanently
       state(in, true);
       scene.require(scene.fleet.wait_until(
                         Duration(15000), [&] { return !scene.fleet.at(in).node->acceptor()->non_voting(); }),
-                    in + " was not filled");
+                    in + " did not get its registers back");
       state(out, false);
       scene.fleet.sleep(Duration(1000 + scene.world.below(2000)));
     }
-    scene.fleet.start("h1");  // the old machine comes back, and nobody counts its votes
-    // Three of the five of now; without the two new ones there would be no majority.
+    scene.fleet.start("h1");  // the old host restarts, and its votes are not counted
+    // Three of the five current replicas remain; without the two new ones there is no majority.
     scene.fleet.kill("h3");
     scene.fleet.kill("h4");
     scene.fleet.sleep(Duration(5000));
     auto n = acked->size();
     scene.fleet.sleep(Duration(6000));
-    scene.require(acked->size() > n, "two of the five present holders lost, and control stood still");
+    scene.require(acked->size() > n,
+                  "no configuration was recorded after the loss of two of the five current replicas");
     *stop = true;
     scene.fleet.sleep(Duration(6000));
     scene.world.network = scene.fleet.normal_conditions();
@@ -198,16 +200,16 @@
       if (host->up()) expect_releases(scene, *host, *acked);
     auto p = base::Json::parse(scene.fleet.operator_call("GET", "/v1/holders", "").body);
     auto* j = std::get_if<base::Json>(&p);
-    // Four changes of two steps each, the last one finished.
+    // Four changes with two epochs each, the last one complete.
     scene.require(j && j->at("epoch").string_or() == "8" && j->at("holders").items().size() == 5 &&
                       j->at("previous").items().empty(),
-                  "the set is not what was stated");
+                  "the replica set is not the requested one");
     scene.figures = {{"layouts_acked", acked->size()}};
   };
 }
 
-// A relay that missed every change of the set writes with the holders it still
-// knows, two of which are long removed and come back just then.
+// A relay that missed every change of the replica set writes through the replicas it still
+// knows, two of which were removed long ago and restart just then.
 void stale_set(Scene& scene) {
   scene.duration = Duration(90000);
   scene.required_faults = {"kill", "cut"};
@@ -220,13 +222,13 @@
         bool ok = scene.fleet.wait_until(Duration(20000), [&] {
           return scene.fleet.operator_call("PUT", "/v1/holders/" + n, body).status == 200;
         });
-        scene.require(ok, "the set of holders could not be changed for " + n);
+        scene.require(ok, "the replica set could not be changed for " + n);
       };
       scene.fleet.kill(out);
       state(in, fmt::format(R"({{"holder":true,"address":"peer:{}"}})", in));
       scene.require(scene.fleet.wait_until(
                         Duration(15000), [&] { return !scene.fleet.at(in).node->acceptor()->non_voting(); }),
-                    in + " was not filled");
+                    in + " did not get its registers back");
       state(out, R"({"holder":false})");
     }
     scene.fleet.sleep(Duration(3000));
@@ -240,7 +242,7 @@
         ++*ends;
       });
     };
-    // e4 hears h1, h2 and h3 only, a majority of the set it knows; e1 hears all but h3.
+    // e4 reaches h1, h2 and h3 only, a majority of the set it knows; e1 does not reach h3.
     scene.world.heal_all();
     scene.fleet.isolate("e4");
     scene.fleet.start("h1");
@@ -255,8 +257,9 @@
     write("e4");
     write("e1");
     scene.require(scene.fleet.wait_until(Duration(10000), [&] { return *ends == 2; }),
-                  "a write did not come back");
-    scene.require(wins->size() <= 1, "two writers won the same version, one with a set long gone");
+                  "a write did not return");
+    scene.require(wins->size() <= 1,
+                  "two writers won the same version, one of them with an outdated replica set");
     scene.world.heal_all();
     scene.fleet.sleep(Duration(5000));
   };
--- a/test/scenarios/main.cpp
+++ b/test/scenarios/main.cpp
@@ -1,5 +1,5 @@
 // Seeded runs of a whole simulated fleet under faults. A run that breaks a rule
-// prints its seed; `sim_test --seed N --case NAME` replays it to the letter.
+// prints its seed; `sim_test --seed N --case_name NAME` replays it exactly.
 #include <gflags/gflags.h>
 #include <unistd.h>
 
@@ -42,7 +42,7 @@
                       }
                       for (auto& m : sum.required_faults)
                         if (!FLAGS_seed)
-                          test::expect(sum.counts["met_" + m] > 0, "the fault " + m + " was never met");
+                          test::expect(sum.counts["met_" + m] > 0, "the fault " + m + " never occurred");
                       if (!FLAGS_figures) return;
                       std::cout << name << ": seeds " << to - from + 1;
                       for (auto& [k, v] : sum.counts) std::cout << " " << k << " " << v;
@@ -50,5 +50,5 @@
                     }});
   int rc = test::run_all(cs, FLAGS_case_name);
   std::cout.flush();
-  ::_exit(rc);  // the fiber scheduler of this thread has no more to do
+  ::_exit(rc);  // the fiber scheduler of this thread has no more work
 }
--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -1,6 +1,6 @@
-// Any faults of the brief's list, several at once, drawn from the seed: what a day
-// could bring that nobody thought of. Then all is mended, and within fifteen seconds
-// the fleet serves and every acknowledged statement is there.
+// Random combinations of all fault kinds, several at once, drawn from the seed, to find
+// untested interactions. After all faults end, every node is ready within 15 seconds
+// and has every acknowledged configuration.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
@@ -134,7 +134,7 @@
     auto response = scene.fleet.operator_call("PUT", fmt::format("/v1/releases/layout/i{}", turn),
                                               R"({"content":{"services":{},"routes":7}})");
     scene.require(response.lost || response.status == 422 || response.status == 503,
-                  "an invalid layout gave " + response.body);
+                  "an invalid configuration got " + response.body);
     met("invalid_layout");
   }
   void clear() {
@@ -181,11 +181,11 @@
       host->disk_contents.min_latency = Duration(1), host->disk_contents.max_latency = Duration(4);
     for (auto& w : scene.fleet.backends())
       w->lose_percent = w->wrong_percent = w->bad_percent = 0, w->max_latency = Duration(8);
-    scene.fleet.sleep(Duration(5100));  // the last freeze is over
+    scene.fleet.sleep(Duration(5100));  // longer than the last freeze
     scene.fleet.start_all();
     scene.fleet.event(R"("t":"returned")");
     scene.require(await_all_ready(scene, Duration(15000)),
-                  "the fleet did not serve again 15 s after the machines returned");
+                  "not all nodes were ready 15 s after the hosts were restarted");
     scene.fleet.sleep(Duration(2000));
     for (auto& host : scene.fleet.hosts()) expect_releases(scene, *host, configurations);
     scene.fleet.sleep(Duration(20000));
--- a/test/scenarios/proxy_scenarios.cpp
+++ b/test/scenarios/proxy_scenarios.cpp
@@ -1,11 +1,11 @@
-// Workers, versions, purges, crowds and slow machines, on a simulated fleet.
+// Faulty backend instances, purges, overload and slow hosts, on a simulated fleet.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
 
-// Workers crash, lose answers after doing the work, hand out wrong bytes and
-// refuse, all at once.
+// Backend instances crash, lose responses after running a request, send corrupt bytes and
+// refuse requests, all at once.
 void bad_workers(Scene& scene) {
   scene.duration = Duration(80000);
   scene.required_faults = {"lost_answer", "wrong_bytes", "bad_answer", "worker_refused",
@@ -19,7 +19,7 @@
       backend->refuse_percent = 4;
       backend->max_latency = Duration(400);
     }
-    scene.fleet.add_backend("app", "9", 0);  // of a version that no layout ever allowed
+    scene.fleet.add_backend("app", "9", 0);  // of a version that no configuration ever allowed
     for (int i = 0; i < 12; ++i) {
       scene.fleet.sleep(Duration(1500));
       auto& old = *scene.fleet.backends()[scene.world.below(scene.fleet.backends().size())];
@@ -32,7 +32,7 @@
   };
 }
 
-// Workers are replaced one by one; each says that it leaves before it goes.
+// Backend instances are replaced one by one; each deregisters before it stops.
 void replaced(Scene& scene) {
   scene.duration = Duration(80000);
   scene.script = [&scene] {
@@ -48,11 +48,11 @@
     }
     calls = scene.fleet.calls - calls;
     good = scene.fleet.good - good;
-    scene.require(good * 1000 >= calls * 999, fmt::format("only {} of {} calls went well", good, calls));
+    scene.require(good * 1000 >= calls * 999, fmt::format("only {} of {} calls succeeded", good, calls));
   };
 }
 
-// A worker's address passes to a worker of the other service.
+// The address of a stopped backend instance is reused by an instance of the other service.
 void address_reuse(Scene& scene) {
   scene.duration = Duration(70000);
   scene.required_faults = {"wrong_address"};
@@ -71,8 +71,8 @@
   };
 }
 
-// A worker's address passes to a program that is none of ours: it runs whatever it
-// gets, and says 421 for reasons of its own.
+// The address of a stopped backend instance is reused by an unrelated program, which runs every
+// request and responds with 421.
 void foreign_address(Scene& scene) {
   scene.duration = Duration(60000);
   scene.required_faults = {"foreign"};
@@ -114,11 +114,11 @@
     auto calls = scene.fleet.calls, good = scene.fleet.good;
     scene.fleet.sleep(Duration(8000));
     scene.require((scene.fleet.good - good) * 100 >= (scene.fleet.calls - calls) * 98,
-                  "no recovery after the workers were quick again");
+                  "requests fail after the backend instances became fast again");
   };
 }
 
-// One worker is busy with work that no relay gave it, and says so in its answers.
+// One backend instance has load from other clients, and reports it in its responses.
 void told_load(Scene& scene) {
   scene.duration = Duration(50000);
   scene.script = [&scene] {
@@ -167,21 +167,22 @@
       if (i % 40 == 0) scene.fleet.sleep(Duration(300));
     }
     scene.fleet.sleep(Duration(10000));
-    scene.require(*done > 390, fmt::format("only {} of 400 purges were taken, {} had 503, {} were lost",
+    scene.require(*done > 390, fmt::format("only {} of 400 purges were accepted, {} got 503, {} were lost",
                                            *done, scene.figures["purge_503"], scene.figures["purge_0_lost"]));
     pb::PurgeSet set;
     for (auto& host : scene.fleet.hosts())
       if (auto f = host->node->state_cache().chosen().find("purge/content");
           f != host->node->state_cache().chosen().end())
         set.ParseFromString(f->second.data);
-    scene.require(set.purges_size() > 0 && set.purges_size() <= 128, "the purges are not bounded");
+    scene.require(set.purges_size() > 0 && set.purges_size() <= 128,
+                  "the number of kept purges is not bounded");
     scene.figures["purges_taken"] = static_cast<uint64_t>(*done);
     scene.figures["purges_kept"] = static_cast<uint64_t>(set.purges_size());
   };
 }
 
-// Everybody wants one service at once: the other goes on, and afterwards all is
-// as before without an operator.
+// One service is overloaded: the other service is not affected, and the first one recovers
+// without an operator.
 void crowd(Scene& scene) {
   scene.duration = Duration(60000);
   scene.reject_within = Duration(1200);
@@ -209,16 +210,16 @@
     }
     scene.fleet.sleep(Duration(3000));
     scene.require(n->first > 50 && n->second * 100 >= n->first * 97,
-                  fmt::format("the other service starved: {} of {}", n->second, n->first));
+                  fmt::format("the other service starved: {} of {} requests succeeded", n->second, n->first));
     auto c0 = scene.fleet.calls, g0 = scene.fleet.good;
     scene.fleet.sleep(Duration(5000));
     scene.require((scene.fleet.good - g0) * 100 >= (scene.fleet.calls - c0) * 95,
-                  "no recovery after the crowd");  // some are under way
+                  "requests fail after the overload");  // some are still in progress
     scene.figures = {{"crowd_calls", *calls},
                      {"crowd_turned_away", *away},
                      {"other_calls", n->first},
                      {"other_good", n->second}};
-    scene.require(*away > 100, "there was no crowd");
+    scene.require(*away > 100, "there was no overload");
   };
 }
 
@@ -240,13 +241,13 @@
       scene.fleet.sleep(Duration(2000));
     }
     scene.require(worst < Duration(1500),
-                  fmt::format("a write took {} ms beside two slow disks", worst.count()));
+                  fmt::format("a write took {} ms with two slow disks", worst.count()));
     scene.figures = {{"worst_write_ms", static_cast<uint64_t>(worst.count())}};
-    scene.require(await_all_ready(scene, Duration(5000)), "slow disks made relays unready");
+    scene.require(await_all_ready(scene, Duration(5000)), "not all nodes are ready with two slow disks");
   };
 }
 
-// Wall clocks jump by days, both ways; nothing but quiet hours may notice.
+// Wall clocks jump by days, forward and backward; this may affect quiet hours only.
 void clock_jumps(Scene& scene) {
   scene.duration = Duration(110000);
   scene.script = [&scene] {
@@ -258,13 +259,14 @@
       ++scene.world.faults_met["clock_jump"];
       scene.fleet.sleep(Duration(1000));
     }
-    scene.require(await_phase(scene, "second", "DONE", Duration(60000)), "clock jumps held a release up");
-    scene.require(scene.fleet.good * 100 > scene.fleet.calls * 99, "clock jumps hurt traffic");
+    scene.require(await_phase(scene, "second", "DONE", Duration(60000)),
+                  "the release did not finish after clock jumps");
+    scene.require(scene.fleet.good * 100 > scene.fleet.calls * 99, "requests failed during clock jumps");
   };
   scene.required_faults = {"clock_jump"};
 }
 
-// Everything at once, and then the acknowledged configuration is read back from
+// All kinds of faults at once; then the acknowledged configurations are read back from
 // each relay, byte for byte.
 void end_of_day(Scene& scene) {
   scene.duration = Duration(160000);
@@ -314,8 +316,8 @@
     scene.fleet.start_all();
     scene.fleet.event(R"("t":"returned")");
     scene.require(await_all_ready(scene, Duration(15000)),
-                  "the fleet did not serve again 15 s after the machines returned");
-    // One frozen at the last counts as ready until its lease ends, and hears nothing meanwhile.
+                  "not all nodes were ready 15 s after the hosts were restarted");
+    // A node that is still frozen counts as ready until its lease ends, but receives nothing meanwhile.
     auto awake = [&scene] {
       return std::none_of(scene.fleet.hosts().begin(), scene.fleet.hosts().end(),
                           [&scene](auto& h) { return scene.world.frozen(h->name); });
--- a/test/scenarios/replica_scenarios.cpp
+++ b/test/scenarios/replica_scenarios.cpp
@@ -1,5 +1,5 @@
-// The set of holders forms out of the seeds, grows to what the tolerance needs and
-// heals, while machines fail; nothing that was acknowledged is lost.
+// The replica set forms from the seeds, grows to the size that the tolerance requires and
+// replaces lost replicas, while hosts fail; nothing acknowledged is lost.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
@@ -7,7 +7,7 @@
 
 using Acked = std::map<std::string, std::string>;
 
-// Layouts recorded one after the other, and the longest time between two that were taken.
+// Records configurations one after the other, and measures the longest time between two acknowledgements.
 struct Writer {
   std::shared_ptr<bool> stop = std::make_shared<bool>(false);
   std::shared_ptr<Acked> acked = std::make_shared<Acked>();
@@ -38,7 +38,7 @@
   return out;
 }
 
-// All that are up know this many holders, and each of those that is up votes.
+// Whether every running node knows a set of n replicas, and each running replica votes.
 bool settled(Scene& scene, size_t n) {
   for (auto& host : scene.fleet.hosts()) {
     if (!host->up()) continue;
@@ -54,7 +54,8 @@
     if (host->up()) expect_releases(scene, *host, acked);
 }
 
-// One is killed in any moment of forming, with its disk or without, or all are.
+// One seed is killed at a random moment while the set forms, with or without loss of its disk, or all nodes
+// are killed.
 void forms(Scene& scene) {
   scene.duration = Duration(70000);
   scene.script = [&scene] {
@@ -67,7 +68,7 @@
       scene.fleet.sleep(Duration(2 + scene.world.below(1500)));
       scene.fleet.start(one);
     } else if (kind == 3) {
-      // Not before the first sync of a blank disk: what remembers nothing cannot tell.
+      // Not before the first sync of an empty disk: a replica without state cannot detect a loss.
       for (auto& host : scene.fleet.hosts()) scene.fleet.kill(host->name);
       scene.fleet.sleep(Duration(2 + scene.world.below(1500)));
       scene.fleet.start_all();
@@ -75,38 +76,40 @@
     scene.figures[fmt::format("kind_{}", kind)] = 1;
     auto from = scene.world.now();
     if (!scene.fleet.wait_until(Duration(12000), [&] { return settled(scene, 3); }))
-      scene.require(false, fmt::format("no set formed, kind {}", kind));
+      scene.require(false, fmt::format("no replica set formed, kind {}", kind));
     scene.figures["formed_ms"] = static_cast<uint64_t>((scene.world.now() - from).count());
     if (!start_traffic(scene)) return;
     auto w = writer(scene, 400);
     scene.fleet.sleep(Duration(4000));
-    // A disk lost later never forms anew: it is filled from the two others, and not from one.
+    // A replica that loses its disk later never forms a new set: its registers are restored from both other
+    // replicas, never from one alone.
     scene.fleet.kill("h1");
     scene.fleet.wipe("h1");
     scene.fleet.kill("h2");
     scene.fleet.sleep(Duration(500));
     scene.fleet.start("h1");
     scene.fleet.sleep(Duration(6000));
-    scene.require(scene.fleet.at("h1").node->acceptor()->non_voting(), "a lost disk formed out of one other");
+    scene.require(scene.fleet.at("h1").node->acceptor()->non_voting(),
+                  "a replica that lost its disk votes after contact with only one other");
     scene.fleet.start("h2");
     scene.fleet.event(R"("t":"returned")");
     scene.require(scene.fleet.wait_until(Duration(10000), [&] { return settled(scene, 3); }),
-                  "the lost disk was not filled");
+                  "the replica with the lost disk did not get its registers back");
     scene.fleet.sleep(Duration(2000));
     *w.stop = true;
     scene.fleet.sleep(Duration(6000));
     all_know(scene, *w.acked);
-    scene.require(w.acked->size() > 5, "hardly anything was acknowledged");
+    scene.require(w.acked->size() > 5, "too few configurations were acknowledged");
   };
 }
 
-// A holder is gone for good, and a spare takes its place; then another is lost.
+// A replica is lost permanently and replaced by a spare; then another one is lost.
 void heals(Scene& scene) {
   scene.duration = Duration(110000);
   scene.required_faults = {"kill", "lost_disk"};
   scene.script = [&scene] {
     if (!start_traffic(scene)) return;
-    // As much as a fleet that has run for long holds.
+    // As many registers as a fleet has after a long time.
     auto pads = std::make_shared<int>(0);
     auto* any = &scene.fleet.at("h3");
     for (int k = 0; k < 8; ++k)
@@ -135,9 +138,9 @@
                                              unready += host->up() && !host->node->ready();
                                            return healed();
                                          }),
-                  "the spare did not take the place of " + out);
-    // The users count a loss as over four seconds (two bounds) after the successor's start,
-    // which here is at hand already.
+                  "the spare did not replace " + out);
+    // The requirement allows four seconds (two bounds) from the start of the successor, which
+    // runs already here.
     scene.require(scene.world.now() - from <= Duration(4000),
                   fmt::format("the repair took {} ms", (scene.world.now() - from).count()));
     scene.figures["unready_looks"] = unready;
@@ -150,11 +153,12 @@
     scene.fleet.sleep(Duration(1000));
     auto n = w.acked->size();
     scene.fleet.sleep(Duration(6000));
-    scene.require(w.acked->size() > n, "one of the three present holders lost, and control stood still");
+    scene.require(w.acked->size() > n,
+                  "no configuration was recorded after the loss of one of the three current replicas");
     scene.fleet.start(next);
-    scene.fleet.start(out);  // comes back with an empty disk, as a spare
+    scene.fleet.start(out);  // restarts with an empty disk, as a spare
     scene.require(scene.fleet.wait_until(Duration(15000), [&] { return settled(scene, 3); }),
-                  "the second lost disk was not filled");
+                  "the second lost replica did not get its registers back");
     *w.stop = true;
     scene.fleet.sleep(Duration(6000));
     all_know(scene, *w.acked);
@@ -162,7 +166,7 @@
   };
 }
 
-// Whether all that are up know a finished set of three that holds `in` and not `out`.
+// Whether every running node knows a complete set of three with `in` and without `out`.
 bool replaced(Scene& scene, const std::string& out, const std::string& in) {
   for (auto& host : scene.fleet.hosts()) {
     if (!host->up()) continue;
@@ -172,16 +176,16 @@
   return settled(scene, 3);
 }
 
-// A replica leaves and its successor takes its place while it still votes; as soon as that
-// counts no longer as a loss, another is lost for good, and then a disk of a third.
+// A replica shuts down and is replaced while it still votes. As soon as this no longer counts
+// as a loss, another one is lost permanently, and then the disk of a third.
 void second_loss(Scene& scene) {
-  static constexpr Duration kCatchUp{4000};  // after which the users count a loss as over
+  static constexpr Duration kCatchUp{4000};  // after which the requirement counts a loss as repaired
   scene.duration = Duration(110000);
   scene.required_faults = {"kill", "lost_disk"};
   scene.script = [&scene] {
     if (!start_traffic(scene)) return;
     auto w = writer(scene, 400);
-    scene.fleet.kill("x2");  // comes when the second one is lost
+    scene.fleet.kill("x2");  // starts when the second replica is lost
     scene.fleet.sleep(Duration(2000));
     std::vector<std::string> seeds{"h1", "h2", "h3"};
     auto pick = [&] {
@@ -194,7 +198,7 @@
     auto from = scene.world.now();
     scene.fleet.at(leaver).node->begin_shutdown();
     scene.require(scene.fleet.wait_until(kCatchUp, [&] { return replaced(scene, leaver, "x1"); }),
-                  leaver + " did not give its place in time");
+                  leaver + " was not replaced in time before its shutdown");
     scene.figures["planned_ms"] = static_cast<uint64_t>((scene.world.now() - from).count());
     scene.fleet.kill(leaver);
     scene.fleet.wipe(leaver);
@@ -216,10 +220,10 @@
     scene.fleet.sleep(Duration(1000));
     scene.fleet.start(third);
     scene.fleet.sleep(Duration(5000));
-    scene.require(w.acked->size() > acked, "control stood still after the third loss");
-    scene.require(settled(scene, 3), "the wiped disk was not filled");
+    scene.require(w.acked->size() > acked, "no configuration was recorded after the third loss");
+    scene.require(settled(scene, 3), "the replica with the wiped disk did not get its registers back");
     scene.require(scene.fleet.at(third).node->acceptor()->refilled_registers().empty(),
-                  "copies were not written anew");
+                  "refilled registers were not rewritten");
     *w.stop = true;
     scene.fleet.sleep(Duration(6000));
     all_know(scene, *w.acked);
@@ -228,7 +232,7 @@
   };
 }
 
-// A replica that was away while registers were written has them on its disk soon after.
+// A replica that was down while registers were written has them on its disk soon after its restart.
 void catches_up(Scene& scene) {
   scene.duration = Duration(60000);
   scene.required_faults = {"kill"};
@@ -244,19 +248,19 @@
     scene.fleet.start(away);
     auto& cache = scene.fleet.at(away).node->state_cache();
     scene.fleet.sleep(Duration(500));
-    scene.require(cache.has_read_lease(), "the restarted replica has no fresh contact");
+    scene.require(cache.has_read_lease(), "the restarted replica has no read lease");
     scene.figures["behind_at_first"] = cache.registers_behind(away).size();
     scene.require(
         scene.fleet.wait_until(
             Duration(4000), [&] { return cache.has_read_lease() && cache.registers_behind(away).empty(); }),
         fmt::format("{} registers are still not on the disk", cache.registers_behind(away).size()));
-    scene.require(w.acked->size() > 10, "hardly anything was acknowledged");
+    scene.require(w.acked->size() > 10, "too few configurations were acknowledged");
     scene.fleet.sleep(Duration(2000));
     all_know(scene, *w.acked);
   };
 }
 
-// Three seeds grow to five; then two disks are lost while all others lose power.
+// The set grows from three seeds to five; then all nodes lose power and two of them their disks.
 void grows(Scene& scene) {
   scene.duration = Duration(80000);
   scene.required_faults = {"kill", "lost_disk"};
@@ -265,7 +269,7 @@
     auto w = writer(scene, 300);
     if (!start_traffic(scene)) return;
     scene.require(scene.fleet.wait_until(Duration(20000), [&] { return settled(scene, 5); }),
-                  "the set did not grow to five");
+                  "the replica set did not grow to five");
     scene.figures["grown_ms"] = static_cast<uint64_t>((scene.world.now() - from).count());
     scene.figures["longest_ack_gap_ms"] = static_cast<uint64_t>(w.gap->count());
     scene.fleet.sleep(Duration(2000 + scene.world.below(3000)));
@@ -280,9 +284,9 @@
     scene.fleet.start_all();
     scene.fleet.event(R"("t":"returned")");
     scene.require(await_all_ready(scene, Duration(15000)),
-                  "the fleet did not serve again 15 s after the cut");
+                  "not all nodes were ready 15 s after the power loss");
     scene.require(scene.fleet.wait_until(Duration(10000), [&] { return settled(scene, 5); }),
-                  "the lost disks were not filled");
+                  "the replicas with lost disks did not get their registers back");
     *w.stop = true;
     scene.fleet.sleep(Duration(6000));
     all_know(scene, *w.acked);
--- a/test/scenarios/rollout_scenarios.cpp
+++ b/test/scenarios/rollout_scenarios.cpp
@@ -5,8 +5,8 @@
 namespace dunlinwing::test {
 namespace {
 
-// The leader is killed in each phase. Hold time once recorded stays, and the release still ends, each node
-// being assigned it once.
+// The leader is killed in each phase. Recorded hold time is not lost, and the release still finishes; each
+// node is assigned it once.
 void duty_dies(Scene& scene) {
   scene.duration = Duration(200000);
   scene.required_faults = {"kill"};
@@ -24,7 +24,7 @@
       auto name = host->name;
       scene.fleet.kill(name);
       bool taken = scene.fleet.wait_until(Duration(15000), [&] { return leader_host(scene) != nullptr; });
-      scene.require(taken, "nobody took the leadership over");
+      scene.require(taken, "no other node became the leader");
       pb::RolloutState after;
       read_rollout_state(scene, after);
       for (auto& progress : before.releases())
@@ -39,8 +39,8 @@
   };
 }
 
-// A release that takes requests to a new service, whose backend instances turn bad once it has reached a
-// phase.
+// A release routes requests to a new service, whose backend instances turn bad once the release has reached
+// a phase.
 void bad_release_in(Scene& scene, const std::string& phase) {
   scene.duration = Duration(120000);
   scene.required_faults = {"bad_answer"};
@@ -62,16 +62,18 @@
     scene.fleet.sleep(Duration(2000));
     uint64_t top = 0;
     for (auto& host : scene.fleet.hosts()) {
-      scene.require(host->node->configuration_name() == "first", host->name + " did not go back");
+      scene.require(host->node->configuration_name() == "first",
+                    host->name + " did not return to the previous release");
       top = std::max(top, host->node->generation());
     }
     pb::RolloutState r;
     read_rollout_state(scene, r);
-    scene.require(top == r.generation(), "the way back was not under the highest generation");
+    scene.require(top == r.generation(),
+                  "the return to the previous release does not have the highest generation");
   };
 }
 
-// A configuration that leaves the version in place out, or names a new one first, would take a service to a
+// A configuration that omits the current version, or lists a new one first, would switch a service to a
 // version that was never a canary.
 void version_by_layout(Scene& scene) {
   scene.duration = Duration(80000);
@@ -88,18 +90,18 @@
           scene.fleet.operator_call("PUT", "/v1/releases/layout/" + name,
                                     simulated_configuration(vs, 3, 0, R"(,"express":"in a hurry")"));
       scene.require(response.lost || response.status == 409 || response.status == 202,
-                    "the configuration gave " + response.body);
+                    "the configuration got " + response.body);
       scene.fleet.sleep(Duration(12000));
     }
-    // What was recorded before a version came into place may still be stated again.
+    // A configuration recorded before a version became current may still be sent again.
     auto again = scene.fleet.operator_call("PUT", "/v1/releases/layout/first", simulated_configuration());
-    scene.require(again.lost || again.status == 200, "a known configuration stated again gave " + again.body);
+    scene.require(again.lost || again.status == 200, "a recorded configuration sent again got " + again.body);
     scene.require(scene.fleet.good * 10 > scene.fleet.calls * 9,
-                  fmt::format("only {} of {} calls went well", scene.fleet.good, scene.fleet.calls));
+                  fmt::format("only {} of {} calls succeeded", scene.fleet.good, scene.fleet.calls));
   };
 }
 
-// Quiet hours are the fleet's, not a machine's: whoever leads waits for them.
+// Quiet hours apply to the fleet, not to one host: every leader waits for them.
 void quiet_hours(Scene& scene) {
   scene.duration = Duration(90000);
   scene.required_faults = {"kill"};
@@ -117,37 +119,37 @@
         scene.fleet.wait_until(
             Duration(8000),
             [&] { return scene.fleet.operator_call("PUT", "/v1/releases/system/hours", sys).status == 202; }),
-        "quiet hours were not taken");
+        "quiet hours were not accepted");
     scene.fleet.sleep(Duration(3000));
     record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
     for (int i = 0; i < 2; ++i) {
       scene.fleet.sleep(Duration(3000));
-      scene.require(release_phase(scene, "second") == "WAITING", "a phase started in the busy hours");
+      scene.require(release_phase(scene, "second") == "WAITING", "a phase started outside quiet hours");
       auto* host = leader_host(scene);
       if (!host) continue;
       auto name = host->name;
       scene.fleet.kill(name);
       scene.require(scene.fleet.wait_until(Duration(15000), [&] { return leader_host(scene) != nullptr; }),
-                    "nobody took the leadership over");
+                    "no other node became the leader");
       scene.fleet.start(name);
     }
     scene.fleet.sleep(Duration(2000));
-    scene.require(release_phase(scene, "second") == "WAITING", "another leader did not wait");
+    scene.require(release_phase(scene, "second") == "WAITING", "the new leader did not wait for quiet hours");
     for (auto& h : scene.fleet.hosts()) h->wall_offset_ms += 70 * 60000;
-    scene.require(await_phase(scene, "second", "ONE", Duration(6000)), "no phase started in the quiet hours");
+    scene.require(await_phase(scene, "second", "ONE", Duration(6000)), "no phase started in quiet hours");
     for (auto& h : scene.fleet.hosts()) h->wall_offset_ms -= 70 * 60000;
     scene.fleet.sleep(Duration(9000));
-    scene.require(release_phase(scene, "second") == "ONE", "a phase started after the quiet hours");
+    scene.require(release_phase(scene, "second") == "ONE", "a phase started after quiet hours");
     scene.require(scene.fleet
                           .operator_call("PUT", "/v1/releases/system/odd",
                                          R"({"content":{"quiet_hours":{"from":"27:00","to":"01:00"}}})")
                           .status == 422,
-                  "27:00 was taken");
+                  "27:00 was accepted");
   };
 }
 
-// Requests wait for seconds, for a connection or for the origin's rate, while one configuration after the
-// other comes in force everywhere; a node is cut off now and then.
+// Requests wait for seconds, for a connection or under the origin's rate limit, while one configuration after
+// the other comes into force on all nodes; sometimes a node is partitioned.
 void old_layout(Scene& scene) {
   scene.duration = Duration(90000);
   scene.required_faults = {"cut"};
@@ -174,14 +176,14 @@
   };
 }
 
-// A release that breaks only what clients do not see: heartbeats of backend instances through its nodes, or
-// their way to a service that gets no requests just then.
+// A release breaks only what clients do not notice: heartbeats of backend instances through its nodes, or
+// connections from them to a service that gets no requests at that time.
 void blind_release_in(Scene& scene, const std::string& phase, const std::string& what) {
   scene.duration = Duration(470000);
   scene.required_faults = {what == "beats" ? "beat_unheard" : "unreachable"};
   scene.script = [&scene, phase, what] {
     if (!start_traffic(scene, 80)) return;
-    scene.fleet.sleep(Duration(65000));  // so that it is known how many heartbeats are usual
+    scene.fleet.sleep(Duration(65000));  // until the usual number of heartbeats is known
     record_configuration(
         scene, "second",
         simulated_configuration("\"1\"", 3, 0, R"(,"holds":{"one_min":900,"two_min":1600})"));
@@ -191,33 +193,35 @@
     scene.fleet.faults().broken_aspect = what;
     std::string now = phase;
     scene.fleet.wait_until(Duration(100000), [&] { return (now = release_phase(scene, "second")) != phase; });
-    scene.require(now == "STOPPED",
-                  "it was not stopped in phase " + phase + ": " + release_state(scene, "second").text());
+    scene.require(now == "STOPPED", "the release was not stopped in phase " + phase + ": " +
+                                        release_state(scene, "second").text());
     auto why = release_state(scene, "second").at("course").at("why").string_or();
     scene.require(why.find(what == "beats" ? "check worker-beats" : "check probes") == 0,
-                  "it was stopped for another reason: " + why);
+                  "the release was stopped for another reason: " + why);
   };
 }
 
-// Without traffic there is no evidence, and no release goes on.
+// Without traffic there is no evidence, and no release advances.
 void too_little(Scene& scene) {
   scene.duration = Duration(60000);
   scene.script = [&scene] {
     if (!start_traffic(scene, 1)) return;
     record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
     scene.fleet.sleep(Duration(25000));
-    scene.require(release_phase(scene, "second") == "ONE", "it went on without evidence");
+    scene.require(release_phase(scene, "second") == "ONE", "the release advanced without evidence");
     auto why = release_state(scene, "second").at("course").at("why").string_or();
-    scene.require(why.find("too little evidence") == 0, "it does not say why it holds: " + why);
+    scene.require(why.find("too little evidence") == 0,
+                  "the status does not give the reason for the hold: " + why);
     auto response = scene.fleet.operator_call("PUT", "/v1/releases/layout/second/waivers/evidence",
                                               R"({"reason":"a quiet night"})");
-    scene.require(response.status == 200, "the waiver was not taken");
-    scene.require(await_phase(scene, "second", "TWO", Duration(10000)), "a waived check still held it");
+    scene.require(response.status == 200, "the waiver was not accepted");
+    scene.require(await_phase(scene, "second", "TWO", Duration(10000)),
+                  "a waived check still blocked the release");
   };
 }
 
-// Compare-and-set by everybody at once while machines fail: for each version
-// one winner, and no read ever older than what was acknowledged before it.
+// All nodes concurrently compare-and-set one register while hosts fail: each version has
+// one winner, and no read is older than a write acknowledged before it.
 void races(Scene& scene) {
   scene.duration = Duration(60000);
   scene.required_faults = {"kill", "loss", "freeze"};
@@ -236,7 +240,7 @@
           for (int i = 0; scene.world.now() < end; ++i) {
             scene.fleet.sleep(Duration(scene.world.below(1000)));
             if (!host->up()) continue;
-            // This runs in the host's process and ends with it.
+            // Runs in the host's process and stops when it is killed.
             scene.world.spawn(host->process, [&scene, st, host, k, i] {
               auto& registers = host->node->registers();
               auto floor = st->acked;
@@ -288,7 +292,7 @@
   };
 }
 
-// Operators race each other and send invalid documents; one wins, the others learn of it.
+// Operators send conflicting and invalid documents concurrently; one wins, the others get a conflict.
 void operators_race(Scene& scene) {
   scene.duration = Duration(60000);
   scene.script = [&scene] {
@@ -307,17 +311,18 @@
       auto response = scene.fleet.operator_call("PUT", "/v1/releases/layout/bad", bad);
       scene.require(
           response.status == 422 && response.body.find("\"defects\":[{\"at\":") != response.body.npos,
-          "an invalid configuration gave " + response.body);
+          "an invalid configuration got " + response.body);
     }
     scene.require(scene.fleet.operator_call("GET", "/v1/releases/layout/bad", "").status == 404,
                   "an invalid configuration was recorded");
     auto a = scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"1"})");
-    scene.require(a.status == 200 && a.etag == "\"1\"", "the first statement of a service gave " + a.body);
+    scene.require(a.status == 200 && a.etag == "\"1\"",
+                  "the first request for a service's version got " + a.body);
     auto b =
         scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"1"})", {{"If-Match", "\"7\""}});
-    scene.require(b.status == 412 && b.etag == "\"1\"", "a stale If-Match did not get the version in force");
+    scene.require(b.status == 412 && b.etag == "\"1\"", "a stale If-Match did not get the current version");
     scene.require(purge(scene, "once", "path", "/c/1") && purge(scene, "once", "path", "/c/1"),
-                  "a purge stated twice was not taken as one");
+                  "a repeated purge was not acknowledged as the same purge");
     scene.require(scene.fleet
                           .operator_call("PUT", "/v1/purges/once",
                                          R"({"service":"content","kind":"path","path":"/c/2"})")
@@ -330,11 +335,11 @@
                 .status == 409,
         "another service's purge under a known name was acknowledged");
     scene.require(scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"9"})").status == 422,
-                  "a version that no configuration allows was taken");
+                  "a version that no configuration allows was accepted");
   };
 }
 
-// A watch returns when what it watches has changed, and not before.
+// A watch returns when the watched resource has changed, and not before.
 void watch(Scene& scene) {
   scene.duration = Duration(60000);
   scene.script = [&scene] {
@@ -342,11 +347,11 @@
     auto response = scene.fleet.operator_call("GET", "/v1/assignments", "");
     auto v = response.etag.substr(1, response.etag.size() - 2);
     auto none = scene.fleet.operator_call("GET", "/v1/services/none?after=0&wait_ms=100", "");
-    scene.require(none.status == 404, "a watch of nothing did not say 404");
+    scene.require(none.status == 404, "a watch of an unknown resource did not get 404");
     auto from = scene.world.now();
     auto same = scene.fleet.operator_call("GET", "/v1/assignments?wait_ms=1500&after=" + v, "");
     scene.require(same.status == 304 && scene.world.now() - from >= Duration(1500),
-                  fmt::format("a watch of what does not change gave {}", same.status));
+                  fmt::format("a watch of an unchanged resource got {}", same.status));
     scene.fleet.spawn_outside([&scene] {
       scene.fleet.sleep(Duration(1000));
       record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
@@ -358,8 +363,8 @@
   };
 }
 
-// A split that leaves the leader on the small side: it stops before its lease ends, and the other side goes
-// on.
+// A partition isolates the leader: it steps down before its lease ends, and the other side gets a new
+// leader.
 void split_duty(Scene& scene) {
   scene.duration = Duration(90000);
   scene.required_faults = {"cut"};
@@ -368,20 +373,20 @@
     record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
     for (int i = 0; i < 3; ++i) {
       auto* host = leader_host(scene);
-      if (!host) return scene.require(false, "nobody leads");
+      if (!host) return scene.require(false, "there is no leader");
       scene.fleet.isolate(host->name);
       bool passed = scene.fleet.wait_until(Duration(15000), [&] {
         auto* n = leader_host(scene);
         return n && n != host;
       });
-      scene.require(passed, "the leadership did not pass on");
+      scene.require(passed, "no other node became leader");
       scene.world.heal_all();
       scene.fleet.sleep(Duration(2000 + scene.world.below(3000)));
     }
   };
 }
 
-// Each machine in turn is stopped with a warning and started again.
+// Each node in turn is shut down gracefully and restarted.
 void rolling_restart(Scene& scene) {
   scene.duration = Duration(120000);
   scene.script = [&scene] {
@@ -397,16 +402,17 @@
       scene.require(
           scene.fleet.wait_until(
               Duration(5000), [&] { return gone && host->node->request_handler().running_requests() == 0; }),
-          name + " did not leave within five seconds");
+          name + " did not shut down within five seconds");
       scene.fleet.kill(name);
       scene.fleet.sleep(Duration(200));
       scene.fleet.start(name);
-      scene.require(await_all_ready(scene, Duration(10000)), name + " did not come back");
+      scene.require(await_all_ready(scene, Duration(10000)),
+                    name + ": not all nodes were ready after its restart");
     }
     calls = scene.fleet.calls - calls;
     good = scene.fleet.good - good;
     scene.figures = {{"restart_calls", calls}, {"restart_not_good", calls - good}};
-    scene.require(good * 100 >= calls * 99, fmt::format("only {} of {} calls went well", good, calls));
+    scene.require(good * 100 >= calls * 99, fmt::format("only {} of {} calls succeeded", good, calls));
   };
 }
 }  // namespace
--- a/test/scenarios/scenario.cpp
+++ b/test/scenarios/scenario.cpp
@@ -1,4 +1,4 @@
-// Common parts of the stories.
+// Common parts of the scenarios.
 #include "scenarios/scenario.hpp"
 
 #include "rollout/rollout_controller.hpp"
@@ -77,8 +77,6 @@
   return top ? &out : nullptr;
 }
 
-// Starts the workers, records the first layout, waits until it serves, and
-// lets callers call for the rest of the run.
 bool start_traffic(Scene& scene, int rate, const std::string& doc) {
   auto& sh = scene.fleet.shape();
   for (int i = 0; i < sh.first_backends; ++i) scene.fleet.add_backend("content", "1", 3);
@@ -87,7 +85,7 @@
     auto response = scene.fleet.operator_call("PUT", "/v1/releases/layout/first", doc);
     return response.status == 202 || response.status == 200;
   });
-  scene.require(ok, "the first layout was not taken");
+  scene.require(ok, "the first configuration was not accepted");
   ok = ok && scene.fleet.wait_until(Duration(10000), [&] {
     for (auto& host : scene.fleet.hosts())
       if (host->up() && !host->node->ready()) return false;
@@ -104,7 +102,7 @@
     }
     return true;
   });
-  scene.require(ok, "not all relays came to know all workers");
+  scene.require(ok, "not all relays know all backend instances");
   scene.fleet.event(R"("t":"lifetime","ms":3000)");
   allow_version(scene, "1");
   scene.fleet.generate_requests(rate, scene.world.now() + Duration(600000),
@@ -149,7 +147,7 @@
     auto st = scene.fleet.operator_call("PUT", "/v1/releases/layout/" + name, doc).status;
     return st == 202 || st == 200;
   });
-  scene.require(ok, "layout " + name + " was not taken");
+  scene.require(ok, "configuration " + name + " was not accepted");
 }
 
 std::string rejections_by_reason(Scene& scene) {
--- a/test/scenarios/sim_cases.hpp
+++ b/test/scenarios/sim_cases.hpp
@@ -1,5 +1,5 @@
-// The cases: each sets a simulated fleet up, brings one kind of failure about,
-// and says what must be seen besides that no rule is broken.
+// The cases: each sets up a simulated fleet, injects one kind of failure, and checks
+// conditions beyond the checker's rules.
 #pragma once
 #include "checker/checker.hpp"
 #include "simulation/fleet.hpp"
@@ -9,21 +9,20 @@
 
 struct SimFigures {
   std::map<std::string, uint64_t> counts;
-  std::set<std::string> required_faults;  // faults that the seeds together have to have met
+  std::set<std::string> required_faults;  // faults that must occur at least once over all seeds
 };
 
 struct Scene {
   simulation::World& world;
   simulation::Fleet& fleet;
-  std::string only_node;         // the relay that all callers go to; empty: any that is ready
-  std::function<void()> script;  // a fiber of the outside world
+  std::string only_node;         // the relay that gets all client requests; empty: any ready one
+  std::function<void()> script;  // runs in a fiber outside the simulated hosts
   Duration duration{60000};
   bool script_done = false;
-  std::string failure;  // set when something was not seen
+  std::string failure;  // the first requirement that was not met
   std::map<std::string, uint64_t> figures;
-  Duration reject_within{
-      0};  // no request may be turned away later than so long after it came; 0: not looked at
-  std::vector<std::string> required_faults;  // faults that the run has to have met
+  Duration reject_within{0};  // the latest time to reject a request after its arrival; 0: not checked
+  std::vector<std::string> required_faults;  // faults that must occur
   void require(bool ok, const std::string& what) {
     if (!ok && failure.empty()) failure = what;
   }
@@ -32,7 +31,7 @@
 struct SimCase {
   std::function<void(Scene&)> set_up;
   int spares = 0;
-  std::function<void(simulation::FleetShape&)> shape;  // what this case needs otherwise than it is
+  std::function<void(simulation::FleetShape&)> shape;  // changes the fleet's shape for this case
   SimCase() = default;
   template <class F>
   SimCase(F f, int sp = 0, std::function<void(simulation::FleetShape&)> sh = {})
--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -1,6 +1,5 @@
-// Runs one case under one seed: the story and the callers are fibers; after
-// each event the rules that can be checked on the condition are; at the end the
-// journal is.
+// Runs one case with one seed. The scenario script and the clients are fibers. Rules on the
+// current state are checked after each event, rules on the journal at the end.
 #include <fstream>
 
 #include "rollout/rollout_controller.hpp"
@@ -9,18 +8,19 @@
 namespace dunlinwing::test {
 namespace {
 
-// What must hold after every single event, whatever has happened.
+// Invariants that are checked after every event.
 struct Watch {
   simulation::Fleet& fleet;
   std::map<std::string, std::pair<void*, uint64_t>> shown;
-  std::map<std::string, uint64_t> told;  // generations already journalled as acknowledged
-  std::map<std::string, uint64_t> seat;  // host -> epoch of the set it was last seen with
-  std::map<uint64_t, std::string> sets;  // epoch -> the set
+  std::map<std::string, uint64_t> told;  // highest generation journalled as acknowledged, by node
+  std::map<std::string, uint64_t> seat;  // host -> epoch of the replica set it last had
+  std::map<uint64_t, std::string> sets;  // epoch -> the replica set
   std::string broken;
-  std::map<std::pair<uint64_t, std::string>, std::set<std::string>> votes;  // ballot -> disks that have it
+  std::map<std::pair<uint64_t, std::string>, std::set<std::string>>
+      votes;  // ballot -> hosts that have synced it
 
-  // An assignment is acknowledged no sooner than its vote is on a majority of
-  // disks, and from then on every pull that begins will meet it.
+  // An assignment is acknowledged only once its vote is on a majority of disks; every pull
+  // that starts later returns it.
   void synced(const std::string& host, const pb::LogRecord& r) {
     if (r.register_state().name() != rollout::kRolloutKey || !r.register_state().has_accepted()) return;
     auto& on = votes[{r.register_state().accepted().round(), r.register_state().accepted().node()}];
@@ -57,12 +57,11 @@
         auto text = set.message().SerializeAsString();
         auto [at, fresh] = sets.emplace(set.epoch(), text);
         if (!fresh && at->second != text)
-          broken =
-              fmt::format("two sets of holders under epoch {}, one of them at {}", set.epoch(), host->name);
+          broken = fmt::format("two replica sets with epoch {}, one of them at {}", set.epoch(), host->name);
       }
       replicas += n->leadership().is_leader();
     }
-    if (replicas > 1) broken = "two nodes hold the rollout duty";
+    if (replicas > 1) broken = "two nodes are the rollout leader";
   }
 };
 }  // namespace
@@ -111,11 +110,11 @@
   expect(scene.failure.empty(), scene.failure);
   auto late = r.figures["longest_not_run_ms"];
   expect(scene.reject_within == Duration(0) || Duration(static_cast<int64_t>(late)) <= scene.reject_within,
-         fmt::format("a request was turned away only after {} ms", late));
-  expect(!r.figures["no_retry_after"], "a request was turned away without being told when to come back");
+         fmt::format("a request was rejected only after {} ms", late));
+  expect(!r.figures["no_retry_after"], "a request was rejected without Retry-After");
   expect(!r.figures["lost_unexplained"],
-         fmt::format("{} requests were lost at relays that nothing befell", r.figures["lost_unexplained"]));
-  expect(done, "the story did not come to its end");
+         fmt::format("{} requests were lost at relays without a fault", r.figures["lost_unexplained"]));
+  expect(done, "the scenario script did not finish");
   for (auto& m : scene.required_faults) sum.required_faults.insert(m);
 }
 
--- a/test/scenarios/version_rollout_scenarios.cpp
+++ b/test/scenarios/version_rollout_scenarios.cpp
@@ -1,5 +1,5 @@
-// Version rollouts with a deadline, as an operator sees them: new backend instances start cold beside the old
-// ones, the rollout is requested, and its outcome is acted on at once.
+// Version rollouts with a deadline, from an operator's view: new backend instances start cold beside the old
+// ones, the rollout is requested, and the old ones are stopped as soon as it completes.
 #include <deque>
 
 #include "scenarios/scenario.hpp"
@@ -8,7 +8,7 @@
 namespace {
 
 struct Plan {
-  // Of the new version: errors, slow, one_route, late, under_load, whole_load; empty: it is good.
+  // Fault of the new version: errors, slow, one_route, late, under_load, whole_load; empty: none.
   std::string fault;
   std::string disturbance;  // duty (the leader is killed), freeze or restarts; empty: none
 };
@@ -28,7 +28,7 @@
     for (auto& backend : fleet->backends()) running += backend->version == "2" ? backend->running : 0;
     return running >= 3;
   };
-  if (fault == "whole_load") {  // not as a canary, only when nearly all requests come to it
+  if (fault == "whole_load") {  // fails only when it gets nearly all requests, not as a canary
     static std::deque<TimePoint> requests;
     requests.clear();
     backend.slowdown = [=](auto&) {
@@ -40,7 +40,7 @@
   if (fault == "under_load") backend.slowdown = [=](auto&) { return busy() && bad() ? 0 : 1; };
 }
 
-// During the rollout, at a time drawn anew each seed.
+// Injects a disturbance at a random time during the rollout.
 void disturb(Scene& scene, const std::string& what, Duration within) {
   scene.fleet.spawn_outside([&scene, what, within] {
     scene.fleet.sleep(Duration(scene.world.below(static_cast<uint64_t>(within.count()))));
@@ -75,9 +75,9 @@
     };
     scene.require(scene.fleet.wait_until(Duration(8000),
                                          [&] { return state("services").at("current").string_or() == "1"; }),
-                  "no version came into place");
+                  "no version became current");
     scene.require(scene.fleet.operator_call("GET", "/v1/moves/app", "").status == 404,
-                  "a rollout was reported that nobody requested");
+                  "a rollout was reported though none was requested");
     Duration deadline(12000 + static_cast<int64_t>(scene.world.below(5)) * 1000);
     int percent = 35 + static_cast<int>(scene.world.below(26));
     std::vector<simulation::SimulatedBackend*> mine;
@@ -104,13 +104,13 @@
     scene.require(scene.fleet.wait_until(
                       Duration(3000),
                       [&] { return scene.fleet.operator_call("PUT", "/v1/moves/app", order).status == 200; }),
-                  "the order was not taken");
+                  "the rollout request was not accepted");
     if (mine.empty()) scene.fleet.sleep(Duration(scene.world.below(500))), start();
     if (!plan.disturbance.empty()) disturb(scene, plan.disturbance, deadline);
     scene.require(scene.fleet.wait_until(
                       Duration(3000),
                       [&] { return scene.fleet.operator_call("PUT", "/v1/moves/app", order).status == 200; }),
-                  "the order stated again was not taken");
+                  "the repeated rollout request was not accepted");
     std::string now;
     scene.fleet.wait_until(deadline + Duration(9000), [&] {
       scene.fleet.sleep(Duration(200));
@@ -131,26 +131,27 @@
       scene.fleet.sleep(Duration(3000));
       scene.require(
           scene.fleet.calls - calls <= scene.fleet.good - good + 5 || !plan.disturbance.empty(),
-          fmt::format("{} of {} calls failed when the old backend instances were halted",
+          fmt::format("{} of {} calls failed when the old backend instances were stopped",
                       scene.fleet.calls - calls - (scene.fleet.good - good), scene.fleet.calls - calls));
-      scene.require(state("services").at("current").string_or() == "2", "it is completed and not in place");
+      scene.require(state("services").at("current").string_or() == "2",
+                    "the rollout is completed and the new version is not current");
     }
     if (plan.fault.empty() && plan.disturbance.empty())
       scene.require(now == "completed" && took <= deadline, "a good version is " + why());
     if (!plan.fault.empty())
       scene.require(now == "rolled_back" && (took <= deadline || !plan.disturbance.empty()),
                     "a bad version is " + why());
-    scene.require(!now.empty() && now != "running", "the move came to no end: " + why());
+    scene.require(!now.empty() && now != "running", "the rollout did not finish: " + why());
     scene.fleet.sleep(Duration(9000));
     auto again = scene.fleet.operator_call("PUT", "/v1/moves/app", order);
     auto j = base::Json::parse(again.body);
     scene.require(again.lost || (std::holds_alternative<base::Json>(j) &&
                                  std::get<base::Json>(j).at("state").string_or() == now),
-                  "the order come late once more began anew: " + again.body);
+                  "a late repeated request started a new rollout: " + again.body);
   };
 }
-// Where the configuration names no versions, one that was not requested gets nothing while the one in place
-// has backend instances; it takes its place when they have been gone for long.
+// Where the configuration lists no versions, a version that was not requested gets no requests while the
+// current one has backend instances; it becomes current once these have been gone for long.
 void version_gone(Scene& scene) {
   scene.duration = Duration(60000);
   scene.script = [&scene] {
@@ -161,20 +162,20 @@
       return x ? x->at("current").string_or() : std::string();
     };
     scene.require(scene.fleet.wait_until(Duration(8000), [&] { return current() == "1"; }),
-                  "no version came into place");
+                  "no version became current");
     for (int i = 0; i < 3; ++i) scene.fleet.add_backend("app", "2", 0);
     scene.fleet.sleep(Duration(6000));
     for (auto& backend : scene.fleet.backends())
       if (backend->service == "app" && backend->version == "1") backend->alive = false;
     scene.fleet.sleep(Duration(9000));
-    scene.require(current() == "1", "a version that nobody asked for took over at once");
-    allow_version(scene, "2");  // until here nothing may go to it, and the checker says so
+    scene.require(current() == "1", "a version that was not requested became current too early");
+    allow_version(scene, "2");  // the checker reports any earlier request to it
     scene.require(scene.fleet.wait_until(Duration(8000), [&] { return current() == "2"; }),
-                  "nothing took the place of a version that is gone");
+                  "no version replaced the one without backend instances");
     scene.fleet.sleep(Duration(1000));
     auto good = scene.fleet.good;
     scene.fleet.sleep(Duration(2000));
-    scene.require(scene.fleet.good > good + 80, "the service does not serve");
+    scene.require(scene.fleet.good > good + 80, "too few requests succeeded after the version change");
   };
 }
 }  // namespace
