--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -12,9 +12,9 @@
 }
 
 namespace {
-class SimSpot final : public base::Condition {
+class SimCondition final : public base::Condition {
  public:
-  SimSpot(World& world, ProcessRunPtr process) : world_(world), process_(std::move(process)) {}
+  SimCondition(World& world, ProcessRunPtr process) : world_(world), process_(std::move(process)) {}
   bool wait(Duration s) override { return world_.wait(process_, s, wait_); }
   void notify() override { world_.notify(wait_); }
 
@@ -25,7 +25,9 @@
 };
 }  // namespace
 
-std::shared_ptr<base::Condition> Tasks::condition() { return std::make_shared<SimSpot>(world_, process_); }
+std::shared_ptr<base::Condition> Tasks::condition() {
+  return std::make_shared<SimCondition>(world_, process_);
+}
 
 std::variant<pb::PeerResponse, base::PeerError> Net::call(const std::string& address,
                                                           const pb::PeerRequest& request,
