--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -32,12 +32,12 @@
 std::variant<pb::PeerResponse, base::PeerError> Net::call(const std::string& address,
                                                           const pb::PeerRequest& request,
                                                           const base::CallRules& rules) {
-  struct Talk {
+  struct PendingCall {
     std::optional<pb::PeerResponse> reply;
     bool refused = false;
     Wait wait;
   };
-  auto t = std::make_shared<Talk>();
+  auto t = std::make_shared<PendingCall>();
   auto back = [this, t, from = process_->host](const std::string& to, std::optional<pb::PeerResponse> r) {
     if (world_.is_partitioned(to, from)) return void(++world_.faults_met["cut"]);
     if (world_.random(world_.network.loss_permille)) return void(++world_.faults_met["loss"]);
