--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -253,7 +253,7 @@
 }
 
 namespace {
-struct Visit {
+struct PendingExchange {
   bool done = false, lost = false, read = false;
   base::Response response;
   Wait wait;
@@ -262,7 +262,7 @@
 
 // Mirrors net/http_server_connection, which uses sockets: sends part by part at the rate of the link.
 static void send_response(World& world, link::Link& link, const std::string& host, bool control,
-                          const std::shared_ptr<Visit>& visit) {
+                          const std::shared_ptr<PendingExchange>& visit) {
   constexpr Duration kWriteTimeout(10000);
   const link::LinkUse use{&link, control ? link::TrafficClass::control : link::TrafficClass::clients};
   const TimePoint since = world.now();
@@ -280,9 +280,10 @@
 }
 
 // One HTTP exchange with a host: lost when its process dies or does not respond.
-static std::shared_ptr<Visit> visit(World& world, const FleetShape& shape, const ProcessRunPtr& out,
-                                    Host& host, base::Request request, bool control, Duration most) {
-  auto v = std::make_shared<Visit>();
+static std::shared_ptr<PendingExchange> visit(World& world, const FleetShape& shape, const ProcessRunPtr& out,
+                                              Host& host, base::Request request, bool control,
+                                              Duration most) {
+  auto v = std::make_shared<PendingExchange>();
   auto qp = std::make_shared<base::Request>(std::move(request));
   auto* node = host.node.get();
   auto* ctl = host.router.get();
