--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -262,27 +262,27 @@
 
 // Mirrors net/http_server_connection, which uses sockets: sends part by part at the rate of the link.
 static void send_response(World& world, link::Link& link, const std::string& host, bool control,
-                          const std::shared_ptr<PendingExchange>& visit) {
+                          const std::shared_ptr<PendingExchange>& exchange) {
   constexpr Duration kWriteTimeout(10000);
   const link::LinkUse use{&link, control ? link::TrafficClass::control : link::TrafficClass::clients};
   const TimePoint since = world.now();
-  size_t remaining = visit->response.body.size();
+  size_t remaining = exchange->response.body.size();
   if (control) use.sent(remaining);
   do {
     const size_t part = control ? remaining : std::min(remaining, use.outbound_part());
     if (!control && !use.await_outbound(part, since, remaining, kWriteTimeout)) return;
     remaining -= part;
-    world.carry(host, "", part, Duration(0), [&world, visit, is_last = remaining == 0] {
-      visit->done |= is_last;
-      if (is_last) world.notify(visit->wait);
+    world.carry(host, "", part, Duration(0), [&world, exchange, is_last = remaining == 0] {
+      exchange->done |= is_last;
+      if (is_last) world.notify(exchange->wait);
     });
   } while (remaining > 0);
 }
 
 // One HTTP exchange with a host: lost when its process dies or does not respond.
-static std::shared_ptr<PendingExchange> visit(World& world, const FleetShape& shape, const ProcessRunPtr& out,
-                                              Host& host, base::Request request, bool control,
-                                              Duration most) {
+static std::shared_ptr<PendingExchange> run_exchange(World& world, const FleetShape& shape,
+                                                     const ProcessRunPtr& out, Host& host,
+                                                     base::Request request, bool control, Duration most) {
   auto v = std::make_shared<PendingExchange>();
   auto qp = std::make_shared<base::Request>(std::move(request));
   auto* node = host.node.get();
@@ -319,7 +319,7 @@
   if (lost || !host.up())
     return world.wait(process_, lost ? limit : Duration(1), x),
            lost ? base::AttemptError::unknown : base::AttemptError::unsent;
-  auto v = visit(world, fleet_.shape_, process_, host, request, true, limit);
+  auto v = run_exchange(world, fleet_.shape_, process_, host, request, true, limit);
   if (v->lost) return base::AttemptError::unknown;
   return v->response;
 }
@@ -330,15 +330,15 @@
   if (!host) return {0, {}, {}, true};
   if (target == "/v1/beats" && breaks(host->name, "beats"))
     return ++world_.faults_met["beat_unheard"], OperatorResponse{0, {}, {}, true};
-  auto v = visit(world_, shape_, outside_process_, *host, {"", method, target, body, std::move(headers)},
-                 true, Duration(5000));
+  auto v = run_exchange(world_, shape_, outside_process_, *host,
+                        {"", method, target, body, std::move(headers)}, true, Duration(5000));
   if (v->lost) return {0, {}, {}, true};
   return {v->response.status, v->response.body, base::header(v->response.headers, "ETag"), false, host->name};
 }
 
 Exchange Fleet::exchange(Host& to, base::Request request, bool control, Duration most) {
   if (!to.up()) return sleep(Duration(1)), Exchange{};
-  auto v = visit(world_, shape_, outside_process_, to, std::move(request), control, most);
+  auto v = run_exchange(world_, shape_, outside_process_, to, std::move(request), control, most);
   return {!v->lost, v->read, v->response};
 }
 
@@ -354,7 +354,7 @@
       fmt::format(R"({{"t":"ask","id":"{}","method":"{}","target":"{}","in":"{}","at":{},"relay":"{}"}})", id,
                   method, target, base::sha256_base64(body), from, host->name));
   ++calls;
-  auto v = visit(world_, shape_, outside_process_, *host, std::move(request), false, Duration(10000));
+  auto v = run_exchange(world_, shape_, outside_process_, *host, std::move(request), false, Duration(10000));
   if (v->lost) {
     world_.journal.push_back(fmt::format(R"({{"t":"lost","id":"{}","from":{},"at":{},"relay":"{}"}})", id,
                                          from, world_.now().count(), host->name));
