--- a/src/simulation/origin.cpp
+++ b/src/simulation/origin.cpp
@@ -31,7 +31,7 @@
   Wait x;
   fleet_.world_.wait(process_, Duration(1), x);
   if (fleet_.breaks(process_->host, "reach")) return ++fleet_.world_.faults_met["unreachable"], false;
-  if (fleet_.shape_.stands) return fleet_.shape_.stands(address);
+  if (fleet_.shape_.can_connect) return fleet_.shape_.can_connect(address);
   for (auto& w : fleet_.backends_)
     if (w->alive && w->address == address) return true;
   return false;
--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -31,7 +31,7 @@
     return platform::handle(request, kBeat, product);
   };
   s.send = [&yard](auto& l, auto& a, auto& q, auto& r) { return yard.send(l, a, q, r); };
-  s.stands = [&yard](auto& a) { return yard.stands(a); };
+  s.can_connect = [&yard](auto& a) { return yard.stands(a); };
   return s;
 }
 }  // namespace
