--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -124,7 +124,7 @@
 
   bool breaks(const std::string& host,
               const std::string& what);  // whether the release of the host breaks `what`
-  FleetShape& faults() { return shape_; }
+  FleetShape& mutable_shape() { return shape_; }
   World& world() { return world_; }
   const FleetShape& shape() const { return shape_; }
   NetworkConditions normal_conditions() const {
--- a/test/scenarios/rollout_scenarios.cpp
+++ b/test/scenarios/rollout_scenarios.cpp
@@ -189,8 +189,8 @@
         simulated_configuration("\"1\"", 3, 0, R"(,"holds":{"one_min":900,"two_min":1600})"));
     if (!await_phase(scene, "second", phase, Duration(280000)))
       return scene.require(false, "phase " + phase + " was not reached");
-    scene.fleet.faults().broken_release = "second";
-    scene.fleet.faults().broken_aspect = what;
+    scene.fleet.mutable_shape().broken_release = "second";
+    scene.fleet.mutable_shape().broken_aspect = what;
     std::string now = phase;
     scene.fleet.wait_until(Duration(100000), [&] { return (now = release_phase(scene, "second")) != phase; });
     scene.require(now == "STOPPED", "the release was not stopped in phase " + phase + ": " +
