--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -51,7 +51,7 @@
   for (int i = 0; i < shape.shield_nodes; ++i) {
     auto host = std::make_unique<Host>();
     host->shield = true;
-    host->takes_clients = false;
+    host->accepts_clients = false;
     host->name = fmt::format("s{}", i + 1);
     host->zone = std::string(1, static_cast<char>('a' + i % 3));
     host->address = "peer:" + host->name;
@@ -191,7 +191,7 @@
 Host* Fleet::random_host(bool only_ready) {
   std::vector<Host*> v;
   for (auto& host : hosts_)
-    if (host->up() && host->takes_clients && !world_.frozen(host->name) &&
+    if (host->up() && host->accepts_clients && !world_.frozen(host->name) &&
         (!only_ready || host->node->ready()))
       v.push_back(host.get());
   return v.empty() ? nullptr : v[world_.below(v.size())];
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -42,7 +42,7 @@
 struct Host {
   std::string name, zone, address;
   bool has_disk = false, shield = false, spare = false;
-  bool takes_clients = true;
+  bool accepts_clients = true;
   bool started_before = false;
   DiskContents disk_contents;
   int64_t wall_offset_ms = 0;
--- a/test/scenarios/fetch_scenarios.cpp
+++ b/test/scenarios/fetch_scenarios.cpp
@@ -119,7 +119,7 @@
     auto served = ask_for_objects(scene, Duration(60000));
     scene.fleet.sleep(Duration(12000));
     for (auto& host : scene.fleet.hosts())
-      if (!host->takes_clients) scene.fleet.kill(host->name);
+      if (!host->accepts_clients) scene.fleet.kill(host->name);
     scene.fleet.sleep(Duration(10000));
     expect_share(scene, *served, Duration(20000), kCalmShare, "all_gone");
   };
