--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -288,10 +288,10 @@
   auto* node = host.node.get();
   auto* ctl = host.router.get();
   auto go = std::make_shared<std::function<void()>>();
-  *go = [&world, &shape, v, qp, node, ctl, control, link = host.link.get(), life = host.process, go] {
-    if (life->dead) return;
-    if (world.frozen(life->host)) return world.after(Duration(50), *go);
-    world.spawn(life, [&world, &shape, v, qp, node, ctl, control, link, host_name = life->host] {
+  *go = [&world, &shape, v, qp, node, ctl, control, link = host.link.get(), process = host.process, go] {
+    if (process->dead) return;
+    if (world.frozen(process->host)) return world.after(Duration(50), *go);
+    world.spawn(process, [&world, &shape, v, qp, node, ctl, control, link, host_name = process->host] {
       v->read = true;
       FleetShape::Handler product = [ctl](base::Request& x) { return ctl->handle(x); };
       v->response = !control          ? node->handle(*qp)
--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -70,9 +70,9 @@
     auto arrive = std::make_shared<std::function<void()>>();
     *arrive = [this, address, request, host, back, arrive] {
       auto p = directory_.find(address);
-      if (p == directory_.end() || !p->second.life || p->second.life->dead) return back(host, {});
+      if (p == directory_.end() || !p->second.process || p->second.process->dead) return back(host, {});
       if (world_.frozen(host)) return world_.after(Duration(50), *arrive);
-      world_.spawn(p->second.life, [this, answer = p->second.answer, request, back, host] {
+      world_.spawn(p->second.process, [this, answer = p->second.answer, request, back, host] {
         auto response = answer(request);
         ++world_.messages;
         world_.bytes += response.ByteSizeLong();
--- a/src/simulation/ports.hpp
+++ b/src/simulation/ports.hpp
@@ -44,7 +44,7 @@
 // The peer at an address: its process, if one runs, and its request handler.
 struct Peer {
   std::string host;
-  ProcessRunPtr life;
+  ProcessRunPtr process;
   std::function<pb::PeerResponse(const pb::PeerRequest&)> answer;
 };
 using Directory = std::map<std::string, Peer>;
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -63,7 +63,7 @@
 
 bool World::wait(const ProcessRunPtr& process, Duration s, Wait& w) {
   if (process->dead) throw ProcessKilled{};
-  w.life = process;
+  w.process = process;
   if (!w.woken) {
     w.fiber = bf::context::active();
     w.timed_out = false;
@@ -82,8 +82,8 @@
 
 void World::resume(Wait* w) {
   if (w->timed_out || !w->fiber) return;
-  if (auto f = frozen_.find(w->life->host); f != frozen_.end() && f->second > now_ && !w->life->dead) {
-    at(f->second, [this, l = w->life, w, turn = w->wait_id] {
+  if (auto f = frozen_.find(w->process->host); f != frozen_.end() && f->second > now_ && !w->process->dead) {
+    at(f->second, [this, l = w->process, w, turn = w->wait_id] {
       if (l->waits.count(w) && w->wait_id == turn) resume(w);
     });
     return;
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -84,7 +84,7 @@
 };
 
 struct Wait {
-  ProcessRunPtr life;
+  ProcessRunPtr process;
   void* fiber = nullptr;
   bool woken = false, timed_out = false;
   uint64_t wait_id = 0;  // distinguishes the current wait's timer from an earlier one's
