--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -151,7 +151,7 @@
 void Fleet::kill(const std::string& n) {
   auto& host = at(n);
   if (!host.up()) return;
-  ++world_.faults_met["kill"];
+  ++world_.fault_counts["kill"];
   event(fmt::format(R"("t":"killed","machine":"{}")", n));
   world_.kill(host.process);
   auto g = std::make_unique<TerminatedHost>();
@@ -170,7 +170,7 @@
 }
 
 void Fleet::wipe(const std::string& n) {
-  ++world_.faults_met["lost_disk"];
+  ++world_.fault_counts["lost_disk"];
   // The last writes of the killed process must not reach the new disk.
   world_.after(Duration(1), [this, n] { at(n).disk_contents.files.clear(); });
 }
@@ -329,7 +329,7 @@
   auto* host = random_host(false);
   if (!host) return {0, {}, {}, true};
   if (target == "/v1/beats" && breaks(host->name, "beats"))
-    return ++world_.faults_met["beat_unheard"], OperatorResponse{0, {}, {}, true};
+    return ++world_.fault_counts["beat_unheard"], OperatorResponse{0, {}, {}, true};
   auto v = run_exchange(world_, shape_, outside_process_, *host,
                         {"", method, target, body, std::move(headers)}, true, Duration(5000));
   if (v->lost) return {0, {}, {}, true};
--- a/src/simulation/origin.cpp
+++ b/src/simulation/origin.cpp
@@ -30,7 +30,7 @@
 bool SimOrigin::can_connect(const std::string& address, Duration) {
   Wait x;
   fleet_.world_.wait(process_, Duration(1), x);
-  if (fleet_.breaks(process_->host, "reach")) return ++fleet_.world_.faults_met["unreachable"], false;
+  if (fleet_.breaks(process_->host, "reach")) return ++fleet_.world_.fault_counts["unreachable"], false;
   if (fleet_.shape_.can_connect) return fleet_.shape_.can_connect(address);
   for (auto& w : fleet_.backends_)
     if (w->alive && w->address == address) return true;
@@ -76,7 +76,7 @@
   if (!backend) return base::AttemptError::unsent;
   auto h = [&](const char* n) { return base::header(request.headers, n); };
   if (backend->foreign) {
-    ++world.faults_met["foreign"];
+    ++world.fault_counts["foreign"];
     world.journal.push_back(fmt::format(
         R"({{"t":"run","id":"{}","method":"{}","target":"{}","in":"{}","out":"","service":"{}","version":"{}","instance":"{}","at":{},"bad":true}})",
         h("Caller-Id"), request.method, request.target, base::sha256_base64(request.body),
@@ -85,12 +85,12 @@
   }
   if (h("Dunlinwing-Instance") != backend->instance || h("Dunlinwing-Service") != backend->service ||
       h("Dunlinwing-Version") != backend->version) {
-    ++world.faults_met["wrong_address"];
+    ++world.fault_counts["wrong_address"];
     return base::Response{421, head(*backend, h("Dunlinwing-Request"), {{"Dunlinwing-Outcome", "not-run"}}),
                           ""};
   }
   if (static_cast<int>(world.below(100)) < backend->refuse_percent) {
-    ++world.faults_met["worker_refused"];
+    ++world.fault_counts["worker_refused"];
     return base::Response{503, head(*backend, h("Dunlinwing-Request"), {{"Dunlinwing-Outcome", "not-run"}}),
                           ""};
   }
@@ -121,16 +121,16 @@
   sleep(std::min(took, limit));
   --backend->running;
   if (took > limit) {
-    ++world.faults_met["slow_worker"];
+    ++world.fault_counts["slow_worker"];
     return base::AttemptError::unknown;
   }
   backend = find();
   if (!backend || backend->instance != name) {
-    ++world.faults_met["worker_died_in_request"];
+    ++world.fault_counts["worker_died_in_request"];
     return base::AttemptError::unknown;
   }
   if (static_cast<int>(world.below(100)) < backend->lose_percent) {
-    ++world.faults_met["lost_answer"];
+    ++world.fault_counts["lost_answer"];
     sleep(limit - took);
     return base::AttemptError::unknown;
   }
@@ -138,13 +138,13 @@
       bad ? 500 : 200, head(*backend, h("Dunlinwing-Request"), {{"Content-Digest", "sha-256=:" + sum + ":"}}),
       body};
   if (wrong) response.body[response.body.size() / 2] ^= 1;
-  if (bad) ++world.faults_met["bad_answer"];
-  if (wrong) ++world.faults_met["wrong_bytes"];
+  if (bad) ++world.fault_counts["bad_answer"];
+  if (wrong) ++world.fault_counts["wrong_bytes"];
   if (backend->max_age && request.method == "GET")
     response.headers.emplace_back("Cache-Control", fmt::format("max-age={}", backend->max_age));
   if (versioned) response.headers.emplace_back("ETag", tag);
   if (versioned && !bad && h("If-None-Match") == tag) {
-    ++world.faults_met["not_modified"];
+    ++world.fault_counts["not_modified"];
     response = {304, head(*backend, h("Dunlinwing-Request"), {{"ETag", tag}}), {}};
   }
   receive(response.body.size());
--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -39,8 +39,8 @@
   };
   auto t = std::make_shared<PendingCall>();
   auto back = [this, t, from = process_->host](const std::string& to, std::optional<pb::PeerResponse> r) {
-    if (world_.is_partitioned(to, from)) return void(++world_.faults_met["cut"]);
-    if (world_.random(world_.network.loss_permille)) return void(++world_.faults_met["loss"]);
+    if (world_.is_partitioned(to, from)) return void(++world_.fault_counts["cut"]);
+    if (world_.random(world_.network.loss_permille)) return void(++world_.fault_counts["loss"]);
     Duration d =
         world_.network.min_delay +
         Duration(world_.below(
@@ -60,8 +60,8 @@
   auto send = [&] {
     ++world_.messages;
     world_.bytes += request.ByteSizeLong();
-    if (world_.is_partitioned(process_->host, host)) return void(++world_.faults_met["cut"]);
-    if (world_.random(world_.network.loss_permille)) return void(++world_.faults_met["loss"]);
+    if (world_.is_partitioned(process_->host, host)) return void(++world_.fault_counts["cut"]);
+    if (world_.random(world_.network.loss_permille)) return void(++world_.fault_counts["loss"]);
     Duration d =
         world_.network.min_delay +
         Duration(world_.below(
@@ -85,7 +85,7 @@
   use.sent(request.ByteSizeLong());
   send();
   if (world_.random(world_.network.duplicate_permille)) {
-    ++world_.faults_met["twice"];
+    ++world_.fault_counts["twice"];
     send();
   }
   const base::CancellationSubscription subscription(rules.cancellation, [&] { world_.notify(t->wait); });
@@ -139,24 +139,24 @@
   Duration d = contents_.min_latency +
                Duration(world_.below(
                    static_cast<uint64_t>((contents_.max_latency - contents_.min_latency).count()) + 1));
-  if (d > Duration(100)) ++world_.faults_met["slow_disk"];
+  if (d > Duration(100)) ++world_.fault_counts["slow_disk"];
   try {
     Wait w;
     world_.wait(process_, d, w);
     while (contents_.stalled_until > world_.now()) {
-      ++world_.faults_met["stalled_disk"];
+      ++world_.fault_counts["stalled_disk"];
       world_.wait(process_, contents_.stalled_until - world_.now(), w);
     }
   } catch (const ProcessKilled&) {
     auto dice = world_.below(3);
     if (dice == 0) f_->remaining_bytes = 0;
     if (dice == 1) f_->remaining_bytes = world_.below(64);
-    ++world_.faults_met[dice == 1 ? "torn_write" : "crash_in_write"];
+    ++world_.fault_counts[dice == 1 ? "torn_write" : "crash_in_write"];
     write();
     throw;
   }
-  if (contents_.full) ++world_.faults_met["full_disk"];
-  if (contents_.failing) ++world_.faults_met["refusing_disk"];
+  if (contents_.full) ++world_.fault_counts["full_disk"];
+  if (contents_.failing) ++world_.fault_counts["refusing_disk"];
   return write();
 }
 
@@ -171,7 +171,7 @@
 std::optional<base::DiskError> Disk::rewrite(const pb::Snapshot& complete) {
   auto error = timed([&] { return s_->rewrite(complete); });
   if (error) return error;
-  ++world_.faults_met["disk_back"];
+  ++world_.fault_counts["disk_back"];
   if (!world_.synced) return {};
   for (auto& slot : complete.registers()) {
     pb::LogRecord r;
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -105,7 +105,7 @@
 
 void World::freeze(const std::string& h, TimePoint until) {
   frozen_[h] = until;
-  ++faults_met["freeze"];
+  ++fault_counts["freeze"];
   journal.push_back(
       fmt::format(R"({{"t":"frozen","machine":"{}","until":{},"at":{}}})", h, until.count(), now_.count()));
 }
--- a/test/measure/delays.cpp
+++ b/test/measure/delays.cpp
@@ -142,13 +142,13 @@
       scene.fleet.wait_until(Duration(10000), [&] {
         return scene.fleet.operator_call("PUT", "/v1/services/app", R"({"version":"2"})").status == 200;
       });
-      scene.fleet.wait_until(Duration(40000), [&] { return scene.world.faults_met["bad_answer"] >= 50; });
+      scene.fleet.wait_until(Duration(40000), [&] { return scene.world.fault_counts["bad_answer"] >= 50; });
       quarantine.v.push_back(till_all(scene, [](simulation::Host& host) {
         auto snapshot = host.node->request_handler().snapshot();
         auto f = snapshot->service_states.find("app");
         return f != snapshot->service_states.end() && f->second.quarantined().count("2");
       }));
-      bad.v.push_back(static_cast<double>(scene.world.faults_met["bad_answer"]));
+      bad.v.push_back(static_cast<double>(scene.world.fault_counts["bad_answer"]));
     });
   }
   std::cout << "purge acknowledged, till the last relay heeds it, ms: " << purge_seen.text() << "\n"
--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -199,7 +199,7 @@
   day.fleet.end();
   day.world.run(day.world.now() + Duration(20000), nullptr, nullptr);
   for (auto& [k, v] : got) figures[k] += v;
-  for (auto& [k, v] : day.world.faults_met) figures["met_" + k] += v;
+  for (auto& [k, v] : day.world.fault_counts) figures["met_" + k] += v;
   for (auto& [id, t] : day.journal.attempts)
     figures["tries_in_touch"] += in_touch(day.journal, t.relay, t.sent);
   figures["tries"] += day.journal.attempts.size();
--- a/test/platform/operator.cpp
+++ b/test/platform/operator.cpp
@@ -26,7 +26,7 @@
     auto x = fleet_.exchange(host, request, true, Duration(1000));
     int st = x.complete ? x.response.status : 0;
     if (st / 100 == 2 && world.random(lost_permille)) {
-      ++world.faults_met["ack_lost"];
+      ++world.fault_counts["ack_lost"];
       taken = true;
       st = 0;
     }
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -184,14 +184,14 @@
                                world.now(), false, false, other});
   auto place = journal_.arrivals.size() - 1;
   auto not_run = [&](int status) {
-    ++world.faults_met[fmt::format("not_run_{}", status)];
+    ++world.fault_counts[fmt::format("not_run_{}", status)];
     base::Response response{status, {{"Not-Executed", "1"}}, {}};
     if (instance->tells_load)
       response.headers.emplace_back(
           "Server-Load", fmt::format("{},{},{}", instance->running, instance->waiting, instance->slots));
     return response;
   };
-  if (other) return ++world.faults_met["elsewhere"], base::Response{421, {{"Instance-Id", name}}, {}};
+  if (other) return ++world.fault_counts["elsewhere"], base::Response{421, {{"Instance-Id", name}}, {}};
   if (h("Attempt-Id").empty()) return not_run(400);
   if (auto f = rates.find(instance->service); f != rates.end()) {
     auto& c = arrivals_[instance->service];
@@ -206,7 +206,7 @@
   if (instance->running >= instance->slots) {
     if (instance->waiting >= instance->queue) {
       if (instance->resets_when_full)
-        return ++world.faults_met["reset_when_full"], base::AttemptError::unknown;
+        return ++world.fault_counts["reset_when_full"], base::AttemptError::unknown;
       return not_run(503);
     }
     Busy b(instance->waiting);
@@ -229,21 +229,21 @@
   sleep(std::min(over ? deadline - world.now() : took, end - world.now()));
   if (world.now() >= end) return base::AttemptError::unknown;
   if (!instance->alive || instance->unreachable)
-    return ++world.faults_met["died_in_request"], base::AttemptError::unknown;
+    return ++world.fault_counts["died_in_request"], base::AttemptError::unknown;
   if (over) return base::Response{504, {{"Attempt-Id", h("Attempt-Id")}}, {}};
   if (world.random(instance->lose_permille)) {
-    ++world.faults_met["answer_lost"];
+    ++world.fault_counts["answer_lost"];
     sleep(end - world.now());
     return base::AttemptError::unknown;
   }
   if (world.random(instance->cut_permille))
-    return ++world.faults_met["answer_cut"], base::AttemptError::unknown;
+    return ++world.fault_counts["answer_cut"], base::AttemptError::unknown;
   if (world.random(instance->spoil_permille))
-    return ++world.faults_met["answer_spoilt"], base::AttemptError::unknown;
+    return ++world.fault_counts["answer_spoilt"], base::AttemptError::unknown;
   if (instance->late) {
     // The one before comes where this one is due; the caller of the port may be able to tell.
     auto before = *std::exchange(instance->late, {});
-    ++world.faults_met["answer_extra"];
+    ++world.fault_counts["answer_extra"];
     if (rules.is_own_response && !rules.is_own_response(before) && world.below(2))
       return base::AttemptError::unknown;
     return before;
--- a/test/scenarios/fault_scenarios.cpp
+++ b/test/scenarios/fault_scenarios.cpp
@@ -29,7 +29,7 @@
       bool ok = scene.fleet.wait_until(Duration(25000), [&] {
         auto response = scene.fleet.operator_call(m, target, body);
         if (response.status != 200 && response.status != 202) return false;
-        ++scene.world.faults_met["acked"];
+        ++scene.world.fault_counts["acked"];
         for (auto& host : scene.fleet.hosts())
           if (host->up() && (host->name == response.by ||
                              (scene.world.random(300) && host->node->leadership().is_leader())))
--- a/test/scenarios/limit_scenarios.cpp
+++ b/test/scenarios/limit_scenarios.cpp
@@ -11,7 +11,7 @@
   scene.fleet.spawn_outside([&scene] {
     auto how = scene.world.below(4);
     if (!scene.fleet.wait_until(Duration(40000), [&] {
-          return scene.world.faults_met["bad_answer"] >= 30 + scene.world.below(20);
+          return scene.world.fault_counts["bad_answer"] >= 30 + scene.world.below(20);
         }))
       return;
     std::vector<std::string> pair;
--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -17,7 +17,7 @@
     auto* backend = ws[scene.world.below(ws.size())].get();
     return backend->alive && !backend->leaving && !backend->foreign ? backend : nullptr;
   }
-  void met(const char* what) { ++scene.world.faults_met[what]; }
+  void met(const char* what) { ++scene.world.fault_counts[what]; }
 
   void kill() {
     if (auto& h = host(); may_lose(scene, h)) scene.fleet.kill(h.name);
--- a/test/scenarios/proxy_scenarios.cpp
+++ b/test/scenarios/proxy_scenarios.cpp
@@ -256,7 +256,7 @@
     for (int i = 0; i < 30; ++i) {
       auto& host = scene.fleet.hosts()[scene.world.below(scene.fleet.hosts().size())];
       host->wall_offset_ms += static_cast<int64_t>(scene.world.below(4 * 86400000ull)) - 2 * 86400000ll;
-      ++scene.world.faults_met["clock_jump"];
+      ++scene.world.fault_counts["clock_jump"];
       scene.fleet.sleep(Duration(1000));
     }
     scene.require(await_phase(scene, "second", "DONE", Duration(60000)),
--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -100,7 +100,7 @@
     sum.counts[k] = k.starts_with("longest") || k.starts_with("rate_top") || k.ends_with("kinds")
                         ? std::max(sum.counts[k], v)
                         : sum.counts[k] + v;
-  for (auto& [k, v] : world.faults_met) sum.counts["met_" + k] += v;
+  for (auto& [k, v] : world.fault_counts) sum.counts["met_" + k] += v;
   for (auto& [k, v] : scene.figures) sum.counts[k] = std::max(sum.counts[k], v);
   sum.counts["steps"] += world.steps();
   expect(watch.broken.empty(), watch.broken);
