--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -272,7 +272,7 @@
     const size_t part = control ? remaining : std::min(remaining, use.outbound_part());
     if (!control && !use.await_outbound(part, since, remaining, kWriteTimeout)) return;
     remaining -= part;
-    world.carry(host, "", part, Duration(0), [&world, exchange, is_last = remaining == 0] {
+    world.transmit(host, "", part, Duration(0), [&world, exchange, is_last = remaining == 0] {
       exchange->done |= is_last;
       if (is_last) world.notify(exchange->wait);
     });
@@ -300,7 +300,7 @@
       send_response(world, *link, host_name, control, v);
     });
   };
-  world.carry("", host.name, qp->body.size(), Duration(1), *go);
+  world.transmit("", host.name, qp->body.size(), Duration(1), *go);
   auto end = world.now() + most;
   while (!v->done && world.now() < end && !host.process->dead)
     world.wait(out, std::min<Duration>(end - world.now(), Duration(200)), v->wait);
--- a/src/simulation/origin.cpp
+++ b/src/simulation/origin.cpp
@@ -177,7 +177,7 @@
     Wait wait;
   };
   auto arrival = std::make_shared<Arrival>();
-  world.carry("", process_->host, bytes, Duration(0), [&world, arrival] {
+  world.transmit("", process_->host, bytes, Duration(0), [&world, arrival] {
     arrival->done = true;
     world.notify(arrival->wait);
   });
--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -46,7 +46,7 @@
         Duration(world_.below(
             static_cast<uint64_t>((world_.network.max_delay - world_.network.min_delay).count()) + 1));
     const size_t bytes = r ? r->ByteSizeLong() : 0;
-    world_.carry(to, from, bytes, d, [this, t, r = std::move(r)] {
+    world_.transmit(to, from, bytes, d, [this, t, r = std::move(r)] {
       if (t->reply || t->refused) return;
       if (r)
         t->reply = r;
@@ -79,7 +79,7 @@
         back(host, std::move(response));
       });
     };
-    world_.carry(process_->host, host, request.ByteSizeLong(), d, *arrive);
+    world_.transmit(process_->host, host, request.ByteSizeLong(), d, *arrive);
   };
   const link::LinkUse use{link_, net::traffic_class_of(request)};
   use.sent(request.ByteSizeLong());
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -116,8 +116,8 @@
     journal.push_back(fmt::format(R"({{"t":"cut","at":{}}})", now_.count()));
 }
 
-void World::carry(const std::string& from, const std::string& to, size_t bytes, Duration delay,
-                  std::function<void()> arrived) {
+void World::transmit(const std::string& from, const std::string& to, size_t bytes, Duration delay,
+                     std::function<void()> arrived) {
   auto& outbound = links[from].outbound;
   auto& inbound = links[to].inbound;
   if (!outbound.has_rate() && !inbound.has_rate()) return after(delay, std::move(arrived));
@@ -125,7 +125,7 @@
   after(outbound.transfer(now_, window) + delay, [=, this, &inbound, arrived = std::move(arrived)] {
     after(inbound.transfer(now_, window), [=, this] {
       if (bytes <= window) return arrived();
-      carry(from, to, bytes - window, delay, arrived);
+      transmit(from, to, bytes - window, delay, arrived);
     });
   });
 }
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -57,8 +57,8 @@
   }
   /// Transfers a message between two hosts window by window over the links of both; each window starts when
   /// the previous one has arrived. A name without a host is allowed: its link has no rate.
-  void carry(const std::string& from, const std::string& to, size_t bytes, Duration delay,
-             std::function<void()> arrived);
+  void transmit(const std::string& from, const std::string& to, size_t bytes, Duration delay,
+                std::function<void()> arrived);
   std::map<std::string, HostLink> links;  ///< by host
   NetworkConditions network;
   std::map<std::string, uint64_t> fault_counts;  // how often each fault took effect
