--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -111,7 +111,7 @@
 }
 
 void World::partition(const std::string& from, const std::string& to) {
-  cuts_.insert({from, to});
+  partitions_.insert({from, to});
   if (std::exchange(partition_reported_, now_) != now_)
     journal.push_back(fmt::format(R"({{"t":"cut","at":{}}})", now_.count()));
 }
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -50,10 +50,12 @@
   bool frozen(const std::string& host) const;
 
   void partition(const std::string& from, const std::string& to);
-  void heal(const std::string& a, const std::string& b) { cuts_.erase({a, b}), cuts_.erase({b, a}); }
-  void heal_all() { cuts_.clear(); }
+  void heal(const std::string& a, const std::string& b) {
+    partitions_.erase({a, b}), partitions_.erase({b, a});
+  }
+  void heal_all() { partitions_.clear(); }
   bool is_partitioned(const std::string& from, const std::string& to) const {
-    return cuts_.count({from, to}) > 0;
+    return partitions_.count({from, to}) > 0;
   }
   /// Transfers a message between two hosts window by window over the links of both; each window starts when
   /// the previous one has arrived. A name without a host is allowed: its link has no rate.
@@ -79,7 +81,7 @@
   uint64_t steps_ = 0, order_ = 0, next_wait_id_ = 0;
   TimePoint partition_reported_{0};
   std::map<std::string, TimePoint> frozen_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> partitions_;
   std::function<void()> check_;
 };
 
