--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -163,8 +163,8 @@
 std::optional<base::DiskError> Disk::save(const std::vector<pb::LogRecord>& records,
                                           const std::function<pb::Snapshot()>& complete) {
   auto error = timed([&] { return s_->save(records, complete); });
-  if (!error && world_.synced)
-    for (auto& r : records) world_.synced(process_->host, r);
+  if (!error && world_.on_record_synced)
+    for (auto& r : records) world_.on_record_synced(process_->host, r);
   return error;
 }
 
@@ -172,11 +172,11 @@
   auto error = timed([&] { return s_->rewrite(complete); });
   if (error) return error;
   ++world_.fault_counts["disk_back"];
-  if (!world_.synced) return {};
+  if (!world_.on_record_synced) return {};
   for (auto& slot : complete.registers()) {
     pb::LogRecord r;
     *r.mutable_register_state() = slot;
-    world_.synced(process_->host, r);
+    world_.on_record_synced(process_->host, r);
   }
   return {};
 }
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -66,7 +66,7 @@
   std::map<std::string, uint64_t> fault_counts;  // how often each fault took effect
   uint64_t messages = 0, bytes = 0;              // between hosts, both directions
   std::function<void(const std::string& host, const pb::LogRecord&)>
-      synced;                        // called for each record once it is on a disk
+      on_record_synced;              // called for each record once it is on a disk
   std::vector<std::string> journal;  // lines in the format of the stand-in programs
 
  private:
--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -86,8 +86,8 @@
   scene.script = [&scene] {
     auto history = std::make_shared<History>();
     auto trap = std::make_shared<Trap>();
-    scene.world.synced = [&scene, history, trap, before = scene.world.synced](const std::string& host,
-                                                                              const pb::LogRecord& r) {
+    scene.world.on_record_synced = [&scene, history, trap, before = scene.world.on_record_synced](
+                                       const std::string& host, const pb::LogRecord& r) {
       before(host, r);
       if (!r.has_register_state()) return;
       history->synced(host, r.register_state());
--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -75,7 +75,7 @@
   simulation::Fleet fleet(world, shape);
   Scene scene{world, fleet, {}};
   Watch watch{fleet, {}, {}, {}, {}, {}, {}};
-  world.synced = [&](auto& host, auto& r) { watch.synced(host, r); };
+  world.on_record_synced = [&](auto& host, auto& r) { watch.synced(host, r); };
   sim_case.set_up(scene);
   world.run(
       world.now() + scene.duration, [&] { watch.look(); },
