--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -387,7 +387,7 @@
   world_.journal.push_back(fmt::format("{{{},\"at\":{}}}", f, world_.now().count()));
 }
 
-void Fleet::end() {
+void Fleet::kill_all() {
   world_.kill(outside_process_);
   for (auto& host : hosts_) kill(host->name);
 }
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -129,8 +129,8 @@
   const FleetShape& shape() const { return shape_; }
   NetworkConditions normal_conditions() const {
     return {0, 0, shape_.min_delay, shape_.max_delay};
-  }            // of the network without injected faults
-  void end();  // kills all hosts, so that every fiber unwinds
+  }                 // of the network without injected faults
+  void kill_all();  // kills all hosts, so that every fiber unwinds
   uint64_t calls = 0, good = 0;
 
  private:
--- a/test/measure/catchup.cpp
+++ b/test/measure/catchup.cpp
@@ -139,7 +139,7 @@
     });
   });
   while (!over) world.run(world.now() + kSlice, nullptr, nullptr);
-  fleet.end();
+  fleet.kill_all();
   world.run(world.now() + Duration(20000), nullptr, nullptr);
   script.figures["ended"] = script.ended;
   return script.figures;
--- a/test/measure/delays.cpp
+++ b/test/measure/delays.cpp
@@ -31,7 +31,7 @@
     fleet.spawn_outside([&] { script(scene); });
   });
   if (!scene.failure.empty()) std::cout << "seed " << seed << ": " << scene.failure << "\n";
-  fleet.end();
+  fleet.kill_all();
   world.run(world.now() + Duration(20000), nullptr, nullptr);
 }
 
--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -196,7 +196,7 @@
   });
   while (!day.done && day.world.now() < end)
     day.world.run(day.world.now() + Duration(2000), nullptr, nullptr);
-  day.fleet.end();
+  day.fleet.kill_all();
   day.world.run(day.world.now() + Duration(20000), nullptr, nullptr);
   for (auto& [k, v] : got) figures[k] += v;
   for (auto& [k, v] : day.world.fault_counts) figures["met_" + k] += v;
--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -87,7 +87,7 @@
         });
       });
   bool done = scene.script_done;
-  fleet.end();
+  fleet.kill_all();
   world.run(world.now() + Duration(20000), nullptr, nullptr);
   Journals js;
   for (auto& l : world.journal) js.add(l);
