--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -18,7 +18,7 @@
 FleetShape lobby_shape() {
   FleetShape shape;
   shape.edge_nodes = 9;
-  shape.first_backends = 4;
+  shape.content_backends = 4;
   shape.second_backends = 6;
   shape.max_delay = Duration(2);
   return shape;
--- a/test/scenarios/fetch_scenarios.cpp
+++ b/test/scenarios/fetch_scenarios.cpp
@@ -131,7 +131,7 @@
     shape.edge_nodes = kEdgeNodes;
     shape.shield_nodes = shield_nodes;
     shape.replica_shields = false;
-    shape.first_backends = kFirstInstances;
+    shape.content_backends = kFirstInstances;
   };
 }
 }  // namespace
