--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -19,7 +19,7 @@
   FleetShape shape;
   shape.edge_nodes = 9;
   shape.content_backends = 4;
-  shape.second_backends = 6;
+  shape.app_backends = 6;
   shape.max_delay = Duration(2);
   return shape;
 }
@@ -27,7 +27,7 @@
 // The delay of 0.5 ms between zones is 0 or 1 ms, since the clock counts milliseconds.
 FleetShape practice_shape() {
   auto shape = lobby_shape();
-  shape.second_backends = 7;
+  shape.app_backends = 7;
   shape.min_delay = Duration(0);
   shape.max_delay = Duration(1);
   return shape;
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -19,8 +19,8 @@
   int64_t wall0 = 1700000000000;
   // What the release of this name breaks on the nodes that run it: nothing (empty), beats or reach.
   std::string broken_release, broken_aspect;
-  int content_backends = 3, second_backends = 3;  // backend instances of the cached and of the other service
-  Duration min_delay{1}, max_delay{3};            // of a message between hosts
+  int content_backends = 3, app_backends = 3;  // backend instances of the cached and of the other service
+  Duration min_delay{1}, max_delay{3};         // of a message between hosts
   // Link rates in Mbit/s, each direction, 0: unlimited; of hosts with a disk, other relays, and nodes that
   // only fetch for others.
   double replica_mbps = 0, edge_mbps = 0, shield_mbps = 0;
--- a/test/scenarios/scenario.cpp
+++ b/test/scenarios/scenario.cpp
@@ -80,7 +80,7 @@
 bool start_traffic(Scene& scene, int rate, const std::string& doc) {
   auto& sh = scene.fleet.shape();
   for (int i = 0; i < sh.content_backends; ++i) scene.fleet.add_backend("content", "1", 3);
-  for (int i = 0; i < sh.second_backends; ++i) scene.fleet.add_backend("app", "1", 0);
+  for (int i = 0; i < sh.app_backends; ++i) scene.fleet.add_backend("app", "1", 0);
   bool ok = scene.fleet.wait_until(Duration(15000), [&] {
     auto response = scene.fleet.operator_call("PUT", "/v1/releases/layout/first", doc);
     return response.status == 202 || response.status == 200;
--- a/test/scenarios/version_rollout_scenarios.cpp
+++ b/test/scenarios/version_rollout_scenarios.cpp
@@ -84,7 +84,7 @@
     for (auto& backend : scene.fleet.backends())
       if (backend->service == "app") backend->min_latency = Duration(5), backend->max_latency = Duration(15);
     auto start = [&] {
-      for (int i = 0; i < std::max(4, scene.fleet.shape().second_backends); ++i) {
+      for (int i = 0; i < std::max(4, scene.fleet.shape().app_backends); ++i) {
         auto& backend = scene.fleet.add_backend("app", "2", 0);
         backend.min_latency = Duration(5);
         backend.max_latency = plan.fault == "under_load" ? Duration(40) : Duration(15);
