--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -45,7 +45,7 @@
         fmt::format("{}{}", host->has_disk ? "h" : "e", host->has_disk ? i + 1 : i - shape.replicas + 1);
     host->zone = std::string(1, static_cast<char>('a' + i % 3));
     host->address = "peer:" + host->name;
-    host->wall_offset_ms = shape.wall0;
+    host->wall_offset_ms = shape.initial_wall_offset_ms;
     hosts_.push_back(std::move(host));
   }
   for (int i = 0; i < shape.shield_nodes; ++i) {
@@ -55,7 +55,7 @@
     host->name = fmt::format("s{}", i + 1);
     host->zone = std::string(1, static_cast<char>('a' + i % 3));
     host->address = "peer:" + host->name;
-    host->wall_offset_ms = shape.wall0;
+    host->wall_offset_ms = shape.initial_wall_offset_ms;
     hosts_.push_back(std::move(host));
   }
   for (int i = 0; i < shape.spares; ++i) {
@@ -64,7 +64,7 @@
     host->name = fmt::format("x{}", i + 1);
     host->zone = std::string(1, static_cast<char>('a' + i % 3));
     host->address = "peer:" + host->name;
-    host->wall_offset_ms = shape.wall0;
+    host->wall_offset_ms = shape.initial_wall_offset_ms;
     hosts_.push_back(std::move(host));
   }
 }
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -16,7 +16,7 @@
   int tolerate = 0;
   double scale = 600;
   Duration bound{2000};
-  int64_t wall0 = 1700000000000;
+  int64_t initial_wall_offset_ms = 1700000000000;
   // What the release of this name breaks on the nodes that run it: nothing (empty), beats or reach.
   std::string broken_release, broken_aspect;
   int content_backends = 3, app_backends = 3;  // backend instances of the cached and of the other service
