--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -135,7 +135,8 @@
   s_ = std::make_unique<storage::SnapshotStore>(std::move(f), 16384);
 }
 
-std::optional<base::DiskError> Disk::timed(const std::function<std::optional<base::DiskError>()>& write) {
+std::optional<base::DiskError> Disk::run_after_latency(
+    const std::function<std::optional<base::DiskError>()>& write) {
   Duration d = contents_.min_latency +
                Duration(world_.below(
                    static_cast<uint64_t>((contents_.max_latency - contents_.min_latency).count()) + 1));
@@ -162,14 +163,14 @@
 
 std::optional<base::DiskError> Disk::save(const std::vector<pb::LogRecord>& records,
                                           const std::function<pb::Snapshot()>& complete) {
-  auto error = timed([&] { return s_->save(records, complete); });
+  auto error = run_after_latency([&] { return s_->save(records, complete); });
   if (!error && world_.on_record_synced)
     for (auto& r : records) world_.on_record_synced(process_->host, r);
   return error;
 }
 
 std::optional<base::DiskError> Disk::rewrite(const pb::Snapshot& complete) {
-  auto error = timed([&] { return s_->rewrite(complete); });
+  auto error = run_after_latency([&] { return s_->rewrite(complete); });
   if (error) return error;
   ++world_.fault_counts["disk_back"];
   if (!world_.on_record_synced) return {};
--- a/src/simulation/ports.hpp
+++ b/src/simulation/ports.hpp
@@ -99,7 +99,8 @@
  private:
   // Waits for the disk's latency, then runs the write; if the process dies meanwhile, the write is
   // complete, torn or not started.
-  std::optional<base::DiskError> timed(const std::function<std::optional<base::DiskError>()>& write);
+  std::optional<base::DiskError> run_after_latency(
+      const std::function<std::optional<base::DiskError>()>& write);
   World& world_;
   ProcessRunPtr process_;
   DiskContents& contents_;
