--- a/src/simulation/origin.cpp
+++ b/src/simulation/origin.cpp
@@ -181,8 +181,8 @@
     arrival->done = true;
     world.notify(arrival->wait);
   });
-  constexpr Duration kLook(60000);
-  while (!arrival->done) world.wait(process_, kLook, arrival->wait);
+  constexpr Duration kMaxWait(60000);
+  while (!arrival->done) world.wait(process_, kMaxWait, arrival->wait);
 }
 
 }  // namespace dunlinwing::simulation
