--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -243,8 +243,8 @@
   world_.wait(outside_process_, s, x);
 }
 
-bool Fleet::wait_until(Duration most, const std::function<bool()>& f) {
-  auto end = world_.now() + most;
+bool Fleet::wait_until(Duration timeout, const std::function<bool()>& f) {
+  auto end = world_.now() + timeout;
   while (!f()) {
     if (world_.now() >= end) return false;
     sleep(Duration(50));
@@ -282,7 +282,7 @@
 // One HTTP exchange with a host: lost when its process dies or does not respond.
 static std::shared_ptr<PendingExchange> run_exchange(World& world, const FleetShape& shape,
                                                      const ProcessRunPtr& out, Host& host,
-                                                     base::Request request, bool control, Duration most) {
+                                                     base::Request request, bool control, Duration timeout) {
   auto v = std::make_shared<PendingExchange>();
   auto qp = std::make_shared<base::Request>(std::move(request));
   auto* node = host.node.get();
@@ -301,7 +301,7 @@
     });
   };
   world.transmit("", host.name, qp->body.size(), Duration(1), *go);
-  auto end = world.now() + most;
+  auto end = world.now() + timeout;
   while (!v->done && world.now() < end && !host.process->dead)
     world.wait(out, std::min<Duration>(end - world.now(), Duration(200)), v->wait);
   v->lost = !v->done;
@@ -336,9 +336,9 @@
   return {v->response.status, v->response.body, base::header(v->response.headers, "ETag"), false, host->name};
 }
 
-Exchange Fleet::exchange(Host& to, base::Request request, bool control, Duration most) {
+Exchange Fleet::exchange(Host& to, base::Request request, bool control, Duration timeout) {
   if (!to.up()) return sleep(Duration(1)), Exchange{};
-  auto v = run_exchange(world_, shape_, outside_process_, to, std::move(request), control, most);
+  auto v = run_exchange(world_, shape_, outside_process_, to, std::move(request), control, timeout);
   return {!v->lost, v->read, v->response};
 }
 
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -116,10 +116,10 @@
   void generate_requests(int per_second, TimePoint until, std::function<void()> one);
   OperatorResponse operator_call(const std::string& method, const std::string& target,
                                  const std::string& body, base::Headers headers = {});
-  Exchange exchange(Host& to, base::Request request, bool control, Duration most);
+  Exchange exchange(Host& to, base::Request request, bool control, Duration timeout);
   void spawn_outside(std::function<void()> f);
   void sleep(Duration s);
-  bool wait_until(Duration most, const std::function<bool()>& f);
+  bool wait_until(Duration timeout, const std::function<bool()>& f);
   void event(const std::string& fields);
 
   bool breaks(const std::string& host,
--- a/test/scenarios/disk_scenarios.cpp
+++ b/test/scenarios/disk_scenarios.cpp
@@ -79,8 +79,8 @@
 
 // Whether a configuration sent now is recorded in time. Sends its own requests, since the writer may
 // still wait for a response of a process that was killed.
-bool records(Scene& scene, const Writer& w, Duration most) {
-  return scene.fleet.wait_until(most, [&] {
+bool records(Scene& scene, const Writer& w, Duration timeout) {
+  return scene.fleet.wait_until(timeout, [&] {
     auto name = fmt::format("probe{}", scene.world.now().count());
     auto document = simulated_configuration("\"1\"", 1);
     if (scene.fleet.operator_call("PUT", "/v1/releases/layout/" + name, document).status != 202) return false;
--- a/test/scenarios/scenario.cpp
+++ b/test/scenarios/scenario.cpp
@@ -42,8 +42,8 @@
   return release_state(scene, name).at("course").at("phase").string_or("?");
 }
 
-bool await_phase(Scene& scene, const std::string& name, const std::string& ph, Duration most) {
-  return scene.fleet.wait_until(most, [&] { return release_phase(scene, name) == ph; });
+bool await_phase(Scene& scene, const std::string& name, const std::string& ph, Duration timeout) {
+  return scene.fleet.wait_until(timeout, [&] { return release_phase(scene, name) == ph; });
 }
 
 void allow_version(Scene& scene, const std::string& v) {
@@ -131,8 +131,8 @@
   }
 }
 
-bool await_all_ready(Scene& scene, Duration most) {
-  return scene.fleet.wait_until(most, [&] {
+bool await_all_ready(Scene& scene, Duration timeout) {
+  return scene.fleet.wait_until(timeout, [&] {
     int ready = 0, up = 0;
     for (auto& host : scene.fleet.hosts()) {
       up += host->up();
--- a/test/scenarios/scenario.hpp
+++ b/test/scenarios/scenario.hpp
@@ -16,12 +16,12 @@
 simulation::Host* leader_host(Scene& scene);
 // Requires that the host knows each acknowledged configuration, byte for byte.
 void expect_releases(Scene& scene, simulation::Host& host, const std::map<std::string, std::string>& acked);
-bool await_all_ready(Scene& scene, Duration most);  // every relay that is up is ready
+bool await_all_ready(Scene& scene, Duration timeout);  // every relay that is up is ready
 void record_configuration(Scene& scene, const std::string& name, const std::string& doc);
 void allow_version(Scene& scene, const std::string& version);
 base::Json release_state(Scene& scene, const std::string& name);
 std::string release_phase(Scene& scene, const std::string& name);
-bool await_phase(Scene& scene, const std::string& name, const std::string& ph, Duration most);
+bool await_phase(Scene& scene, const std::string& name, const std::string& ph, Duration timeout);
 bool purge(Scene& scene, const std::string& name, const std::string& kind, const std::string& path);
 const pb::RolloutState* read_rollout_state(Scene& scene, pb::RolloutState& out);
 
