--- a/test/scenarios/machine_scenarios.cpp
+++ b/test/scenarios/machine_scenarios.cpp
@@ -26,7 +26,7 @@
     record_configuration(scene, "second", simulated_configuration("\"1\"", 3));
     for (int i = 0; i < 12; ++i) {
       auto& host = scene.fleet.hosts()[scene.world.below(scene.fleet.hosts().size())];
-      if (may_lose(scene, *host)) scene.fleet.kill(host->name);
+      if (may_kill(scene, *host)) scene.fleet.kill(host->name);
       scene.fleet.sleep(Duration(300 + scene.world.below(2500)));
       for (auto& x : scene.fleet.hosts())
         if (!x->up() && scene.world.random(600)) scene.fleet.start(x->name);
--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -20,7 +20,7 @@
   void met(const char* what) { ++scene.world.fault_counts[what]; }
 
   void kill() {
-    if (auto& h = host(); may_lose(scene, h)) scene.fleet.kill(h.name);
+    if (auto& h = host(); may_kill(scene, h)) scene.fleet.kill(h.name);
   }
   void kill_many() {
     met("kill_many");
--- a/test/scenarios/proxy_scenarios.cpp
+++ b/test/scenarios/proxy_scenarios.cpp
@@ -282,7 +282,7 @@
         down += x->has_disk && (!x->up() || x->node->acceptor()->non_voting());
       switch (scene.world.below(6)) {
         case 0:
-          if (may_lose(scene, *host)) scene.fleet.kill(host->name);
+          if (may_kill(scene, *host)) scene.fleet.kill(host->name);
           break;
         case 1:
           scene.world.freeze(host->name, scene.world.now() + Duration(scene.world.below(5000)));
--- a/test/scenarios/rollout_scenarios.cpp
+++ b/test/scenarios/rollout_scenarios.cpp
@@ -273,7 +273,7 @@
       scene.fleet.sleep(Duration(500 + scene.world.below(1500)));
       auto& h = scene.fleet.hosts()[scene.world.below(scene.fleet.hosts().size())];
       if (scene.world.random(400)) {
-        if (may_lose(scene, *h)) scene.fleet.kill(h->name);
+        if (may_kill(scene, *h)) scene.fleet.kill(h->name);
       } else if (scene.world.random(500)) {
         scene.world.freeze(h->name, scene.world.now() + Duration(scene.world.below(3000)));
       }
--- a/test/scenarios/scenario.cpp
+++ b/test/scenarios/scenario.cpp
@@ -110,7 +110,7 @@
   return ok;
 }
 
-bool may_lose(Scene& scene, simulation::Host& host) {
+bool may_kill(Scene& scene, simulation::Host& host) {
   int down = 0;
   for (auto& x : scene.fleet.hosts()) down += x->has_disk && (!x->up() || x->node->acceptor()->non_voting());
   return host.up() && (!host.has_disk || down < 2);
--- a/test/scenarios/scenario.hpp
+++ b/test/scenarios/scenario.hpp
@@ -12,7 +12,7 @@
 // generates client requests for the rest of the run.
 bool start_traffic(Scene& scene, int rate = 20, const std::string& doc = simulated_configuration());
 // Whether a majority of voting disks remains when the host is killed.
-bool may_lose(Scene& scene, simulation::Host& host);
+bool may_kill(Scene& scene, simulation::Host& host);
 simulation::Host* leader_host(Scene& scene);
 // Requires that the host knows each acknowledged configuration, byte for byte.
 void expect_releases(Scene& scene, simulation::Host& host, const std::map<std::string, std::string>& acked);
--- a/test/scenarios/version_rollout_scenarios.cpp
+++ b/test/scenarios/version_rollout_scenarios.cpp
@@ -47,7 +47,7 @@
     auto* host = leader_host(scene);
     auto name = host ? host->name : std::string("h1");
     if (what == "duty") {
-      if (may_lose(scene, scene.fleet.at(name))) scene.fleet.kill(name);
+      if (may_kill(scene, scene.fleet.at(name))) scene.fleet.kill(name);
       scene.fleet.sleep(Duration(1000 + scene.world.below(3000)));
       scene.fleet.start_all();
     } else if (what == "freeze") {
