--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Invariants that are checked after every event.
-struct Watch {
+struct InvariantChecker {
   simulation::Fleet& fleet;
   std::map<std::string, std::pair<void*, uint64_t>> shown;
   std::map<std::string, uint64_t> told;  // highest generation journalled as acknowledged, by node
@@ -74,7 +74,7 @@
   if (sim_case.shape) sim_case.shape(shape);
   simulation::Fleet fleet(world, shape);
   Scene scene{world, fleet, {}};
-  Watch watch{fleet, {}, {}, {}, {}, {}, {}};
+  InvariantChecker watch{fleet, {}, {}, {}, {}, {}, {}};
   world.on_record_synced = [&](auto& host, auto& r) { watch.synced(host, r); };
   sim_case.set_up(scene);
   world.run(
