--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -74,11 +74,11 @@
   if (sim_case.shape) sim_case.shape(shape);
   simulation::Fleet fleet(world, shape);
   Scene scene{world, fleet, {}};
-  InvariantChecker watch{fleet, {}, {}, {}, {}, {}, {}};
-  world.on_record_synced = [&](auto& host, auto& r) { watch.synced(host, r); };
+  InvariantChecker invariants{fleet, {}, {}, {}, {}, {}, {}};
+  world.on_record_synced = [&](auto& host, auto& r) { invariants.synced(host, r); };
   sim_case.set_up(scene);
   world.run(
-      world.now() + scene.duration, [&] { watch.look(); },
+      world.now() + scene.duration, [&] { invariants.look(); },
       [&] {
         fleet.start_all();
         fleet.spawn_outside([&] {
@@ -103,7 +103,7 @@
   for (auto& [k, v] : world.fault_counts) sum.counts["met_" + k] += v;
   for (auto& [k, v] : scene.figures) sum.counts[k] = std::max(sum.counts[k], v);
   sum.counts["steps"] += world.steps();
-  expect(watch.broken.empty(), watch.broken);
+  expect(invariants.broken.empty(), invariants.broken);
   if (!r.breaches.empty())
     throw Failed(
         fmt::format("rule {} ({} breaches): {}", r.breaches[0].rule, r.breaches.size(), r.breaches[0].what));
