--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -11,7 +11,7 @@
 // Invariants that are checked after every event.
 struct InvariantChecker {
   simulation::Fleet& fleet;
-  std::map<std::string, std::pair<void*, uint64_t>> shown;
+  std::map<std::string, std::pair<void*, uint64_t>> last_generations;
   std::map<std::string, uint64_t> told;  // highest generation journalled as acknowledged, by node
   std::map<std::string, uint64_t> seat;  // host -> epoch of the replica set it last had
   std::map<uint64_t, std::string> sets;  // epoch -> the replica set
@@ -44,7 +44,7 @@
     for (auto& host : fleet.hosts()) {
       if (!host->up()) continue;
       auto* n = host->node.get();
-      auto& [who, gen] = shown[host->name];
+      auto& [who, gen] = last_generations[host->name];
       if (who != n) {
         who = n;
         gen = 0;
