--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -12,7 +12,8 @@
 struct InvariantChecker {
   simulation::Fleet& fleet;
   std::map<std::string, std::pair<void*, uint64_t>> last_generations;
-  std::map<std::string, uint64_t> told;  // highest generation journalled as acknowledged, by node
+  std::map<std::string, uint64_t>
+      journalled_generations;            // highest generation journalled as acknowledged, by node
   std::map<std::string, uint64_t> seat;  // host -> epoch of the replica set it last had
   std::map<uint64_t, std::string> sets;  // epoch -> the replica set
   std::string broken;
@@ -29,8 +30,8 @@
     pb::RolloutState x;
     x.ParseFromString(r.register_state().value().data());
     for (auto& [n, a] : x.nodes())
-      if (a.generation() > told[n]) {
-        told[n] = a.generation();
+      if (a.generation() > journalled_generations[n]) {
+        journalled_generations[n] = a.generation();
         f_event(n, a.generation());
       }
   }
