--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -13,9 +13,9 @@
   simulation::Fleet& fleet;
   std::map<std::string, std::pair<void*, uint64_t>> last_generations;
   std::map<std::string, uint64_t>
-      journalled_generations;            // highest generation journalled as acknowledged, by node
-  std::map<std::string, uint64_t> seat;  // host -> epoch of the replica set it last had
-  std::map<uint64_t, std::string> sets;  // epoch -> the replica set
+      journalled_generations;                   // highest generation journalled as acknowledged, by node
+  std::map<std::string, uint64_t> last_epochs;  // host -> epoch of the replica set it last had
+  std::map<uint64_t, std::string> sets;         // epoch -> the replica set
   std::string broken;
   std::map<std::pair<uint64_t, std::string>, std::set<std::string>>
       votes;  // ballot -> hosts that have synced it
@@ -53,8 +53,8 @@
       if (n->generation() < gen) broken = host->name + " fell back to a lower generation";
       gen = n->generation();
       auto& set = n->registers().replica_set();
-      if (set.epoch() && set.epoch() != seat[host->name]) {
-        seat[host->name] = set.epoch();
+      if (set.epoch() && set.epoch() != last_epochs[host->name]) {
+        last_epochs[host->name] = set.epoch();
         auto text = set.message().SerializeAsString();
         auto [at, fresh] = sets.emplace(set.epoch(), text);
         if (!fresh && at->second != text)
