--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -39,7 +39,7 @@
     fleet.event(fmt::format(R"("t":"assigned","relay":"{}","generation":{})", n, g));
   }
 
-  void look() {
+  void check_state() {
     if (!broken.empty()) return;
     int replicas = 0;
     for (auto& host : fleet.hosts()) {
@@ -79,7 +79,7 @@
   world.on_record_synced = [&](auto& host, auto& r) { invariants.synced(host, r); };
   sim_case.set_up(scene);
   world.run(
-      world.now() + scene.duration, [&] { invariants.look(); },
+      world.now() + scene.duration, [&] { invariants.check_state(); },
       [&] {
         fleet.start_all();
         fleet.spawn_outside([&] {
