--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -32,10 +32,10 @@
     for (auto& [n, a] : x.nodes())
       if (a.generation() > journalled_generations[n]) {
         journalled_generations[n] = a.generation();
-        f_event(n, a.generation());
+        journal_assignment(n, a.generation());
       }
   }
-  void f_event(const std::string& n, uint64_t g) {
+  void journal_assignment(const std::string& n, uint64_t g) {
     fleet.event(fmt::format(R"("t":"assigned","relay":"{}","generation":{})", n, g));
   }
 
