--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -16,7 +16,7 @@
       journalled_generations;                   // highest generation journalled as acknowledged, by node
   std::map<std::string, uint64_t> last_epochs;  // host -> epoch of the replica set it last had
   std::map<uint64_t, std::string> sets;         // epoch -> the replica set
-  std::string broken;
+  std::string violation;
   std::map<std::pair<uint64_t, std::string>, std::set<std::string>>
       votes;  // ballot -> hosts that have synced it
 
@@ -40,7 +40,7 @@
   }
 
   void check_state() {
-    if (!broken.empty()) return;
+    if (!violation.empty()) return;
     int replicas = 0;
     for (auto& host : fleet.hosts()) {
       if (!host->up()) continue;
@@ -50,7 +50,7 @@
         who = n;
         gen = 0;
       }
-      if (n->generation() < gen) broken = host->name + " fell back to a lower generation";
+      if (n->generation() < gen) violation = host->name + " fell back to a lower generation";
       gen = n->generation();
       auto& set = n->registers().replica_set();
       if (set.epoch() && set.epoch() != last_epochs[host->name]) {
@@ -58,11 +58,12 @@
         auto text = set.message().SerializeAsString();
         auto [at, fresh] = sets.emplace(set.epoch(), text);
         if (!fresh && at->second != text)
-          broken = fmt::format("two replica sets with epoch {}, one of them at {}", set.epoch(), host->name);
+          violation =
+              fmt::format("two replica sets with epoch {}, one of them at {}", set.epoch(), host->name);
       }
       replicas += n->leadership().is_leader();
     }
-    if (replicas > 1) broken = "two nodes are the rollout leader";
+    if (replicas > 1) violation = "two nodes are the rollout leader";
   }
 };
 }  // namespace
@@ -104,7 +105,7 @@
   for (auto& [k, v] : world.fault_counts) sum.counts["met_" + k] += v;
   for (auto& [k, v] : scene.figures) sum.counts[k] = std::max(sum.counts[k], v);
   sum.counts["steps"] += world.steps();
-  expect(invariants.broken.empty(), invariants.broken);
+  expect(invariants.violation.empty(), invariants.violation);
   if (!r.breaches.empty())
     throw Failed(
         fmt::format("rule {} ({} breaches): {}", r.breaches[0].rule, r.breaches.size(), r.breaches[0].what));
