--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -48,14 +48,14 @@
     if (auto next = std::next(at); next != terms.end() && next->second < *term)
       fault(slot.name(), *at, *next);
   }
-  std::string broken;
+  std::string violation;
   uint64_t highest = 0;
 
  private:
   using VersionAndTerm = std::pair<const uint64_t, uint64_t>;
   void fault(const std::string& name, const VersionAndTerm& earlier, const VersionAndTerm& later) {
-    broken = fmt::format("{} has term {} in version {} and term {} in version {}", name, earlier.second,
-                         earlier.first, later.second, later.first);
+    violation = fmt::format("{} has term {} in version {} and term {} in version {}", name, earlier.second,
+                            earlier.first, later.second, later.first);
   }
   std::map<std::tuple<std::string, uint64_t, std::string>, std::set<std::string>> votes_;
   std::map<std::string, std::map<uint64_t, uint64_t>> terms_;
@@ -118,7 +118,7 @@
       scene.world.heal_all();
       scene.fleet.sleep(Duration(2500));
     }
-    scene.require(history->broken.empty(), history->broken);
+    scene.require(history->violation.empty(), history->violation);
     scene.require(trap->sprung >= 4,
                   fmt::format("only {} leaders were stopped during a write", trap->sprung));
     scene.require(history->highest >= trap->sprung, "the leadership did not change often enough");
