--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -44,16 +44,17 @@
     auto& terms = terms_[slot.name()];
     auto at = terms.emplace(slot.value().version(), *term).first;
     highest = std::max(highest, *term);
-    if (at != terms.begin() && std::prev(at)->second > *term) fault(slot.name(), *std::prev(at), *at);
+    if (at != terms.begin() && std::prev(at)->second > *term)
+      report_violation(slot.name(), *std::prev(at), *at);
     if (auto next = std::next(at); next != terms.end() && next->second < *term)
-      fault(slot.name(), *at, *next);
+      report_violation(slot.name(), *at, *next);
   }
   std::string violation;
   uint64_t highest = 0;
 
  private:
   using VersionAndTerm = std::pair<const uint64_t, uint64_t>;
-  void fault(const std::string& name, const VersionAndTerm& earlier, const VersionAndTerm& later) {
+  void report_violation(const std::string& name, const VersionAndTerm& earlier, const VersionAndTerm& later) {
     violation = fmt::format("{} has term {} in version {} and term {} in version {}", name, earlier.second,
                             earlier.first, later.second, later.first);
   }
