--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -63,7 +63,7 @@
 };
 
 // Freezes or partitions the leader once the given number of its votes has reached a disk.
-struct Trap {
+struct LeaderFault {
   std::string leader;
   uint64_t votes_left = 0;
   bool freezes = false;
@@ -86,7 +86,7 @@
   scene.required_faults = {"freeze", "cut"};
   scene.script = [&scene] {
     auto history = std::make_shared<History>();
-    auto trap = std::make_shared<Trap>();
+    auto trap = std::make_shared<LeaderFault>();
     scene.world.on_record_synced = [&scene, history, trap, before = scene.world.on_record_synced](
                                        const std::string& host, const pb::LogRecord& r) {
       before(host, r);
