--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -86,13 +86,13 @@
   scene.required_faults = {"freeze", "cut"};
   scene.script = [&scene] {
     auto history = std::make_shared<History>();
-    auto trap = std::make_shared<LeaderFault>();
-    scene.world.on_record_synced = [&scene, history, trap, before = scene.world.on_record_synced](
+    auto leader_fault = std::make_shared<LeaderFault>();
+    scene.world.on_record_synced = [&scene, history, leader_fault, before = scene.world.on_record_synced](
                                        const std::string& host, const pb::LogRecord& r) {
       before(host, r);
       if (!r.has_register_state()) return;
       history->synced(host, r.register_state());
-      trap->synced(scene, r.register_state());
+      leader_fault->synced(scene, r.register_state());
     };
     if (!start_traffic(scene, 60, simulated_configuration("\"1\",\"2\"", 4, 40))) return;
     for (int i = 0; i < 3; ++i)
@@ -110,20 +110,20 @@
         scene.fleet.sleep(Duration(3000));
         continue;
       }
-      trap->votes_left = scene.world.below(kPoints);
-      trap->freezes = scene.world.random(500);
-      trap->leader = h->name;
-      scene.fleet.wait_until(Duration(3000), [&] { return trap->leader.empty(); });
-      trap->leader.clear();
+      leader_fault->votes_left = scene.world.below(kPoints);
+      leader_fault->freezes = scene.world.random(500);
+      leader_fault->leader = h->name;
+      scene.fleet.wait_until(Duration(3000), [&] { return leader_fault->leader.empty(); });
+      leader_fault->leader.clear();
       scene.fleet.sleep(kPastTheLease);
       scene.world.heal_all();
       scene.fleet.sleep(Duration(2500));
     }
     scene.require(history->violation.empty(), history->violation);
-    scene.require(trap->sprung >= 4,
-                  fmt::format("only {} leaders were stopped during a write", trap->sprung));
-    scene.require(history->highest >= trap->sprung, "the leadership did not change often enough");
-    scene.figures["leaders_stopped"] = trap->sprung;
+    scene.require(leader_fault->sprung >= 4,
+                  fmt::format("only {} leaders were stopped during a write", leader_fault->sprung));
+    scene.require(history->highest >= leader_fault->sprung, "the leadership did not change often enough");
+    scene.figures["leaders_stopped"] = leader_fault->sprung;
     scene.figures["highest_term"] = history->highest;
   };
 }
