--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -67,7 +67,7 @@
   std::string leader;
   uint64_t votes_left = 0;
   bool freezes = false;
-  uint64_t sprung = 0;
+  uint64_t times_triggered = 0;
 
   void synced(Scene& scene, const pb::RegisterState& slot) {
     if (leader.empty() || !term_in(slot.name(), "")) return;
@@ -77,7 +77,7 @@
     else
       scene.fleet.isolate(leader);
     leader.clear();
-    ++sprung;
+    ++times_triggered;
   }
 };
 
@@ -120,10 +120,11 @@
       scene.fleet.sleep(Duration(2500));
     }
     scene.require(history->violation.empty(), history->violation);
-    scene.require(leader_fault->sprung >= 4,
-                  fmt::format("only {} leaders were stopped during a write", leader_fault->sprung));
-    scene.require(history->highest >= leader_fault->sprung, "the leadership did not change often enough");
-    scene.figures["leaders_stopped"] = leader_fault->sprung;
+    scene.require(leader_fault->times_triggered >= 4,
+                  fmt::format("only {} leaders were stopped during a write", leader_fault->times_triggered));
+    scene.require(history->highest >= leader_fault->times_triggered,
+                  "the leadership did not change often enough");
+    scene.figures["leaders_stopped"] = leader_fault->times_triggered;
     scene.figures["highest_term"] = history->highest;
   };
 }
