--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr size_t kMajority = 3;          // of five replicas
-constexpr uint64_t kPoints = 10;         // promises and accepts of one write, on five disks
+constexpr uint64_t kVotesPerWrite = 10;  // promises and accepts of one write, on five disks
 constexpr Duration kPastTheLease{9000};  // the lease is four seconds, and a successor waits six at most
 
 // The leader's term in a value, when only a leader may write the register.
@@ -110,7 +110,7 @@
         scene.fleet.sleep(Duration(3000));
         continue;
       }
-      leader_fault->votes_left = scene.world.below(kPoints);
+      leader_fault->votes_left = scene.world.below(kVotesPerWrite);
       leader_fault->freezes = scene.world.random(500);
       leader_fault->leader = h->name;
       scene.fleet.wait_until(Duration(3000), [&] { return leader_fault->leader.empty(); });
