--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -8,9 +8,9 @@
 namespace dunlinwing::test {
 namespace {
 
-constexpr size_t kMajority = 3;          // of five replicas
-constexpr uint64_t kVotesPerWrite = 10;  // promises and accepts of one write, on five disks
-constexpr Duration kPastTheLease{9000};  // the lease is four seconds, and a successor waits six at most
+constexpr size_t kMajority = 3;             // of five replicas
+constexpr uint64_t kVotesPerWrite = 10;     // promises and accepts of one write, on five disks
+constexpr Duration kLongerThanLease{9000};  // the lease is four seconds, and a successor waits six at most
 
 // The leader's term in a value, when only a leader may write the register.
 std::optional<uint64_t> term_in(const std::string& name, const std::string& data) {
@@ -73,7 +73,7 @@
     if (leader.empty() || !term_in(slot.name(), "")) return;
     if (slot.promised().node() != leader || votes_left-- > 0) return;
     if (freezes)
-      scene.world.freeze(leader, scene.world.now() + kPastTheLease);
+      scene.world.freeze(leader, scene.world.now() + kLongerThanLease);
     else
       scene.fleet.isolate(leader);
     leader.clear();
@@ -115,7 +115,7 @@
       leader_fault->leader = h->name;
       scene.fleet.wait_until(Duration(3000), [&] { return leader_fault->leader.empty(); });
       leader_fault->leader.clear();
-      scene.fleet.sleep(kPastTheLease);
+      scene.fleet.sleep(kLongerThanLease);
       scene.world.heal_all();
       scene.fleet.sleep(Duration(2500));
     }
