--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -6,7 +6,7 @@
 namespace dunlinwing::test {
 namespace {
 
-struct Mix {
+struct RandomFaults {
   Scene& scene;
   std::map<std::string, std::string> configurations;
   int turn = 0;
@@ -158,13 +158,19 @@
   }
 
   void all() {
-    using Do = void (Mix::*)();
-    static const Do list[] = {&Mix::kill,        &Mix::kill,          &Mix::kill_many,  &Mix::lose_disk,
-                              &Mix::freeze,      &Mix::freeze,        &Mix::cut,        &Mix::split,
-                              &Mix::restart,     &Mix::jump,          &Mix::slow_disk,  &Mix::weather,
-                              &Mix::worker_dies, &Mix::worker_leaves, &Mix::worker_ill, &Mix::address_passes,
-                              &Mix::crowd,       &Mix::layout,        &Mix::layout,     &Mix::invalid,
-                              &Mix::clear,       &Mix::clear,         &Mix::storm,      &Mix::move};
+    using Do = void (RandomFaults::*)();
+    static const Do list[] = {&RandomFaults::kill,        &RandomFaults::kill,
+                              &RandomFaults::kill_many,   &RandomFaults::lose_disk,
+                              &RandomFaults::freeze,      &RandomFaults::freeze,
+                              &RandomFaults::cut,         &RandomFaults::split,
+                              &RandomFaults::restart,     &RandomFaults::jump,
+                              &RandomFaults::slow_disk,   &RandomFaults::weather,
+                              &RandomFaults::worker_dies, &RandomFaults::worker_leaves,
+                              &RandomFaults::worker_ill,  &RandomFaults::address_passes,
+                              &RandomFaults::crowd,       &RandomFaults::layout,
+                              &RandomFaults::layout,      &RandomFaults::invalid,
+                              &RandomFaults::clear,       &RandomFaults::clear,
+                              &RandomFaults::storm,       &RandomFaults::move};
     for (turn = 0; turn < 25; ++turn) {
       for (auto n = 1 + scene.world.below(3); n; --n) (this->*list[scene.world.below(std::size(list))])();
       scene.fleet.sleep(Duration(scene.world.below(2500)));
@@ -199,7 +205,7 @@
     if (!start_traffic(scene, 50, simulated_configuration("\"1\",\"2\"", 3))) return;
     allow_version(scene, "2");
     for (int i = 0; i < 2; ++i) scene.fleet.add_backend("app", "2", 0);
-    auto m = std::make_shared<Mix>(Mix{scene, {}, 0});
+    auto m = std::make_shared<RandomFaults>(RandomFaults{scene, {}, 0});
     m->all();
     m->mend();
     scene.figures = {{"layouts_read_back", m->configurations.size()}};
