--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -17,13 +17,13 @@
     auto* backend = ws[scene.world.below(ws.size())].get();
     return backend->alive && !backend->leaving && !backend->foreign ? backend : nullptr;
   }
-  void met(const char* what) { ++scene.world.fault_counts[what]; }
+  void count_fault(const char* what) { ++scene.world.fault_counts[what]; }
 
   void kill() {
     if (auto& h = host(); may_kill(scene, h)) scene.fleet.kill(h.name);
   }
   void kill_many() {
-    met("kill_many");
+    count_fault("kill_many");
     for (auto& host : scene.fleet.hosts())
       if (scene.world.random(400)) scene.fleet.kill(host->name);
     scene.fleet.sleep(Duration(300));
@@ -52,7 +52,7 @@
   void restart() {
     auto* h = &host();
     if (!h->up()) return;
-    met("restart");
+    count_fault("restart");
     auto gone = std::make_shared<bool>(false);
     auto name = h->name;
     scene.world.spawn(h->process, [n = h->node.get(), gone] {
@@ -64,7 +64,7 @@
     scene.fleet.start(name);
   }
   void jump() {
-    met("clock_jump");
+    count_fault("clock_jump");
     host().wall_offset_ms += static_cast<int64_t>(scene.world.below(4 * 86400000ull)) - 2 * 86400000ll;
   }
   void slow_disk() {
@@ -79,7 +79,7 @@
   void worker_dies() {
     auto* backend = worker();
     if (!backend) return;
-    met("worker_died");
+    count_fault("worker_died");
     auto service = backend->service, version = backend->version;
     auto age = backend->max_age;
     backend->alive = false;
@@ -88,7 +88,7 @@
   void worker_leaves() {
     auto* backend = worker();
     if (!backend) return;
-    met("worker_left");
+    count_fault("worker_left");
     scene.fleet.add_backend(backend->service, backend->version, backend->max_age);
     backend->leaving = true;
     scene.fleet.spawn_outside([this, backend] {
@@ -99,7 +99,7 @@
   void worker_ill() {
     auto* backend = worker();
     if (!backend) return;
-    met("worker_ill");
+    count_fault("worker_ill");
     backend->lose_percent = static_cast<int>(scene.world.below(20));
     backend->wrong_percent = static_cast<int>(scene.world.below(10));
     backend->bad_percent = static_cast<int>(scene.world.below(10));
@@ -108,7 +108,7 @@
   void address_passes() {
     auto* backend = worker();
     if (!backend) return;
-    met("address_passed");
+    count_fault("address_passed");
     auto service = backend->service, version = backend->version, address = backend->address;
     auto age = backend->max_age;
     backend->alive = false;
@@ -118,7 +118,7 @@
     scene.fleet.add_backend(service, version, age);
   }
   void crowd() {
-    met("crowd");
+    count_fault("crowd");
     scene.fleet.generate_requests(150, scene.world.now() + Duration(2500), [this] {
       scene.fleet.call("GET", fmt::format("/a/{}", scene.world.below(100000)));
     });
@@ -128,22 +128,22 @@
     auto doc = simulated_configuration("\"1\",\"2\"", 1 + static_cast<int>(scene.world.below(3)), 0,
                                        scene.world.random(300) ? R"(,"express":"mixed")" : "");
     if (scene.fleet.operator_call("PUT", "/v1/releases/layout/" + name, doc).status == 202)
-      configurations[name] = doc, met("layout");
+      configurations[name] = doc, count_fault("layout");
   }
   void invalid() {
     auto response = scene.fleet.operator_call("PUT", fmt::format("/v1/releases/layout/i{}", turn),
                                               R"({"content":{"services":{},"routes":7}})");
     scene.require(response.lost || response.status == 422 || response.status == 503,
                   "an invalid configuration got " + response.body);
-    met("invalid_layout");
+    count_fault("invalid_layout");
   }
   void clear() {
     purge(scene, fmt::format("u{}", turn), scene.world.random(500) ? "prefix" : "path",
           scene.world.random(500) ? "/c/" : "/c/3"),
-        met("purge");
+        count_fault("purge");
   }
   void storm() {
-    met("purge_storm");
+    count_fault("purge_storm");
     for (int k = 0; k < 30; ++k)
       scene.fleet.spawn_outside([this, k, t = turn] {
         purge(scene, fmt::format("w{}-{}", t, k), "path", fmt::format("/c/{}", k % 20));
@@ -154,7 +154,7 @@
             .operator_call("PUT", "/v1/services/app",
                            scene.world.random(500) ? R"({"version":"2"})" : R"({"version":"1"})")
             .status == 200)
-      met("move");
+      count_fault("move");
   }
 
   void all() {
