--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -72,7 +72,7 @@
     contents.min_latency = Duration(200);
     contents.max_latency = Duration(1500);
   }
-  void weather() {
+  void degrade_network() {
     scene.world.network = {static_cast<int>(scene.world.below(30)), static_cast<int>(scene.world.below(30)),
                            Duration(1), Duration(1 + scene.world.below(30))};
   }
@@ -164,7 +164,7 @@
                               &RandomFaults::freeze,      &RandomFaults::freeze,
                               &RandomFaults::cut,         &RandomFaults::split,
                               &RandomFaults::restart,     &RandomFaults::jump,
-                              &RandomFaults::slow_disk,   &RandomFaults::weather,
+                              &RandomFaults::slow_disk,   &RandomFaults::degrade_network,
                               &RandomFaults::worker_dies, &RandomFaults::worker_leaves,
                               &RandomFaults::worker_ill,  &RandomFaults::address_passes,
                               &RandomFaults::crowd,       &RandomFaults::layout,
