--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -63,7 +63,7 @@
     scene.fleet.kill(name);
     scene.fleet.start(name);
   }
-  void jump() {
+  void jump_clock() {
     count_fault("clock_jump");
     host().wall_offset_ms += static_cast<int64_t>(scene.world.below(4 * 86400000ull)) - 2 * 86400000ll;
   }
@@ -163,7 +163,7 @@
                               &RandomFaults::kill_many,   &RandomFaults::lose_disk,
                               &RandomFaults::freeze,      &RandomFaults::freeze,
                               &RandomFaults::cut,         &RandomFaults::split,
-                              &RandomFaults::restart,     &RandomFaults::jump,
+                              &RandomFaults::restart,     &RandomFaults::jump_clock,
                               &RandomFaults::slow_disk,   &RandomFaults::degrade_network,
                               &RandomFaults::worker_dies, &RandomFaults::worker_leaves,
                               &RandomFaults::worker_ill,  &RandomFaults::address_passes,
