--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -96,7 +96,7 @@
       backend->alive = false;
     });
   }
-  void worker_ill() {
+  void make_backend_faulty() {
     auto* backend = worker();
     if (!backend) return;
     count_fault("worker_ill");
@@ -159,18 +159,30 @@
 
   void all() {
     using Do = void (RandomFaults::*)();
-    static const Do list[] = {&RandomFaults::kill,        &RandomFaults::kill,
-                              &RandomFaults::kill_many,   &RandomFaults::lose_disk,
-                              &RandomFaults::freeze,      &RandomFaults::freeze,
-                              &RandomFaults::cut,         &RandomFaults::split,
-                              &RandomFaults::restart,     &RandomFaults::jump_clock,
-                              &RandomFaults::slow_disk,   &RandomFaults::degrade_network,
-                              &RandomFaults::worker_dies, &RandomFaults::worker_leaves,
-                              &RandomFaults::worker_ill,  &RandomFaults::address_passes,
-                              &RandomFaults::crowd,       &RandomFaults::layout,
-                              &RandomFaults::layout,      &RandomFaults::invalid,
-                              &RandomFaults::clear,       &RandomFaults::clear,
-                              &RandomFaults::storm,       &RandomFaults::move};
+    static const Do list[] = {&RandomFaults::kill,
+                              &RandomFaults::kill,
+                              &RandomFaults::kill_many,
+                              &RandomFaults::lose_disk,
+                              &RandomFaults::freeze,
+                              &RandomFaults::freeze,
+                              &RandomFaults::cut,
+                              &RandomFaults::split,
+                              &RandomFaults::restart,
+                              &RandomFaults::jump_clock,
+                              &RandomFaults::slow_disk,
+                              &RandomFaults::degrade_network,
+                              &RandomFaults::worker_dies,
+                              &RandomFaults::worker_leaves,
+                              &RandomFaults::make_backend_faulty,
+                              &RandomFaults::address_passes,
+                              &RandomFaults::crowd,
+                              &RandomFaults::layout,
+                              &RandomFaults::layout,
+                              &RandomFaults::invalid,
+                              &RandomFaults::clear,
+                              &RandomFaults::clear,
+                              &RandomFaults::storm,
+                              &RandomFaults::move};
     for (turn = 0; turn < 25; ++turn) {
       for (auto n = 1 + scene.world.below(3); n; --n) (this->*list[scene.world.below(std::size(list))])();
       scene.fleet.sleep(Duration(scene.world.below(2500)));
