--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -137,7 +137,7 @@
                   "an invalid configuration got " + response.body);
     count_fault("invalid_layout");
   }
-  void clear() {
+  void send_purge() {
     purge(scene, fmt::format("u{}", turn), scene.world.random(500) ? "prefix" : "path",
           scene.world.random(500) ? "/c/" : "/c/3"),
         count_fault("purge");
@@ -179,8 +179,8 @@
                               &RandomFaults::layout,
                               &RandomFaults::layout,
                               &RandomFaults::invalid,
-                              &RandomFaults::clear,
-                              &RandomFaults::clear,
+                              &RandomFaults::send_purge,
+                              &RandomFaults::send_purge,
                               &RandomFaults::storm,
                               &RandomFaults::move};
     for (turn = 0; turn < 25; ++turn) {
