--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -157,7 +157,7 @@
       count_fault("move");
   }
 
-  void all() {
+  void inject_faults() {
     using Do = void (RandomFaults::*)();
     static const Do list[] = {&RandomFaults::kill,
                               &RandomFaults::kill,
@@ -218,7 +218,7 @@
     allow_version(scene, "2");
     for (int i = 0; i < 2; ++i) scene.fleet.add_backend("app", "2", 0);
     auto m = std::make_shared<RandomFaults>(RandomFaults{scene, {}, 0});
-    m->all();
+    m->inject_faults();
     m->mend();
     scene.figures = {{"layouts_read_back", m->configurations.size()}};
   };
