--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -192,7 +192,7 @@
     }
   }
 
-  void mend() {
+  void recover_and_check() {
     scene.world.heal_all();
     scene.world.network = scene.fleet.normal_conditions();
     for (auto& host : scene.fleet.hosts())
@@ -219,7 +219,7 @@
     for (int i = 0; i < 2; ++i) scene.fleet.add_backend("app", "2", 0);
     auto m = std::make_shared<RandomFaults>(RandomFaults{scene, {}, 0});
     m->inject_faults();
-    m->mend();
+    m->recover_and_check();
     scene.figures = {{"layouts_read_back", m->configurations.size()}};
   };
 }
