--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -158,31 +158,31 @@
   }
 
   void inject_faults() {
-    using Do = void (RandomFaults::*)();
-    static const Do list[] = {&RandomFaults::kill,
-                              &RandomFaults::kill,
-                              &RandomFaults::kill_many,
-                              &RandomFaults::lose_disk,
-                              &RandomFaults::freeze,
-                              &RandomFaults::freeze,
-                              &RandomFaults::cut,
-                              &RandomFaults::split,
-                              &RandomFaults::restart,
-                              &RandomFaults::jump_clock,
-                              &RandomFaults::slow_disk,
-                              &RandomFaults::degrade_network,
-                              &RandomFaults::worker_dies,
-                              &RandomFaults::worker_leaves,
-                              &RandomFaults::make_backend_faulty,
-                              &RandomFaults::address_passes,
-                              &RandomFaults::crowd,
-                              &RandomFaults::layout,
-                              &RandomFaults::layout,
-                              &RandomFaults::invalid,
-                              &RandomFaults::send_purge,
-                              &RandomFaults::send_purge,
-                              &RandomFaults::storm,
-                              &RandomFaults::move};
+    using Action = void (RandomFaults::*)();
+    static const Action list[] = {&RandomFaults::kill,
+                                  &RandomFaults::kill,
+                                  &RandomFaults::kill_many,
+                                  &RandomFaults::lose_disk,
+                                  &RandomFaults::freeze,
+                                  &RandomFaults::freeze,
+                                  &RandomFaults::cut,
+                                  &RandomFaults::split,
+                                  &RandomFaults::restart,
+                                  &RandomFaults::jump_clock,
+                                  &RandomFaults::slow_disk,
+                                  &RandomFaults::degrade_network,
+                                  &RandomFaults::worker_dies,
+                                  &RandomFaults::worker_leaves,
+                                  &RandomFaults::make_backend_faulty,
+                                  &RandomFaults::address_passes,
+                                  &RandomFaults::crowd,
+                                  &RandomFaults::layout,
+                                  &RandomFaults::layout,
+                                  &RandomFaults::invalid,
+                                  &RandomFaults::send_purge,
+                                  &RandomFaults::send_purge,
+                                  &RandomFaults::storm,
+                                  &RandomFaults::move};
     for (turn = 0; turn < 25; ++turn) {
       for (auto n = 1 + scene.world.below(3); n; --n) (this->*list[scene.world.below(std::size(list))])();
       scene.fleet.sleep(Duration(scene.world.below(2500)));
