--- a/test/scenarios/version_rollout_scenarios.cpp
+++ b/test/scenarios/version_rollout_scenarios.cpp
@@ -13,7 +13,7 @@
   std::string disturbance;  // duty (the leader is killed), freeze or restarts; empty: none
 };
 
-void spoil(Scene& scene, simulation::SimulatedBackend& backend, const std::string& fault, int percent) {
+void make_faulty(Scene& scene, simulation::SimulatedBackend& backend, const std::string& fault, int percent) {
   auto* world = &scene.world;
   auto* fleet = &scene.fleet;
   auto bad = [world, percent] { return static_cast<int>(world->below(100)) < percent; };
@@ -89,7 +89,7 @@
         backend.min_latency = Duration(5);
         backend.max_latency = plan.fault == "under_load" ? Duration(40) : Duration(15);
         backend.warm_at = scene.world.now() + Duration(3000);
-        spoil(scene, backend, plan.fault, percent);
+        make_faulty(scene, backend, plan.fault, percent);
         mine.push_back(&backend);
       }
     };
