--- a/test/scenarios/control_api_scenarios.cpp
+++ b/test/scenarios/control_api_scenarios.cpp
@@ -222,7 +222,7 @@
 }
 
 /// Repeats a request as after a lost response: concurrently, each copy to a random node.
-void again_at_once(Scene& scene, const OperatorRequest& request, int copies) {
+void repeat_concurrently(Scene& scene, const OperatorRequest& request, int copies) {
   int left = copies;
   for (int k = 0; k < copies; ++k)
     scene.fleet.spawn_outside([&] {
@@ -254,7 +254,7 @@
     };
     for (auto& [older, newer] : pairs) {
       if (!acknowledged(scene, older)) return;
-      again_at_once(scene, older, 8);
+      repeat_concurrently(scene, older, 8);
       if (!acknowledged(scene, newer)) return;
       acknowledged(scene, older);
     }
@@ -280,14 +280,14 @@
     auto latest = [&scene] {
       return parsed(request_until_clear(scene, {"GET", "/v1/moves/app", ""}, Duration(4000)).body);
     };
-    again_at_once(scene, move_to("2"), 8);
+    repeat_concurrently(scene, move_to("2"), 8);
     auto trial = [&scene] {
       auto state = request_until_clear(scene, {"GET", "/v1/services/app", ""}, Duration(4000));
       return parsed(state.body).at("trial_number").string_or();
     };
     scene.require(trial() == "1", "a rollout requested eight times concurrently started several canaries");
     if (!acknowledged(scene, move_to("1"))) return;
-    again_at_once(scene, move_to("2"), 4);
+    repeat_concurrently(scene, move_to("2"), 4);
     scene.require(trial() == "1", "a rollout that a newer one had replaced was started again");
     scene.require(latest().at("version").string_or() == "1",
                   "a repeated rollout request replaced a newer rollout");
