--- a/test/scenarios/control_api_scenarios.cpp
+++ b/test/scenarios/control_api_scenarios.cpp
@@ -35,7 +35,7 @@
 }
 
 /// One attempt at one host; status 0 when it did not respond within the client's timeout.
-base::Response ask(Scene& scene, simulation::Host& host, const OperatorRequest& request) {
+base::Response send_to_host(Scene& scene, simulation::Host& host, const OperatorRequest& request) {
   base::Request http{"", request.method, request.target, request.body, request.headers};
   auto exchange = scene.fleet.exchange(host, http, true, kClientTimeout);
   if (!exchange.complete) return {0, {}, {}};
@@ -48,7 +48,7 @@
   scene.fleet.wait_until(longest, [&] {
     auto& hosts = scene.fleet.hosts();
     auto& host = *hosts[scene.world.below(hosts.size())];
-    if (host.up()) response = ask(scene, host, request);
+    if (host.up()) response = send_to_host(scene, host, request);
     return response.status / 100 == 2 || response.status / 100 == 4;
   });
   return response;
@@ -124,7 +124,7 @@
     ++*unanswered;
     scene.fleet.spawn_outside([node = *this, request] {
       auto from = node.scene.world.now();
-      auto response = ask(node.scene, node.host, request);
+      auto response = send_to_host(node.scene, node.host, request);
       ++*node.sent;
       --*node.unanswered;
       auto summary =
@@ -137,12 +137,12 @@
 
   /// A document that is invalid in itself may be rejected without a majority.
   void send_invalid(const char* document) const {
-    auto status = ask(scene, host, put_numbered(1030, document)).status;
+    auto status = send_to_host(scene, host, put_numbered(1030, document)).status;
     scene.require(status == 422 || status == 503, fmt::format("an invalid configuration got {}", status));
   }
 
   bool has_configuration(int64_t number) const {
-    auto response = ask(scene, host, {"GET", "/v1/layouts/current", ""});
+    auto response = send_to_host(scene, host, {"GET", "/v1/layouts/current", ""});
     return response.status == 200 && parsed(response.body).at("number").integer_or() == number;
   }
 };
@@ -152,7 +152,7 @@
   scene.fleet.spawn_outside([&scene, &cut_off] {
     for (auto& other : scene.fleet.hosts())
       if (other->name != cut_off.name &&
-          ask(scene, *other, put_numbered(1020, numbered(4, true))).status == 200)
+          send_to_host(scene, *other, put_numbered(1020, numbered(4, true))).status == 200)
         return;
     scene.require(false, "no other node accepted a configuration");
   });
