--- a/test/scenarios/replica_scenarios.cpp
+++ b/test/scenarios/replica_scenarios.cpp
@@ -14,9 +14,9 @@
   std::shared_ptr<Duration> gap = std::make_shared<Duration>(0);
 };
 
-Writer writer(Scene& scene, int most_nap) {
+Writer writer(Scene& scene, int max_pause_ms) {
   Writer w;
-  scene.fleet.spawn_outside([&scene, w, most_nap] {
+  scene.fleet.spawn_outside([&scene, w, max_pause_ms] {
     TimePoint last = scene.world.now();
     for (int i = 0; !*w.stop; ++i) {
       auto name = fmt::format("r{}", i);
@@ -26,7 +26,7 @@
         *w.gap = std::max<Duration>(*w.gap, scene.world.now() - last);
         last = scene.world.now();
       }
-      scene.fleet.sleep(Duration(1 + scene.world.below(static_cast<uint64_t>(most_nap))));
+      scene.fleet.sleep(Duration(1 + scene.world.below(static_cast<uint64_t>(max_pause_ms))));
     }
   });
   return w;
