--- a/test/scenarios/replica_scenarios.cpp
+++ b/test/scenarios/replica_scenarios.cpp
@@ -32,7 +32,7 @@
   return w;
 }
 
-std::set<std::string> holders_at(simulation::Host& host) {
+std::set<std::string> replicas_at(simulation::Host& host) {
   std::set<std::string> out;
   for (auto& x : host.node->registers().replica_set().all()) out.insert(x.name);
   return out;
@@ -42,7 +42,7 @@
 bool settled(Scene& scene, size_t n) {
   for (auto& host : scene.fleet.hosts()) {
     if (!host->up()) continue;
-    auto set = holders_at(*host);
+    auto set = replicas_at(*host);
     if (set.size() != n) return false;
     if (set.count(host->name) && host->node->acceptor()->non_voting()) return false;
   }
@@ -128,7 +128,7 @@
     auto from = scene.world.now();
     auto healed = [&] {
       for (auto& host : scene.fleet.hosts())
-        if (host->up() && (!holders_at(*host).count("x1") || holders_at(*host).count(out))) return false;
+        if (host->up() && (!replicas_at(*host).count("x1") || replicas_at(*host).count(out))) return false;
       return settled(scene, 3);
     };
     uint64_t unready = 0;
@@ -170,7 +170,7 @@
 bool replaced(Scene& scene, const std::string& out, const std::string& in) {
   for (auto& host : scene.fleet.hosts()) {
     if (!host->up()) continue;
-    auto set = holders_at(*host);
+    auto set = replicas_at(*host);
     if (host->node->registers().replica_set().joint() || !set.count(in) || set.count(out)) return false;
   }
   return settled(scene, 3);
