--- a/test/scenarios/fetch_scenarios.cpp
+++ b/test/scenarios/fetch_scenarios.cpp
@@ -31,7 +31,7 @@
 };
 
 /// Generates requests to any ready node for random objects; lower-numbered objects are requested more often.
-std::shared_ptr<Served> ask_for_objects(Scene& scene, Duration duration) {
+std::shared_ptr<Served> request_objects(Scene& scene, Duration duration) {
   auto served = std::make_shared<Served>();
   scene.fleet.generate_requests(kRequestsPerSecond, scene.world.now() + duration, [&scene, served] {
     const auto object = std::min(scene.world.below(kObjects), scene.world.below(kObjects));
@@ -67,7 +67,7 @@
   scene.duration = Duration(60000);
   scene.script = [&scene] {
     if (!start(scene)) return;
-    auto served = ask_for_objects(scene, Duration(40000));
+    auto served = request_objects(scene, Duration(40000));
     scene.fleet.sleep(Duration(12000));
     expect_share(scene, *served, Duration(20000), kCalmShare, "calm");
   };
@@ -90,7 +90,7 @@
   scene.required_faults = {"kill", "freeze", "cut"};
   scene.script = [&scene] {
     if (!start(scene)) return;
-    auto served = ask_for_objects(scene, Duration(90000));
+    auto served = request_objects(scene, Duration(90000));
     scene.fleet.sleep(Duration(12000));
     const auto name = [&] { return fetching_nodes(scene).front(); };
     const auto first = name();
@@ -116,7 +116,7 @@
   scene.required_faults = {"kill"};
   scene.script = [&scene] {
     if (!start(scene)) return;
-    auto served = ask_for_objects(scene, Duration(60000));
+    auto served = request_objects(scene, Duration(60000));
     scene.fleet.sleep(Duration(12000));
     for (auto& host : scene.fleet.hosts())
       if (!host->accepts_clients) scene.fleet.kill(host->name);
--- a/test/scenarios/link_scenarios.cpp
+++ b/test/scenarios/link_scenarios.cpp
@@ -50,7 +50,7 @@
 };
 using ObservedPtr = std::shared_ptr<Observed>;
 
-void ask_for_objects(Scene& scene, const ObservedPtr& observed, Duration duration) {
+void request_objects(Scene& scene, const ObservedPtr& observed, Duration duration) {
   scene.fleet.generate_requests(kRequestsPerSecond, scene.world.now() + duration, [&scene, observed] {
     auto& world = scene.world;
     const bool large = world.below(100) < kLargePercent;
@@ -169,7 +169,7 @@
     if (!start(scene, changes)) return;
     const auto observed = std::make_shared<Observed>();
     watch_read_leases(scene, observed, kWatched);
-    ask_for_objects(scene, observed, kWatched);
+    request_objects(scene, observed, kWatched);
     send_orders(scene, observed, changes, kWatched);
     scene.fleet.sleep(kWatched + kEnd);
     expect_within_bounds(scene, *observed);
@@ -203,7 +203,7 @@
     const auto changes = std::make_shared<Changes>();
     if (!start(scene, changes)) return;
     const auto observed = std::make_shared<Observed>();
-    ask_for_objects(scene, observed, kStep * 6);
+    request_objects(scene, observed, kStep * 6);
     send_orders(scene, observed, changes, kStep * 6);
     scene.fleet.sleep(kStep);
     const auto killed = fetching_node(scene);
