--- a/test/scenarios/link_scenarios.cpp
+++ b/test/scenarios/link_scenarios.cpp
@@ -19,8 +19,8 @@
 constexpr Duration kAckTimeout(4000);   // for an operator's request to be acknowledged
 constexpr Duration kCallTimeout(1000);  // after which an operator tries another node
 constexpr Duration kWatched(20000);
-constexpr Duration kEnd(8000);   // for requests that are still in progress at the end
-constexpr double kFloor = 0.95;  // share of each class's requests that must be served in time
+constexpr Duration kEnd(8000);            // for requests that are still in progress at the end
+constexpr double kMinServedShare = 0.95;  // share of each class's requests that must be served in time
 
 size_t body_bytes(const std::string& target) {
   if (target.starts_with("/c/large")) return kLargeBytes * (1 + target.back() % 4);
@@ -155,7 +155,7 @@
                             observed.slowest_order.count()));
   scene.require(observed.lapsed.empty(), "read leases lapsed at" + lapsed_text(observed));
   for (const auto& [name, served] : observed.classes)
-    scene.require(served.share() >= kFloor,
+    scene.require(served.share() >= kMinServedShare,
                   fmt::format("{}: {} of {} were served; rejected:{}", name, served.served, served.asked,
                               rejections_by_reason(scene)));
 }
