--- a/test/scenarios/link_scenarios.cpp
+++ b/test/scenarios/link_scenarios.cpp
@@ -199,7 +199,7 @@
     constexpr Duration kStep(7000);
     constexpr Duration kFrozen(4000);
     constexpr double kSlowMbps = 0.5;
-    constexpr double kTroubleFloor = 0.9;
+    constexpr double kMinServedShareDuringFaults = 0.9;
     const auto changes = std::make_shared<Changes>();
     if (!start(scene, changes)) return;
     const auto observed = std::make_shared<Observed>();
@@ -225,7 +225,7 @@
                   fmt::format("{} was acknowledged after {} ms", observed->slowest_order_text,
                               observed->slowest_order.count()));
     for (const auto& [name, served] : observed->classes)
-      scene.require(served.share() >= kTroubleFloor,
+      scene.require(served.share() >= kMinServedShareDuringFaults,
                     fmt::format("{}: {} of {} were served; rejected:{}", name, served.served, served.asked,
                                 rejections_by_reason(scene)));
   };
