--- a/test/scenarios/limit_scenarios.cpp
+++ b/test/scenarios/limit_scenarios.cpp
@@ -7,7 +7,7 @@
 
 // Around the fiftieth bad response the leader and its standby are killed, frozen or
 // partitioned, or relays are restarted; this must not delay the canary's verdict.
-void trouble_in_trial(Scene& scene) {
+void disturb_canary(Scene& scene) {
   scene.fleet.spawn_outside([&scene] {
     auto how = scene.world.below(4);
     if (!scene.fleet.wait_until(Duration(40000), [&] {
@@ -48,7 +48,7 @@
     scene.require(took, "the version change was not accepted");
     for (auto& backend : scene.fleet.backends())
       if (backend->service == "app" && backend->version == "1") backend->bad_percent = old_bad;
-    if (trouble) trouble_in_trial(scene);
+    if (trouble) disturb_canary(scene);
     if (bad) scene.fleet.event(R"("t":"bad_version","service":"app","version":"2")");
     auto state = [&] {
       auto p = base::Json::parse(scene.fleet.operator_call("GET", "/v1/services/app", "").body);
