--- a/test/scenarios/limit_scenarios.cpp
+++ b/test/scenarios/limit_scenarios.cpp
@@ -35,7 +35,7 @@
   });
 }
 
-void move_to(Scene& scene, int bad, bool trouble = false, int old_bad = 0) {
+void change_version(Scene& scene, int bad, bool trouble = false, int old_bad = 0) {
   scene.duration = Duration(110000);
   scene.script = [&scene, bad, trouble, old_bad] {
     if (!start_traffic(scene, 150, simulated_configuration("\"1\",\"2\"", 4))) return;
@@ -287,15 +287,15 @@
 }  // namespace
 
 NamedCases limit_scenarios() {
-  return {{"bad_version", [](Scene& scene) { move_to(scene, 50); }},
-          {"bad_version_trouble", [](Scene& scene) { move_to(scene, 50, true); }},
+  return {{"bad_version", [](Scene& scene) { change_version(scene, 50); }},
+          {"bad_version_trouble", [](Scene& scene) { change_version(scene, 50, true); }},
           {"bad_version_lone",
            [](Scene& scene) {
              scene.only_node = "e2";
-             move_to(scene, 50, true);
+             change_version(scene, 50, true);
            }},
-          {"bad_both", [](Scene& scene) { move_to(scene, 50, false, 50); }},
-          {"good_version", [](Scene& scene) { move_to(scene, 0); }},
+          {"bad_both", [](Scene& scene) { change_version(scene, 50, false, 50); }},
+          {"good_version", [](Scene& scene) { change_version(scene, 0); }},
           {"given_up", given_up},
           {"repeat_storm", repeat_storm},
           {"slow_origin", slow_origin},
