--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -135,7 +135,7 @@
 
 std::unique_ptr<SchemaLevel> compile(const rj::Value& schema);
 
-void take_out_properties(const rj::Value& schema, SchemaLevel& level) {
+void extract_properties(const rj::Value& schema, SchemaLevel& level) {
   if (schema.HasMember("properties"))
     for (const auto& member : schema["properties"].GetObject()) {
       level.properties[member.name.GetString()] = compile(member.value);
@@ -156,7 +156,7 @@
   auto level = std::make_unique<SchemaLevel>();
   level->text = std::make_unique<rj::Document>();
   level->text->CopyFrom(schema, level->text->GetAllocator());
-  take_out_properties(schema, *level);
+  extract_properties(schema, *level);
   if (schema.HasMember("items")) {
     level->items = compile(schema["items"]);
     (*level->text)["items"].SetObject();
