--- a/src/base/ports.hpp
+++ b/src/base/ports.hpp
@@ -58,8 +58,8 @@
 struct CallRules {
   /// Implicit: a duration alone is a valid rule.
   template <class Count, class Period>
-  CallRules(std::chrono::duration<Count, Period> whole_limit, CancellationPtr cancelled_by = nullptr)
-      : timeout(whole_limit), cancellation(std::move(cancelled_by)) {}
+  CallRules(std::chrono::duration<Count, Period> total_limit, CancellationPtr cancelled_by = nullptr)
+      : timeout(total_limit), cancellation(std::move(cancelled_by)) {}
 
   Duration timeout;              ///< for receiving the complete reply
   CancellationPtr cancellation;  ///< ends the call like its timeout does; null: only the timeout ends it
@@ -110,7 +110,7 @@
 struct AttemptRules {
   /// Implicit: a duration alone is a valid rule.
   template <class Count, class Period>
-  AttemptRules(std::chrono::duration<Count, Period> whole_limit) : timeout(whole_limit) {}
+  AttemptRules(std::chrono::duration<Count, Period> total_limit) : timeout(total_limit) {}
 
   Duration timeout;             ///< for receiving the complete response
   Duration connect_timeout{0};  ///< for establishing a new connection; 0: `timeout`
