--- a/src/base/ports.hpp
+++ b/src/base/ports.hpp
@@ -93,13 +93,13 @@
   virtual LoadedSnapshot load() = 0;
   /// Appends records and returns once all are synced. After an error every later save fails too, until a
   /// rewrite() succeeds.
-  /// @param whole  returns the complete snapshot; called when a new one is due
+  /// @param complete  returns the complete snapshot; called when a new one is due
   virtual std::optional<DiskError> save(const std::vector<pb::LogRecord>& records,
-                                        const std::function<pb::Snapshot()>& whole) = 0;
+                                        const std::function<pb::Snapshot()>& complete) = 0;
   /// Recovers from an error: writes the complete snapshot beside the existing files, syncs it and reads
   /// it back. Until this succeeds, load() returns the state that was synced before; after an error it
   /// may be called again.
-  virtual std::optional<DiskError> rewrite(const pb::Snapshot& whole) = 0;
+  virtual std::optional<DiskError> rewrite(const pb::Snapshot& complete) = 0;
 };
 
 /// How an attempt at a backend instance failed: nothing was sent; the instance itself
