--- a/src/base/ports.hpp
+++ b/src/base/ports.hpp
@@ -124,7 +124,7 @@
   std::function<bool(const Response&)> is_own_response;
   /// Recognizes a response that is assigned to this request though it names no request: it is not
   /// conclusive while another response may still arrive. Null: every response names its request.
-  std::function<bool(const Response&)> is_anonymous;
+  std::function<bool(const Response&)> lacks_request_id;
 };
 
 /// Requests to backend instances.
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -176,7 +176,7 @@
         if (!lease_.reused || to_head_ || !received->keep_alive) return {};
         continue;
       }
-      const bool anonymous = rules_.is_anonymous && rules_.is_anonymous(received->response);
+      const bool anonymous = rules_.lacks_request_id && rules_.lacks_request_id(received->response);
       // Beside another's response, or ahead of the request, one that names no request may be anybody's.
       if (anonymous && lease_.reused && (skipped > 0 || early)) return {};
       const bool alone = !skipped && !early && connection.buffered().empty();
--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -317,7 +317,7 @@
     rules.is_own_response = [&adapter, &request](const base::Response& response) {
       return adapter.is_response_to(response, request.id);
     };
-    rules.is_anonymous = [&adapter](const base::Response& response) {
+    rules.lacks_request_id = [&adapter](const base::Response& response) {
       return adapter.lacks_request_id(response);
     };
     rules.max_connections = client_.max_connections(*context_.service);
--- a/test/net/http_client_test.cpp
+++ b/test/net/http_client_test.cpp
@@ -63,7 +63,7 @@
         [&](int, int n, auto&) { return ok(n ? "early" : "first", has_name || !n ? "Id: x\r\n" : ""); });
     net::HttpClient o(1 << 20);
     auto r = rules();
-    r.is_anonymous = [](const base::Response& x) { return base::header(x.headers, "Id").empty(); };
+    r.lacks_request_id = [](const base::Response& x) { return base::header(x.headers, "Id").empty(); };
     same(body(o.send(w.addr(), get(), r)), "first", "the first on the connection");
     auto s = o.send(w.addr(), {"", "POST", "/", large, {}}, r);
     same(w.conns, 1, "connections");
