--- a/test/scenarios/disk_scenarios.cpp
+++ b/test/scenarios/disk_scenarios.cpp
@@ -173,8 +173,7 @@
       scene.fleet.event(R"("t":"returned")");
       scene.require(await_all_ready(scene, Duration(8000)),
                     "not all nodes were ready after their disks recovered");
-      scene.require(records(scene, w, Duration(3000)),
-                    "no configuration was recorded though every disk recovered");
+      scene.require(records(scene, w, Duration(3000)), "nothing was recorded though all disks recovered");
       scene.fleet.sleep(Duration(2000));
       for (auto& host : scene.fleet.hosts()) scene.fleet.kill(host->name);
       scene.fleet.sleep(Duration(300));
