--- a/test/platform/clients.cpp
+++ b/test/platform/clients.cpp
@@ -1,4 +1,4 @@
-// Every try has an id of its own and is written down before it leaves.
+// Every attempt has a unique id and is recorded before it is sent.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -78,7 +78,8 @@
   auto& world = fleet_.world();
   auto zone = std::string(
       1,
-      static_cast<char>('a' + (world.below(10) < 6 ? 0 : world.below(2) + 1)));  // one zone has most of them
+      static_cast<char>('a' +
+                        (world.below(10) < 6 ? 0 : world.below(2) + 1)));  // one zone generates most requests
   auto& route = configuration_.routes[world.below(configuration_.routes.size())];
   ClientAttempt attempt;
   attempt.kind = route.kind;
--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -1,5 +1,5 @@
-// The relays are the product's own, dressed by platform/; only machines, links and
-// people are invented.
+// The relays run the product's code with the protocol adapter of platform/; machines, links,
+// clients and operators are simulated.
 #include "platform/day.hpp"
 
 #include <fmt/format.h>
@@ -57,7 +57,7 @@
   clients.poll_readiness();
   fleet.sleep(Duration(500));
   bool ok = operator_stub.put(configuration);
-  require(ok, "the first configuration was not taken");
+  require(ok, "the first configuration was not acknowledged");
   ok = ok && fleet.wait_until(Duration(15000), [&] {
     for (auto& host : fleet.hosts()) {
       if (!host->up() || !host->node->ready()) return false;
@@ -69,12 +69,12 @@
     }
     return clients.all_finished();
   });
-  require(ok, "not all became ready and knew all workers within 15 s");
+  require(ok, "not all nodes became ready and knew all backend instances within 15 s");
   fleet.sleep(Duration(2000));
   for (auto& host : fleet.hosts()) {
     auto snapshot = host->node->request_handler().snapshot();
     require(static_cast<size_t>(snapshot->nodes) == fleet.hosts().size(),
-            fmt::format("{} shares the fleet's allowances among {} of {}", host->name, snapshot->nodes,
+            fmt::format("{} divides the allowances among {} of {} nodes", host->name, snapshot->nodes,
                         fleet.hosts().size()));
   }
   traffic_end = world.now() + Duration(600000);
@@ -86,7 +86,8 @@
 bool Day::change(uint64_t dice) {
   auto old = configuration;
   configuration = next_configuration(configuration, configuration.revision + 1 + dice % 3, dice);
-  // What is dropped is wanted no longer before it goes, what is added not before it is there.
+  // Clients stop requesting a removed route before it is removed, and request an added one only after it is
+  // in force.
   OperatorConfiguration both = configuration;
   std::erase_if(both.routes, [&](auto& l) { return !old.match(l.host, l.prefix); });
   clients.use_configuration(both);
@@ -160,7 +161,7 @@
       return a.name == b.name ||
              (!world.is_partitioned(a.name, b.name) && !world.is_partitioned(b.name, a.name));
     };
-    std::vector<simulation::Host*> main;  // of the core, those that reach over half of it
+    std::vector<simulation::Host*> main;  // core hosts that can reach a majority of the core
     for (auto* a : held) {
       int n = 0;
       for (auto* b : held) {
@@ -212,7 +213,7 @@
     if (of[b.rule]++ < 2) all += fmt::format("\n     {}: {}", b.rule, b.what);
   for (auto& [r, n] : of) all += fmt::format("\n     {} {}", n, r);
   for (auto& u : day.unmet_requirements) all += "\n     unmet: " + u;
-  if (!day.done) all += "\n     the day did not come to its end";
+  if (!day.done) all += "\n     the scenario did not finish";
   double part = got["wanted"] ? static_cast<double>(got["served"]) / static_cast<double>(got["wanted"]) : 0;
   if (part < day.min_served_share)
     all += fmt::format("\n     {:.3f} of {} requests served, {} wanted", part, got["wanted"],
--- a/test/platform/day.hpp
+++ b/test/platform/day.hpp
@@ -1,5 +1,5 @@
-// One day of the stand-in platform: a fleet that speaks its words, workers, clients,
-// an operator, one kind of trouble, and the read-back at its end.
+// One scenario of the simulated platform: a fleet that uses its protocol, backend instances, clients,
+// an operator, one kind of fault, and a read-back of the configuration at the end.
 #pragma once
 #include <functional>
 
@@ -16,37 +16,37 @@
   simulation::Fleet fleet;
   Clients clients;
   Operator operator_stub;
-  OperatorConfiguration configuration;  // the newest that the operator means
+  OperatorConfiguration configuration;  // the newest that the operator sent
   bool done = false;
-  double min_served_share = 0.9;                // of requests that have to be served
-  TimePoint traffic_end{0};                     // when clients stop
-  std::vector<std::string> unmet_requirements;  // duties, and what a kind itself wants to see
+  double min_served_share = 0.9;                // share of requests that must be served
+  TimePoint traffic_end{0};                     // when clients stop sending
+  std::vector<std::string> unmet_requirements;  // of the scenario and of its fault kind
 
-  bool begin(int per_second = 60, double rate = 0);  // up to the first traffic
+  bool begin(int per_second = 60, double rate = 0);  // starts everything up to the first traffic
   void require(bool ok, const std::string& what);
-  bool change(uint64_t dice);  // the operator's next configuration
+  bool change(uint64_t dice);  // sends the operator's next configuration
   uint64_t below(uint64_t n) { return world.below(n); }
-  simulation::Host& any(bool core);  // one that is up
+  simulation::Host& any(bool core);  // a host that is up
   void kill_for(const std::string& host, Duration down);
   void note_core_fault() { journal.core_faults.push_back(world.now()); }
   void note_machine_fault(const std::string& host) { journal.machine_faults[host].push_back(world.now()); }
-  void terminate(const std::string& host);  // SIGTERM, its end, and its next start
+  void terminate(const std::string& host);  // sends SIGTERM, waits for the exit and restarts it
 
  private:
-  void watch();  // writes down what befalls machines and paths
+  void watch();  // records faults of machines and links
   std::map<std::string, const void*> processes_;
   std::string core_state_;
 };
 
 struct FaultKind {
-  std::function<void(Day&)> run;             // in the midst of the day
-  int per_second = 60;                       // requests
-  double rate = 0;                           // that the origin of the objects takes
-  std::vector<std::string> required_faults;  // what all seeds together have to have met
+  std::function<void(Day&)> run;  // runs while there is traffic
+  int per_second = 60;            // requests per second
+  double rate = 0;                // requests per second that the origin of the objects accepts; 0: no limit
+  std::vector<std::string> required_faults;  // faults that must occur across all seeds
 };
 const std::map<std::string, FaultKind>& fault_kinds();
 
-// Throws Failed when a rule is broken or a leadership is unmet.
+// Throws Failed when a rule is violated or a requirement is unmet.
 void play_day(const std::string& kind, uint64_t seed, bool small, int load,
               std::map<std::string, uint64_t>& figures);
 
--- a/test/platform/event_journal.hpp
+++ b/test/platform/event_journal.hpp
@@ -1,5 +1,5 @@
-// What the stand-ins saw on their own sides, and what the simulation did to the
-// machines: all that the rules are judged from.
+// The events recorded by the simulated clients, operator and backend instances, and the faults that the
+// simulation injected. The rules are checked against this journal alone.
 #pragma once
 #include <map>
 #include <set>
@@ -9,11 +9,12 @@
 
 namespace dunlinwing::test {
 
-struct Arrival {  // of a request at a worker
+struct Arrival {  // of a request at a backend instance
   std::string id, method, host, target, body, service, version, instance, node;
   const void* process = nullptr;  // of the relay's process
   TimePoint at{0};
-  bool executed = false, failed = false, wrong_instance = false;  // other: it was meant for another instance
+  bool executed = false, failed = false,
+       wrong_instance = false;  // wrong_instance: it was addressed to another instance
 };
 
 struct ClientAttempt {  // of a client
@@ -24,14 +25,14 @@
   base::Response response;
 };
 
-struct StampedResponse {  // by a worker, under a stamp
+struct StampedResponse {  // sent by a backend instance with a unique signature
   std::string id, target, body;
-  uint64_t version = 0;  // of the object, if it is one
+  uint64_t version = 0;  // of the object, if the response is one
   bool object = false, failed = false;
   TimePoint at{0};
 };
 
-struct StatedConfiguration {  // a configuration
+struct StatedConfiguration {  // a configuration that the operator sent
   OperatorConfiguration configuration;
   std::string text, what, by;
   bool valid = true;
@@ -58,7 +59,7 @@
   std::optional<TimePoint> acknowledged, ended;
 };
 
-struct UnacknowledgedOrder {  // an order without acknowledgement
+struct UnacknowledgedOrder {  // an operator request that was not acknowledged in time
   std::string what;
   TimePoint sent{0}, ended{0};
 };
@@ -72,26 +73,27 @@
 struct EventJournal {
   std::vector<Arrival> arrivals;
   std::map<std::string, ClientAttempt> attempts;             // by id
-  std::map<std::string, StampedResponse> stamped_responses;  // by stamp
-  std::map<std::string, std::vector<TimePoint>> replaced;    // target -> when version 1, 2 … came
-  std::map<std::string, std::string> tags;                   // target -> its tag
+  std::map<std::string, StampedResponse> stamped_responses;  // by signature
+  std::map<std::string, std::vector<TimePoint>>
+      replaced;                             // target -> times at which versions 1, 2, ... were created
+  std::map<std::string, std::string> tags;  // target -> its tag
   std::vector<StatedConfiguration> configurations;
   std::vector<PurgeOrder> purges;
   std::vector<Deregistration> deregistrations;
   std::vector<VersionRolloutOrder> version_rollouts;
   std::vector<UnacknowledgedOrder> unacknowledged;
-  std::vector<std::string> rejected_again;  // orders that had been acknowledged, sent again
+  std::vector<std::string> rejected_again;  // requests rejected after an earlier acknowledgement was lost
   std::map<std::string, std::vector<TimePoint>>
-      machine_faults;                  // machine -> moments at which something befell it or its paths
-  std::vector<TimePoint> core_faults;  // moments at which the core was unsettled
+      machine_faults;                  // machine -> times of faults of the machine or its links
+  std::vector<TimePoint> core_faults;  // times at which the core was changing or had no majority
   std::vector<TimePoint> origin_trouble;
   std::vector<std::pair<TimePoint, std::string>> terminations;  // SIGTERMs
-  bool unplanned = false;                                       // some trouble that nobody had ordered
+  bool unplanned = false;                                       // an unplanned fault was injected
   std::vector<ReadBack> read_back;
-  std::optional<TimePoint> closed, back;  // the closing fault, and when all machines were up again
+  std::optional<TimePoint> closed, back;  // times of the final fault and of the restart of all machines
 };
 
-// Whether the machine was in touch throughout the three seconds before `t`.
+// Whether neither the machine nor the core had a fault in the three seconds before `t`.
 constexpr Duration kContact{3000};
 bool in_touch(const EventJournal& journal, const std::string& machine, TimePoint t);
 
--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -1,5 +1,5 @@
-// The kinds of trouble that a day may have, under the names that the users' platform
-// gives them. What each wants to see beside the rules stands in it.
+// The fault kinds of a scenario, with the names that the users' platform gives them. Each function also
+// states the requirements of its kind beyond the rules.
 #include <fmt/format.h>
 
 #include "platform/day.hpp"
@@ -11,13 +11,13 @@
 
 void config_change(Day& y) {
   for (int i = 0; i < 7; ++i) {
-    y.require(y.change(y.world.draw() % 1000000), "a configuration was not taken");
+    y.require(y.change(y.world.draw() % 1000000), "a configuration was not acknowledged");
     y.fleet.sleep(Duration(300 + y.below(2000)));
   }
 }
 
-// Two operators at once, under one number, of whom one is confirmed and the other gets no
-// clear answer; and an older change comes again.
+// Two operators send different configurations under one number at once: one is acknowledged and the other
+// gets no definite response. An older configuration is sent again at the same time.
 void config_race(Day& y) {
   for (int i = 0; i < 3; ++i) {
     auto n = y.configuration.revision + 2;
@@ -32,11 +32,12 @@
         --left;
       });
     y.fleet.spawn_outside([&y, old, &left] {
-      y.require(y.operator_stub.put(old), "an older configuration was not acknowledged");
+      y.require(y.operator_stub.put(old), "an older configuration sent again was not acknowledged");
       --left;
     });
     y.fleet.wait_until(Duration(25000), [&] { return left == 0; });
-    y.require(confirmed == 1, fmt::format("{} of two operators under one number were confirmed", confirmed));
+    y.require(confirmed == 1,
+              fmt::format("{} of two configurations under one number were acknowledged", confirmed));
     y.operator_stub.read_back(Duration(100));
     y.configuration = y.journal.read_back.back().text == b.text() ? b : a;
     y.fleet.sleep(Duration(500));
@@ -49,14 +50,14 @@
     OperatorConfiguration configuration;
     configuration.revision = y.configuration.revision + 50;
     int st = y.operator_stub.put_text(what, configuration, text, false);
-    y.require(st / 100 == 4, fmt::format("{} got {}", what, st));
+    y.require(st / 100 == 4, fmt::format("{} got status {}", what, st));
     y.clients.probe("bad.example", "/bad/x");
     y.fleet.sleep(Duration(150));
   }
   y.operator_stub.read_back(Duration(100));
   y.fleet.sleep(Duration(2500));
   y.clients.probe("bad.example", "/bad/x");
-  y.require(y.change(0), "a valid configuration was not taken after invalid ones");
+  y.require(y.change(0), "a valid configuration was not acknowledged after invalid ones");
 }
 
 std::string object(Day& y) { return fmt::format("/obj/{:x}", y.below(40)); }
@@ -66,11 +67,11 @@
     auto o = object(y);
     y.platform_stub.change(o);
     bool tag = y.below(3) == 0;
-    if (tag)  // all that go by it
+    if (tag)  // changes every object with this tag
       for (auto& [k, t] : y.journal.tags)
         if (t == y.journal.tags[o] && k != o) y.platform_stub.change(k);
     y.require(y.operator_stub.purge("a.example", tag ? "" : o, tag ? y.journal.tags[o] : ""),
-              "a purge was not taken");
+              "a purge was not acknowledged");
     y.fleet.sleep(Duration(600 + y.below(500)));
   }
 }
@@ -81,7 +82,7 @@
     y.fleet.spawn_outside([&y] {
       auto o = object(y);
       y.platform_stub.change(o);
-      y.require(y.operator_stub.purge("a.example", o, ""), "a purge was not taken");
+      y.require(y.operator_stub.purge("a.example", o, ""), "a purge was not acknowledged");
     });
     y.fleet.sleep(Duration(60));
   }
@@ -99,7 +100,7 @@
   y.fleet.sleep(Duration(3500));
 }
 
-// Their addresses go to workers of the other service.
+// The addresses of removed instances are reused by instances of the other service.
 void replace_with_reuse(Day& y) {
   bool drained = y.below(2);
   auto v = y.platform_stub.of("wuno");
@@ -147,7 +148,7 @@
   y.fleet.sleep(Duration(2000));
 }
 
-// Every worker of one service is slow, and clients do not wait as told.
+// Every instance of one service is slow, and clients ignore Retry-After.
 void crowd(Day& y) {
   y.clients.impatient = true;
   for (auto* instance : y.platform_stub.of("wuno")) instance->slowdown = 24;
@@ -166,12 +167,12 @@
   y.fleet.sleep(Duration(9000));
 }
 
-// The origin of the objects takes only so much, and they are kept but shortly.
+// The origin of the objects is rate limited, and the objects have a short cache lifetime.
 void ceiling(Day& y) {
   auto configuration = y.configuration;
   configuration.revision += 1;
   configuration.routes[0].cache_ttl_s = 0.5;
-  y.require(y.operator_stub.put(configuration), "a configuration was not taken");
+  y.require(y.operator_stub.put(configuration), "a configuration was not acknowledged");
   y.configuration = configuration;
   y.fleet.sleep(Duration(5000));
   y.kill_for(y.any(false).name, Duration(500));
@@ -201,7 +202,7 @@
   }
   y.fleet.sleep(Duration(1700));
   Duration within(12000);
-  y.require(y.operator_stub.roll_out_version(service, "v2", within, bad), "a rollout was not taken");
+  y.require(y.operator_stub.roll_out_version(service, "v2", within, bad), "a rollout was not acknowledged");
   auto& m = y.journal.version_rollouts.back();
   while (y.world.now() < m.deadline) {
     auto st = y.operator_stub.rollout_state(service);
@@ -212,8 +213,9 @@
     }
     y.fleet.sleep(Duration(250));
   }
-  y.require(m.state == (bad ? "rolled_back" : "completed"),
-            fmt::format("{} v2 of {} ended {}, how {}", bad ? "bad" : "good", service, m.state, how));
+  y.require(
+      m.state == (bad ? "rolled_back" : "completed"),
+      fmt::format("{} v2 of {} ended in state {}, defect {}", bad ? "bad" : "good", service, m.state, how));
   if (m.state == "completed")
     for (auto* instance : old) instance->alive = false;
   if (m.state == "rolled_back") {
@@ -222,8 +224,8 @@
   }
   y.fleet.sleep(Duration(4000));
 }
-// Half of the acknowledgements to the operator are lost, and it sends the same again. The
-// rollout comes alone, since a change of routes takes away what a good version is judged by.
+// Half of the acknowledgements to the operator are lost, and it sends the same requests again. The rollout
+// runs alone, because a change of routes removes the traffic that a good version is judged by.
 void ack_lost(Day& y) {
   y.operator_stub.lost_permille = 500;
   int left = 2;
@@ -233,12 +235,12 @@
       --left;
     });
   y.require(y.fleet.wait_until(Duration(40000), [&] { return left == 0; }),
-            "the operator's work did not end");
+            "the operator actions did not finish");
   rollout(y, false);
   y.operator_stub.lost_permille = 0;
 }
 
-// An operator's work, something that befalls machines and workers that misbehave, at once.
+// Runs an operator action, a machine fault and a backend fault at the same time.
 void send_random_request(Day& y) {
   static const char* const orders[] = {"config_change", "purge", "release", "rollout_bad", "scale_in"};
   static const char* const machines[] = {"node_kill", "herd_kill", "roll_term", "srv_crash"};
@@ -249,7 +251,8 @@
       fault_kinds().at(n).run(y);
       --left;
     });
-  y.require(y.fleet.wait_until(Duration(50000), [&] { return left == 0; }), "the mixed troubles did not end");
+  y.require(y.fleet.wait_until(Duration(50000), [&] { return left == 0; }),
+            "the mixed faults did not finish");
   y.min_served_share = 0.5;
 }
 }  // namespace
--- a/test/platform/machine_kinds.cpp
+++ b/test/platform/machine_kinds.cpp
@@ -1,4 +1,4 @@
-// What befalls machines, clocks and links, and the faults that close a day.
+// Faults of machines, clocks and links, and the final faults of a scenario.
 #include <fmt/format.h>
 
 #include "platform/day.hpp"
@@ -23,7 +23,7 @@
   y.min_served_share = 0.6;
 }
 
-// The machine that acknowledges a change is gone within four milliseconds.
+// Kills the machine that acknowledged a change within four milliseconds.
 void after_ack(Day& y, bool wipe) {
   for (int i = 0; i < 3; ++i) {
     auto old = y.configuration;
@@ -35,7 +35,7 @@
     y.note_machine_fault(by);
     y.fleet.kill(by);
     if (wipe) y.fleet.wipe(by);
-    y.require(ok, "a configuration was not taken");
+    y.require(ok, "a configuration was not acknowledged");
     y.fleet.sleep(Duration(500 + y.below(1500)));
     y.note_machine_fault(by);
     y.fleet.start(by);
@@ -120,7 +120,7 @@
   y.fleet.sleep(Duration(5000));
 }
 
-// All are killed, and the order comes while they start.
+// Kills all machines and sends a rollout while they start.
 void order_at_start(Day& y) {
   y.journal.unplanned = true;
   for (int i = 0; i < 4; ++i) y.platform_stub.add("huvo", "v2");
@@ -130,23 +130,23 @@
   y.fleet.start_all();
   y.fleet.sleep(Duration(y.below(400)));
   y.require(y.operator_stub.roll_out_version("huvo", "v2", Duration(12000), false),
-            "a rollout was not taken by relays that just started");
+            "relays that had just started did not acknowledge a rollout");
   y.fleet.sleep(Duration(2000));
   std::string version;
   auto st = y.operator_stub.rollout_state("huvo", &version);
-  y.require(!st.empty() && version == "v2", fmt::format("the rollout reads {} {}", version, st));
+  y.require(!st.empty() && version == "v2", fmt::format("the rollout is read back as {} {}", version, st));
   y.min_served_share = 0.5;
 }
 
-// Right after one more change was acknowledged.
+// Injects a fleet-wide fault right after one more change was acknowledged.
 void closing(Day& y, int how) {
   for (int i = 0; i < 4; ++i) y.platform_stub.add("huvo", "v2");
   y.fleet.sleep(Duration(2000));
   y.require(y.operator_stub.roll_out_version("huvo", "v2", Duration(12000), false),
-            "a rollout was not taken");
+            "a rollout was not acknowledged");
   auto old = y.configuration;
   y.configuration = next_configuration(old, old.revision + 2, 5 * y.below(100));
-  y.require(y.operator_stub.put(y.configuration), "the last configuration was not taken");
+  y.require(y.operator_stub.put(y.configuration), "the last configuration was not acknowledged");
   y.journal.unplanned = true;
   y.journal.closed = y.world.now();
   y.fleet.sleep(Duration(y.below(4)));
@@ -163,9 +163,9 @@
   std::string version;
   auto st = y.operator_stub.rollout_state("huvo", &version);
   y.require(!st.empty() && version == "v2",
-            fmt::format("LOST: the rollout reads {} {} after the closing fault", version, st));
+            fmt::format("LOST: the rollout is read back as {} {} after the final fault", version, st));
   y.require((y.clients.served - served) * 4 >= (y.clients.wanted - wanted),
-            "less than a quarter is served 15 s after all were back");
+            "less than a quarter of the requests are served 15 s after all machines restarted");
   y.min_served_share = 0.3;
 }
 }  // namespace
--- a/test/platform/main.cpp
+++ b/test/platform/main.cpp
@@ -1,17 +1,17 @@
-// Days of the stand-in platform: `platform_test --case_name KIND --seeds N`; `--seed N`
-// plays one again to the letter. Odd seeds have twelve relays, even ones seven.
+// Runs scenarios of the simulated platform: `platform_test --case_name KIND --seeds N`. `--seed N`
+// reproduces one exactly. Odd seeds have twelve relays, even ones seven.
 #include <gflags/gflags.h>
 #include <unistd.h>
 
 #include "base/log.hpp"
 #include "platform/day.hpp"
 
-DEFINE_string(case_name, "", "only the kind of this name, or all whose name contains this");
-DEFINE_uint64(seed, 0, "only this seed; 0: the first --seeds of them");
+DEFINE_string(case_name, "", "only the kind with this name, or all kinds whose names contain it");
+DEFINE_uint64(seed, 0, "only this seed; 0: seeds 1 to --seeds");
 DEFINE_int32(seeds, 2, "how many seeds each kind runs");
-DEFINE_string(log_level, "error", "of the product's parts");
-DEFINE_int32(load, 1, "times the requests that a kind has");
-DEFINE_bool(figures, false, "print what each kind met");
+DEFINE_string(log_level, "error", "log level of the product's code");
+DEFINE_int32(load, 1, "factor on the request rate of each kind");
+DEFINE_bool(figures, false, "print the counters of each kind");
 
 using namespace dunlinwing;
 
@@ -35,7 +35,7 @@
                         }
                       for (auto& m : meets)
                         if (!FLAGS_seed && !sum["met_" + m])
-                          bad += (bad.empty() ? "" : "\n") + m + " was never met";
+                          bad += (bad.empty() ? "" : "\n") + m + " never occurred";
                       if (FLAGS_figures) {
                         std::cout << name << ":";
                         for (auto& [k, v] : sum) std::cout << " " << k << " " << v;
@@ -45,5 +45,5 @@
                     }});
   int rc = test::run_all(cs, FLAGS_case_name);
   std::cout.flush();
-  ::_exit(rc);  // the fiber scheduler of this thread has no more to do
+  ::_exit(rc);  // skips the shutdown of this thread's fiber scheduler, which has no work left
 }
--- a/test/platform/operator.cpp
+++ b/test/platform/operator.cpp
@@ -1,4 +1,4 @@
-// An order is sent again unchanged, to any node, until its answer is clear.
+// A request is sent again unchanged, to any node, until it gets a definite response.
 #include <fmt/format.h>
 
 #include "platform/operators_and_clients.hpp"
--- a/test/platform/operators_and_clients.hpp
+++ b/test/platform/operators_and_clients.hpp
@@ -1,5 +1,5 @@
-// Stand-in clients and operator: what they send, how long they wait, when they try
-// again, all as the users' page has it.
+// Simulated clients and operator: what they send, how long they wait and when they retry, as specified by the
+// users' protocol page.
 #pragma once
 #include "platform/platform_stub.hpp"
 
@@ -8,14 +8,14 @@
 class Clients {
  public:
   Clients(simulation::Fleet& fleet, EventJournal& journal) : fleet_(fleet), journal_(journal) {}
-  void poll_readiness();  // keeps asking every node whether it is ready
+  void poll_readiness();  // polls the readiness of every node
   void generate_traffic(const OperatorConfiguration& configuration, int per_second, TimePoint until);
-  void probe(const std::string& host, const std::string& target);  // to each node that takes clients
+  void probe(const std::string& host, const std::string& target);  // sends one request to each ready node
   void use_configuration(const OperatorConfiguration& configuration) {
     configuration_ = configuration;
-  }                                 // from now on clients want what it offers
-  bool impatient = false;           // do not wait as told
-  uint64_t wanted = 0, served = 0;  // requests, their tries taken together
+  }                                 // clients request its routes from now on
+  bool impatient = false;           // ignores Retry-After
+  uint64_t wanted = 0, served = 0;  // requests, not counting retries
   bool all_finished() const;
 
  private:
@@ -32,16 +32,16 @@
 class Operator {
  public:
   Operator(simulation::Fleet& fleet, EventJournal& journal) : fleet_(fleet), journal_(journal) {}
-  bool put(const OperatorConfiguration& configuration);  // sent until it gets a clear answer
-  // The status of the clear answer; 0 when none came in `most`.
+  bool put(const OperatorConfiguration& configuration);  // retries until it gets a definite response
+  // Returns the status of the definite response; 0 when there was none within `most`.
   int put_text(const std::string& what, const OperatorConfiguration& configuration, const std::string& text,
                bool valid, Duration most = Duration(20000));
   bool purge(const std::string& host, const std::string& path, const std::string& tag);
   bool roll_out_version(const std::string& service, const std::string& version, Duration within, bool bad);
   std::string rollout_state(const std::string& service, std::string* version = nullptr);
   void read_back(Duration over);
-  std::string last_by;    // who took the last order
-  int lost_permille = 0;  // of acknowledgements, on their way back to the operator
+  std::string last_by;    // the node that acknowledged the last request
+  int lost_permille = 0;  // share of acknowledgements that are lost before they reach the operator
 
  private:
   std::pair<int, std::string> call(const std::string& method, const std::string& target,
--- a/test/platform/page.cpp
+++ b/test/platform/page.cpp
@@ -1,4 +1,4 @@
-// The words are those of the users' page on what is spoken, told anew.
+// The names are those of the users' protocol page.
 #include "platform/page.hpp"
 
 #include <fmt/format.h>
@@ -109,7 +109,7 @@
                                                                uint64_t revision) {
   OperatorConfiguration configuration = from;
   configuration.revision = revision;
-  // A route of its own tells whether any of it came in force.
+  // An additional route shows whether any part of the configuration came into force.
   configuration.routes.push_back(
       {"r-bad", "bad.example", "/bad/", "idempotent", 1.5, 0.2, 0, 1, 2, {{"wuno", 1}}});
   auto with = [&](auto change) {
--- a/test/platform/page.hpp
+++ b/test/platform/page.hpp
@@ -1,4 +1,4 @@
-// A configuration as the stand-in operator means it, and in the words it is put in.
+// A configuration of the simulated operator, and its text in the platform's format.
 #pragma once
 #include <optional>
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace dunlinwing::test {
 
-struct OperatorRoute {                   // a route
+struct OperatorRoute {
   std::string name, host, prefix, kind;  // kind: idempotent, non_idempotent, cacheable
   double timeout_s = 1.5, latency_target_s = 0.2, cache_ttl_s = 0;
   int priority = 1, attempts = 2;
@@ -30,13 +30,13 @@
   bool routes_to(const std::string& host, const std::string& target, const std::string& service) const;
 };
 
-// The first configuration of a day; and one step on from it: a route added, dropped or
-// led elsewhere, a split, a time-out.
+// The first configuration of a scenario, and one with a single change: a route added, removed or sent to
+// another service, a changed split or timeout.
 OperatorConfiguration first_configuration(double rate = 0);
 OperatorConfiguration next_configuration(const OperatorConfiguration& configuration, uint64_t revision,
                                          uint64_t dice);
 
-// What must be turned away: its name, and the text, which would stand under `revision`.
+// Invalid configurations that must be rejected: a name, and the text, with the number `revision`.
 std::vector<std::pair<std::string, std::string>> invalid_texts(const OperatorConfiguration& configuration,
                                                                uint64_t revision);
 
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -1,5 +1,5 @@
-// An answer is made once, written down with its stamp, and only then spoilt, cut or
-// lost on its way.
+// A response is created once and recorded with its signature; only then may it be corrupted, truncated or
+// lost.
 #include "platform/platform_stub.hpp"
 
 #include <fmt/format.h>
@@ -81,7 +81,7 @@
         instance.service, instance.address, instance.zone, instance.version, instance.slots,
         draining ? "draining" : "ready", static_cast<double>(cold) / 1000, ++instance.calls);
   Duration pause{50};
-  // An end is said for some seconds, a beat to a few nodes.
+  // A deregistration is retried for some seconds, a heartbeat at a few nodes.
   TimePoint from = world.now();
   for (int i = 0; instance.alive && (i < 5 || (draining && world.now() < from + kAck)); ++i) {
     auto& hosts = fleet_.hosts();
@@ -170,7 +170,7 @@
   auto* instance = at(address);
   if (!instance) return base::AttemptError::unsent;
   if (instance->unreachable) {
-    bool kept = world.below(3) == 0;  // on a connection that stood already it is sent into the dark
+    bool kept = world.below(3) == 0;  // sent on a connection that was already open: no error, no response
     sleep(kept ? rules.timeout
                : std::min(rules.timeout,
                           rules.connect_timeout > Duration(0) ? rules.connect_timeout : rules.timeout));
@@ -241,7 +241,7 @@
   if (world.random(instance->spoil_permille))
     return ++world.faults_met["answer_spoilt"], base::AttemptError::unknown;
   if (instance->late) {
-    // The one before comes where this one is due; the caller of the port may be able to tell.
+    // The previous response arrives in place of this one; the caller may be able to detect it.
     auto before = *std::exchange(instance->late, {});
     ++world.faults_met["answer_extra"];
     if (rules.is_own_response && !rules.is_own_response(before) && world.below(2))
--- a/test/platform/platform_stub.hpp
+++ b/test/platform/platform_stub.hpp
@@ -1,5 +1,5 @@
-// Stand-in workers: they run what they are sent, or say that they did not, keep
-// objects that change, beat, drain, crash, and misbehave as they are told to.
+// Simulated backend instances: they execute requests or report that they did not, serve objects that change,
+// send heartbeats, drain, crash and inject faults as configured.
 #pragma once
 #include "platform/event_journal.hpp"
 #include "simulation/fleet.hpp"
@@ -14,9 +14,11 @@
   int slowdown = 1;
   TimePoint warm_at{0};
   uint64_t calls = 0;
-  int lose_permille = 0, cut_permille = 0, spoil_permille = 0, extra_permille = 0;  // in a thousand
-  std::function<int(const std::string& target)> bad;  // times slower, 0: it fails; for bad versions
-  std::optional<base::Response> late;                 // an answer too many, not yet sent
+  int lose_permille = 0, cut_permille = 0, spoil_permille = 0,
+      extra_permille = 0;  // fault rates, in requests per thousand
+  std::function<int(const std::string& target)>
+      bad;                             // of a bad version: slowdown factor; 0: the request fails
+  std::optional<base::Response> late;  // a surplus response, not yet sent
 };
 
 class PlatformStub {
@@ -28,11 +30,11 @@
   bool stands(const std::string& address);
   StubInstance& add(const std::string& service, const std::string& version = "v1",
                     Duration cold = Duration(0), const std::string& address = {});
-  void drain(StubInstance& instance);  // says so, serves on, says that it has ended, and ends
+  void drain(StubInstance& instance);  // reports draining, keeps serving, deregisters, and stops
   void crash(StubInstance& instance, bool dark = false);
   std::vector<StubInstance*> of(const std::string& service, const std::string& version = {});
-  void change(const std::string& target);  // an object is replaced
-  std::map<std::string, double> rates;     // requests a second that a service takes
+  void change(const std::string& target);  // replaces an object
+  std::map<std::string, double> rates;     // requests per second that a service accepts
 
  private:
   void send_heartbeats(StubInstance& instance);
--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -1,6 +1,6 @@
-// Each rule is one function over the diary. A request may be handled as any of the
-// configurations says that may be in force where it came in: from the newest that was
-// acknowledged long enough before it was sent, to whatever was sent by the time it ran.
+// Each rule is one function over the event journal. A request may be handled according to any configuration
+// that may be in force at its node: from the newest that was acknowledged long enough before the request was
+// sent, to any that was sent by the time the request was executed.
 #include "platform/rules.hpp"
 
 #include <fmt/format.h>
@@ -33,11 +33,12 @@
       if (!t.complete) continue;
       auto& response = t.response;
       auto told = base::header(response.headers, "Attempt-Id");
-      if (!told.empty() && told != id) say("MIXED", fmt::format("{} got the answer to {}", id, told));
+      if (!told.empty() && told != id) say("MIXED", fmt::format("{} got the response to {}", id, told));
       if (response.status / 100 != 2) continue;
       auto f = journal.stamped_responses.find(base::header(response.headers, "Edge-Signature"));
       if (f == journal.stamped_responses.end()) {
-        say("MIXED", fmt::format("a success without a worker's stamp at {} {}", t.relay, t.target));
+        say("MIXED",
+            fmt::format("a success without the signature of a backend instance at {} {}", t.relay, t.target));
         continue;
       }
       auto& m = f->second;
@@ -49,11 +50,11 @@
         body = first <= last && last < m.body.size() ? m.body.substr(first, last - first + 1) : "?";
       }
       if (response.body != body)
-        say("MIXED",
-            fmt::format("not the worker's whole body for {} at {}: {}", t.target, t.relay, response.body));
+        say("MIXED", fmt::format("not the complete body of the backend instance for {} at {}: {}", t.target,
+                                 t.relay, response.body));
       if (m.target != t.target || (!m.object && m.id != id))
-        say("MIXED", fmt::format("{} {} got what was made for {} {}", id, t.target, m.id, m.target));
-      if (m.failed) say("MIXED", "a failure came as a success");
+        say("MIXED", fmt::format("{} {} got the response created for {} {}", id, t.target, m.id, m.target));
+      if (m.failed) say("MIXED", "a failure was reported as a success");
     }
   }
 
@@ -83,7 +84,7 @@
     }
   }
 
-  // Configurations that may hold for a request sent at `sent` and handled at `at`.
+  // Configurations that may be in force for a request sent at `sent` and handled at `at`.
   std::vector<const StatedConfiguration*> may_hold(TimePoint sent, TimePoint at) const {
     uint64_t least = 0;
     for (auto& s : journal.configurations)
@@ -135,7 +136,8 @@
       say("DENIED", fmt::format("{} times, such as {}", denied, which));
   }
 
-  // Within one life a machine never handles a request as only an older one than it has shown allows.
+  // While a process runs, it never handles a request in a way that only a configuration older than one it has
+  // already applied allows.
   void back() {
     struct Shown {
       uint64_t least = 0;
@@ -156,8 +158,8 @@
       auto& v = shown[attempt->process];
       for (auto& x : v)
         if (attempt->sent > x.at + kRevert && most < x.least)
-          say("CONFIG", fmt::format("back at {}: {} of {} after {} was seen", attempt->relay, attempt->target,
-                                    most, x.least));
+          say("CONFIG", fmt::format("reverted at {}: {} handled by configuration {} after {} was in use",
+                                    attempt->relay, attempt->target, most, x.least));
       if (v.empty() || least > v.back().least) v.push_back({least, a.at});
     }
   }
@@ -170,28 +172,29 @@
       return n;
     };
     for (auto& s : journal.configurations) {
-      if (!s.valid && s.acknowledged) say("CONFIG", "acknowledged though invalid: " + s.what);
+      if (!s.valid && s.acknowledged) say("CONFIG", "invalid, but acknowledged: " + s.what);
       if (!s.valid && s.rejections / 100 != 4)
-        say("CONFIG", fmt::format("invalid, and {} to it: {}", s.rejections, s.what));
+        say("CONFIG", fmt::format("invalid, but got status {}: {}", s.rejections, s.what));
       if (s.valid && s.rejections / 100 == 4)
-        say("CONFIG", fmt::format("valid, and {} to it: {}", s.rejections, s.what));
+        say("CONFIG", fmt::format("valid, but got status {}: {}", s.rejections, s.what));
     }
     for (auto& s : journal.configurations)
       for (auto& t : journal.configurations) {
         bool confirmed = s.valid && t.valid && s.acknowledged && t.acknowledged && s.text != t.text;
         if (confirmed && s.configuration.revision == t.configuration.revision &&
             *s.acknowledged <= *t.acknowledged && newest(*t.acknowledged) == t.configuration.revision)
-          say("CONFIG", fmt::format("two contents are confirmed under {}", t.configuration.revision));
+          say("CONFIG", fmt::format("two configurations are acknowledged under the number {}",
+                                    t.configuration.revision));
       }
-    for (auto& r : journal.rejected_again) say("CONFIG", "acknowledged, sent again and refused: " + r);
+    for (auto& r : journal.rejected_again) say("CONFIG", "acknowledged, but rejected when sent again: " + r);
     if (newest(TimePoint::max()) && journal.read_back.empty())
-      say("CONFIG", "it does not come when read back");
+      say("CONFIG", "no configuration could be read back");
     for (auto& [n, text, asked] : journal.read_back) {
       if (n < newest(asked))
-        say("CONFIG", fmt::format("{} is read back, and {} was acknowledged", n, newest(asked)));
+        say("CONFIG", fmt::format("{} is read back although {} was acknowledged", n, newest(asked)));
       if (std::none_of(journal.configurations.begin(), journal.configurations.end(),
                        [&](auto& s) { return s.valid && s.text == text; }))
-        say("CONFIG", fmt::format("what is read back under {} was never sent", n));
+        say("CONFIG", fmt::format("the content read back under {} was never sent", n));
     }
   }
 
@@ -201,8 +204,8 @@
       for (auto& a : journal.arrivals)
         if (a.instance == l.instance && !a.wrong_instance && a.at > l.at + kDrain &&
             in_touch(journal, a.node, a.at))
-          say("DRAIN", fmt::format("{} got a request from {} {} ms after {} took its word", a.instance,
-                                   a.node, (a.at - l.at).count(), l.by));
+          say("DRAIN", fmt::format("{} got a request from {} {} ms after {} acknowledged its deregistration",
+                                   a.instance, a.node, (a.at - l.at).count(), l.by));
     }
   }
 
@@ -233,7 +236,7 @@
         auto from = v[i] - kWindow;
         double most = 0.2 * std::max({in(from), in(from - kWindow), in(from - kWindow / 2)}) + 64;
         if (static_cast<double>(i - j + 1) > most) {
-          say("BUDGET", fmt::format("{}: {} further arrivals in ten seconds, {:.0f} allowed", service,
+          say("BUDGET", fmt::format("{}: {} repeated arrivals in ten seconds, {:.0f} allowed", service,
                                     i - j + 1, most));
           break;
         }
@@ -256,10 +259,11 @@
         if (here && fiftieth && attempt && attempt->sent > *fiftieth + kRollback &&
             (journal.core_faults.empty() || journal.core_faults.back() < *fiftieth) &&
             in_touch(journal, a.node, a.at))
-          say("EXPOSURE", fmt::format("{} still gets requests {} ms after its 50th bad answer", m.version,
+          say("EXPOSURE", fmt::format("{} still gets requests {} ms after its 50th bad response", m.version,
                                       (attempt->sent - *fiftieth).count()));
       }
-      if (mine > 0.1 * all + 50) say("EXPOSURE", fmt::format("{} got {} of {}", m.version, mine, all));
+      if (mine > 0.1 * all + 50)
+        say("EXPOSURE", fmt::format("{} got {} of {} requests", m.version, mine, all));
     }
   }
 
@@ -302,7 +306,8 @@
       for (size_t i = 0, j = 0; i < v.size(); ++i) {
         while (v[j] + kCeiling <= v[i]) ++j;
         if (static_cast<double>(i - j + 1) > rate * 5 * 1.1 + 5) {
-          say("CEILING", fmt::format("{} got {} in five seconds, its rate is {}", service, i - j + 1, rate));
+          say("CEILING", fmt::format("{} got {} requests in five seconds, its rate is {} per second", service,
+                                     i - j + 1, rate));
           break;
         }
       }
@@ -315,7 +320,7 @@
       bool planned = std::any_of(journal.terminations.begin(), journal.terminations.end(), [&](auto& x) {
         return x.second == t.relay && t.ended >= x.first && t.ended < x.first + Duration(7000);
       });
-      if (planned) say("LOST", fmt::format("{} was broken off at {} by its planned end", id, t.relay));
+      if (planned) say("LOST", fmt::format("{} was aborted at {} by a planned shutdown", id, t.relay));
     }
   }
 
@@ -325,7 +330,7 @@
                                [&](TimePoint t) { return t > l.sent - kContact && t < l.ended; });
       for (auto& [n, v] : journal.machine_faults)
         for (auto t : v) calm &= t <= l.sent - kContact || t >= l.ended;
-      if (calm) say("ACKS", l.what + " had no acknowledgement in four calm seconds");
+      if (calm) say("ACKS", l.what + " was not acknowledged in four seconds without faults");
     }
   }
 };
--- a/test/platform/rules.hpp
+++ b/test/platform/rules.hpp
@@ -1,4 +1,4 @@
-// The users' rules, judged from the diary alone, by the names that they have there.
+// Checks the users' rules, under the users' names for them, from the event journal alone.
 #pragma once
 #include "platform/event_journal.hpp"
 
