--- a/test/unit/platform/rules_test.cpp
+++ b/test/unit/platform/rules_test.cpp
@@ -1,5 +1,5 @@
-// Each rule of the stand-in platform has to be able to fire: one diary that breaks it
-// alone, made out of one that breaks none.
+// Each rule of the simulated platform must be able to fail: an event journal that violates only this rule is
+// derived from a journal that violates none.
 #include "platform/rules.hpp"
 
 #include <algorithm>
@@ -33,7 +33,7 @@
           true, false,    false};
 }
 
-// One configuration, acknowledged long ago, and one request of each kind, well served.
+// One configuration, acknowledged long before, and one successful request of each kind.
 EventJournal good() {
   EventJournal d;
   auto p = first_configuration(10);
@@ -85,16 +85,19 @@
 
 std::vector<Case> platform_rules_cases() {
   return {
-      {"platform rules: a good day breaks none",
+      {"platform rules: a good journal violates none",
        [] { same(first_broken(good()), std::string("none"), "rules"); }},
       {"platform rules: MIXED",
        [] {
-         fires("MIXED", "no stamp", [](EventJournal& d) { d.attempts["ide"].response.headers.pop_back(); });
-         fires("MIXED", "another's id",
+         fires("MIXED", "no signature",
+               [](EventJournal& d) { d.attempts["ide"].response.headers.pop_back(); });
+         fires("MIXED", "the id of another request",
                [](EventJournal& d) { d.attempts["ide"].response.headers[0].value = "non"; });
-         fires("MIXED", "cut short", [](EventJournal& d) { d.attempts["ide"].response.body.pop_back(); });
-         fires("MIXED", "a failure", [](EventJournal& d) { d.stamped_responses["s-ide"].failed = true; });
-         fires("MIXED", "another's answer", [](EventJournal& d) {
+         fires("MIXED", "a truncated body",
+               [](EventJournal& d) { d.attempts["ide"].response.body.pop_back(); });
+         fires("MIXED", "a failure reported as a success",
+               [](EventJournal& d) { d.stamped_responses["s-ide"].failed = true; });
+         fires("MIXED", "the response to another request", [](EventJournal& d) {
            d.attempts["ide"].response = d.attempts["non"].response;
            d.attempts["ide"].response.headers[0].value = "ide";
          });
@@ -107,18 +110,18 @@
        }},
       {"platform rules: UNASKED, TWICE, REFUSED",
        [] {
-         fires("UNASKED", "an id that nobody sent", [](EventJournal& d) { d.arrivals[0].id = "?"; });
+         fires("UNASKED", "an id that no client sent", [](EventJournal& d) { d.arrivals[0].id = "?"; });
          fires("UNASKED", "a changed body", [](EventJournal& d) { d.arrivals[1].body = "?"; });
-         fires("TWICE", "it ran again", [](EventJournal& d) { d.arrivals.push_back(d.arrivals[1]); });
-         fires("REFUSED", "a promise", [](EventJournal& d) {
+         fires("TWICE", "executed again", [](EventJournal& d) { d.arrivals.push_back(d.arrivals[1]); });
+         fires("REFUSED", "rejected, but executed", [](EventJournal& d) {
            d.attempts["non"].response = {503, {{"Attempt-Id", "non"}}, ""};
          });
-         fires("none", "a repeatable one may run again",
+         fires("none", "an idempotent request may be executed again",
                [](EventJournal& d) { d.arrivals.push_back(d.arrivals[0]); });
        }},
       {"platform rules: ROUTE and CONFIG",
        [] {
-         fires("ROUTE", "a service that no configuration names there",
+         fires("ROUTE", "a service that no configuration has for this route",
                [](EventJournal& d) { d.arrivals[0].service = "huvo"; });
          auto second = [](EventJournal& d, int64_t sent) {
            auto p = first_configuration(10);
@@ -130,23 +133,23 @@
          };
          fires("CONFIG", "late", [&](EventJournal& d) { second(d, 7000); });
          fires("none", "not yet late", [&](EventJournal& d) { second(d, 8500); });
-         fires("none", "late, by a machine that was not in touch",
+         fires("none", "late, at a machine with a recent fault",
                [&](EventJournal& d) { second(d, 7000), d.machine_faults["e1"] = {at(8000)}; });
-         fires("CONFIG", "back", [&](EventJournal& d) {
+         fires("CONFIG", "reverted to an older configuration", [&](EventJournal& d) {
            second(d, 8500);
            auto t = asked("new", "idempotent", "/get/2", 9500, 503);
            t.response.headers.pop_back();
            d.attempts["new"] = t;
            d.arrivals.insert(d.arrivals.begin(), ran(t, "huvo"));
          });
-         fires("CONFIG", "a route that is there gets 404", [&](EventJournal& d) {
+         fires("CONFIG", "an existing route returns 404", [&](EventJournal& d) {
            second(d, 1000);
            d.arrivals[0].service = "huvo";
            auto t = asked("new", "idempotent", "/new/2", 9500, 404);
            t.host = "c.example";
            d.attempts["new"] = t;
          });
-         fires("CONFIG", "an older one is read back", [&](EventJournal& d) {
+         fires("CONFIG", "an older configuration is read back", [&](EventJournal& d) {
            second(d, 60), d.arrivals[0].service = "huvo",
                           d.read_back[0] = {3, d.configurations[0].text, at(60000)};
          });
@@ -158,30 +161,31 @@
            d.configurations.push_back({p, p.text(), "other", "h1", true, at(100), {}, 0});
            return d.configurations.back();
          };
-         fires("none", "another content under a number gets no clear answer",
+         fires("none", "other content under the same number gets no definite response",
                [&](EventJournal& d) { other_content(d); });
-         fires("CONFIG", "another content under a number is confirmed",
+         fires("CONFIG", "other content under the same number is acknowledged",
                [&](EventJournal& d) { other_content(d).acknowledged = at(200); });
-         fires("CONFIG", "what was acknowledged is sent again and refused",
+         fires("CONFIG", "an acknowledged configuration is rejected when sent again",
                [](EventJournal& d) { d.rejected_again.push_back("PUT /configuration: 409"); });
          auto invalid = [](EventJournal& d) -> StatedConfiguration& {
            d.configurations.push_back({{}, "x", "bad", "h1", false, at(5000), {}, 400});
            return d.configurations.back();
          };
-         fires("none", "an invalid one is refused", [&](EventJournal& d) { invalid(d); });
-         fires("CONFIG", "an invalid one is acknowledged",
+         fires("none", "an invalid configuration is rejected", [&](EventJournal& d) { invalid(d); });
+         fires("CONFIG", "an invalid configuration is acknowledged",
                [&](EventJournal& d) { invalid(d).acknowledged = at(5010); });
-         fires("CONFIG", "an invalid one gets no 4xx", [&](EventJournal& d) { invalid(d).rejections = 503; });
+         fires("CONFIG", "an invalid configuration gets no 4xx",
+               [&](EventJournal& d) { invalid(d).rejections = 503; });
        }},
       {"platform rules: DRAIN",
        [] {
          fires("DRAIN", "after the bound", [](EventJournal& d) {
            d.deregistrations.push_back({"i-1", "h1", at(7900)});
          });
-         fires("none", "within it", [](EventJournal& d) {
+         fires("none", "within the bound", [](EventJournal& d) {
            d.deregistrations.push_back({"i-1", "h1", at(8300)});
          });
-         fires("none", "told to a machine out of touch", [](EventJournal& d) {
+         fires("none", "deregistered at a machine with a recent fault", [](EventJournal& d) {
            d.deregistrations.push_back({"i-1", "h1", at(7900)}), d.machine_faults["h1"] = {at(6000)};
          });
        }},
@@ -191,16 +195,18 @@
                [](EventJournal& d) { crowd(d, "idempotent", "/get/1", "wuno", 200, 2, 20000, 20); });
          fires("none", "each sent once",
                [](EventJournal& d) { crowd(d, "idempotent", "/get/1", "wuno", 200, 1, 20000, 20); });
-         fires("CEILING", "an origin of ten a second",
+         fires("CEILING", "an origin limited to ten requests per second",
                [](EventJournal& d) { crowd(d, "cacheable", "/obj/1", "huvo", 100, 1, 20000, 40); });
          auto move = [](EventJournal& d, int n, bool all_bad) {
            d.version_rollouts.push_back(
                {"wuno", "v2", "rolled_back", true, at(20000), at(32000), at(20010), at(31000)});
            crowd(d, "idempotent", "/get/1", "wuno", n, 1, 20100, 100, "v2", all_bad);
          };
-         fires("EXPOSURE", "more than a tenth and fifty", [&](EventJournal& d) { move(d, 70, false); });
+         fires("EXPOSURE", "more than a tenth of the requests plus fifty",
+               [&](EventJournal& d) { move(d, 70, false); });
          fires("none", "less", [&](EventJournal& d) { move(d, 50, false); });
-         fires("EXPOSURE", "after its fiftieth bad answer", [&](EventJournal& d) { move(d, 110, true); });
+         fires("EXPOSURE", "requests after its fiftieth bad response",
+               [&](EventJournal& d) { move(d, 110, true); });
        }},
       {"platform rules: STALE",
        [] {
@@ -213,20 +219,20 @@
          fires("STALE", "two seconds after a purge", purged(7000, 8000));
          fires("none", "sooner", purged(7000, 8300));
          fires("none", "replaced after the purge", purged(9000, 8000));
-         fires("STALE", "past its life and two seconds",
+         fires("STALE", "two seconds past its lifetime",
                [](EventJournal& d) { d.replaced["/obj/1"] = {at(2000)}; });
        }},
-      {"platform rules: LOST and late orders",
+      {"platform rules: LOST and ACKS",
        [] {
          auto lost = [](EventJournal& d) {
            d.attempts["ide"].complete = false, d.terminations = {{at(9900), "e1"}};
          };
-         fires("LOST", "by a planned end", lost);
-         fires("none", "in unplanned trouble", [&](EventJournal& d) { lost(d), d.unplanned = true; });
-         fires("ACKS", "four calm seconds", [](EventJournal& d) {
+         fires("LOST", "by a planned shutdown", lost);
+         fires("none", "during an unplanned fault", [&](EventJournal& d) { lost(d), d.unplanned = true; });
+         fires("ACKS", "four seconds without faults", [](EventJournal& d) {
            d.unacknowledged.push_back({"a purge", at(9000), at(13100)});
          });
-         fires("none", "the core was unsettled", [](EventJournal& d) {
+         fires("none", "the core was changing", [](EventJournal& d) {
            d.unacknowledged.push_back({"a purge", at(9000), at(13100)}), d.core_faults = {at(9500)};
          });
        }},
--- a/test/unit/platform/translation_test.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// platform/ as a translator: what each call becomes, what each response means, and that none of its names
-/// stands anywhere in the product.
+/// The translation in platform/: the calls it makes, how it classifies responses, and that the product
+/// contains none of the platform's names.
 #include <filesystem>
 #include <fstream>
 #include <random>
@@ -20,7 +20,7 @@
   std::string method, target, body;
 };
 
-/// Passes calls through the adapter to a product that gives each the same response.
+/// Passes calls through the adapter to a stub of the product that returns the same response to each.
 struct AdapterUnderTest {
   std::vector<ReceivedCall> received;  ///< by the product
   base::Response response{200, {}, "{}"};
@@ -38,7 +38,7 @@
                        const ReceivedCall& expected) {
   AdapterUnderTest adapter;
   same(adapter.call(method, target, body).status, 200, target);
-  expect(adapter.received.size() == 1, target + ": one call to the product");
+  expect(adapter.received.size() == 1, target + ": not exactly one call to the product");
   same(adapter.received[0].method + " " + adapter.received[0].target, expected.method + " " + expected.target,
        target);
   same(adapter.received[0].body, expected.body, target);
@@ -54,7 +54,7 @@
 void configuration_fields() {
   auto parsed = translate_and_parse(first_configuration(590));
   auto* valid = std::get_if<std::shared_ptr<const config::RoutingConfiguration>>(&parsed);
-  expect(valid, "the first page is valid");
+  expect(valid, "the first configuration is not valid");
   const auto& configuration = **valid;
   auto* cacheable = configuration.match("GET", "a.example:80", "/obj/1?q").route;
   expect(cacheable && cacheable->kind == config::RequestKind::cacheable &&
@@ -68,7 +68,7 @@
          "a split");
   auto* unsafe = configuration.match("POST", "a.example", "/post/1").route;
   expect(unsafe && unsafe->kind == config::RequestKind::unsafe && unsafe->weighted_services.size() == 1,
-         "a route that may run once");
+         "a non-idempotent route");
   expect(!configuration.match("GET", "c.example", "/get/1").route, "another host");
   expect(configuration.services.at("huvo").rate == 590 &&
              configuration.services.at("huvo").max_connections == 130 &&
@@ -85,11 +85,11 @@
     adapter.response = {422, {}, "{}"};
     auto status = adapter.call("PUT", "/configuration", text).status;
     same(status, 400, what);
-    if (adapter.received.empty()) continue;  // it could not be read at all
+    if (adapter.received.empty()) continue;  // it could not be parsed
     auto json = std::get<base::Json>(base::Json::parse(adapter.received[0].body));
     expect(std::holds_alternative<std::vector<base::ValidationError>>(
                config::parse_routing_configuration("x", json.at("content"))),
-           what + " is no valid configuration");
+           what + " was accepted as a valid configuration");
   }
 }
 
@@ -97,22 +97,22 @@
   auto source = first_configuration();
   AdapterUnderTest adapter;
   same(adapter.call("PUT", "/configuration", source.text()).status, 200, "put");
-  same(adapter.received[0].target, std::string("/v1/layouts/3"), "its number");
+  same(adapter.received[0].target, std::string("/v1/layouts/3"), "its revision number");
   auto json = std::get<base::Json>(base::Json::parse(adapter.received[0].body));
-  same(json.at("stated").string_or(), source.text(), "the text as it came");
+  same(json.at("stated").string_or(), source.text(), "the original text");
   adapter.response.body = adapter.received[0].body;
-  same(adapter.call("GET", "/configuration").body, source.text(), "the text as it came, read back");
+  same(adapter.call("GET", "/configuration").body, source.text(), "the original text, read back");
   adapter.response = {404, {}, "{}"};
   same(adapter.call("GET", "/configuration").status, 404, "none yet");
   adapter.response = {503, {}, "{}"};
   same(adapter.call("PUT", "/configuration", source.text()).status, 503, "no majority");
   adapter.response = {409, {}, "{}"};
   auto contested = adapter.call("PUT", "/configuration", source.text());
-  same(contested.status, 503, "held under this number with other content");
-  same(base::header(contested.headers, "Retry-After"), std::string("1"), "when to come back");
+  same(contested.status, 503, "other content is recorded under this number");
+  same(base::header(contested.headers, "Retry-After"), std::string("1"), "the retry delay");
   adapter.response = {503, {{"Retry-After", "2"}}, "{}"};
   same(base::header(adapter.call("PUT", "/configuration", source.text()).headers, "Retry-After"),
-       std::string(), "none is passed on: another node may take the call at once");
+       std::string(), "Retry-After is not forwarded: another node may accept the call at once");
   same(adapter.call("POST", "/configuration", source.text()).status, 405, "another method");
 }
 
@@ -139,16 +139,16 @@
   adapter.response = {200, {}, R"({"state":"running","version":"v2","why":"x"})"};
   same(adapter.call("GET", "/rollouts/b").body, std::string(R"({"state":"running","target-revision":"v2"})"),
        "a version rollout's state");
-  same(adapter.received[0].target, std::string("/v1/moves/b"), "where it is read");
+  same(adapter.received[0].target, std::string("/v1/moves/b"), "the resource that is read");
   adapter.response = {503, {}, "{}"};
   same(adapter.call("GET", "/readiness").status, 503, "not ready");
   for (const auto* bad : {"", "{", "[]"})
-    same(adapter.call("POST", "/rollouts", bad).status, 400, "a rollout that cannot be read");
-  same(adapter.call("PUT", "/instances/i-1", "{").status, 400, "a heartbeat that cannot be read");
+    same(adapter.call("POST", "/rollouts", bad).status, 400, "a rollout that cannot be parsed");
+  same(adapter.call("PUT", "/instances/i-1", "{").status, 400, "a heartbeat that cannot be parsed");
   adapter.response = {409, {}, "{}"};
   same(adapter.call("POST", "/rollouts", R"({"backend":"b","target-revision":"v2","rollout-within-s":1})")
            .status,
-       409, "one is under way");
+       409, "a rollout is in progress");
 }
 
 void other_paths() {
@@ -159,11 +159,11 @@
     auto response = adapter.call("GET", target);
     expect(response.status == 207 && response.body == "as it is" && adapter.received.size() == 1 &&
                adapter.received[0].target == target,
-           std::string(target) + " is the product's own");
+           std::string(target) + " was not passed through unchanged");
   }
 }
 
-/// A generator that draws the same numbers in each run.
+/// A random generator with a fixed seed.
 struct SeededRandom final : base::Random {
   std::mt19937_64 generator{1};
   uint64_t draw() override { return generator(); }
@@ -184,8 +184,9 @@
   expect_class(ResponseClass::good, 404, {{"Attempt-Id", "id1"}, {"Edge-Signature", "s"}});
   expect_class(ResponseClass::good, 304, {{"Attempt-Id", "id1"}});
   expect_class(ResponseClass::invalid, 200, {{"Attempt-Id", "id1"}});  // without the signature
-  expect_class(ResponseClass::invalid, 200, {{"Attempt-Id", "id0"}, {"Edge-Signature", "s"}});  // another's
-  expect_class(ResponseClass::invalid, 200, {{"Edge-Signature", "s"}});                         // nobody's
+  expect_class(ResponseClass::invalid, 200,
+               {{"Attempt-Id", "id0"}, {"Edge-Signature", "s"}});        // of another request
+  expect_class(ResponseClass::invalid, 200, {{"Edge-Signature", "s"}});  // without an id
   expect_class(ResponseClass::invalid, 200,
                {{"Attempt-Id", "id1"}, {"Edge-Signature", "s"}, {"Content-Encoding", "gzip"}});
   expect_class(ResponseClass::failed, 500, {{"Attempt-Id", "id1"}});
@@ -194,10 +195,11 @@
   for (int status : {400, 429, 503})
     expect_class(ResponseClass::not_executed, status, {{"Not-Executed", "1"}});
   for (int status : {408, 429, 503})
-    expect_class(ResponseClass::invalid, status,
-                 {{"Attempt-Id", "id1"}});  // promises that the instance did not make
+    expect_class(
+        ResponseClass::invalid, status,
+        {{"Attempt-Id", "id1"}});  // statuses that promise no execution, which the instance did not state
   expect_class(ResponseClass::invalid, 503,
-               {{"Attempt-Id", "id0"}, {"Not-Executed", "1"}});  // said of another request
+               {{"Attempt-Id", "id0"}, {"Not-Executed", "1"}});  // of another request
 }
 
 void prepared_requests() {
@@ -213,19 +215,19 @@
                          {"X-One", "1"},
                          {"X-Two", "2"}}};
   auto identity = adapter->read_identity(request, random);
-  expect(identity.id == "id1" && identity.remaining == Duration(480), "what a client says of itself");
+  expect(identity.id == "id1" && identity.remaining == Duration(480), "the identity of a request");
   request.id = identity.id;
   membership::BackendInstance instance{"i-1", "b", "v1", "z", "10.0.0.1:80"};
   adapter->prepare_request(request, {instance, "e1", 3, Duration(333)});
   auto value = [&](const char* name) { return base::header(request.headers, name); };
   expect(
       value("Attempt-Id") == "id1" && value("Time-Remaining") == "333" && value("Target-Instance") == "i-1",
-      "what a backend instance is told");
+      "headers sent to the backend instance");
   expect(value("X-One").empty() && value("Connection").empty() && value("X-Two") == "2",
-         "what concerns one connection goes");
+         "hop-by-hop headers are removed");
   base::Request bare{"", "GET", "/", "", {{"Time-Remaining", "soon"}}};
   auto anonymous = adapter->read_identity(bare, random);
-  expect(!anonymous.id.empty() && !anonymous.remaining, "nothing that can be read");
+  expect(!anonymous.id.empty() && !anonymous.remaining, "no header that can be parsed");
 }
 
 void local_and_stored_responses() {
@@ -237,7 +239,7 @@
   expect(base::header(adapter->local_response(502, "x", proxy::ReportedExecution::unknown, {}).headers,
                       "Retry-After")
              .empty(),
-         "none when it does not help");
+         "Retry-After without a delay");
   base::Response stored{
       200, {{"Attempt-Id", "first"}, {"Edge-Signature", "s"}, {"Connection", "close"}, {"ETag", "e"}}, "x"};
   adapter->strip_internal_headers(stored);
@@ -246,16 +248,16 @@
              base::header(stored.headers, "Edge-Signature") == "s" &&
              base::header(stored.headers, "Connection").empty() &&
              base::header(stored.headers, "ETag") == "e",
-         "a stored copy goes out under the id of who asks");
+         "a stored copy is returned with the id of the new request");
   base::Response with_load{200, {{"Server-Load", "3,1,8"}, {"Object-Tags", "t1 t2"}}, ""};
   auto load = adapter->reported_load(with_load);
   expect(load && load->running == 3 && load->waiting == 1 && load->slots == 8 &&
              adapter->cache_tags(with_load).size() == 2,
          "load and tags");
-  expect(!adapter->reported_load({200, {{"Server-Load", "3"}}, ""}), "a load that cannot be read");
+  expect(!adapter->reported_load({200, {{"Server-Load", "3"}}, ""}), "a load that cannot be parsed");
 }
 
-/// Comments too: the product does not know its users' platform.
+/// Checks the whole source text, comments included: the product must not depend on its users' platform.
 void no_platform_name_in_product() {
   namespace fs = std::filesystem;
   for (const auto& entry : fs::recursive_directory_iterator(std::string(DUNLINWING_DOCS) + "/../src")) {
@@ -270,21 +272,21 @@
           "route-type",       "target-latency-s", "max-attempts",    "cache-ttl-s",    "call-seq",
           "cold-remaining-s", "rollout-within-s", "target-revision", "beat-target"})
       expect(text.str().find(name) == std::string::npos,
-             fmt::format("{} stands in {}", name, entry.path().filename().string()));
+             fmt::format("{} occurs in {}", name, entry.path().filename().string()));
   }
 }
 }  // namespace
 
 std::vector<Case> platform_words_cases() {
   return {{"platform: a configuration's fields", configuration_fields},
-          {"platform: each invalid form is refused", invalid_configurations},
-          {"platform: a configuration goes in and comes back as it was", configuration_round_trip},
-          {"platform: heartbeats, ends, rollouts, purges and readiness", translated_calls},
-          {"platform: other paths are the product's own", other_paths},
-          {"platform: what a backend instance's response is", response_classes},
+          {"platform: each invalid form is rejected", invalid_configurations},
+          {"platform: a configuration is read back unchanged", configuration_round_trip},
+          {"platform: heartbeats, deregistrations, rollouts, purges and readiness", translated_calls},
+          {"platform: other paths pass unchanged", other_paths},
+          {"platform: classes of backend responses", response_classes},
           {"platform: requests are prepared", prepared_requests},
           {"platform: local responses, stored copies, load and tags", local_and_stored_responses},
-          {"platform: none of its names stands in the product", no_platform_name_in_product}};
+          {"platform: none of its names occurs in the product", no_platform_name_in_product}};
 }
 
 }  // namespace dunlinwing::test
