--- a/test/model/cases.hpp
+++ b/test/model/cases.hpp
@@ -1,4 +1,4 @@
-// The runs of the model: bounds, and for each guard the run that breaks without it.
+// The cases of the model: one for each set of bounds, and one for each guard, which fails without it.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,7 +9,7 @@
 
 enum class Size : uint8_t { ci, large };
 
-// One exploration. Without a guard it must find a violation, with all of them none.
+// One exploration. It must find a violation when a guard is left out, and none with all guards.
 struct ModelCase {
   std::string name;
   std::string without;  // the guard left out; empty: all are in place
--- a/test/model/consensus_cases.cpp
+++ b/test/model/consensus_cases.cpp
@@ -16,10 +16,10 @@
 struct NamedGuard {
   const char* name;
   bool Guards::*member;
-  const char* bounds;  // under which its absence is found
+  const char* bounds;  // the bounds that detect its absence
 };
 
-// P1 changes the set and reads, P2 writes; the register "holders" is written in one step.
+// P1 changes the replica set and reads, P2 writes; the register "holders" is written in one step.
 Bounds change_from(Start start, int data_rounds, int set_rounds, int losses) {
   Bounds bounds;
   bounds.change = true;
@@ -32,7 +32,8 @@
   return bounds;
 }
 
-// The change is finished while a writer that knows only the first set outbids P1's first round.
+// The change finishes while a writer that knows only the first set uses a higher ballot than P1's first
+// round.
 Bounds late_writer() {
   Bounds bounds = change_from(Start::joint_set, 3, 1, 0);
   bounds.writer_number = 2;
--- a/test/model/describe.cpp
+++ b/test/model/describe.cpp
@@ -1,4 +1,4 @@
-// The words for a step in a trace.
+// Describes the steps of a trace.
 #include "protocol.hpp"
 
 namespace dunlinwing::test::model {
@@ -6,7 +6,7 @@
 
 std::string proposer_name(int p) { return "P" + std::to_string(p + 1); }
 
-// What a step brought to an end, beside what it did.
+// The phase of a round that a step completed, if any.
 std::string consequence(const State& before, const State& after, int p) {
   auto& was = before.proposers[static_cast<size_t>(p)].round;
   auto& is = after.proposers[static_cast<size_t>(p)].round;
@@ -28,17 +28,17 @@
   auto reg = static_cast<Register>(action.first);
   auto& request = before.accepts[action.first][action.second];
   return text_of_replica(action.third) + " accepts " + text_of_ballot(action.second) + " of " + text(reg) +
-         ": " + text_of_value(reg, request.value) + " (asked under " + text_of_set(request.set) + ")" +
+         ": " + text_of_value(reg, request.value) + " (requested under " + text_of_set(request.set) + ")" +
          consequence(before, after, proposer_of(action.second));
 }
 
 std::string of_dump(const State& before, Action action, const State& after) {
   auto& replica = after.replicas[action.first];
   auto& data = replica.registers[static_cast<size_t>(Register::data)];
-  return text_of_replica(action.first) + " takes a dump from " + text_of_replica(action.second) + " under " +
-         text_of_set(before.replicas[action.first].set) +
-         (replica.voting() ? "; filled, it votes: promised " + text_of_ballot(data.promised) + ", accepted " +
-                                 text_of_value(Register::data, data.value)
+  return text_of_replica(action.first) + " receives a dump from " + text_of_replica(action.second) +
+         " under " + text_of_set(before.replicas[action.first].set) +
+         (replica.voting() ? "; refilled, it votes: promised " + text_of_ballot(data.promised) +
+                                 ", accepted " + text_of_value(Register::data, data.value)
                            : "");
 }
 
@@ -56,7 +56,7 @@
     case Kind::accept:
       return of_accept(before, action, after);
     case Kind::learn_from_replica:
-      return text_of_replica(action.second) + " names " + text_of_set(after.proposers[action.first].set) +
+      return text_of_replica(action.second) + " reports " + text_of_set(after.proposers[action.first].set) +
              " to " + proposer_name(action.first);
     case Kind::learn_chosen:
       return proposer_name(action.first) + " finds " + text_of_set(action.second) + " at a quorum";
@@ -66,14 +66,14 @@
       return text_of_replica(action.first) + " loses its disk" +
              (after.replicas[action.first].voting() ? " and votes at once" : "");
     case Kind::wait_over:
-      return text_of_replica(action.first) + " has waited one round limit";
+      return text_of_replica(action.first) + " has waited for one round limit";
     case Kind::dump:
       return of_dump(before, action, after);
     case Kind::adopt:
       return text_of_replica(action.second) + " adopts " + text_of_set(before.proposers[action.first].set) +
              " and confirms it to " + proposer_name(action.first);
     case Kind::no_names:
-      return proposer_name(action.first) + " pulls the names of registers: there are none to finish";
+      return proposer_name(action.first) + " reads the register names: there are none to finish";
     case Kind::write_set: {
       std::string voters;
       for (int r = 0; r < kReplicas; ++r)
@@ -84,7 +84,7 @@
     case Kind::begin_read:
       return "a read begins under " + text_of_set(action.first);
     case Kind::read_reply:
-      return text_of_replica(action.first) + " answers the read" +
+      return text_of_replica(action.first) + " replies to the read" +
              (after.reader.active ? "" : "; a quorum agrees, the read returns");
   }
   return {};
--- a/test/model/explorer.hpp
+++ b/test/model/explorer.hpp
@@ -1,9 +1,9 @@
-// A breadth-first explorer of explicit states.
+// A breadth-first explicit-state explorer.
 //
-// It visits every state a model can reach and stops at the first that breaks a
-// rule, so the trace it gives is a shortest one. Visited states are kept as
-// 64-bit fingerprints of their canonical form (docs/model.md gives the odds of
-// a collision); whole states are kept only for the level under exploration.
+// It visits every reachable state of a model and stops at the first that violates
+// a rule, so its trace is a shortest one. Visited states are stored as 64-bit
+// fingerprints of their canonical form (docs/model.md gives the probability of a
+// collision); complete states are stored only for the current level.
 //
 // A Model has:
 //   State                               a trivially copyable struct without padding
@@ -24,7 +24,7 @@
 
 namespace dunlinwing::test::model {
 
-// What a step was, for the trace: its kind and up to three operands.
+// Identifies a step in the trace: its kind and up to three operands.
 struct Action {
   uint8_t kind = 0, first = 0, second = 0, third = 0;
 };
@@ -41,10 +41,10 @@
     auto product = static_cast<unsigned __int128>(hash ^ word) * (kMultiplier + 2 * at);
     hash = static_cast<uint64_t>(product) ^ static_cast<uint64_t>(product >> 64) ^ (hash << 1 | hash >> 63);
   }
-  return hash == 0 ? 1 : hash;  // 0 marks a free place in the table
+  return hash == 0 ? 1 : hash;  // 0 marks a free slot in the table
 }
 
-// Open addressing over fingerprints; gives each new one the next number.
+// A hash set of fingerprints with open addressing.
 class FingerprintTable {
  public:
   FingerprintTable() : places_(kFirstPlaces) {}
@@ -81,7 +81,7 @@
   size_t depth = 0;
   double seconds = 0;
   bool complete = false;           // every reachable state was visited
-  std::string violation;           // empty when no rule was broken
+  std::string violation;           // empty when no rule was violated
   std::vector<std::string> trace;  // the steps to the violation
 };
 
@@ -133,8 +133,8 @@
     if (!level_.empty()) ++result_.depth;
   }
 
-  // Replays the run from the initial state, so that replicas keep their names throughout
-  // although visited states are canonical ones.
+  // Replays the run from the initial state, so that replicas keep their names although the visited states are
+  // canonical.
   std::vector<std::string> trace_to(uint32_t last) const {
     std::vector<uint64_t> path;
     for (uint32_t at = last; at != kNoParent; at = parents_[at]) path.push_back(prints_[at]);
--- a/test/model/lease.cpp
+++ b/test/model/lease.cpp
@@ -1,4 +1,4 @@
-// The steps of the lease models and their words in a trace.
+// The steps of the lease models and their descriptions in a trace.
 #include "lease.hpp"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace dunlinwing::test::model {
 namespace {
 
-// Beyond these an age makes no difference.
+// Higher ages behave the same, so ages are capped here.
 constexpr int kMostWriteAge = longest_whole(kSpanTicks) + 1;
 constexpr int kMostAge = longest_whole(kBoundTicks) + 1;
 
@@ -24,11 +24,11 @@
 
 std::string LeaderLease::violation(const State& state) const {
   if (state.nodes[0].lease_left > 0 && state.nodes[1].lease_left > 0) return "two leaders at once";
-  if (state.regressed != 0) return "a write of an old leader was taken after one of its successor";
+  if (state.regressed != 0) return "a write of an old leader was accepted after one of its successor";
   return {};
 }
 
-// A renewal, or a takeover of a lease that has lapsed or was never held.
+// A renewal, or a takeover of a lease that has expired or was never granted.
 bool LeaderLease::send_write(State& state, Node& node) const {
   bool leads = node.lease_left > 0;
   if (node.write != Write::none || state.version >= most_versions_) return false;
@@ -102,7 +102,7 @@
       Node fresh;
       fresh.seen_version = state.version;
       fresh.wait_left = shortest_wait(kSpanTicks);
-      fresh.act_term = node.act_term;  // still on its way
+      fresh.act_term = node.act_term;  // still in flight
       if (node.write == Write::sent || node.write == Write::orphaned) {
         fresh.write = Write::orphaned;
         fresh.write_expects = node.write_expects;
@@ -134,14 +134,15 @@
       return name + " sends a write of the lease under term " + std::to_string(is.write_term);
     case Kind::apply:
       return "the write of " + name +
-             (before.version == after.version ? " meets another version" : " is applied");
+             (before.version == after.version ? " fails: the version has changed" : " is applied");
     case Kind::reply:
-      return name + " hears of its write, " + std::to_string(was.write_age) + " ticks old, and leads for " +
-             std::to_string(is.lease_left) + " ticks";
+      return name + " receives the reply to its write, " + std::to_string(was.write_age) +
+             " ticks old, and leads for " + std::to_string(is.lease_left) + " ticks";
     case Kind::restart:
       return name + " restarts";
     case Kind::act:
-      return name + " finds that it leads and sends a fenced write under term " + std::to_string(is.act_term);
+      return name + " checks that it leads and sends a fenced write under term " +
+             std::to_string(is.act_term);
     case Kind::arrive:
       return "the fenced write of " + name + " under term " + std::to_string(was.act_term) + " arrives";
   }
@@ -151,7 +152,7 @@
 std::string ReadLease::violation(const State& state) const {
   if (state.lease_left == 0 || state.serving >= state.version) return {};
   return state.age[state.serving + 1u] > kBoundTicks
-             ? "a node serves by what was replaced longer ago than the bound"
+             ? "a node serves a version that was replaced longer ago than the bound"
              : "";
 }
 
@@ -195,9 +196,9 @@
     case Kind::begin_pull:
       return "a pull begins";
     case Kind::answer:
-      return "a quorum has answered it, with version " + std::to_string(after.pulled);
+      return "a quorum has replied to the pull, with version " + std::to_string(after.pulled);
     case Kind::finish_pull:
-      return "the pull is done after " + std::to_string(before.pull_age) + " ticks; the node serves for " +
+      return "the pull finishes after " + std::to_string(before.pull_age) + " ticks; the node serves for " +
              std::to_string(after.lease_left) + " ticks";
   }
   return {};
--- a/test/model/lease.hpp
+++ b/test/model/lease.hpp
@@ -1,10 +1,10 @@
-// Leases as models with explicit time. The registers are taken to be atomic
-// here: that they are is what the consensus model shows.
+// Models of leases with explicit time. They assume atomic registers, which the
+// consensus model checks.
 //
-// Time passes in ticks. A span that a clock measures lasts between its nominal
-// length times (1 - drift) and times (1 + drift); the model lets the one who
-// relies on a span have it as long, and the one who waits for it as short, as
-// the drift allows. Freezes are steps that just do not come for a while.
+// Time passes in ticks. A span measured by a clock lasts between its nominal
+// length times (1 - drift) and times (1 + drift). The model uses the longest
+// span for a node that relies on it and the shortest for a node that waits for
+// it. A frozen node is one whose steps are delayed.
 #pragma once
 #include <array>
 
@@ -13,42 +13,42 @@
 namespace dunlinwing::test::model {
 
 struct LeaseGuards {
-  bool from_before_write = true;  // the holder counts its lease from before the write that gave it
+  bool from_before_write = true;  // the holder counts its lease from before the write that granted it
   bool from_pull_start = true;    // a read lease is counted from the start of the pull
-  bool three_quarters = true;     // both are counted for three quarters of their span only
-  bool fencing_by_term = true;    // a write under a lower term than the last is refused
+  bool three_quarters = true;     // the holder uses only three quarters of the span of either lease
+  bool fencing_by_term = true;    // a write under a lower term than the last is rejected
 };
 
 inline constexpr int kSpanTicks = 8;     // of a leader lease
-inline constexpr int kBoundTicks = 16;   // of staleness, which a read lease keeps
+inline constexpr int kBoundTicks = 16;   // of staleness, which a read lease enforces
 inline constexpr int kDriftDivisor = 8;  // clocks drift by one part in this many
 
-// The longest that three quarters of a span, and the whole of it, last for one who relies on it.
+// The longest duration of three quarters of a span, and of the full span, for a node that relies on it.
 constexpr int longest_hold(int span) { return span * 3 / 4 * kDriftDivisor / (kDriftDivisor - 1); }
 constexpr int longest_whole(int span) { return span * kDriftDivisor / (kDriftDivisor - 1); }
-// The shortest that the whole span lasts for one who waits for it, in whole ticks.
+// The shortest duration of the full span for a node that waits for it, in whole ticks.
 constexpr int shortest_wait(int span) { return (span * kDriftDivisor + kDriftDivisor) / (kDriftDivisor + 1); }
 
-// Two candidates for one leader lease, and a resource that both write under their terms.
+// Two candidates for one leader lease, and a resource to which both write under their terms.
 class LeaderLease {
  public:
   enum class Write : uint8_t { none, sent, applied, orphaned };
   struct Node {
-    uint8_t lease_left = 0;  // ticks in which it may yet act
+    uint8_t lease_left = 0;  // ticks for which it may still act
     uint8_t lease_term = 0;
-    Write write = Write::none;  // of the lease register; orphaned: its sender has forgotten it
+    Write write = Write::none;  // of the lease register; orphaned: its sender has restarted
     uint8_t write_age = 0;
     uint8_t write_expects = 0;  // the version, for the compare-and-set
     uint8_t write_term = 0;
     uint8_t seen_version = 0;
     uint8_t wait_left = 0;  // ticks until it may take the lease over
-    uint8_t act_term = 0;   // of a fenced write under way; 0: none
+    uint8_t act_term = 0;   // of a fenced write in flight; 0: none
   };
   struct State {
     std::array<Node, 2> nodes;
     uint8_t version = 0, term = 0;  // of the lease register
-    uint8_t resource_term = 0;      // of the last write that the resource took
-    uint8_t regressed = 0;          // it took one of a lower term than that before
+    uint8_t resource_term = 0;      // of the last write that the resource accepted
+    uint8_t regressed = 0;          // it accepted a write of a lower term than the previous one
   };
   enum class Kind : uint8_t { tick, see, send_write, apply, reply, restart, act, arrive };
 
@@ -78,7 +78,7 @@
   int most_versions_;
 };
 
-// A node that serves by what it last pulled for as long as its read lease runs.
+// A node that serves the last version it pulled until its read lease expires.
 class ReadLease {
  public:
   enum class Pull : uint8_t { none, begun, answered };
@@ -86,11 +86,11 @@
   struct State {
     Pull pull = Pull::none;
     uint8_t pull_age = 0;
-    uint8_t pulled = 0;   // the version that the pull brought
-    uint8_t serving = 0;  // the version that the node serves by
+    uint8_t pulled = 0;   // the version that the pull returned
+    uint8_t serving = 0;  // the version that the node serves
     uint8_t lease_left = 0;
     uint8_t version = 0;                   // the latest acknowledged
-    std::array<uint8_t, kVersions> age{};  // since each was acknowledged
+    std::array<uint8_t, kVersions> age{};  // ticks since each version was acknowledged
   };
   enum class Kind : uint8_t { tick, acknowledge, begin_pull, answer, finish_pull };
 
--- a/test/model/membership.cpp
+++ b/test/model/membership.cpp
@@ -1,5 +1,4 @@
-// Lost disks and their refill, changes of the replica set, and reads without a
-// round.
+// Lost disks and refills, and changes of the replica set.
 #include <algorithm>
 #include <bit>
 
@@ -7,7 +6,7 @@
 
 namespace dunlinwing::test::model {
 
-// No vote that a replica gave before the round limit is counted any more.
+// Discards the votes that a replica gave before the round limit.
 void Protocol::forget_old_votes(State& state, int r) const {
   auto without = [r](Members members) { return static_cast<Members>(members & ~member(r)); };
   if (guards_.refill_wait)
@@ -21,7 +20,7 @@
   }
 }
 
-// One disk at a time: the next is lost only after the last one lost is refilled.
+// Only one disk is lost at a time: the next only after the previous replica is refilled.
 void Protocol::lose_disk(const State& state, int r) const {
   const Replica& replica = state.replicas[static_cast<size_t>(r)];
   bool another = std::any_of(state.replicas.begin(), state.replicas.end(), [](const Replica& other) {
@@ -30,7 +29,7 @@
   if (!replica.voting() || another || state.losses >= bounds_.losses) return;
   State after = state;
   Replica& empty = after.replicas[static_cast<size_t>(r)];
-  empty = {};  // it knows no later set than that of its settings
+  empty = {};  // it knows only the set of its settings
   empty.stage = !guards_.refill ? Stage::voting : guards_.refill_wait ? Stage::waiting : Stage::gathering;
   ++after.losses;
   emit(Kind::lose_disk, r, 0, 0, after);
@@ -73,14 +72,14 @@
   emit(Kind::dump, r, from, 0, after);
 }
 
-// A whole round on the register "holders" as one step, its votes given by any quorum that has no member to
-// spare.
+// Runs a complete round on the register "holders" as one step, with the votes of any minimal quorum.
 void Protocol::write_set(const State& state, int p) const {
   const Proposer& proposer = state.proposers[static_cast<size_t>(p)];
   auto reg = static_cast<size_t>(Register::replica_set);
   SetId next = next_set(proposer.set, p);
   uint8_t version = version_of(Register::replica_set, next);
-  if (state.acknowledged[reg][version] != 0) return;  // lost the compare-and-set; it learns so elsewhere
+  if (state.acknowledged[reg][version] != 0)
+    return;  // lost the compare-and-set; another step delivers the newer set
   Members able = 0;
   for (int r = 0; r < kReplicas; ++r)
     if (answers(state.replicas[static_cast<size_t>(r)], proposer.set)) able |= member(r);
@@ -107,7 +106,7 @@
   }
 }
 
-// A newer set voids the round under way and everything done to leave the set known before.
+// A newer set cancels the current round and the progress made in leaving the previous set.
 void Protocol::learn(State& state, int p, SetId set) const {
   Proposer& proposer = state.proposers[static_cast<size_t>(p)];
   if (epoch(set) <= epoch(proposer.set)) return;
@@ -121,7 +120,7 @@
   const Proposer& proposer = state.proposers[static_cast<size_t>(p)];
   const ReplicaSet& set = sets_[proposer.set];
   Members without_data = 0;
-  std::array<Members, kSets> holding{};  // who shows which set, at its latest ballot
+  std::array<Members, kSets> holding{};  // the replicas that report each set at their latest ballot
   for (int r = 0; r < kReplicas; ++r) {
     const Replica& replica = state.replicas[static_cast<size_t>(r)];
     if (!contains(set.members(), r) || replica.stage == Stage::absent) continue;
@@ -138,13 +137,13 @@
       auto set_register = static_cast<size_t>(Register::replica_set);
       if (!replica.copied[set_register]) holding[replica.registers[set_register].value] |= member(r);
     }
-    if (bounds_.split_roles && p == 1) continue;  // the writer takes no part in changes
+    if (bounds_.split_roles && p == 1) continue;  // the writer does not change sets
     bool news = epoch(replica.set) < epoch(proposer.set);
     if (!news && (!set.joint() || contains(proposer.adopters, r))) continue;
     State after = state;
     Replica& adopter = after.replicas[static_cast<size_t>(r)];
     adopter.set = proposer.set;
-    if (news && !adopter.voting()) {  // what it gathered was of the members of another set
+    if (news && !adopter.voting()) {  // its dumps come from the members of another set
       adopter.registers = {};
       adopter.gathered = 0;
     }
--- a/test/model/model_test.cpp
+++ b/test/model/model_test.cpp
@@ -1,5 +1,5 @@
-// Runs the model's cases: all guards in place must hold over the whole bounded
-// space, and each guard left out must be found. docs/model.md explains the output.
+// Runs the model's cases: with all guards no state of the bounded space may violate a rule, and without any
+// one of them a violation must be found. docs/model.md explains the output.
 #include <fmt/format.h>
 #include <gflags/gflags.h>
 
@@ -7,12 +7,12 @@
 
 #include "cases.hpp"
 
-DEFINE_string(case_name, "", "only cases of these bounds");
+DEFINE_string(case_name, "", "only the cases with these bounds");
 DEFINE_string(without, "",
               "only the cases that leave out this guard; 'none': those with all guards; 'any': the others");
-DEFINE_bool(large, false, "the large cases too");
+DEFINE_bool(large, false, "run the large cases too");
 DEFINE_bool(trace, false, "print the whole trace of each violation");
-DEFINE_uint64(most_states, 60'000'000, "give a case up, as failed, beyond so many states");
+DEFINE_uint64(most_states, 60'000'000, "fail a case that exceeds this number of states");
 
 namespace dunlinwing::test::model {
 namespace {
@@ -26,8 +26,8 @@
   return model_case.without == FLAGS_without;
 }
 
-// Whether the case came out as it must: with all guards the space was seen whole and no rule
-// was broken; without one of them a rule was broken.
+// Whether the case has the expected result: with all guards, the space was explored completely without a
+// violation; with one left out, a violation was found.
 bool as_expected(const ModelCase& model_case, const Exploration& result) {
   return model_case.without.empty() ? result.complete && result.violation.empty() : !result.violation.empty();
 }
--- a/test/model/protocol.cpp
+++ b/test/model/protocol.cpp
@@ -1,5 +1,5 @@
-// The frame of the model: replica sets and quorums, the initial state, which
-// steps are tried in a state, and the representative of symmetric states.
+// The base of the model: replica sets and quorums, the initial state, the steps
+// tried in a state, and the representative of symmetric states.
 #include "protocol.hpp"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
 
 bool bit(Members members, int replica) { return contains(members, replica); }
 
-// All that a state says of one replica, except which dumps it has; replicas are sorted by it.
+// Everything in a state about one replica except which dumps it has. Replicas are sorted by it.
 using Column = std::array<uint8_t, 16>;
 
 Column column_of(const State& state, int replica) {
@@ -104,8 +104,8 @@
   state.replicas[kNewcomer].stage = Stage::voting;
 }
 
-// Replicas that no replica set tells apart may be exchanged: the state with their columns
-// sorted stands for all of these.
+// Replicas that no replica set distinguishes are interchangeable: the state with their columns sorted
+// represents all permutations.
 State Protocol::canonical(const State& state) const {
   int alike = bounds_.rival_change ? 1 : bounds_.change ? kReplaced : bounds_.replicas;
   State sorted = state;
@@ -118,8 +118,8 @@
   return sorted;
 }
 
-// An accept request that every replica it is for must refuse, now and later, is as good as none.
-// Promises and adopted sets never go back unless a disk is lost.
+// An accept request that all its replicas must reject, now and later, is equivalent to none. Promises and
+// adopted sets never regress unless a disk is lost.
 bool Protocol::may_still_count(const State& state, Register reg, Ballot ballot) const {
   const AcceptRequest& request = state.accepts[static_cast<size_t>(reg)][ballot];
   if (!request.sent) return false;
--- a/test/model/protocol.hpp
+++ b/test/model/protocol.hpp
@@ -1,48 +1,48 @@
-// The consensus protocol as a model: which steps a state allows and where they
-// lead. The voting itself is the product's code (votes.hpp); quorums, rounds,
-// refills and changes of the replica set are stated here as docs/design.md has them.
+// A model of the consensus protocol: the steps enabled in a state and their
+// results. The voting is the product's code (votes.hpp); quorums, rounds, refills
+// and changes of the replica set are modelled as specified in docs/design.md.
 #pragma once
 #include "explorer.hpp"
 #include "state.hpp"
 
 namespace dunlinwing::test::model {
 
-// The mechanisms that keep the protocol safe. A run without one of them must find a violation.
+// The mechanisms that keep the protocol safe. An exploration without one of them must find a violation.
 struct Guards {
   bool previous_majority = true;      // a joint quorum needs a majority of the previous set too
-  bool finish_registers = true;       // registers are finished before the joint set is left
+  bool finish_registers = true;       // all registers are finished before the joint set is left
   bool adoption_before_names = true;  // a quorum adopts the joint set before the names are read
   bool names_from_adopters = true;    // only replies of adopters of the joint set count when names are read
   bool refill = true;                 // a replica that lost its disk is refilled before it votes
-  bool refill_wait = true;        // and waits a round's limit first, after which its old votes count no more
-  bool newer_set_in_dump = true;  // and takes no dump that shows a newer set than its own
-  bool promise_order = true;      // a proposer takes over the highest accepted value of its promises
-  bool copies_are_no_votes = true;   // a value copied in a refill counts for no read as an accept vote
-  bool old_replies_of_reads = true;  // a read, too, counts no reply older than the round limit
+  bool refill_wait = true;  // and first waits for the round limit, after which its old votes do not count
+  bool newer_set_in_dump = true;     // and ignores a dump that contains a newer set than its own
+  bool promise_order = true;         // a proposer adopts the highest accepted value of its promises
+  bool copies_are_no_votes = true;   // a read does not count a value copied in a refill as an accept vote
+  bool old_replies_of_reads = true;  // a read does not count replies older than the round limit
 };
 
-// Where a run begins.
+// The initial state of a run.
 enum class Start : uint8_t {
   first_set,   // nothing has happened
   joint_set,   // A and B have voted for the joint set and P1 knows it; nobody has adopted it
-  second_set,  // the change is done: A and B have voted for the second set, C has heard of nothing
+  second_set,  // the change is done: A and B have voted for the second set, C knows of no change
 };
 
-// How much may happen in a run.
+// Limits of a run.
 struct Bounds {
   int replicas = 3;           // in the first set: A, B, C
   bool change = false;        // C may be replaced by D through a joint set
   bool rival_change = false;  // and B by E through a competing one
   Start start = Start::first_set;
   int data_versions = 1;
-  int data_rounds = 3;  // begun by all proposers together
+  int data_rounds = 3;  // started by all proposers in total
   int set_rounds = 0;
   int most_round_number = 2;
   bool split_roles = false;        // P1 changes the set and reads, P2 writes; otherwise each does everything
-  bool atomic_set_writes = false;  // a write of the replica set is one step, done by any minimal quorum
-  int writer_rounds = 1;           // with split roles: how many of the data rounds P2 may begin
-  int writer_number = 0;           // and under which round number; 0: any
-  int losses = 0;                  // of disks, one after the other
+  bool atomic_set_writes = false;  // a write of the replica set is one step, accepted by any minimal quorum
+  int writer_rounds = 1;           // with split roles: how many of the data rounds P2 may start
+  int writer_number = 0;           // and with which round number; 0: any
+  int losses = 0;                  // of disks, one at a time
   int restarts = 0;                // of proposers
   int reads = 0;                   // without a round
 };
@@ -85,7 +85,7 @@
     State after;
   };
 
-  // protocol.cpp: sets, and everything gathered
+  // protocol.cpp: replica sets, and the collection of all steps
   void collect(const State& state) const;
   void begin_within_change(State& state) const;
   // rounds.cpp
@@ -97,7 +97,7 @@
   void propose(State& state, int proposer) const;
   void conclude(State& state, int proposer) const;
   void record(State& state, Register reg, Value value) const;
-  // membership.cpp: refills, changes of the replica set, reads
+  // membership.cpp: refills, changes of the replica set; reads.cpp: reads
   void refills(const State& state, int replica) const;
   void lose_disk(const State& state, int replica) const;
   void take_dump(const State& state, int replica, int from) const;
--- a/test/model/reads.cpp
+++ b/test/model/reads.cpp
@@ -1,6 +1,6 @@
-// Reads without a round: replies gathered one by one; a ballot that stands at a
-// quorum, none higher being among the replies, is taken to be chosen. So do the
-// pulls from which a node's lease of freshness runs.
+// Reads without a round: replies arrive one by one. The highest ballot among the
+// replies counts as chosen when a quorum reports it. The pulls that start a
+// node's read lease work the same way.
 #include <algorithm>
 
 #include "protocol.hpp"
--- a/test/model/rounds.cpp
+++ b/test/model/rounds.cpp
@@ -1,10 +1,10 @@
-// Paxos rounds: they begin, their requests arrive at replicas in any order or
-// never, and they conclude at once when a quorum has voted.
+// Paxos rounds: their requests arrive at replicas in any order or never, and a
+// round concludes as soon as a quorum has voted.
 //
-// A reply reaches its proposer in the step in which the replica gives it. That
+// A reply reaches its proposer in the step in which the replica sends it. That
 // loses no behaviour: a lost or late reply differs from a request that was never
-// delivered only in what the replica knows, and the proposer's next step may
-// come as late as it likes (docs/model.md has the argument in full).
+// delivered only in the state of the replica, and the proposer's next step may
+// be delayed arbitrarily (docs/model.md has the full argument).
 #include <algorithm>
 
 #include "protocol.hpp"
@@ -52,11 +52,11 @@
   }
 }
 
-// A proposer gives up the round it is in, whatever its state, when it begins another.
+// A proposer abandons its current round, in any phase, when it starts another.
 void Protocol::begin_round(const State& state, int p, Purpose purpose) const {
   auto reg = static_cast<size_t>(register_of(purpose));
   int top = state.proposers[static_cast<size_t>(p)].top[reg];
-  bool alone = bounds_.split_roles && purpose == Purpose::change_set;  // nobody to outbid
+  bool alone = bounds_.split_roles && purpose == Purpose::change_set;  // no competing proposer
   int most = alone ? std::min(top + 1, kMaxRound) : bounds_.most_round_number;
   for (int number = top + 1; number <= most; ++number) {
     if (purpose == Purpose::write && bounds_.writer_number > 0 && number != bounds_.writer_number) continue;
@@ -74,8 +74,8 @@
   }
 }
 
-// Only while promises are counted: a later one binds the replica and nothing else, and a replica
-// that is bound by less allows every run that one bound by more does.
+// Delivered only while promises are counted: a later promise only restricts the replica, and a less
+// restricted replica allows every run that a more restricted one does.
 void Protocol::deliver_prepare(const State& state, int p, int r) const {
   const Round& round = state.proposers[static_cast<size_t>(p)].round;
   const Replica& replica = state.replicas[static_cast<size_t>(r)];
@@ -96,7 +96,7 @@
   emit(Kind::prepare, p, r, 0, after);
 }
 
-// The value in force again, or the next one upon it.
+// Proposes the current value again, or its successor.
 void Protocol::propose(State& state, int p) const {
   Round& round = state.proposers[static_cast<size_t>(p)].round;
   Register reg = register_of(round.purpose);
@@ -135,7 +135,7 @@
   emit(Kind::accept, static_cast<int>(reg), ballot, r, after);
 }
 
-// The round's value is acknowledged to whoever asked for it.
+// Acknowledges the round's value to the client.
 void Protocol::conclude(State& state, int p) const {
   Proposer& proposer = state.proposers[static_cast<size_t>(p)];
   Round round = proposer.round;
@@ -154,7 +154,7 @@
   auto& values = state.acknowledged[static_cast<size_t>(reg)];
   if (Value parent = parent_of(reg, value); parent != 0) {
     if (values[1] != 0 && values[1] != parent) state.broken = Broken::chain;
-    values[1] = parent;  // it was written upon, so it was in force
+    values[1] = parent;  // it has a successor, so it was chosen
   }
   if (values[version] != 0 && values[version] != value) state.broken = Broken::two_values;
   values[version] = value;
--- a/test/model/state.cpp
+++ b/test/model/state.cpp
@@ -1,4 +1,4 @@
-// Values, their versions and parents, and everything's name in a trace.
+// Versions and parents of values, and the text of each type in a trace.
 #include "state.hpp"
 
 namespace dunlinwing::test::model {
@@ -31,7 +31,7 @@
   int writer = version_of(reg, value) == 1 ? value - 1 : (value - kFirstOfVersionTwo) % kProposers;
   std::string own =
       "version " + std::to_string(version_of(reg, value)) + " by P" + std::to_string(writer + 1);
-  return parent_of(reg, value) == 0 ? own : own + " upon " + text_of_value(reg, parent_of(reg, value));
+  return parent_of(reg, value) == 0 ? own : own + " after " + text_of_value(reg, parent_of(reg, value));
 }
 
 std::string text_of_ballot(Ballot ballot) {
@@ -83,7 +83,7 @@
     case Broken::chain:
       return "a version does not follow the one acknowledged before it";
     case Broken::stale_read:
-      return "a read returned less than what was acknowledged before it began";
+      return "a read returned an older version than one acknowledged before it began";
   }
   return {};
 }
--- a/test/model/state.hpp
+++ b/test/model/state.hpp
@@ -1,9 +1,8 @@
-// One state of the modelled fleet: replicas, proposers, a reader, the accept
-// requests under way, and what has been acknowledged so far.
+// A state of the model: replicas, proposers, a reader, the accept requests in
+// flight, and the values acknowledged so far.
 //
-// Every field is a byte, so a state has no padding and can be hashed as it is.
-// Fields that mean nothing at the moment are zero, so equal situations are
-// equal states.
+// Every field is a byte, so a state has no padding and its bytes can be hashed.
+// Unused fields are zero, so equivalent situations are equal states.
 #pragma once
 #include <array>
 #include <string>
@@ -22,8 +21,8 @@
 enum class Register : uint8_t { data, replica_set };
 inline constexpr int kRegisters = 2;
 
-// The replica sets there can be. Each is also the value of the register
-// "holders" that names it; the first one is known from the settings.
+// All possible replica sets. Each is also its value in the register "holders";
+// the first one is known from the settings.
 using SetId = uint8_t;
 inline constexpr SetId kFirstSet = 0;        // epoch 1, stable
 inline constexpr SetId kJointSet = 1;        // epoch 2: the first set and its successor
@@ -40,7 +39,7 @@
   Members members() const { return replicas | previous; }
 };
 
-// Whether a replica votes, and if not, how far its refill has come.
+// Whether a replica votes, and otherwise the stage of its refill.
 enum class Stage : uint8_t {
   absent,  // not part of this run
   voting,
@@ -51,10 +50,10 @@
 
 struct Replica {
   std::array<RegisterState, kRegisters> registers;
-  SetId set = kFirstSet;  // adopted; of a replica that does not vote: the set it refills under
+  SetId set = kFirstSet;  // adopted; of a non-voting replica: the set under which it refills
   Stage stage = Stage::absent;
-  Members gathered = 0;                   // whose dumps it has
-  std::array<bool, kRegisters> copied{};  // the accepted value is from a dump, not a vote of its own
+  Members gathered = 0;                   // the replicas whose dumps it has
+  std::array<bool, kRegisters> copied{};  // the accepted value is from a dump, not from its own vote
   bool voting() const { return stage == Stage::voting; }
   bool refilling() const { return stage == Stage::gathering || stage == Stage::joining; }
 };
@@ -64,17 +63,17 @@
 enum class Purpose : uint8_t {
   none,
   write,       // the next version of the data register
-  read,        // the value in force of the data register
-  settle,      // the same, as a step of a change of the replica set
+  read,        // the current value of the data register
+  settle,      // like read, as a step of a change of the replica set
   change_set,  // the next replica set
 };
 
-// A Paxos round as its proposer remembers it.
+// A Paxos round in the memory of its proposer.
 struct Round {
   Phase phase = Phase::idle;
   Purpose purpose = Purpose::none;
   Ballot ballot = 0;
-  SetId set = kFirstSet;  // its quorums are those of this set
+  SetId set = kFirstSet;  // quorums are formed in this set
   uint8_t floor = 0;      // version acknowledged before the round began
   Members promises = 0;
   Ballot best_accepted = 0;  // among the promises
@@ -86,18 +85,18 @@
   return purpose == Purpose::change_set ? Register::replica_set : Register::data;
 }
 
-// How far a proposer has come in leaving the joint set it knows.
+// The progress of a proposer in leaving its joint set.
 enum class ChangeStep : uint8_t {
   none,
   adopted,  // a quorum of the joint set has adopted it
-  settled,  // every register that was named afterwards is finished
+  settled,  // every register listed after that is finished
 };
 
 struct Proposer {
   Round round;
-  SetId set = kFirstSet;                  // the newest it knows
+  SetId set = kFirstSet;                  // the newest known
   std::array<uint8_t, kRegisters> top{};  // highest round number used; forgotten in a restart
-  Members adopters = 0;                   // that confirmed to have adopted `set`
+  Members adopters = 0;                   // replicas that confirmed the adoption of `set`
   ChangeStep step = ChangeStep::none;
 };
 
@@ -108,12 +107,12 @@
   Value value = 0;
 };
 
-// A read of the data register without a round: replies gathered one by one.
+// A read of the data register without a round, which collects replies one by one.
 struct Reader {
   bool active = false;
   SetId set = kFirstSet;
   uint8_t floor = 0;                         // version acknowledged before the read began
-  Members copies = 0;                        // that said their value is a copy
+  Members copies = 0;                        // replicas that reported their value as a copy
   std::array<uint8_t, kReplicas> replies{};  // 0: none, otherwise the accepted ballot plus one
 };
 
@@ -132,7 +131,8 @@
   Broken broken = Broken::nothing;
 };
 
-// Values of the data register: version 1 by writer w is 1 + w; version 2 by w upon parent p is 3 + 2p + w.
+// Values of the data register: version 1 by writer w is 1 + w; version 2 by w with parent p is 3 + 2(p - 1) +
+// w.
 uint8_t version_of(Register reg, Value value);
 Value parent_of(Register reg, Value value);
 Value next_data_value(Value parent, int writer);
--- a/test/model/votes.cpp
+++ b/test/model/votes.cpp
@@ -40,7 +40,7 @@
 
 pb::Value value_message(Value value) {
   pb::Value message;
-  message.set_version(value);  // opaque to the voting functions, which only carry it
+  message.set_version(value);  // opaque to the voting functions, which only copy it
   return message;
 }
 
--- a/test/model/votes.hpp
+++ b/test/model/votes.hpp
@@ -1,9 +1,9 @@
-// The product's voting functions in the compact terms of the model.
+// The product's voting functions in the compact encoding of the model.
 //
-// A replica's state of a register is three small numbers here and a protobuf
-// message there. Each distinct step is computed once by `consensus::prepare`,
-// `accept` and `higher` themselves and kept in a table, so the explorer runs
-// the product's code at the cost of an array access.
+// A replica's state of a register is three small numbers in the model and a
+// protobuf message in the product. Each distinct step is computed once by
+// `consensus::prepare`, `accept` and `merge_highest` and cached in a table, so
+// the explorer runs the product's code at the cost of an array access.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -18,14 +18,14 @@
 using Ballot = uint8_t;
 using Value = uint8_t;
 
-// Numbered so that the order of ballots is the order of the numbers, as `consensus::lower` has it.
+// Numbered so that ballots compare as numbers in the order of `consensus::lower`.
 constexpr Ballot ballot_of(int round, int proposer) {
   return static_cast<Ballot>((round - 1) * kProposers + proposer + 1);
 }
 constexpr int round_of(Ballot ballot) { return (ballot - 1) / kProposers + 1; }
 constexpr int proposer_of(Ballot ballot) { return (ballot - 1) % kProposers; }
 
-// What a replica has on its disk of one register.
+// The state of one register on a replica's disk.
 struct RegisterState {
   Ballot promised = 0;
   Ballot accepted = 0;
@@ -38,7 +38,7 @@
   bool yes = false;
 };
 
-// Tables over the product's functions, filled as steps are first asked for.
+// Tables of the product's functions, filled on first use of each step.
 class Votes {
  public:
   Votes();
