--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -1,6 +1,6 @@
-// Times are all of one machine's boot clock, so they compare. Where a journal
-// shows something later than it happened, the rule is checked in the sense
-// that can only miss a breach by that margin, never invent one.
+// All times come from the boot clock of one machine, so they are comparable.
+// Where a journal records an event later than it happened, the check may miss
+// a violation by that margin but never reports a false one.
 #include "checker/checker.hpp"
 
 #include <fmt/format.h>
@@ -32,19 +32,20 @@
   std::map<std::string, Ask> asks;
   std::vector<ReadResult> gots;
   std::vector<Ran> runs;
-  std::map<std::string, int64_t> leaving, gone;  // instance -> when known
+  std::map<std::string, int64_t> leaving, gone;  // instance -> time of the first report
   std::vector<base::Json> events;
   std::vector<ReadResult> lost;
-  std::set<std::string> well;                        // requests that got a good answer
-  std::map<std::string, std::vector<int64_t>> harm;  // machine -> when it was killed, frozen or warned
-  std::vector<int64_t> harms;                        // all of them, and cuts
+  std::set<std::string> well;  // ids of requests with a successful response
+  std::map<std::string, std::vector<int64_t>>
+      harm;                    // machine -> times at which it was killed, frozen or warned
+  std::vector<int64_t> harms;  // times of all kills and freezes, and of cuts of links
 };
 
 int64_t number(const std::string& s) { return s.empty() ? -1 : std::strtoll(s.c_str(), nullptr, 10); }
 
 RegisterClient sort_out(const Journals& js) {
   RegisterClient b;
-  std::map<std::string, std::string> names;  // of machines, by the address on which they take callers
+  std::map<std::string, std::string> names;  // machine names by their address for clients
   for (auto& json : js.lines)
     if (json.at("t").string_or() == "machine")
       names[json.at("callers").string_or()] = json.at("machine").string_or();
@@ -66,7 +67,7 @@
                         s("instance"), s("relay"), number(s("gen")), json.at("at").integer_or(),
                         json.at("bad").bool_or()});
     } else if (t == "leaving") {
-      b.leaving.emplace(s("instance"), json.at("at").integer_or());  // the first word counts
+      b.leaving.emplace(s("instance"), json.at("at").integer_or());  // the first report counts
     } else if (t == "lost") {
       ReadResult g;
       g.id = s("id");
@@ -106,11 +107,12 @@
 
   void not_run() {
     for (auto& g : registers.gots)
-      if (g.outcome == "not-run" && by_id.count(g.id)) breach(2, g.id + " was promised not run, and ran");
+      if (g.outcome == "not-run" && by_id.count(g.id))
+        breach(2, g.id + " was executed although its response stated not-run");
   }
 
   void whole() {
-    std::map<std::string, std::set<std::string>> made;  // target -> answers made
+    std::map<std::string, std::set<std::string>> made;  // target -> responses created
     for (auto& r : registers.runs) made[r.target].insert(r.out);
     for (auto& g : registers.gots) {
       if (g.status >= 300) continue;
@@ -119,9 +121,9 @@
       bool mine = false;
       if (auto f = by_id.find(g.id); f != by_id.end())
         for (auto* r : f->second) mine |= r->out == g.out;
-      // A cached answer was made for another request of the same target.
+      // A cached response was created for another request with the same target.
       bool shared = safe(a->second.method) && g.produced >= 0 && made[a->second.target].count(g.out);
-      if (!mine && !shared) breach(3, g.id + " got a success that no worker made for it");
+      if (!mine && !shared) breach(3, g.id + " got a success that no backend instance created for it");
     }
   }
 
@@ -129,9 +131,9 @@
     for (auto& r : registers.runs) {
       auto a = registers.asks.find(r.id);
       if (a == registers.asks.end())
-        breach(4, "a run of " + r.id + " that no caller asked for");
+        breach(4, "an execution of " + r.id + " that no client requested");
       else if (a->second.method != r.method || a->second.target != r.target || a->second.in != r.in)
-        breach(4, r.id + " was altered on the way");
+        breach(4, r.id + " was altered in transit");
     }
   }
 
@@ -168,17 +170,17 @@
       if (g.gen < 0) continue;
       for (auto& [at, n] : acked[g.relay])
         if (g.from > at + kBound && g.gen < n)
-          breach(6, fmt::format("{} ran {} under generation {} at {}, {} was acknowledged at {}", g.relay,
-                                g.id, g.gen, g.from, n, at));
-      // What was shown by an answer that ended before this request began.
+          breach(6, fmt::format("{} handled {} under generation {} at {} although {} was acknowledged at {}",
+                                g.relay, g.id, g.gen, g.from, n, at));
+      // The generation in responses that ended before this request began.
       auto& t = tops[g.relay];
       auto f = std::upper_bound(t.begin(), t.end(), std::make_pair(g.from - 1, INT64_MAX));
       if (f != t.begin() && std::prev(f)->second > g.gen)
-        breach(6, fmt::format("{} slipped back to generation {}", g.relay, g.gen));
+        breach(6, fmt::format("{} reverted to generation {}", g.relay, g.gen));
       auto top = std::max(t.empty() ? -1 : t.back().second, g.gen);
       t.push_back({g.at, top});
     }
-    // What counts for a shot is when it was sent, however long its request had waited.
+    // For an attempt, the time at which it was sent counts, however long its request had waited.
     for (auto& r : registers.runs)
       if (auto f = acked.find(r.relay); r.gen >= 0 && f != acked.end())
         for (auto& [at, n] : f->second)
@@ -191,11 +193,12 @@
     for (auto& r : registers.runs)
       if (auto f = registers.leaving.find(r.instance);
           f != registers.leaving.end() && r.at > f->second + kBound)
-        breach(7, fmt::format("{} got {} {} ms after it said it leaves", r.instance, r.id, r.at - f->second));
+        breach(7, fmt::format("{} got {} {} ms after it reported that it leaves", r.instance, r.id,
+                              r.at - f->second));
   }
 
   void purges() {
-    // What was made after the purge was asked for may be newer than it: only what is older is judged.
+    // A response created after the purge request may be newer than the purge: only older ones are checked.
     std::vector<std::tuple<int64_t, int64_t, std::string, bool>> ps;
     for (auto& e : registers.events)
       if (e.at("t").string_or() == "purged")
@@ -209,7 +212,8 @@
       auto a = registers.asks.find(g.id);
       if (a == registers.asks.end() || !safe(a->second.method)) continue;
       auto& t = a->second.target;
-      // What a worker made for this very request may take its time; what was kept may not.
+      // A response that an instance creates for this request may be slow, so its start counts; for a cached
+      // one, the end counts.
       auto when = by_id.count(g.id) ? g.from : g.at;
       for (auto& [asked, at, path, prefix] : ps)
         if ((prefix ? t.starts_with(path) : t == path) && g.produced < asked && when > at + kBound)
@@ -251,7 +255,7 @@
     for (auto& e : registers.events) {
       if (e.at("t").string_or() != "bad_version") continue;
       auto s = e.at("service").string_or(), v = e.at("version").string_or();
-      // Of a move with a term the share holds over the whole of it, with its slack.
+      // For a rollout with a deadline, the share applies to the whole period, plus its slack.
       auto since = e.at("at").integer_or(), until = e.at("until").integer_or(),
            slack = e.at("slack").integer_or(kInFlight);
       int64_t all = 0, mine = 0, bad = 0, fifty = 0;
@@ -262,17 +266,19 @@
         all += counts;
         if (r.version != v) continue;
         mine += counts;
-        // At every moment; relays count what they send, the journal what arrived.
+        // Checked at every request; relays count sent requests, the journal counts arrivals.
         if (!until && mine > all / 10 + slack && !over) {
           over = true;
           breach(10, fmt::format("{} of {} requests of {} so far went to version {}", mine, all, s, v));
         }
         if (fifty && r.at > fifty + 5000)
-          breach(10, fmt::format("{} {} still got requests {} ms after 50 bad answers", s, v, r.at - fifty));
+          breach(10,
+                 fmt::format("{} {} still got requests {} ms after 50 bad responses", s, v, r.at - fifty));
         if (r.bad && ++bad == 50) fifty = r.at;
       }
       if (until && mine > all / 10 + slack)
-        breach(10, fmt::format("{} of {} requests of {} in the term went to version {}", mine, all, s, v));
+        breach(10, fmt::format("{} of {} requests of {} in the whole period went to version {}", mine, all, s,
+                               v));
       out.figures["bad_version_requests"] += static_cast<uint64_t>(mine);
       out.figures["bad_version_of"] += static_cast<uint64_t>(all);
     }
@@ -283,7 +289,7 @@
       if (e.at("t").string_or() != "rate") continue;
       auto s = e.at("service").string_or();
       auto rate = e.at("n").integer_or();
-      // It is stated from its event until the next of the same service.
+      // A rate applies from its event until the next rate event of the same service.
       int64_t since = e.at("at").integer_or(), till = INT64_MAX;
       for (auto& x : registers.events)
         if (x.at("t").string_or() == "rate" && x.at("service").string_or() == s &&
@@ -312,7 +318,7 @@
         breach(12, "the acknowledged " + e.at("release").string_or() + " could not be read back");
       if (t != "returned") continue;
       auto at = e.at("at").integer_or();
-      // Harm that comes on top has its own return.
+      // A later fault within this period has its own return event.
       if (std::any_of(registers.harms.begin(), registers.harms.end(),
                       [&](auto h) { return h > at && h < at + 20000; }))
         continue;
@@ -361,7 +367,7 @@
   auto& f = c.out.figures;
   f["asked"] = b.asks.size();
   f["answered"] = b.gots.size();
-  int64_t last = 0;  // gots are in the order of their ends
+  int64_t last = 0;  // responses are sorted by their end times
   for (auto& g : b.gots) {
     if (g.status >= 400) continue;
     if (last) f["longest_gap_ms"] = std::max(f["longest_gap_ms"], static_cast<uint64_t>(g.at - last));
--- a/test/checker/checker.hpp
+++ b/test/checker/checker.hpp
@@ -1,5 +1,5 @@
-// Joins the journals of callers, workers and the platform and reports each
-// breach of the twelve rules of what must never happen.
+// Joins the journals of clients, backend instances and the platform and reports
+// each violation of the twelve safety rules.
 #pragma once
 #include <map>
 #include <string>
--- a/test/checker/main.cpp
+++ b/test/checker/main.cpp
@@ -1,5 +1,5 @@
-// Reads every *.journal of a folder, prints the figures and each breach, and
-// exits 1 when there is one.
+// Reads every *.journal of a folder, prints the figures and up to five breaches
+// of each rule, and exits 1 when there is a breach or no journal.
 #include <filesystem>
 #include <iostream>
 
