--- a/test/unit/checker/checker_test.cpp
+++ b/test/unit/checker/checker_test.cpp
@@ -1,5 +1,5 @@
-// The checker is shown a clean journal, and then one doctored for each rule:
-// each rule must be able to fail, and to fail alone.
+// Runs the checker on a clean journal and on one modified for each rule: every
+// rule must be able to fail, and to fail alone.
 #include "checker/checker.hpp"
 
 #include "unit/unit_cases.hpp"
@@ -41,13 +41,13 @@
           got("c", 503, "not-run", 100)};
 }
 Case kept(int rule, const std::string& what, std::vector<std::string> more) {
-  return {fmt::format("checker: rule {} bears {}", rule, what), [more] {
+  return {fmt::format("checker: rule {} accepts {}", rule, what), [more] {
             auto ls = clean();
             ls.insert(ls.end(), more.begin(), more.end());
-            expect(rules(ls).empty(), "it reported something");
+            expect(rules(ls).empty(), "the checker reported a breach");
           }};
 }
-// `n` runs of service r, `gap` ms apart, from `from`.
+// `n` executions of service s, `gap` ms apart, starting at `from`.
 std::vector<std::string> row(int n, int gap, int from, const std::string& more = "",
                              const std::string& version = "1") {
   std::vector<std::string> out;
@@ -67,7 +67,8 @@
             auto ls = clean();
             ls.insert(ls.end(), more.begin(), more.end());
             auto r = rules(ls);
-            expect(r.size() == 1 && r[0] == rule, fmt::format("it reported {} rules", r.size()));
+            expect(r.size() == 1 && r[0] == rule,
+                   fmt::format("the checker reported breaches of {} rules", r.size()));
           }};
 }
 }  // namespace
@@ -92,7 +93,7 @@
   for (int i = 0; i < 2000; ++i) {
     auto id = fmt::format("l{}", i);
     late.push_back(ask(id, "GET", "/c"));
-    // 50 bad answers by 5000, one more request 5.1 s after them.
+    // 50 bad responses until 5000, then one more request 5.1 s later.
     bool two = i % 20 == 0 && i / 20 < 50;
     late.push_back(ran(id, "GET", "/c", i == 1999 ? 10200 : i * 5, two ? R"(,"bad":true)" : "",
                        two || i == 1999 ? "2" : "1"));
@@ -121,60 +122,62 @@
     return v;
   };
   return {
-      doctored(6, "a shot under an old layout after a wait",
+      doctored(6, "an attempt under an old layout after a wait",
                {R"({"t":"assigned","relay":"r","generation":2,"at":100})", ask("d", "GET", "/c"),
                 ran("d", "GET", "/c", 2101, R"(,"relay":"r","gen":"1")")}),
-      kept(6, "a shot just within the bound",
+      kept(6, "an attempt just within the bound",
            {R"({"t":"assigned","relay":"r","generation":2,"at":100})", ask("d", "GET", "/c"),
             ran("d", "GET", "/c", 2100, R"(,"relay":"r","gen":"1")")}),
-      kept(7, "a worker that was just leaving",
+      kept(7, "a request to an instance that has just reported leaving",
            {R"({"t":"leaving","instance":"w","at":10})", ask("d", "GET", "/c"), ran("d", "GET", "/c", 2010)}),
       doctored(8, "purged content served late from a cache",
                {R"({"t":"purged","path":"/c","at":150})", ask("d", "GET", "/c"), got("d", 200, "", 2146)}),
       kept(8, "purged content served just in time",
            {R"({"t":"purged","path":"/c","at":150})", ask("d", "GET", "/c"), got("d", 200, "", 2145)}),
-      kept(8, "what was made after the purge was asked for",
+      kept(8, "content created after the purge was requested",
            {R"({"t":"purged","path":"/c","asked":99,"at":150})", ask("d", "GET", "/c"),
             got("d", 200, "", 2146)}),
       kept(8, "content just within its lifetime",
            {R"({"t":"lifetime","ms":1000,"at":0})", got("b", 200, "", 3095)}),
-      kept(9, "as many repeats as are allowed", repeats(20)),
-      doctored(9, "one repeat more", repeats(21)),
-      kept(10, "a tenth and what is under way",
+      kept(9, "as many retries as allowed", repeats(20)),
+      doctored(9, "one retry too many", repeats(21)),
+      kept(10, "a tenth plus the requests in flight",
            plus({two, trial}, plus(row(98, 1, 300), row(15, 1, 500, "", "2")))),
-      doctored(10, "a bad version beyond the slack of its term", within(13)),
-      kept(10, "a bad version just within the slack of its term", within(14)),
-      doctored(10, "one request more than a tenth",
+      doctored(10, "a bad version beyond the slack of its period", within(13)),
+      kept(10, "a bad version just within the slack of its period", within(14)),
+      doctored(10, "more than a tenth plus the requests in flight",
                plus({two, trial}, plus(row(98, 1, 300), row(17, 1, 500, "", "2")))),
       kept(11, "a tenth more than the rate",
            plus({R"({"t":"rate","service":"s","n":10,"at":300})"}, row(55, 1, 300))),
-      doctored(11, "one more than that",
+      doctored(11, "one request more than that",
                plus({R"({"t":"rate","service":"s","n":10,"at":300})"}, row(56, 1, 300))),
-      kept(12, "half that fail 15 s after the return", failing(20, 10)),
-      doctored(12, "more than half lost, and few asked", failing(7, 3)),
-      {"checker: a clean journal is clean", [] { expect(rules(clean()).empty(), "it reported something"); }},
-      doctored(1, "a filing that ran twice", {ran("a", "POST", "/p", 110)}),
-      doctored(2, "a promise that was not true", {ask("c", "POST", "/p"), ran("c", "POST", "/p", 101)}),
-      doctored(3, "an answer that no worker made",
+      kept(12, "half of the requests failing 15 s after the return", failing(20, 10)),
+      doctored(12, "more than half failing, with few requests", failing(7, 3)),
+      {"checker: a clean journal is clean",
+       [] { expect(rules(clean()).empty(), "the checker reported a breach"); }},
+      doctored(1, "a POST executed twice", {ran("a", "POST", "/p", 110)}),
+      doctored(2, "a request executed despite a not-run response",
+               {ask("c", "POST", "/p"), ran("c", "POST", "/p", 101)}),
+      doctored(3, "a response that no backend instance created",
                {ask("d", "GET", "/c"), got("d", 200, "", 100, 100, "1", "forged")}),
-      doctored(3, "somebody else's answer", {ask("d", "POST", "/p"), got("d", 200, "", 100)}),
-      doctored(4, "a request no caller sent", {ran("ghost", "POST", "/p", 120)}),
+      doctored(3, "the response to another request", {ask("d", "POST", "/p"), got("d", 200, "", 100)}),
+      doctored(4, "a request that no client sent", {ran("ghost", "POST", "/p", 120)}),
       doctored(4, "an altered request", {ask("d", "POST", "/other"), ran("d", "POST", "/p", 120)}),
       doctored(5, "a version never allowed", {ask("d", "GET", "/c"), ran("d", "GET", "/c", 120, "", "9")}),
       doctored(6, "an old layout past the bound",
                {R"({"t":"assigned","relay":"r","generation":2,"at":100})", got("c", 503, "not-run", 2200)}),
-      doctored(6, "slipping back",
+      doctored(6, "reverting to an older generation",
                {got("c", 503, "not-run", 120, 100, "7"), got("c", 503, "not-run", 200, 100, "6")}),
       doctored(
-          7, "a leaving worker that still got requests",
+          7, "an instance that still got requests after it reported leaving",
           {R"({"t":"leaving","instance":"w","at":10})", ask("d", "GET", "/c"), ran("d", "GET", "/c", 2011)}),
       doctored(8, "purged content", {R"({"t":"purged","path":"/c","at":150})", got("b", 200, "", 2151)}),
       doctored(8, "content past its lifetime",
                {R"({"t":"lifetime","ms":1000,"at":0})", got("b", 200, "", 3101)}),
-      doctored(9, "too many repeats", again),
+      doctored(9, "too many retries", again),
       doctored(10, "too great a share for a bad version", bad),
       doctored(10, "a bad version used too long", late),
-      doctored(11, "an origin pushed past its rate", rate),
+      doctored(11, "an origin that gets more than its rate", rate),
       doctored(12, "a layout that was lost", {R"({"t":"layout_lost","release":"x","at":5})"}),
       doctored(12, "failing 15 s after machines returned", returned),
   };
