--- a/test/support/byte_backend.hpp
+++ b/test/support/byte_backend.hpp
@@ -1,5 +1,5 @@
-// A stand-in backend that fails at one chosen byte: of a request it reads or of the
-// answer it sends. It counts the requests that reached it whole, by Attempt-Id.
+// A stub backend that fails at one chosen byte of a request it reads or of the response
+// it sends. It counts the completely received requests by Attempt-Id.
 #pragma once
 #include <charconv>
 #include <set>
@@ -14,19 +14,19 @@
 struct Plan {
   std::string victim;
   Trouble trouble = Trouble::none;
-  bool receiving = false;  // whether `at` counts bytes of the request, else of the answer
-  size_t at = 0;           // bytes after which the trouble comes
-  bool chunked = false;    // the framing of every answer; else by length
-  std::string before;      // sent in one segment with the answer, ahead of it
-  std::string together;    // sent in one segment with the answer, behind it
-  std::string later;       // sent by itself soon after the answer
+  bool receiving = false;  // whether `at` counts bytes of the request; otherwise of the response
+  size_t at = 0;           // bytes after which the fault occurs
+  bool chunked = false;    // whether responses are chunked; otherwise Content-Length
+  std::string before;      // sent in one segment with the response, before it
+  std::string together;    // sent in one segment with the response, after it
+  std::string later;       // sent separately soon after the response
   std::string early;       // sent once `at` bytes of the request are read
-  std::string instead;     // the victim's whole answer, in place of a good one
+  std::string instead;     // replaces the complete response to the victim
 };
 
 inline std::string good_body(const std::string& id) { return "made for " + id; }
 
-// A whole answer that names the request `id` and is stamped.
+// A complete response with the id of the request and a signature.
 inline std::string good_answer(const std::string& id, bool chunked) {
   auto body = good_body(id);
   auto head = fmt::format("HTTP/1.1 200 OK\r\nAttempt-Id: {}\r\nEdge-Signature: s.{}\r\n", id, id);
@@ -56,8 +56,10 @@
     auto found = whole_.find(id);
     return found == whole_.end() ? 0 : found->second;
   }
-  bool begun(const std::string& id) const { return begun_.count(id) > 0; }  // its head came
-  size_t request_bytes() const { return request_bytes_; }  // of the longest request that was read whole
+  bool begun(const std::string& id) const { return begun_.count(id) > 0; }  // its head was received
+  size_t request_bytes() const {
+    return request_bytes_;
+  }  // of the longest request that was received completely
   void freeze() { frozen_ = true; }
   void thaw() { frozen_ = false; }
 
@@ -90,7 +92,7 @@
     return std::string(head.substr(from, head.find('\r', from) - from));
   }
 
-  // Bytes of the request in `got`, once its head is whole.
+  // The size of the request in `got` in bytes, once its head is complete.
   static std::optional<size_t> request_size(std::string_view got) {
     auto end = got.find("\r\n\r\n");
     if (end == got.npos) return {};
@@ -105,7 +107,7 @@
     while (frozen_ && !closing_) clock.sleep(1ms);
   }
 
-  // Ends the connection as planned; a silence lasts until the other side is gone.
+  // Injects the planned fault; silence lasts until the peer closes the connection.
   bool fail(net::Connection& connection) {
     if (plan_.trouble == Trouble::reset)
       connection.socket().set_option(boost::asio::socket_base::linger(true, 0));
@@ -116,7 +118,7 @@
     return false;
   }
 
-  // Reads one request and answers it; false when the connection is to end.
+  // Reads one request and responds to it; false when the connection must be closed.
   bool serve(net::Connection& connection) {
     bool told_early = false;
     std::optional<size_t> size;
@@ -165,7 +167,7 @@
   }
 
  public:
-  // From now on the next bytes of a request are taken for the victim's, before its name is read.
+  // Treats the next bytes of a request as the victim's before its Attempt-Id is received.
   void expect_victim() { expect_victim_ = true; }
 
  private:
--- a/test/support/expect.hpp
+++ b/test/support/expect.hpp
@@ -1,5 +1,5 @@
-// A small runner: named tests, each a function that returns nothing or throws.
-// Its closing line says how many passed and how many failed.
+// A small test runner for named test functions, which throw on failure. Its last
+// line reports the numbers of passed and failed tests.
 #pragma once
 #include <fmt/format.h>
 
--- a/test/support/holding_backend.hpp
+++ b/test/support/holding_backend.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A stand-in backend that holds every request until the test lets it go, and notes when the other side ends
-/// the connection meanwhile.
+/// A stub backend that delays the response to each request until the test releases it, and records when the
+/// peer closes the connection before that.
 #pragma once
 #include <set>
 
@@ -24,15 +24,15 @@
 
   std::string address() const { return fmt::format("127.0.0.1:{}", acceptor_->local_endpoint().port()); }
 
-  /// Whether a request came whole, by its Attempt-Id.
+  /// Whether the request with this Attempt-Id was received.
   bool has(const std::string& id) const { return received_.count(id) > 0; }
-  /// How often it came.
+  /// How often it was received.
   int count(const std::string& id) const { return static_cast<int>(received_.count(id)); }
-  /// Whether the other side ended the connection before the request was answered.
+  /// Whether the peer closed the connection before the response.
   bool was_abandoned(const std::string& id) const { return abandoned_.count(id) > 0; }
-  /// Answers a request, now or when it comes.
+  /// Responds to a request, now or when it arrives.
   void release(const std::string& id) { released_.insert(id); }
-  /// Closes the connection of a request without an answer.
+  /// Closes the connection of a request without a response.
   void cut(const std::string& id) { cut_.insert(id); }
 
  private:
@@ -55,14 +55,14 @@
     }
   }
 
-  /// Reads one request and holds it; false when the connection is to end.
+  /// Reads one request and delays its response; false when the connection must be closed.
   bool serve(net::Connection& connection) {
     size_t end = 0;
     while ((end = connection.buffered().find("\r\n\r\n")) == std::string_view::npos)
       if (connection.read_more()) return false;
     const std::string head(connection.buffered().substr(0, end + 2));
     const std::string id = attempt_id(head);
-    connection.consume(connection.buffered().size());  // the bodies of these tests come with their heads
+    connection.consume(connection.buffered().size());  // these tests send each body together with its head
     received_.insert(id);
     if (!hold(connection, id)) return false;
     const std::string body = "made for " + id;
@@ -71,7 +71,7 @@
         body.size(), body));
   }
 
-  /// Waits until the request may be answered; false when its connection has ended or is to end.
+  /// Waits until the request is released; false when its connection was or must be closed.
   bool hold(net::Connection& connection, const std::string& id) {
     connection.start_read();
     net::SystemClock clock;
--- a/test/support/journal.hpp
+++ b/test/support/journal.hpp
@@ -1,5 +1,5 @@
-// Journals of the stand-ins: one JSON object a line, written with one call so
-// that a kill loses no line that was meant to precede an answer.
+// Journals of the stub programs: one JSON object per line, each written with one
+// system call, so that a kill loses no line written before a response.
 #pragma once
 #include <fcntl.h>
 #include <fmt/format.h>
--- a/test/support/manual_ports.hpp
+++ b/test/support/manual_ports.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Ports for tests of the request path on one fiber: time moves only when a test lets it, and nothing waits.
+/// Ports for tests of the request path on one fiber: time advances only by sleep(), and nothing blocks.
 #pragma once
 #include "base/ports.hpp"
 #include "support/expect.hpp"
--- a/test/support/scripted_peer.hpp
+++ b/test/support/scripted_peer.hpp
@@ -1,11 +1,11 @@
-// The other side of asks between relays, with every byte in the test's hand.
+// A peer for tests of requests between relays, with full control over the bytes it sends.
 #pragma once
 #include "net/net_cases.hpp"
 
 namespace dunlinwing::test {
 
-// A peer whose bytes the test writes itself: `script` gets each ask and gives the bytes to
-// send; the text "cut" or "reset" at their end closes or resets the connection.
+// `script` receives each request and returns the bytes to send; the text "cut" or "reset" at
+// their end closes or resets the connection.
 class ScriptedPeer {
  public:
   using Script = std::function<std::string(int connection, const pb::PeerRequest& ask)>;
