--- a/test/unit/compatibility/compatibility_test.cpp
+++ b/test/unit/compatibility/compatibility_test.cpp
@@ -1,10 +1,10 @@
 /// @file
-/// What the program of commit 0a5d9f4 put on disks and sent to its peers is read today as it was meant
-/// then, whatever names messages, fields and files have now. test/compatibility/README.md tells how the
-/// fixtures were made.
+/// Checks that data written to disk and messages sent to peers by the program of commit 0a5d9f4 are still
+/// read with the same meaning, whatever names messages, fields and files have now.
+/// test/compatibility/README.md describes how the fixtures were made.
 ///
-/// Names of the old schema stand in schema.txt and in the names of the fixtures only. Which message of
-/// today an old one is follows from field numbers, beginning at those in kRoots.
+/// Names of the old schema occur only in schema.txt and in the names of the fixtures. The current message for
+/// an old one is found by field numbers, starting from the messages in kRoots.
 #include <google/protobuf/descriptor.pb.h>
 #include <google/protobuf/dynamic_message.h>
 #include <google/protobuf/io/coded_stream.h>
@@ -39,7 +39,7 @@
 const fs::path kFixtures = DUNLINWING_COMPATIBILITY_FIXTURES;
 constexpr size_t kLogBytes = 1 << 20;
 
-/// The messages that no other one holds as a field, by their names in 0a5d9f4.
+/// The messages that are not a field of another one, by their names in 0a5d9f4.
 const std::map<std::string, const gp::Descriptor*> kRoots = {
     {"Ask", pb::PeerRequest::descriptor()},           {"Reply", pb::PeerResponse::descriptor()},
     {"Record", pb::LogRecord::descriptor()},          {"Image", pb::Snapshot::descriptor()},
@@ -50,7 +50,7 @@
     {"Shares", pb::RateQuotas::descriptor()},
 };
 
-/// What a register holds, by the whole name or, where it ends with a slash, the beginning of the name.
+/// The message type of a register, by its full name or, for a key that ends with a slash, by its prefix.
 /// Null: a JSON document.
 const std::map<std::string, const gp::Descriptor*> kRegisters = {
     {"act/", pb::OperatorAction::descriptor()},  {"departed", pb::Deregistered::descriptor()},
@@ -67,7 +67,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// The files of a folder of the fixtures, by name.
+/// The files of a fixture folder, by name.
 std::map<std::string, std::string> read_folder(const std::string& folder) {
   std::map<std::string, std::string> files;
   for (auto& entry : fs::directory_iterator(kFixtures / folder))
@@ -78,10 +78,10 @@
 
 std::string before_dot(const std::string& name) { return name.substr(0, name.find('.')); }
 
-// ---- The schema of 0a5d9f4 and today's, side by side ----
+// ---- Comparison of the schema of 0a5d9f4 with the current one ----
 
-/// Pairs each message of the old schema with today's that takes its place, and fails where a reader of
-/// the one would not understand a writer of the other. Fields and enum values may be added.
+/// Pairs each message of the old schema with the current one that replaces it, and fails where a reader of
+/// one would not understand a writer of the other. Fields and enum values may be added.
 class Pairing {
  public:
   Pairing() {
@@ -96,7 +96,7 @@
 
   const gp::Descriptor& now(const std::string& old_name) const {
     auto found = now_.find(old_file().FindMessageTypeByName(old_name));
-    expect(found != now_.end(), old_name + " of the old schema is no part of any other message");
+    expect(found != now_.end(), old_name + " of the old schema is not reachable from any root message");
     return *found->second;
   }
 
@@ -108,11 +108,11 @@
  private:
   void pair(const gp::Descriptor& old, const gp::Descriptor& now) {
     auto [at, added] = now_.emplace(&old, &now);
-    expect(at->second == &now, old.name() + " is two messages now");
+    expect(at->second == &now, old.name() + " corresponds to two current messages");
     if (!added) return;
     for (int i = 0; i < old.field_count(); ++i) {
       auto* field = now.FindFieldByNumber(old.field(i)->number());
-      expect(field != nullptr, old.field(i)->full_name() + ": its number is gone");
+      expect(field != nullptr, old.field(i)->full_name() + ": its number no longer exists");
       pair(*old.field(i), *field);
     }
     for (int i = 0; i < old.oneof_decl_count(); ++i) same_oneof(*old.oneof_decl(i), now);
@@ -127,7 +127,7 @@
     same(now.has_presence(), old.has_presence(), name + ": presence");
     same(!now.containing_oneof(), !old.containing_oneof(), name + ": outside of any oneof");
     auto* namesake = old.containing_type()->FindFieldByName(now.name());
-    expect(!namesake || namesake == &old, name + ": this name had another number");
+    expect(!namesake || namesake == &old, name + ": the old schema uses this name with another number");
     if (old.message_type()) pair(*old.message_type(), *now.message_type());
     if (old.enum_type()) same_values(*old.enum_type(), *now.enum_type());
   }
@@ -135,10 +135,10 @@
   void same_values(const gp::EnumDescriptor& old, const gp::EnumDescriptor& now) {
     for (int i = 0; i < old.value_count(); ++i) {
       auto* value = now.FindValueByNumber(old.value(i)->number());
-      expect(value != nullptr, old.value(i)->full_name() + ": its number is gone");
+      expect(value != nullptr, old.value(i)->full_name() + ": its number no longer exists");
       auto* namesake = old.FindValueByName(value->name());
       expect(!namesake || namesake->number() == value->number(),
-             value->full_name() + ": this name had another number");
+             value->full_name() + ": the old schema uses this name with another number");
     }
   }
 
@@ -146,7 +146,7 @@
     std::set<const gp::OneofDescriptor*> places;
     for (int i = 0; i < old.field_count(); ++i)
       places.insert(now.FindFieldByNumber(old.field(i)->number())->containing_oneof());
-    expect(places.size() == 1 && *places.begin(), old.full_name() + " is not one oneof now");
+    expect(places.size() == 1 && *places.begin(), old.full_name() + " is no longer one oneof");
   }
 
   gp::DescriptorPool pool_;
@@ -174,7 +174,7 @@
   return out;
 }
 
-/// Fails when something in the message, at any depth, is not of today's schema.
+/// Fails when the message has unknown fields at any depth.
 void all_known(const gp::Message& message, const std::string& what) {
   auto* reflection = message.GetReflection();
   expect(reflection->GetUnknownFields(message).empty(),
@@ -198,11 +198,11 @@
   for (auto& [name, bytes] : read_folder(folder)) {
     auto message = pairing.make(before_dot(name));
     read_whole(*message, bytes, name);
-    expect(serialized(*message) == bytes, name + " is other bytes when it is written again");
+    expect(serialized(*message) == bytes, name + " has different bytes when serialized again");
   }
 }
 
-/// One frame for each kind of ask and reply, each with every field set.
+/// Checks one frame for each kind of request and response, each with every field set.
 void peer_frames() {
   Pairing pairing;
   same_bytes(pairing, "frames");
@@ -218,15 +218,15 @@
 void single_messages() {
   Pairing pairing;
   same_bytes(pairing, "messages");
-  same(read_folder("messages").size(), size_t(46), "messages but asks and replies");
+  same(read_folder("messages").size(), size_t(46), "messages except peer requests and responses");
 }
 
-/// Fails unless all that the old text says is said in the new one too. Members may be added.
+/// Fails unless the new document contains all members of the old one. Members may be added.
 void says_all_of(const base::Json& now, const base::Json& old, const std::string& at) {
   auto members = old.members();
   for (auto& [key, value] : members) {
     auto place = fmt::format("{}/{}", at, key);
-    expect(now.has(key.c_str()), place + " is gone");
+    expect(now.has(key.c_str()), place + " is missing");
     says_all_of(now.at(key.c_str()), value, place);
   }
   auto old_items = old.items(), items = now.items();
@@ -241,7 +241,7 @@
   return std::get<base::Json>(json);
 }
 
-/// The control address prints stored messages with the names of their fields, which are part of its API.
+/// The control API returns stored messages with the names of their fields, which are part of the API.
 void printed_names() {
   Pairing pairing;
   for (auto& [name, text] : read_folder("json")) {
@@ -262,7 +262,7 @@
   return out;
 }
 
-/// What the old program found in the data folder.
+/// The contents of the data folder as read by the old program.
 struct Expected {
   int stage = 0;
   pb::ReplicaSet set;
@@ -282,18 +282,19 @@
 
 void same_snapshot(const base::LoadedSnapshot& loaded) {
   auto want = expected();
-  expect(!loaded.possibly_lost && !loaded.unwritten, "the data folder is not believed");
+  expect(!loaded.possibly_lost && !loaded.unwritten,
+         "the data folder is reported as possibly lost or unwritten");
   same(int(loaded.snapshot.stage()), want.stage, "stage");
-  expect(serialized(loaded.snapshot.replica_set()) == serialized(want.set), "the replica set is another");
+  expect(serialized(loaded.snapshot.replica_set()) == serialized(want.set), "the replica set differs");
   same(size_t(loaded.snapshot.registers_size()), want.registers.size(), "registers");
   for (auto& slot : loaded.snapshot.registers()) {
     all_known(slot, slot.name());
     expect(want.registers.count(slot.name()) && serialized(slot) == serialized(want.registers[slot.name()]),
-           "register " + slot.name() + " is another");
+           "register " + slot.name() + " differs");
   }
 }
 
-/// A copy of the fixture that is taken away again.
+/// A temporary copy of the fixture.
 struct FolderCopy {
   fs::path path = fs::temp_directory_path() / fmt::format("dunlinwing-compatibility-{}", ::getpid());
   FolderCopy() {
@@ -304,20 +305,21 @@
 
   base::LoadedSnapshot load() const {
     auto folder = storage::open_folder(path.string());
-    expect(std::holds_alternative<std::unique_ptr<storage::Files>>(folder), "the folder does not open");
+    expect(std::holds_alternative<std::unique_ptr<storage::Files>>(folder), "the folder cannot be opened");
     return storage::SnapshotStore(std::move(std::get<std::unique_ptr<storage::Files>>(folder)), kLogBytes)
         .load();
   }
 };
 
-/// Once as the old program left it, and once as today's wrote it anew while loading.
+/// Loads the folder as the old program left it, and again as rewritten by the current program during the
+/// load.
 void data_folder_is_loaded() {
   FolderCopy copy;
   same_snapshot(copy.load());
   same_snapshot(copy.load());
 }
 
-/// The replica whose folder it is, in a world of its own.
+/// The replica that owns the data folder, in a separate simulation.
 struct Replica {
   struct NoOrigin final : base::Origin {
     bool can_connect(const std::string&, Duration) override { return false; }
@@ -342,9 +344,9 @@
   consensus::ReplicaSetView set{{{"a1", "peer:a1"}}};
   consensus::Acceptor acceptor{ports, disk, "a1", set, Duration(500)};
 
-  /// Runs `steps` once the replica has started, within a minute of simulated time.
+  /// Runs `steps` after the replica has started, within a minute of simulated time.
   void run(const std::function<void()>& steps) {
-    std::string failure = "the steps did not come to their end";
+    std::string failure = "the steps did not finish";
     world.run(world.now() + Duration(60000), nullptr, [&] {
       process->host = "a1";
       acceptor.start({});
@@ -380,24 +382,23 @@
   }
 };
 
-/// A promise once given binds, and a higher ballot is told the value that was accepted.
+/// Checks that an earlier promise still binds and that a higher ballot receives the accepted value.
 void votes_as_before(Replica& replica, const std::string& name, const pb::RegisterState& state) {
   auto present = replica.read(name);
   expect(present.granted() && serialized(present.register_state()) == serialized(state),
-         name + ": another state is read");
-  expect(state.promised().round() > 0, name + " was promised to nobody");
+         name + ": a different state is read");
+  expect(state.promised().round() > 0, name + " has no promise");
   auto again = replica.prepare(name, state.promised());
   expect(!again.granted() && !again.non_voting(), name + ": promised twice under one ballot");
   auto higher = state.promised();
   higher.set_round(higher.round() + 1);
   auto vote = replica.prepare(name, higher);
   expect(vote.granted(), name + ": no promise to a higher ballot");
-  expect(serialized(vote.register_state().promised()) == serialized(higher),
-         name + ": the promise is another");
+  expect(serialized(vote.register_state().promised()) == serialized(higher), name + ": the promise differs");
   expect(serialized(vote.register_state().accepted()) == serialized(state.accepted()),
-         name + ": another was accepted");
+         name + ": the accepted ballot differs");
   expect(serialized(vote.register_state().value()) == serialized(state.value()),
-         name + ": the value is another");
+         name + ": the value differs");
 }
 
 void replica_votes() {
@@ -416,7 +417,7 @@
     auto slash = name.find('/');
     auto kind = slash == name.npos ? name : name.substr(0, slash + 1);
     auto type = kRegisters.find(kind);
-    expect(type != kRegisters.end(), "what register " + name + " holds is not known");
+    expect(type != kRegisters.end(), "the type of register " + name + " is unknown");
     met.insert(kind);
     auto& bytes = state.value().data();
     if (!type->second) {
@@ -426,7 +427,7 @@
     std::unique_ptr<gp::Message> value(
         gp::MessageFactory::generated_factory()->GetPrototype(type->second)->New());
     read_whole(*value, bytes, name);
-    same(value->ByteSizeLong(), bytes.size(), name + ": bytes when it is written again");
+    same(value->ByteSizeLong(), bytes.size(), name + ": size when serialized again");
   }
   same(met.size(), kRegisters.size(), "kinds of registers in the data folder");
 }
@@ -440,7 +441,8 @@
   same(rollout::service_key("x"), std::string("service/x"), "service");
   same(limits::quota_key("x"), std::string("share/x"), "shares");
   same(config::release_key("layout", "x"), std::string("release/layout/x"), "release");
-  same(config::operator_action_key("layout", "x"), std::string("act/layout/x"), "acts on a release");
+  same(config::operator_action_key("layout", "x"), std::string("act/layout/x"),
+       "operator actions on a release");
   same(node::drain_key("node", "x"), std::string("drain/node/x"), "drain");
 }
 
@@ -449,25 +451,25 @@
 void record_framing() {
   const std::string payload = "one record";
   const std::string framed = from_hex("314c77640a000000530dca2159648617") + payload;
-  expect(storage::frame(payload) == framed, "a record is framed in other bytes");
+  expect(storage::frame(payload) == framed, "a record is framed with different bytes");
   auto [payloads, tail] = storage::unframe(framed + framed);
   expect(tail == storage::Tail::clean && payloads == std::vector<std::string>{payload, payload},
-         "a framed record is not read");
+         "a framed record cannot be read");
   for (auto& [name, bytes] : read_folder("data")) {
     auto [parts, end] = storage::unframe(bytes);
-    expect(end == storage::Tail::clean && parts.size() >= 2, name + " is not read to its end");
+    expect(end == storage::Tail::clean && parts.size() >= 2, name + " cannot be read to its end");
     std::string again;
     for (auto& part : parts) again += storage::frame(part);
-    expect(again == bytes, name + " is other bytes when it is framed again");
+    expect(again == bytes, name + " has different bytes when framed again");
   }
 }
 }  // namespace
 
 std::vector<Case> compatibility_cases() {
   return {{"compatibility: field numbers and types are those of old peers and disks", schema_is_the_same},
-          {"compatibility: frames of old peers are the same bytes today", peer_frames},
-          {"compatibility: messages of old programs are the same bytes today", single_messages},
-          {"compatibility: the control address prints the names of before", printed_names},
+          {"compatibility: frames of old peers keep their bytes", peer_frames},
+          {"compatibility: messages of old programs keep their bytes", single_messages},
+          {"compatibility: the control API keeps the old field names", printed_names},
           {"compatibility: the framing of records", record_framing},
           {"compatibility: an old data folder is loaded", data_folder_is_loaded},
           {"compatibility: a replica on an old data folder votes as before", replica_votes},
