--- a/test/unit/main.cpp
+++ b/test/unit/main.cpp
@@ -1,4 +1,4 @@
-// Properties and small examples of the pure parts.
+// Runs the unit tests: properties and examples of single components.
 #include <gflags/gflags.h>
 
 #include "support/expect.hpp"
--- a/test/unit/schema_checks.cpp
+++ b/test/unit/schema_checks.cpp
@@ -29,14 +29,14 @@
                    text.find("`" + key + ".") != std::string::npos ||
                    text.find("." + key + "`") != std::string::npos ||
                    text.find("\"" + key + "\"") != std::string::npos;
-      expect(there, page + " does not name " + key);
+      expect(there, page + " does not document " + key);
       walk(value);
     }
     if (json.has("items")) walk(json.at("items"));
     if (!json.at("additionalProperties").members().empty()) walk(json.at("additionalProperties"));
   };
   walk(std::get<base::Json>(parsed));
-  expect(keys >= 8, "the schema was not walked");
+  expect(keys >= 8, "fewer than 8 keys were found in the schema");
 }
 
 }  // namespace dunlinwing::test
--- a/test/unit/schema_checks.hpp
+++ b/test/unit/schema_checks.hpp
@@ -1,14 +1,14 @@
 /// @file
-/// Checks that the tests of documents with a JSON schema share.
+/// Checks shared by the tests of documents with a JSON schema.
 #pragma once
 #include "base/json.hpp"
 
 namespace dunlinwing::test {
 
-/// The places of the errors, in their order, each followed by ';'.
+/// The JSON pointers of the errors in their order, each followed by ';'.
 std::string error_places(const std::vector<base::ValidationError>& errors);
 
-/// Fails unless every key that the schema knows stands in the page of docs/, as `key`.
+/// Fails unless the page of docs/ mentions every key of the schema, as `key`.
 void expect_documented(std::string_view schema, const std::string& page);
 
 }  // namespace dunlinwing::test
--- a/test/unit/unit_cases.hpp
+++ b/test/unit/unit_cases.hpp
@@ -1,4 +1,4 @@
-// The unit cases, a function for each part, and the bridge to RapidCheck.
+// The unit test cases, one function for each component, and the adapter for RapidCheck.
 #pragma once
 #include <rapidcheck.h>
 
