--- a/test/model/votes.hpp
+++ b/test/model/votes.hpp
@@ -18,7 +18,7 @@
 using Ballot = uint8_t;
 using Value = uint8_t;
 
-// Numbered so that ballots compare as numbers in the order of `consensus::lower`.
+// Numbered so that ballots compare as numbers in the order of `consensus::is_lower`.
 constexpr Ballot ballot_of(int round, int proposer) {
   return static_cast<Ballot>((round - 1) * kProposers + proposer + 1);
 }
--- a/test/platform/event_journal.hpp
+++ b/test/platform/event_journal.hpp
@@ -25,7 +25,7 @@
   base::Response response;
 };
 
-struct StampedResponse {  // sent by a backend instance with a unique signature
+struct StampedResponse {  // sent by a backend instance, recorded by its signature
   std::string id, target, body;
   uint64_t version = 0;  // of the object, if the response is one
   bool object = false, failed = false;
