--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -36,18 +36,18 @@
 }
 }  // namespace
 
-Day::Day(uint64_t seed, bool small)
+PlatformScenario::PlatformScenario(uint64_t seed, bool small)
     : world(seed),
       platform_stub(fleet, journal),
       fleet(world, shape(small, platform_stub)),
       clients(fleet, journal),
       operator_stub(fleet, journal) {}
 
-void Day::require(bool ok, const std::string& what) {
+void PlatformScenario::require(bool ok, const std::string& what) {
   if (!ok) unmet_requirements.push_back(what);
 }
 
-bool Day::begin(int per_second, double rate) {
+bool PlatformScenario::begin(int per_second, double rate) {
   configuration = first_configuration(rate);
   if (rate > 0) platform_stub.rates["huvo"] = rate;
   for (int i = 0; i < 7; ++i) platform_stub.add("wuno");
@@ -83,7 +83,7 @@
   return ok;
 }
 
-bool Day::change(uint64_t dice) {
+bool PlatformScenario::change(uint64_t dice) {
   auto old = configuration;
   configuration = next_configuration(configuration, configuration.revision + 1 + dice % 3, dice);
   // Clients stop requesting a removed route before it is removed, and request an added one only after it is
@@ -100,14 +100,14 @@
   return ok;
 }
 
-simulation::Host& Day::any(bool core) {
+simulation::Host& PlatformScenario::any(bool core) {
   std::vector<simulation::Host*> v;
   for (auto& host : fleet.hosts())
     if (host->up() && host->has_disk == core && !world.frozen(host->name)) v.push_back(host.get());
   return *v.at(below(v.size()));
 }
 
-void Day::kill_for(const std::string& host, Duration down) {
+void PlatformScenario::kill_for(const std::string& host, Duration down) {
   journal.unplanned = true;
   note_machine_fault(host);
   fleet.kill(host);
@@ -118,7 +118,7 @@
   });
 }
 
-void Day::terminate(const std::string& host) {
+void PlatformScenario::terminate(const std::string& host) {
   auto& h = fleet.at(host);
   if (!h.up()) return;
   journal.terminations.emplace_back(world.now(), host);
@@ -140,7 +140,7 @@
   fleet.start(host);
 }
 
-void Day::watch() {
+void PlatformScenario::watch() {
   for (;;) {
     std::string core;
     int up = 0, all = 0;
@@ -181,7 +181,7 @@
 
 void play_day(const std::string& kind, uint64_t seed, bool small, int load,
               std::map<std::string, uint64_t>& figures) {
-  Day day(seed, small);
+  PlatformScenario day(seed, small);
   auto& script = fault_kinds().at(kind);
   std::map<std::string, uint64_t> got;
   TimePoint end = day.world.now() + Duration(90000);
--- a/test/platform/day.hpp
+++ b/test/platform/day.hpp
@@ -8,8 +8,8 @@
 
 namespace dunlinwing::test {
 
-struct Day {
-  Day(uint64_t seed, bool small);
+struct PlatformScenario {
+  PlatformScenario(uint64_t seed, bool small);
   simulation::World world;
   EventJournal journal;
   PlatformStub platform_stub;
@@ -39,9 +39,9 @@
 };
 
 struct FaultKind {
-  std::function<void(Day&)> run;  // runs while there is traffic
-  int per_second = 60;            // requests per second
-  double rate = 0;                // requests per second that the origin of the objects accepts; 0: no limit
+  std::function<void(PlatformScenario&)> run;  // runs while there is traffic
+  int per_second = 60;                         // requests per second
+  double rate = 0;  // requests per second that the origin of the objects accepts; 0: no limit
   std::vector<std::string> required_faults;  // faults that must occur across all seeds
 };
 const std::map<std::string, FaultKind>& fault_kinds();
--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-void config_change(Day& y) {
+void config_change(PlatformScenario& y) {
   for (int i = 0; i < 7; ++i) {
     y.require(y.change(y.world.draw() % 1000000), "a configuration was not acknowledged");
     y.fleet.sleep(Duration(300 + y.below(2000)));
@@ -18,7 +18,7 @@
 
 // Two operators send different configurations under one number at once: one is acknowledged and the other
 // gets no definite response. An older configuration is sent again at the same time.
-void config_race(Day& y) {
+void config_race(PlatformScenario& y) {
   for (int i = 0; i < 3; ++i) {
     auto n = y.configuration.revision + 2;
     auto a = next_configuration(y.configuration, n, 3 + 5 * y.below(80)),
@@ -44,7 +44,7 @@
   }
 }
 
-void bad_config(Day& y) {
+void bad_config(PlatformScenario& y) {
   auto all = invalid_texts(y.configuration, y.configuration.revision + 50);
   for (auto& [what, text] : all) {
     OperatorConfiguration configuration;
@@ -60,9 +60,9 @@
   y.require(y.change(0), "a valid configuration was not acknowledged after invalid ones");
 }
 
-std::string object(Day& y) { return fmt::format("/obj/{:x}", y.below(40)); }
+std::string object(PlatformScenario& y) { return fmt::format("/obj/{:x}", y.below(40)); }
 
-void purge(Day& y) {
+void purge(PlatformScenario& y) {
   for (int i = 0; i < 12; ++i) {
     auto o = object(y);
     y.platform_stub.change(o);
@@ -76,7 +76,7 @@
   }
 }
 
-void purge_storm(Day& y) {
+void purge_storm(PlatformScenario& y) {
   auto end = y.world.now() + Duration(6000);
   while (y.world.now() < end) {
     y.fleet.spawn_outside([&y] {
@@ -89,7 +89,7 @@
   y.fleet.sleep(Duration(3000));
 }
 
-void release(Day& y) {
+void release(PlatformScenario& y) {
   for (auto* service : {"wuno", "huvo"})
     for (auto* instance : y.platform_stub.of(service)) {
       if (y.below(2)) continue;
@@ -101,7 +101,7 @@
 }
 
 // The addresses of removed instances are reused by instances of the other service.
-void replace_with_reuse(Day& y) {
+void replace_with_reuse(PlatformScenario& y) {
   bool drained = y.below(2);
   auto v = y.platform_stub.of("wuno");
   for (int i = 0; i < 2; ++i) {
@@ -115,13 +115,13 @@
   y.fleet.sleep(Duration(9000));
 }
 
-void scale_in(Day& y) {
+void scale_in(PlatformScenario& y) {
   auto v = y.platform_stub.of("wuno");
   for (size_t i = 0; i < 3; ++i) y.fleet.spawn_outside([&y, s = v[i]] { y.platform_stub.drain(*s); });
   y.fleet.sleep(Duration(4000));
 }
 
-void srv_crash(Day& y) {
+void srv_crash(PlatformScenario& y) {
   auto v = y.platform_stub.of("wuno"), u = y.platform_stub.of("huvo");
   bool dark = y.below(2);
   for (auto* instance : {v[0], u[0]}) y.platform_stub.crash(*instance, dark);
@@ -136,7 +136,7 @@
   y.min_served_share = 0.85;
 }
 
-void srv_slow(Day& y) {
+void srv_slow(PlatformScenario& y) {
   for (auto* n : {"wuno", "huvo"}) {
     auto v = y.platform_stub.of(n);
     for (size_t i = 0; i < v.size(); ++i)
@@ -149,7 +149,7 @@
 }
 
 // Every instance of one service is slow, and clients ignore Retry-After.
-void crowd(Day& y) {
+void crowd(PlatformScenario& y) {
   y.clients.impatient = true;
   for (auto* instance : y.platform_stub.of("wuno")) instance->slowdown = 24;
   y.fleet.sleep(Duration(8000));
@@ -158,7 +158,7 @@
   y.min_served_share = 0.3;
 }
 
-void misbehave(Day& y, int StubInstance::*how, int permille) {
+void misbehave(PlatformScenario& y, int StubInstance::*how, int permille) {
   y.journal.origin_trouble.push_back(y.world.now());
   for (auto* n : {"wuno", "huvo"}) {
     auto v = y.platform_stub.of(n);
@@ -168,7 +168,7 @@
 }
 
 // The origin of the objects is rate limited, and the objects have a short cache lifetime.
-void ceiling(Day& y) {
+void ceiling(PlatformScenario& y) {
   auto configuration = y.configuration;
   configuration.revision += 1;
   configuration.routes[0].cache_ttl_s = 0.5;
@@ -180,7 +180,7 @@
   y.min_served_share = 0.3;
 }
 
-void rollout(Day& y, bool bad) {
+void rollout(PlatformScenario& y, bool bad) {
   std::string service = y.below(2) ? "wuno" : "huvo";
   auto old = y.platform_stub.of(service);
   std::vector<StubInstance*> fresh;
@@ -226,7 +226,7 @@
 }
 // Half of the acknowledgements to the operator are lost, and it sends the same requests again. The rollout
 // runs alone, because a change of routes removes the traffic that a good version is judged by.
-void ack_lost(Day& y) {
+void ack_lost(PlatformScenario& y) {
   y.operator_stub.lost_permille = 500;
   int left = 2;
   for (auto* n : {"config_change", "purge"})
@@ -241,7 +241,7 @@
 }
 
 // Runs an operator action, a machine fault and a backend fault at the same time.
-void send_random_request(Day& y) {
+void send_random_request(PlatformScenario& y) {
   static const char* const orders[] = {"config_change", "purge", "release", "rollout_bad", "scale_in"};
   static const char* const machines[] = {"node_kill", "herd_kill", "roll_term", "srv_crash"};
   static const char* const backends[] = {"answer_lost", "garble_cut", "garble_extra", "srv_slow"};
@@ -273,17 +273,26 @@
         {"crowd", {crowd, 200, 0, {"not_run_503", "reset_when_full"}}},
         {"ceiling", {ceiling, 90, 20}},
         {"answer_lost",
-         {[](Day& y) { misbehave(y, &StubInstance::lose_permille, 30); }, 60, 0, {"answer_lost"}}},
+         {[](PlatformScenario& y) { misbehave(y, &StubInstance::lose_permille, 30); },
+          60,
+          0,
+          {"answer_lost"}}},
         {"garble_cut",
-         {[](Day& y) { misbehave(y, &StubInstance::cut_permille, 20); }, 60, 0, {"answer_cut"}}},
+         {[](PlatformScenario& y) { misbehave(y, &StubInstance::cut_permille, 20); }, 60, 0, {"answer_cut"}}},
         {"garble_spoilt",
-         {[](Day& y) { misbehave(y, &StubInstance::spoil_permille, 20); }, 60, 0, {"answer_spoilt"}}},
+         {[](PlatformScenario& y) { misbehave(y, &StubInstance::spoil_permille, 20); },
+          60,
+          0,
+          {"answer_spoilt"}}},
         {"garble_extra",
-         {[](Day& y) { misbehave(y, &StubInstance::extra_permille, 30); }, 60, 0, {"answer_extra"}}},
+         {[](PlatformScenario& y) { misbehave(y, &StubInstance::extra_permille, 30); },
+          60,
+          0,
+          {"answer_extra"}}},
         {"ack_lost", {ack_lost, 240, 0, {"ack_lost"}}},
         {"mix", {send_random_request}},
-        {"rollout_good", {[](Day& y) { rollout(y, false); }, 240}},
-        {"rollout_bad", {[](Day& y) { rollout(y, true); }, 240}}};
+        {"rollout_good", {[](PlatformScenario& y) { rollout(y, false); }, 240}},
+        {"rollout_bad", {[](PlatformScenario& y) { rollout(y, true); }, 240}}};
     m.merge(machine_kinds());
     return m;
   }();
--- a/test/platform/machine_kinds.cpp
+++ b/test/platform/machine_kinds.cpp
@@ -6,7 +6,7 @@
 namespace dunlinwing::test {
 namespace {
 
-void node_kill(Day& y) {
+void node_kill(PlatformScenario& y) {
   for (int i = 0; i < 3; ++i) {
     y.kill_for(y.any(i == 1).name, Duration(200 + y.below(2500)));
     y.fleet.sleep(Duration(3500));
@@ -14,7 +14,7 @@
   y.min_served_share = 0.85;
 }
 
-void herd_kill(Day& y) {
+void herd_kill(PlatformScenario& y) {
   std::vector<std::string> names;
   for (auto& host : y.fleet.hosts())
     if (y.below(10) < 6) names.push_back(host->name);
@@ -24,7 +24,7 @@
 }
 
 // Kills the machine that acknowledged a change within four milliseconds.
-void after_ack(Day& y, bool wipe) {
+void after_ack(PlatformScenario& y, bool wipe) {
   for (int i = 0; i < 3; ++i) {
     auto old = y.configuration;
     y.configuration = next_configuration(old, old.revision + 1, 5 * y.below(100));
@@ -45,7 +45,7 @@
   y.min_served_share = 0.85;
 }
 
-void core_cut(Day& y) {
+void core_cut(PlatformScenario& y) {
   y.journal.unplanned = true;
   auto one = y.any(true).name;
   bool one_way = y.below(2);
@@ -62,7 +62,7 @@
   y.min_served_share = 0.8;
 }
 
-void node_cut(Day& y) {
+void node_cut(PlatformScenario& y) {
   y.journal.unplanned = true;
   auto one = y.any(false).name;
   for (auto& host : y.fleet.hosts())
@@ -75,7 +75,7 @@
   y.min_served_share = 0.85;
 }
 
-void node_freeze(Day& y) {
+void node_freeze(PlatformScenario& y) {
   y.journal.unplanned = true;
   for (bool core : {false, true}) {
     auto& host = y.any(core);
@@ -87,7 +87,7 @@
   y.min_served_share = 0.8;
 }
 
-void clock_step(Day& y) {
+void clock_step(PlatformScenario& y) {
   std::vector<simulation::Host*> who;
   for (auto& h : y.fleet.hosts())
     if (y.below(10) < 3) who.push_back(h.get());
@@ -103,7 +103,7 @@
   }
 }
 
-void roll_term(Day& y) {
+void roll_term(PlatformScenario& y) {
   for (auto& host : y.fleet.hosts()) {
     if (host->up() && (host->has_disk || y.below(3) == 0)) {
       y.terminate(host->name);
@@ -112,7 +112,7 @@
   }
 }
 
-void seed_change(Day& y) {
+void seed_change(PlatformScenario& y) {
   for (auto& host : y.fleet.hosts()) host->node->set_seeds({"http:e1", "http:h3", "http:e2"});
   y.fleet.sleep(Duration(1000));
   y.change(0);
@@ -121,7 +121,7 @@
 }
 
 // Kills all machines and sends a rollout while they start.
-void order_at_start(Day& y) {
+void order_at_start(PlatformScenario& y) {
   y.journal.unplanned = true;
   for (int i = 0; i < 4; ++i) y.platform_stub.add("huvo", "v2");
   y.fleet.sleep(Duration(2000));
@@ -139,7 +139,7 @@
 }
 
 // Injects a fleet-wide fault right after one more change was acknowledged.
-void closing(Day& y, int how) {
+void closing(PlatformScenario& y, int how) {
   for (int i = 0; i < 4; ++i) y.platform_stub.add("huvo", "v2");
   y.fleet.sleep(Duration(2000));
   y.require(y.operator_stub.roll_out_version("huvo", "v2", Duration(12000), false),
@@ -173,8 +173,8 @@
 std::map<std::string, FaultKind> machine_kinds() {
   return {{"node_kill", {node_kill}},
           {"herd_kill", {herd_kill}},
-          {"after_ack_kill", {[](Day& y) { after_ack(y, false); }}},
-          {"after_ack_wipe", {[](Day& y) { after_ack(y, true); }}},
+          {"after_ack_kill", {[](PlatformScenario& y) { after_ack(y, false); }}},
+          {"after_ack_wipe", {[](PlatformScenario& y) { after_ack(y, true); }}},
           {"core_cut", {core_cut}},
           {"node_cut", {node_cut}},
           {"node_freeze", {node_freeze}},
@@ -182,9 +182,9 @@
           {"order_at_start", {order_at_start}},
           {"roll_term", {roll_term}},
           {"seed_change", {seed_change}},
-          {"kill_all", {[](Day& y) { closing(y, 0); }}},
-          {"power_off_all", {[](Day& y) { closing(y, 1); }}},
-          {"wipe_after_ack", {[](Day& y) { closing(y, 2); }}}};
+          {"kill_all", {[](PlatformScenario& y) { closing(y, 0); }}},
+          {"power_off_all", {[](PlatformScenario& y) { closing(y, 1); }}},
+          {"wipe_after_ack", {[](PlatformScenario& y) { closing(y, 2); }}}};
 }
 
 }  // namespace dunlinwing::test
