--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -179,8 +179,8 @@
   }
 }
 
-void play_day(const std::string& kind, uint64_t seed, bool small, int load,
-              std::map<std::string, uint64_t>& figures) {
+void run_scenario(const std::string& kind, uint64_t seed, bool small, int load,
+                  std::map<std::string, uint64_t>& figures) {
   PlatformScenario day(seed, small);
   auto& script = fault_kinds().at(kind);
   std::map<std::string, uint64_t> got;
--- a/test/platform/day.hpp
+++ b/test/platform/day.hpp
@@ -47,7 +47,7 @@
 const std::map<std::string, FaultKind>& fault_kinds();
 
 // Throws Failed when a rule is violated or a requirement is unmet.
-void play_day(const std::string& kind, uint64_t seed, bool small, int load,
-              std::map<std::string, uint64_t>& figures);
+void run_scenario(const std::string& kind, uint64_t seed, bool small, int load,
+                  std::map<std::string, uint64_t>& figures);
 
 }  // namespace dunlinwing::test
--- a/test/platform/main.cpp
+++ b/test/platform/main.cpp
@@ -29,7 +29,7 @@
                                to = FLAGS_seed ? FLAGS_seed : static_cast<uint64_t>(FLAGS_seeds);
                       std::string bad;
                       for (auto s = from; s <= to; ++s) try {
-                          test::play_day(name, s, s % 2 == 0, FLAGS_load, sum);
+                          test::run_scenario(name, s, s % 2 == 0, FLAGS_load, sum);
                         } catch (const std::exception& e) {
                           bad += std::string(bad.empty() ? "" : "\n") + e.what();
                         }
