--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -181,43 +181,43 @@
 
 void run_scenario(const std::string& kind, uint64_t seed, bool small, int load,
                   std::map<std::string, uint64_t>& figures) {
-  PlatformScenario day(seed, small);
+  PlatformScenario scenario(seed, small);
   auto& script = fault_kinds().at(kind);
   std::map<std::string, uint64_t> got;
-  TimePoint end = day.world.now() + Duration(90000);
-  day.world.run(day.world.now() + Duration(2000), nullptr, [&] {
-    day.fleet.start_all();
-    day.fleet.spawn_outside([&] {
-      if (day.begin(script.per_second * load, script.rate)) script.run(day);
-      day.fleet.sleep(Duration(1500));
-      got = {{"wanted", day.clients.wanted}, {"served", day.clients.served}};
-      day.operator_stub.read_back(Duration(3000));
-      day.done = true;
+  TimePoint end = scenario.world.now() + Duration(90000);
+  scenario.world.run(scenario.world.now() + Duration(2000), nullptr, [&] {
+    scenario.fleet.start_all();
+    scenario.fleet.spawn_outside([&] {
+      if (scenario.begin(script.per_second * load, script.rate)) script.run(scenario);
+      scenario.fleet.sleep(Duration(1500));
+      got = {{"wanted", scenario.clients.wanted}, {"served", scenario.clients.served}};
+      scenario.operator_stub.read_back(Duration(3000));
+      scenario.done = true;
     });
   });
-  while (!day.done && day.world.now() < end)
-    day.world.run(day.world.now() + Duration(2000), nullptr, nullptr);
-  day.fleet.end();
-  day.world.run(day.world.now() + Duration(20000), nullptr, nullptr);
+  while (!scenario.done && scenario.world.now() < end)
+    scenario.world.run(scenario.world.now() + Duration(2000), nullptr, nullptr);
+  scenario.fleet.end();
+  scenario.world.run(scenario.world.now() + Duration(20000), nullptr, nullptr);
   for (auto& [k, v] : got) figures[k] += v;
-  for (auto& [k, v] : day.world.faults_met) figures["met_" + k] += v;
-  for (auto& [id, t] : day.journal.attempts)
-    figures["tries_in_touch"] += in_touch(day.journal, t.relay, t.sent);
-  figures["tries"] += day.journal.attempts.size();
-  figures["arrivals"] += day.journal.arrivals.size();
-  figures["steps"] += day.world.steps();
-  auto broken = judge(day.journal);
+  for (auto& [k, v] : scenario.world.faults_met) figures["met_" + k] += v;
+  for (auto& [id, t] : scenario.journal.attempts)
+    figures["tries_in_touch"] += in_touch(scenario.journal, t.relay, t.sent);
+  figures["tries"] += scenario.journal.attempts.size();
+  figures["arrivals"] += scenario.journal.arrivals.size();
+  figures["steps"] += scenario.world.steps();
+  auto broken = judge(scenario.journal);
   std::string all;
   std::map<std::string, int> of;
   for (auto& b : broken)
     if (of[b.rule]++ < 2) all += fmt::format("\n     {}: {}", b.rule, b.what);
   for (auto& [r, n] : of) all += fmt::format("\n     {} {}", n, r);
-  for (auto& u : day.unmet_requirements) all += "\n     unmet: " + u;
-  if (!day.done) all += "\n     the scenario did not finish";
+  for (auto& u : scenario.unmet_requirements) all += "\n     unmet: " + u;
+  if (!scenario.done) all += "\n     the scenario did not finish";
   double part = got["wanted"] ? static_cast<double>(got["served"]) / static_cast<double>(got["wanted"]) : 0;
-  if (part < day.min_served_share)
+  if (part < scenario.min_served_share)
     all += fmt::format("\n     {:.3f} of {} requests served, {} wanted", part, got["wanted"],
-                       day.min_served_share);
+                       scenario.min_served_share);
   expect(all.empty(), fmt::format("seed {}{}: {}", seed, small ? " small" : "", all));
 }
 
