--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -10,7 +10,7 @@
 
 namespace dunlinwing::test {
 namespace {
-constexpr Duration kBeat{1500};
+constexpr Duration kHeartbeatPeriod{1500};
 
 simulation::FleetShape shape(bool small, PlatformStub& yard) {
   simulation::FleetShape s;
@@ -28,7 +28,7 @@
     config.system.retry_allowance = 64;
   };
   s.translate = [](base::Request& request, const simulation::FleetShape::Handler& product) {
-    return platform::handle(request, kBeat, product);
+    return platform::handle(request, kHeartbeatPeriod, product);
   };
   s.send = [&yard](auto& l, auto& a, auto& q, auto& r) { return yard.send(l, a, q, r); };
   s.stands = [&yard](auto& a) { return yard.stands(a); };
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -9,7 +9,7 @@
 
 namespace dunlinwing::test {
 namespace {
-constexpr Duration kBeat{1500}, kDrain{2000}, kAck{4000};
+constexpr Duration kHeartbeatPeriod{1500}, kDrain{2000}, kAck{4000};
 
 std::string stamp(const std::string& of) { return fmt::format("sig.{:x}", std::hash<std::string>()(of)); }
 
@@ -64,7 +64,7 @@
   fleet_.sleep(Duration(fleet_.world().below(1400)));
   while (instance.alive && !instance.draining) {
     if (!instance.unreachable) send_heartbeat(instance, "PUT");
-    fleet_.sleep(kBeat);
+    fleet_.sleep(kHeartbeatPeriod);
   }
 }
 
