--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -20,9 +20,9 @@
   s.tolerate = 1;
   s.scale = 1;
   s.max_delay = Duration(2);
-  std::shared_ptr<const proxy::ProtocolAdapter> face = platform::protocol_adapter();
-  s.settings = [face](node::NodeConfig& config) {
-    config.protocol_adapter = face;
+  std::shared_ptr<const proxy::ProtocolAdapter> adapter = platform::protocol_adapter();
+  s.settings = [adapter](node::NodeConfig& config) {
+    config.protocol_adapter = adapter;
     config.shield = false;
     config.max_cache_bytes = 65 << 20;
     config.system.retry_allowance = 64;
