--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -202,7 +202,7 @@
   for (auto& [k, v] : got) figures[k] += v;
   for (auto& [k, v] : scenario.world.faults_met) figures["met_" + k] += v;
   for (auto& [id, t] : scenario.journal.attempts)
-    figures["tries_in_touch"] += in_touch(scenario.journal, t.relay, t.sent);
+    figures["tries_in_touch"] += without_recent_fault(scenario.journal, t.relay, t.sent);
   figures["tries"] += scenario.journal.attempts.size();
   figures["arrivals"] += scenario.journal.arrivals.size();
   figures["steps"] += scenario.world.steps();
--- a/test/platform/event_journal.hpp
+++ b/test/platform/event_journal.hpp
@@ -95,6 +95,6 @@
 
 // Whether neither the machine nor the core had a fault in the three seconds before `t`.
 constexpr Duration kContact{3000};
-bool in_touch(const EventJournal& journal, const std::string& machine, TimePoint t);
+bool without_recent_fault(const EventJournal& journal, const std::string& machine, TimePoint t);
 
 }  // namespace dunlinwing::test
--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -107,7 +107,7 @@
       if (!ever)
         say("ROUTE",
             fmt::format("{} {} ran at {} of {}", attempt->host, attempt->target, a.instance, a.service));
-      if (!ever || !in_touch(journal, attempt->relay, a.at)) continue;
+      if (!ever || !without_recent_fault(journal, attempt->relay, a.at)) continue;
       auto v = may_hold(attempt->sent, a.at);
       if (std::none_of(v.begin(), v.end(), [&](auto* s) {
             return s->configuration.routes_to(attempt->host, attempt->target, a.service);
@@ -121,7 +121,7 @@
     for (auto& [id, t] : journal.attempts) {
       int st = t.complete ? t.response.status : 0;
       if (st / 100 != 4 || st == 408 || st == 421 || st == 429 || st == 416 ||
-          !in_touch(journal, t.relay, t.ended))
+          !without_recent_fault(journal, t.relay, t.ended))
         continue;
       auto v = may_hold(t.sent, t.ended);
       bool there = !v.empty() && std::all_of(v.begin(), v.end(), [&](auto* s) {
@@ -200,10 +200,10 @@
 
   void drains() {
     for (auto& l : journal.deregistrations) {
-      if (!in_touch(journal, l.by, l.at)) continue;
+      if (!without_recent_fault(journal, l.by, l.at)) continue;
       for (auto& a : journal.arrivals)
         if (a.instance == l.instance && !a.wrong_instance && a.at > l.at + kDrain &&
-            in_touch(journal, a.node, a.at))
+            without_recent_fault(journal, a.node, a.at))
           say("DRAIN", fmt::format("{} got a request from {} {} ms after {} acknowledged its deregistration",
                                    a.instance, a.node, (a.at - l.at).count(), l.by));
     }
@@ -253,12 +253,12 @@
         if (a.service != m.service || a.at < m.ordered || a.at > m.deadline) continue;
         ++all;
         bool here = a.version == m.version;
-        mine += here && in_touch(journal, a.node, a.at);
+        mine += here && without_recent_fault(journal, a.node, a.at);
         if (here && a.executed && a.failed && ++bad == 50) fiftieth = a.at;
         auto* attempt = asked(a.id);
         if (here && fiftieth && attempt && attempt->sent > *fiftieth + kRollback &&
             (journal.core_faults.empty() || journal.core_faults.back() < *fiftieth) &&
-            in_touch(journal, a.node, a.at))
+            without_recent_fault(journal, a.node, a.at))
           say("EXPOSURE", fmt::format("{} still gets requests {} ms after its 50th bad response", m.version,
                                       (attempt->sent - *fiftieth).count()));
       }
@@ -269,7 +269,8 @@
 
   void stale() {
     for (auto& [id, t] : journal.attempts) {
-      if (!t.complete || t.response.status / 100 != 2 || !in_touch(journal, t.relay, t.sent)) continue;
+      if (!t.complete || t.response.status / 100 != 2 || !without_recent_fault(journal, t.relay, t.sent))
+        continue;
       auto f = journal.stamped_responses.find(base::header(t.response.headers, "Edge-Signature"));
       auto g = journal.replaced.find(t.target);
       if (f == journal.stamped_responses.end() || g == journal.replaced.end() || !f->second.object ||
@@ -302,7 +303,7 @@
       if (rate <= 0) continue;
       std::vector<TimePoint> v;
       for (auto& a : journal.arrivals)
-        if (a.service == service && in_touch(journal, a.node, a.at)) v.push_back(a.at);
+        if (a.service == service && without_recent_fault(journal, a.node, a.at)) v.push_back(a.at);
       for (size_t i = 0, j = 0; i < v.size(); ++i) {
         while (v[j] + kCeiling <= v[i]) ++j;
         if (static_cast<double>(i - j + 1) > rate * 5 * 1.1 + 5) {
@@ -336,7 +337,7 @@
 };
 }  // namespace
 
-bool in_touch(const EventJournal& journal, const std::string& machine, TimePoint t) {
+bool without_recent_fault(const EventJournal& journal, const std::string& machine, TimePoint t) {
   auto within = [&](const std::vector<TimePoint>& v) {
     auto i = std::lower_bound(v.begin(), v.end(), t - kContact);
     return i != v.end() && *i <= t;
