--- a/test/platform/event_journal.hpp
+++ b/test/platform/event_journal.hpp
@@ -94,7 +94,7 @@
 };
 
 // Whether neither the machine nor the core had a fault in the three seconds before `t`.
-constexpr Duration kContact{3000};
+constexpr Duration kRecentFaultPeriod{3000};
 bool without_recent_fault(const EventJournal& journal, const std::string& machine, TimePoint t);
 
 }  // namespace dunlinwing::test
--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -328,9 +328,9 @@
   void orders() {
     for (auto& l : journal.unacknowledged) {
       bool calm = std::none_of(journal.core_faults.begin(), journal.core_faults.end(),
-                               [&](TimePoint t) { return t > l.sent - kContact && t < l.ended; });
+                               [&](TimePoint t) { return t > l.sent - kRecentFaultPeriod && t < l.ended; });
       for (auto& [n, v] : journal.machine_faults)
-        for (auto t : v) calm &= t <= l.sent - kContact || t >= l.ended;
+        for (auto t : v) calm &= t <= l.sent - kRecentFaultPeriod || t >= l.ended;
       if (calm) say("ACKS", l.what + " was not acknowledged in four seconds without faults");
     }
   }
@@ -339,7 +339,7 @@
 
 bool without_recent_fault(const EventJournal& journal, const std::string& machine, TimePoint t) {
   auto within = [&](const std::vector<TimePoint>& v) {
-    auto i = std::lower_bound(v.begin(), v.end(), t - kContact);
+    auto i = std::lower_bound(v.begin(), v.end(), t - kRecentFaultPeriod);
     return i != v.end() && *i <= t;
   };
   auto f = journal.machine_faults.find(machine);
