--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -247,7 +247,7 @@
 }
 
 // Runs an operator action, a machine fault and a backend fault at the same time.
-void send_random_request(PlatformScenario& scenario) {
+void mix(PlatformScenario& scenario) {
   static const char* const orders[] = {"config_change", "purge", "release", "rollout_bad", "scale_in"};
   static const char* const machines[] = {"node_kill", "herd_kill", "roll_term", "srv_crash"};
   static const char* const backends[] = {"answer_lost", "garble_cut", "garble_extra", "srv_slow"};
@@ -299,7 +299,7 @@
           0,
           {"answer_extra"}}},
         {"ack_lost", {ack_lost, 240, 0, {"ack_lost"}}},
-        {"mix", {send_random_request}},
+        {"mix", {mix}},
         {"rollout_good", {[](PlatformScenario& scenario) { rollout(scenario, false); }, 240}},
         {"rollout_bad", {[](PlatformScenario& scenario) { rollout(scenario, true); }, 240}}};
     m.merge(machine_kinds());
