--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -12,12 +12,12 @@
 constexpr Duration kApply{2000}, kRevert{250}, kDrain{2000}, kPurge{2000}, kStaleSlack{2000}, kRollback{5000},
     kWindow{10000}, kCeiling{5000};
 
-struct Bench {
+struct RuleChecker {
   const EventJournal& journal;
   std::vector<Violation> out;
   std::map<std::string, std::vector<const Arrival*>> runs;  // by id
 
-  explicit Bench(const EventJournal& x) : journal(x) {
+  explicit RuleChecker(const EventJournal& x) : journal(x) {
     for (auto& a : journal.arrivals)
       if (a.executed) runs[a.id].push_back(&a);
   }
@@ -347,7 +347,7 @@
 }
 
 std::vector<Violation> judge(const EventJournal& journal) {
-  Bench b(journal);
+  RuleChecker b(journal);
   b.mixed();
   b.unasked();
   b.promises();
