--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -21,7 +21,7 @@
     for (auto& a : journal.arrivals)
       if (a.executed) runs[a.id].push_back(&a);
   }
-  void say(const char* rule, std::string what) { out.push_back({rule, std::move(what)}); }
+  void report(const char* rule, std::string what) { out.push_back({rule, std::move(what)}); }
   const ClientAttempt* asked(const std::string& id) const {
     auto f = journal.attempts.find(id);
     return f == journal.attempts.end() ? nullptr : &f->second;
@@ -33,12 +33,12 @@
       if (!t.complete) continue;
       auto& response = t.response;
       auto told = base::header(response.headers, "Attempt-Id");
-      if (!told.empty() && told != id) say("MIXED", fmt::format("{} got the response to {}", id, told));
+      if (!told.empty() && told != id) report("MIXED", fmt::format("{} got the response to {}", id, told));
       if (response.status / 100 != 2) continue;
       auto f = journal.stamped_responses.find(base::header(response.headers, "Edge-Signature"));
       if (f == journal.stamped_responses.end()) {
-        say("MIXED",
-            fmt::format("a success without the signature of a backend instance at {} {}", t.relay, t.target));
+        report("MIXED", fmt::format("a success without the signature of a backend instance at {} {}", t.relay,
+                                    t.target));
         continue;
       }
       auto& m = f->second;
@@ -50,11 +50,12 @@
         body = first <= last && last < m.body.size() ? m.body.substr(first, last - first + 1) : "?";
       }
       if (response.body != body)
-        say("MIXED", fmt::format("not the complete body of the backend instance for {} at {}: {}", t.target,
-                                 t.relay, response.body));
+        report("MIXED", fmt::format("not the complete body of the backend instance for {} at {}: {}",
+                                    t.target, t.relay, response.body));
       if (m.target != t.target || (!m.object && m.id != id))
-        say("MIXED", fmt::format("{} {} got the response created for {} {}", id, t.target, m.id, m.target));
-      if (m.failed) say("MIXED", "a failure was reported as a success");
+        report("MIXED",
+               fmt::format("{} {} got the response created for {} {}", id, t.target, m.id, m.target));
+      if (m.failed) report("MIXED", "a failure was reported as a success");
     }
   }
 
@@ -64,12 +65,13 @@
       bool read = a.method == "GET" && a.target.starts_with("/obj/");
       auto* attempt = asked(a.id);
       if (!attempt) {
-        if (!read) say("UNASKED", fmt::format("{} ran {} {} under {}", a.instance, a.method, a.target, a.id));
+        if (!read)
+          report("UNASKED", fmt::format("{} ran {} {} under {}", a.instance, a.method, a.target, a.id));
         continue;
       }
       if (attempt->method != a.method || attempt->target != a.target || attempt->body != a.body)
-        say("UNASKED", fmt::format("{} ran {} {} for {} {}", a.instance, a.method, a.target, attempt->method,
-                                   attempt->target));
+        report("UNASKED", fmt::format("{} ran {} {} for {} {}", a.instance, a.method, a.target,
+                                      attempt->method, attempt->target));
     }
   }
 
@@ -77,10 +79,10 @@
     for (auto& [id, t] : journal.attempts) {
       if (t.kind != "non_idempotent") continue;
       auto n = runs.count(id) ? runs[id].size() : 0;
-      if (n > 1) say("TWICE", fmt::format("{} ran {} times", id, n));
+      if (n > 1) report("TWICE", fmt::format("{} ran {} times", id, n));
       int st = t.complete ? t.response.status : 0;
       if (n && (st == 429 || st == 503 || st == 408 || st == 421))
-        say("REFUSED", fmt::format("{} got {} and ran", id, st));
+        report("REFUSED", fmt::format("{} got {} and ran", id, st));
     }
   }
 
@@ -105,16 +107,16 @@
                s.configuration.routes_to(attempt->host, attempt->target, a.service);
       });
       if (!ever)
-        say("ROUTE",
-            fmt::format("{} {} ran at {} of {}", attempt->host, attempt->target, a.instance, a.service));
+        report("ROUTE",
+               fmt::format("{} {} ran at {} of {}", attempt->host, attempt->target, a.instance, a.service));
       if (!ever || !without_recent_fault(journal, attempt->relay, a.at)) continue;
       auto v = may_hold(attempt->sent, a.at);
       if (std::none_of(v.begin(), v.end(), [&](auto* s) {
             return s->configuration.routes_to(attempt->host, attempt->target, a.service);
           }))
-        say("CONFIG",
-            fmt::format("late at {}: {} {} ran at {} after {}", attempt->relay, attempt->host,
-                        attempt->target, a.service, v.empty() ? 0 : v.front()->configuration.revision));
+        report("CONFIG",
+               fmt::format("late at {}: {} {} ran at {} after {}", attempt->relay, attempt->host,
+                           attempt->target, a.service, v.empty() ? 0 : v.front()->configuration.revision));
     }
     size_t denied = 0;
     std::string which;
@@ -130,10 +132,10 @@
       if (!there) continue;
       ++denied;
       which = fmt::format("{} to {} {} at {}", st, t.host, t.target, t.relay);
-      if (st == 404) say("CONFIG", "late: " + which);
+      if (st == 404) report("CONFIG", "late: " + which);
     }
     if (denied > 5 + journal.attempts.size() / 500)
-      say("DENIED", fmt::format("{} times, such as {}", denied, which));
+      report("DENIED", fmt::format("{} times, such as {}", denied, which));
   }
 
   // While a process runs, it never handles a request in a way that only a configuration older than one it has
@@ -158,8 +160,8 @@
       auto& v = shown[attempt->process];
       for (auto& x : v)
         if (attempt->sent > x.at + kRevert && most < x.least)
-          say("CONFIG", fmt::format("reverted at {}: {} handled by configuration {} after {} was in use",
-                                    attempt->relay, attempt->target, most, x.least));
+          report("CONFIG", fmt::format("reverted at {}: {} handled by configuration {} after {} was in use",
+                                       attempt->relay, attempt->target, most, x.least));
       if (v.empty() || least > v.back().least) v.push_back({least, a.at});
     }
   }
@@ -172,29 +174,30 @@
       return n;
     };
     for (auto& s : journal.configurations) {
-      if (!s.valid && s.acknowledged) say("CONFIG", "invalid, but acknowledged: " + s.what);
+      if (!s.valid && s.acknowledged) report("CONFIG", "invalid, but acknowledged: " + s.what);
       if (!s.valid && s.rejections / 100 != 4)
-        say("CONFIG", fmt::format("invalid, but got status {}: {}", s.rejections, s.what));
+        report("CONFIG", fmt::format("invalid, but got status {}: {}", s.rejections, s.what));
       if (s.valid && s.rejections / 100 == 4)
-        say("CONFIG", fmt::format("valid, but got status {}: {}", s.rejections, s.what));
+        report("CONFIG", fmt::format("valid, but got status {}: {}", s.rejections, s.what));
     }
     for (auto& s : journal.configurations)
       for (auto& t : journal.configurations) {
         bool confirmed = s.valid && t.valid && s.acknowledged && t.acknowledged && s.text != t.text;
         if (confirmed && s.configuration.revision == t.configuration.revision &&
             *s.acknowledged <= *t.acknowledged && newest(*t.acknowledged) == t.configuration.revision)
-          say("CONFIG", fmt::format("two configurations are acknowledged under the number {}",
-                                    t.configuration.revision));
+          report("CONFIG", fmt::format("two configurations are acknowledged under the number {}",
+                                       t.configuration.revision));
       }
-    for (auto& r : journal.rejected_again) say("CONFIG", "acknowledged, but rejected when sent again: " + r);
+    for (auto& r : journal.rejected_again)
+      report("CONFIG", "acknowledged, but rejected when sent again: " + r);
     if (newest(TimePoint::max()) && journal.read_back.empty())
-      say("CONFIG", "no configuration could be read back");
+      report("CONFIG", "no configuration could be read back");
     for (auto& [n, text, asked] : journal.read_back) {
       if (n < newest(asked))
-        say("CONFIG", fmt::format("{} is read back although {} was acknowledged", n, newest(asked)));
+        report("CONFIG", fmt::format("{} is read back although {} was acknowledged", n, newest(asked)));
       if (std::none_of(journal.configurations.begin(), journal.configurations.end(),
                        [&](auto& s) { return s.valid && s.text == text; }))
-        say("CONFIG", fmt::format("the content read back under {} was never sent", n));
+        report("CONFIG", fmt::format("the content read back under {} was never sent", n));
     }
   }
 
@@ -204,8 +207,9 @@
       for (auto& a : journal.arrivals)
         if (a.instance == l.instance && !a.wrong_instance && a.at > l.at + kDrain &&
             without_recent_fault(journal, a.node, a.at))
-          say("DRAIN", fmt::format("{} got a request from {} {} ms after {} acknowledged its deregistration",
-                                   a.instance, a.node, (a.at - l.at).count(), l.by));
+          report("DRAIN",
+                 fmt::format("{} got a request from {} {} ms after {} acknowledged its deregistration",
+                             a.instance, a.node, (a.at - l.at).count(), l.by));
     }
   }
 
@@ -236,8 +240,8 @@
         auto from = v[i] - kWindow;
         double most = 0.2 * std::max({in(from), in(from - kWindow), in(from - kWindow / 2)}) + 64;
         if (static_cast<double>(i - j + 1) > most) {
-          say("BUDGET", fmt::format("{}: {} repeated arrivals in ten seconds, {:.0f} allowed", service,
-                                    i - j + 1, most));
+          report("BUDGET", fmt::format("{}: {} repeated arrivals in ten seconds, {:.0f} allowed", service,
+                                       i - j + 1, most));
           break;
         }
       }
@@ -259,11 +263,11 @@
         if (here && fiftieth && attempt && attempt->sent > *fiftieth + kRollback &&
             (journal.core_faults.empty() || journal.core_faults.back() < *fiftieth) &&
             without_recent_fault(journal, a.node, a.at))
-          say("EXPOSURE", fmt::format("{} still gets requests {} ms after its 50th bad response", m.version,
-                                      (attempt->sent - *fiftieth).count()));
+          report("EXPOSURE", fmt::format("{} still gets requests {} ms after its 50th bad response",
+                                         m.version, (attempt->sent - *fiftieth).count()));
       }
       if (mine > 0.1 * all + 50)
-        say("EXPOSURE", fmt::format("{} got {} of {} requests", m.version, mine, all));
+        report("EXPOSURE", fmt::format("{} got {} of {} requests", m.version, mine, all));
     }
   }
 
@@ -281,16 +285,16 @@
       for (auto& p : journal.purges) {
         bool named = p.tag.empty() ? p.host == t.host && p.path == t.target : p.tag == tag || p.tag == "tall";
         if (named && p.acknowledged && p.sent >= gone && t.sent > *p.acknowledged + kPurge)
-          say("STALE", fmt::format("{} at {} {} ms after its purge was acknowledged", t.target, t.relay,
-                                   (t.sent - *p.acknowledged).count()));
+          report("STALE", fmt::format("{} at {} {} ms after its purge was acknowledged", t.target, t.relay,
+                                      (t.sent - *p.acknowledged).count()));
       }
       double keep = 0;
       for (auto& s : journal.configurations)
         if (auto* route = s.valid ? s.configuration.match(t.host, t.target) : nullptr)
           keep = std::max(keep, route->cache_ttl_s);
       if (t.sent > gone + Duration(static_cast<int64_t>(keep * 1000)) + kStaleSlack)
-        say("STALE",
-            fmt::format("{} at {} {} ms after it was replaced", t.target, t.relay, (t.sent - gone).count()));
+        report("STALE", fmt::format("{} at {} {} ms after it was replaced", t.target, t.relay,
+                                    (t.sent - gone).count()));
     }
   }
 
@@ -307,8 +311,8 @@
       for (size_t i = 0, j = 0; i < v.size(); ++i) {
         while (v[j] + kCeiling <= v[i]) ++j;
         if (static_cast<double>(i - j + 1) > rate * 5 * 1.1 + 5) {
-          say("CEILING", fmt::format("{} got {} requests in five seconds, its rate is {} per second", service,
-                                     i - j + 1, rate));
+          report("CEILING", fmt::format("{} got {} requests in five seconds, its rate is {} per second",
+                                        service, i - j + 1, rate));
           break;
         }
       }
@@ -321,7 +325,7 @@
       bool planned = std::any_of(journal.terminations.begin(), journal.terminations.end(), [&](auto& x) {
         return x.second == t.relay && t.ended >= x.first && t.ended < x.first + Duration(7000);
       });
-      if (planned) say("LOST", fmt::format("{} was aborted at {} by a planned shutdown", id, t.relay));
+      if (planned) report("LOST", fmt::format("{} was aborted at {} by a planned shutdown", id, t.relay));
     }
   }
 
@@ -331,7 +335,7 @@
                                [&](TimePoint t) { return t > l.sent - kRecentFaultPeriod && t < l.ended; });
       for (auto& [n, v] : journal.machine_faults)
         for (auto t : v) calm &= t <= l.sent - kRecentFaultPeriod || t >= l.ended;
-      if (calm) say("ACKS", l.what + " was not acknowledged in four seconds without faults");
+      if (calm) report("ACKS", l.what + " was not acknowledged in four seconds without faults");
     }
   }
 };
