--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -22,7 +22,7 @@
       if (a.executed) runs[a.id].push_back(&a);
   }
   void report(const char* rule, std::string what) { out.push_back({rule, std::move(what)}); }
-  const ClientAttempt* asked(const std::string& id) const {
+  const ClientAttempt* find_attempt(const std::string& id) const {
     auto f = journal.attempts.find(id);
     return f == journal.attempts.end() ? nullptr : &f->second;
   }
@@ -63,7 +63,7 @@
     for (auto& a : journal.arrivals) {
       if (!a.executed) continue;
       bool read = a.method == "GET" && a.target.starts_with("/obj/");
-      auto* attempt = asked(a.id);
+      auto* attempt = find_attempt(a.id);
       if (!attempt) {
         if (!read)
           report("UNASKED", fmt::format("{} ran {} {} under {}", a.instance, a.method, a.target, a.id));
@@ -100,7 +100,7 @@
 
   void routes() {
     for (auto& a : journal.arrivals) {
-      auto* attempt = asked(a.id);
+      auto* attempt = find_attempt(a.id);
       if (!a.executed || !attempt) continue;
       bool ever = std::any_of(journal.configurations.begin(), journal.configurations.end(), [&](auto& s) {
         return s.valid && s.sent <= a.at &&
@@ -147,7 +147,7 @@
     };
     std::map<const void*, std::vector<Shown>> shown;
     for (auto& a : journal.arrivals) {
-      auto* attempt = asked(a.id);
+      auto* attempt = find_attempt(a.id);
       if (!a.executed || !attempt) continue;
       uint64_t least = UINT64_MAX, most = 0;
       for (auto& s : journal.configurations)
@@ -218,7 +218,7 @@
     std::map<std::string, std::vector<std::pair<TimePoint, double>>> asked_for;
     std::set<std::string> seen;
     for (auto& a : journal.arrivals)
-      if (asked(a.id) && !seen.insert(a.service + a.id).second) again[a.service].push_back(a.at);
+      if (find_attempt(a.id) && !seen.insert(a.service + a.id).second) again[a.service].push_back(a.at);
     for (auto& [id, t] : journal.attempts)
       for (auto& s : journal.configurations)
         if (auto* route = s.valid && s.acknowledged && *s.acknowledged <= t.sent
@@ -259,7 +259,7 @@
         bool here = a.version == m.version;
         mine += here && without_recent_fault(journal, a.node, a.at);
         if (here && a.executed && a.failed && ++bad == 50) fiftieth = a.at;
-        auto* attempt = asked(a.id);
+        auto* attempt = find_attempt(a.id);
         if (here && fiftieth && attempt && attempt->sent > *fiftieth + kRollback &&
             (journal.core_faults.empty() || journal.core_faults.back() < *fiftieth) &&
             without_recent_fault(journal, a.node, a.at))
