--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -87,7 +87,7 @@
   }
 
   // Configurations that may be in force for a request sent at `sent` and handled at `at`.
-  std::vector<const StatedConfiguration*> may_hold(TimePoint sent, TimePoint at) const {
+  std::vector<const StatedConfiguration*> possible_configurations(TimePoint sent, TimePoint at) const {
     uint64_t least = 0;
     for (auto& s : journal.configurations)
       if (s.valid && s.acknowledged && *s.acknowledged + kApply < sent)
@@ -110,7 +110,7 @@
         report("ROUTE",
                fmt::format("{} {} ran at {} of {}", attempt->host, attempt->target, a.instance, a.service));
       if (!ever || !without_recent_fault(journal, attempt->relay, a.at)) continue;
-      auto v = may_hold(attempt->sent, a.at);
+      auto v = possible_configurations(attempt->sent, a.at);
       if (std::none_of(v.begin(), v.end(), [&](auto* s) {
             return s->configuration.routes_to(attempt->host, attempt->target, a.service);
           }))
@@ -125,7 +125,7 @@
       if (st / 100 != 4 || st == 408 || st == 421 || st == 429 || st == 416 ||
           !without_recent_fault(journal, t.relay, t.ended))
         continue;
-      auto v = may_hold(t.sent, t.ended);
+      auto v = possible_configurations(t.sent, t.ended);
       bool there = !v.empty() && std::all_of(v.begin(), v.end(), [&](auto* s) {
         return s->configuration.match(t.host, t.target);
       });
