--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -141,11 +141,11 @@
   // While a process runs, it never handles a request in a way that only a configuration older than one it has
   // already applied allows.
   void back() {
-    struct Shown {
+    struct AppliedRevision {
       uint64_t least = 0;
       TimePoint at{0};
     };
-    std::map<const void*, std::vector<Shown>> shown;
+    std::map<const void*, std::vector<AppliedRevision>> shown;
     for (auto& a : journal.arrivals) {
       auto* attempt = find_attempt(a.id);
       if (!a.executed || !attempt) continue;
