--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -145,7 +145,7 @@
       uint64_t least = 0;
       TimePoint at{0};
     };
-    std::map<const void*, std::vector<AppliedRevision>> shown;
+    std::map<const void*, std::vector<AppliedRevision>> applied_revisions;
     for (auto& a : journal.arrivals) {
       auto* attempt = find_attempt(a.id);
       if (!a.executed || !attempt) continue;
@@ -157,7 +157,7 @@
           most = std::max(most, s.configuration.revision);
         }
       if (!most) continue;
-      auto& v = shown[attempt->process];
+      auto& v = applied_revisions[attempt->process];
       for (auto& x : v)
         if (attempt->sent > x.at + kRevert && most < x.least)
           report("CONFIG", fmt::format("reverted at {}: {} handled by configuration {} after {} was in use",
