--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -28,7 +28,7 @@
   }
   bool ran(const std::string& id) const { return runs.count(id) > 0; }
 
-  void mixed() {
+  void check_mixed() {
     for (auto& [id, t] : journal.attempts) {
       if (!t.complete) continue;
       auto& response = t.response;
@@ -59,7 +59,7 @@
     }
   }
 
-  void unasked() {
+  void check_unasked() {
     for (auto& a : journal.arrivals) {
       if (!a.executed) continue;
       bool read = a.method == "GET" && a.target.starts_with("/obj/");
@@ -75,7 +75,7 @@
     }
   }
 
-  void promises() {
+  void check_executions() {
     for (auto& [id, t] : journal.attempts) {
       if (t.kind != "non_idempotent") continue;
       auto n = runs.count(id) ? runs[id].size() : 0;
@@ -98,7 +98,7 @@
     return v;
   }
 
-  void routes() {
+  void check_routes() {
     for (auto& a : journal.arrivals) {
       auto* attempt = find_attempt(a.id);
       if (!a.executed || !attempt) continue;
@@ -140,7 +140,7 @@
 
   // While a process runs, it never handles a request in a way that only a configuration older than one it has
   // already applied allows.
-  void back() {
+  void check_reverts() {
     struct AppliedRevision {
       uint64_t least = 0;
       TimePoint at{0};
@@ -166,7 +166,7 @@
     }
   }
 
-  void configurations() {
+  void check_configurations() {
     auto newest = [&](TimePoint at) {
       uint64_t n = 0;
       for (auto& s : journal.configurations)
@@ -201,7 +201,7 @@
     }
   }
 
-  void drains() {
+  void check_drains() {
     for (auto& l : journal.deregistrations) {
       if (!without_recent_fault(journal, l.by, l.at)) continue;
       for (auto& a : journal.arrivals)
@@ -213,7 +213,7 @@
     }
   }
 
-  void budget() {
+  void check_budget() {
     std::map<std::string, std::vector<TimePoint>> again;
     std::map<std::string, std::vector<std::pair<TimePoint, double>>> asked_for;
     std::set<std::string> seen;
@@ -247,7 +247,7 @@
       }
   }
 
-  void exposure() {
+  void check_exposure() {
     for (auto& m : journal.version_rollouts) {
       if (!m.bad) continue;
       double all = 0, mine = 0;
@@ -271,7 +271,7 @@
     }
   }
 
-  void stale() {
+  void check_stale() {
     for (auto& [id, t] : journal.attempts) {
       if (!t.complete || t.response.status / 100 != 2 || !without_recent_fault(journal, t.relay, t.sent))
         continue;
@@ -298,7 +298,7 @@
     }
   }
 
-  void ceiling() {
+  void check_ceiling() {
     std::map<std::string, double> rates;
     for (auto& s : journal.configurations)
       for (auto& b : s.configuration.backends)
@@ -319,7 +319,7 @@
     }
   }
 
-  void lost() {
+  void check_lost() {
     for (auto& [id, t] : journal.attempts) {
       if (t.complete || !t.read_by_node || t.ended >= t.deadline || t.probe || journal.unplanned) continue;
       bool planned = std::any_of(journal.terminations.begin(), journal.terminations.end(), [&](auto& x) {
@@ -329,7 +329,7 @@
     }
   }
 
-  void orders() {
+  void check_orders() {
     for (auto& l : journal.unacknowledged) {
       bool calm = std::none_of(journal.core_faults.begin(), journal.core_faults.end(),
                                [&](TimePoint t) { return t > l.sent - kRecentFaultPeriod && t < l.ended; });
@@ -352,19 +352,19 @@
 
 std::vector<Violation> judge(const EventJournal& journal) {
   RuleChecker b(journal);
-  b.mixed();
-  b.unasked();
-  b.promises();
-  b.routes();
-  b.back();
-  b.configurations();
-  b.drains();
-  b.budget();
-  b.exposure();
-  b.stale();
-  b.ceiling();
-  b.lost();
-  b.orders();
+  b.check_mixed();
+  b.check_unasked();
+  b.check_executions();
+  b.check_routes();
+  b.check_reverts();
+  b.check_configurations();
+  b.check_drains();
+  b.check_budget();
+  b.check_exposure();
+  b.check_stale();
+  b.check_ceiling();
+  b.check_lost();
+  b.check_orders();
   return std::move(b.out);
 }
 
