--- a/test/platform/clients.cpp
+++ b/test/platform/clients.cpp
@@ -23,7 +23,7 @@
     });
 }
 
-bool Clients::all_finished() const {
+bool Clients::all_ready() const {
   if (missed_.size() < fleet_.hosts().size()) return false;
   return std::all_of(missed_.begin(), missed_.end(), [](auto& m) { return m.second == 0; });
 }
--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -67,7 +67,7 @@
             x == snapshot->backend_instances.end() || x->second.size() < 4)
           return false;
     }
-    return clients.all_finished();
+    return clients.all_ready();
   });
   require(ok, "not all nodes became ready and knew all backend instances within 15 s");
   fleet.sleep(Duration(2000));
--- a/test/platform/operators_and_clients.hpp
+++ b/test/platform/operators_and_clients.hpp
@@ -16,7 +16,7 @@
   }                                 // clients request its routes from now on
   bool impatient = false;           // ignores Retry-After
   uint64_t wanted = 0, served = 0;  // requests, not counting retries
-  bool all_finished() const;
+  bool all_ready() const;
 
  private:
   void run_one();
