--- a/test/platform/clients.cpp
+++ b/test/platform/clients.cpp
@@ -16,7 +16,7 @@
         request.method = "GET";
         request.target = "/readiness";
         auto x = fleet_.exchange(*p, request, true, Duration(1000));
-        auto& n = missed_[p->name];
+        auto& n = missed_polls_[p->name];
         n = x.complete && x.response.status == 200 ? 0 : n + 1;
         fleet_.sleep(Duration(1000));
       }
@@ -24,8 +24,8 @@
 }
 
 bool Clients::all_ready() const {
-  if (missed_.size() < fleet_.hosts().size()) return false;
-  return std::all_of(missed_.begin(), missed_.end(), [](auto& m) { return m.second == 0; });
+  if (missed_polls_.size() < fleet_.hosts().size()) return false;
+  return std::all_of(missed_polls_.begin(), missed_polls_.end(), [](auto& m) { return m.second == 0; });
 }
 
 simulation::Host* Clients::choose_node(const std::string& zone, const std::set<std::string>& tried) {
@@ -35,7 +35,7 @@
       if (ok(*h)) v.push_back(h.get());
     return v.empty() ? nullptr : v[fleet_.world().below(v.size())];
   };
-  auto in = [&](auto& h) { return missed_[h.name] < 2; };
+  auto in = [&](auto& h) { return missed_polls_[h.name] < 2; };
   int all = 0, of_zone = 0;
   for (auto& h : fleet_.hosts())
     if (h->zone == zone) ++all, of_zone += in(*h);
@@ -137,7 +137,7 @@
 
 void Clients::probe(const std::string& host, const std::string& target) {
   for (auto& h : fleet_.hosts()) {
-    if (!h->up() || missed_[h->name] >= 2) continue;
+    if (!h->up() || missed_polls_[h->name] >= 2) continue;
     fleet_.spawn_outside([this, p = h.get(), host, target] {
       ClientAttempt attempt;
       attempt.kind = "idempotent";
--- a/test/platform/operators_and_clients.hpp
+++ b/test/platform/operators_and_clients.hpp
@@ -25,7 +25,7 @@
   simulation::Fleet& fleet_;
   EventJournal& journal_;
   OperatorConfiguration configuration_;
-  std::map<std::string, int> missed_;
+  std::map<std::string, int> missed_polls_;
   uint64_t next_id_ = 0;
 };
 
