--- a/test/platform/clients.cpp
+++ b/test/platform/clients.cpp
@@ -115,9 +115,9 @@
     if (st == 400 || st == 401 || st == 404 || st == 413 || st == 431) return;
     bool promise = st == 429 || st == 503 || st == 408 || st == 421, unread = !r.complete && !r.read_by_node;
     if (!repeatable && !promise && !unread) return;
-    auto told = base::header(r.response.headers, "Retry-After");
+    auto retry_after = base::header(r.response.headers, "Retry-After");
     double back = 0;
-    std::from_chars(told.data(), told.data() + told.size(), back);
+    std::from_chars(retry_after.data(), retry_after.data() + retry_after.size(), back);
     auto wait = std::min(Duration(static_cast<int64_t>(back * 1000)), (attempt.deadline - world.now()) / 3);
     if (!impatient && wait > Duration(0)) fleet_.sleep(wait);
     if (impatient) fleet_.sleep(Duration(2));
