--- a/test/platform/operator.cpp
+++ b/test/platform/operator.cpp
@@ -14,7 +14,7 @@
   TimePoint from = world.now(), end = from + most;
   Duration pause{100};
   int fours = 0;
-  bool reported = false, taken = false;
+  bool reported = false, acknowledged = false;
   for (;;) {
     auto& hosts = fleet_.hosts();
     auto& host = *hosts[world.below(hosts.size())];
@@ -27,15 +27,15 @@
     int st = x.complete ? x.response.status : 0;
     if (st / 100 == 2 && world.random(lost_permille)) {
       ++world.faults_met["ack_lost"];
-      taken = true;
+      acknowledged = true;
       st = 0;
     }
-    if (taken && st / 100 == 4 && st != 408 && st != 429)
+    if (acknowledged && st / 100 == 4 && st != 408 && st != 429)
       journal_.rejected_again.push_back(fmt::format("{} {}: {} {}", method, target, st, x.response.body));
     if (st / 100 == 2) return last_by = host.name, std::pair(st, x.response.body);
     if (st == 400 || st == 409 || st == 412 || st == 413 || st == 422) return {st, x.response.body};
     if (st / 100 == 4 && st != 408 && st != 429 && ++fours == 3) return {st, x.response.body};
-    if (world.now() - from > kAck && !reported && !taken && !what.empty())
+    if (world.now() - from > kAck && !reported && !acknowledged && !what.empty())
       reported = true, journal_.unacknowledged.push_back({what, from, world.now()});
     if (world.now() > end) return {0, {}};
     fleet_.sleep(pause);
