--- a/test/platform/operator.cpp
+++ b/test/platform/operator.cpp
@@ -13,7 +13,7 @@
   auto& world = fleet_.world();
   TimePoint from = world.now(), end = from + most;
   Duration pause{100};
-  int fours = 0;
+  int rejections = 0;
   bool reported = false, acknowledged = false;
   for (;;) {
     auto& hosts = fleet_.hosts();
@@ -34,7 +34,7 @@
       journal_.rejected_again.push_back(fmt::format("{} {}: {} {}", method, target, st, x.response.body));
     if (st / 100 == 2) return last_by = host.name, std::pair(st, x.response.body);
     if (st == 400 || st == 409 || st == 412 || st == 413 || st == 422) return {st, x.response.body};
-    if (st / 100 == 4 && st != 408 && st != 429 && ++fours == 3) return {st, x.response.body};
+    if (st / 100 == 4 && st != 408 && st != 429 && ++rejections == 3) return {st, x.response.body};
     if (world.now() - from > kAck && !reported && !acknowledged && !what.empty())
       reported = true, journal_.unacknowledged.push_back({what, from, world.now()});
     if (world.now() > end) return {0, {}};
