--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -200,8 +200,8 @@
     if (static_cast<double>(c.size()) > f->second * 1.5) return not_run(429);
   }
   int64_t left = 0;
-  auto told = h("Time-Remaining");
-  std::from_chars(told.data(), told.data() + told.size(), left);
+  auto remaining = h("Time-Remaining");
+  std::from_chars(remaining.data(), remaining.data() + remaining.size(), left);
   auto deadline = world.now() + Duration(left);
   if (instance->running >= instance->slots) {
     if (instance->waiting >= instance->queue) {
