--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -32,8 +32,9 @@
     for (auto& [id, t] : journal.attempts) {
       if (!t.complete) continue;
       auto& response = t.response;
-      auto told = base::header(response.headers, "Attempt-Id");
-      if (!told.empty() && told != id) report("MIXED", fmt::format("{} got the response to {}", id, told));
+      auto response_id = base::header(response.headers, "Attempt-Id");
+      if (!response_id.empty() && response_id != id)
+        report("MIXED", fmt::format("{} got the response to {}", id, response_id));
       if (response.status / 100 != 2) continue;
       auto f = journal.stamped_responses.find(base::header(response.headers, "Edge-Signature"));
       if (f == journal.stamped_responses.end()) {
