--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -52,7 +52,7 @@
   s->address = address.empty() ? fmt::format("10.9.0.{}:8080", n) : address;
   s->work = Duration(4 + 3 * (n % 4));
   s->warm_at = fleet_.world().now() + cold;
-  s->tells_load = service == "huvo";
+  s->reports_load = service == "huvo";
   s->resets_when_full = n % 5 == 1;
   auto* p = s.get();
   instances_.push_back(std::move(s));
@@ -122,7 +122,7 @@
                     fails, fleet_.world().now()};
   base::Response response{fails ? 500 : 200, {}, {}};
   if (!id.empty()) response.headers.emplace_back("Attempt-Id", id);
-  if (instance.tells_load)
+  if (instance.reports_load)
     response.headers.emplace_back(
         "Server-Load", fmt::format("{},{},{}", instance.running, instance.waiting, instance.slots));
   if (instance.draining) response.headers.emplace_back("Connection", "close");
@@ -186,7 +186,7 @@
   auto not_run = [&](int status) {
     ++world.faults_met[fmt::format("not_run_{}", status)];
     base::Response response{status, {{"Not-Executed", "1"}}, {}};
-    if (instance->tells_load)
+    if (instance->reports_load)
       response.headers.emplace_back(
           "Server-Load", fmt::format("{},{},{}", instance->running, instance->waiting, instance->slots));
     return response;
--- a/test/platform/platform_stub.hpp
+++ b/test/platform/platform_stub.hpp
@@ -9,7 +9,7 @@
 struct StubInstance {
   std::string id, service, version, zone, address;
   int slots = 8, queue = 8, running = 0, waiting = 0;
-  bool alive = true, unreachable = false, draining = false, tells_load = true, resets_when_full = false;
+  bool alive = true, unreachable = false, draining = false, reports_load = true, resets_when_full = false;
   Duration work{8};
   int slowdown = 1;
   TimePoint warm_at{0};
