--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -196,11 +196,12 @@
     auto& world = scenario.world;
     auto hit = [&world] { return world.below(2) == 0; };
     if (!bad) continue;
-    if (how == 0) instance->bad = [hit](auto&) { return hit() ? 0 : 1; };
-    if (how == 1) instance->bad = [hit](auto&) { return hit() ? 8 : 1; };
-    if (how == 2) instance->bad = [hit, &world, from](auto&) { return world.now() > from && hit() ? 0 : 1; };
+    if (how == 0) instance->work_factor = [hit](auto&) { return hit() ? 0 : 1; };
+    if (how == 1) instance->work_factor = [hit](auto&) { return hit() ? 8 : 1; };
+    if (how == 2)
+      instance->work_factor = [hit, &world, from](auto&) { return world.now() > from && hit() ? 0 : 1; };
     if (how == 3)
-      instance->bad = [hit](auto& t) {
+      instance->work_factor = [hit](auto& t) {
         return t.starts_with("/post/") || t.starts_with("/obj/") ? hit() ? 0 : 1 : 1;
       };
   }
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -217,7 +217,7 @@
     }
     if (!instance->alive || instance->unreachable) return base::AttemptError::unknown;
   }
-  int times = instance->bad ? instance->bad(request.target) : 1;
+  int times = instance->work_factor ? instance->work_factor(request.target) : 1;
   Duration took = instance->work * instance->slowdown * std::max(times, 1) + Duration(world.below(4));
   if (world.now() < instance->warm_at) took *= 3;
   journal_.arrivals[place].executed = true;
