--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -12,7 +12,7 @@
 namespace {
 constexpr Duration kHeartbeatPeriod{1500};
 
-simulation::FleetShape shape(bool small, PlatformStub& yard) {
+simulation::FleetShape shape(bool small, PlatformStub& platform_stub) {
   simulation::FleetShape s;
   s.replicas = 3;
   s.edge_nodes = small ? 4 : 9;
@@ -30,8 +30,8 @@
   s.translate = [](base::Request& request, const simulation::FleetShape::Handler& product) {
     return platform::handle(request, kHeartbeatPeriod, product);
   };
-  s.send = [&yard](auto& l, auto& a, auto& q, auto& r) { return yard.send(l, a, q, r); };
-  s.stands = [&yard](auto& a) { return yard.stands(a); };
+  s.send = [&platform_stub](auto& l, auto& a, auto& q, auto& r) { return platform_stub.send(l, a, q, r); };
+  s.stands = [&platform_stub](auto& a) { return platform_stub.stands(a); };
   return s;
 }
 }  // namespace
