--- a/test/platform/day.cpp
+++ b/test/platform/day.cpp
@@ -31,7 +31,7 @@
     return platform::handle(request, kHeartbeatPeriod, product);
   };
   s.send = [&platform_stub](auto& l, auto& a, auto& q, auto& r) { return platform_stub.send(l, a, q, r); };
-  s.stands = [&platform_stub](auto& a) { return platform_stub.stands(a); };
+  s.stands = [&platform_stub](auto& a) { return platform_stub.is_reachable(a); };
   return s;
 }
 }  // namespace
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -28,7 +28,7 @@
   return nullptr;
 }
 
-bool PlatformStub::stands(const std::string& address) {
+bool PlatformStub::is_reachable(const std::string& address) {
   auto* instance = at(address);
   return instance && !instance->unreachable;
 }
--- a/test/platform/platform_stub.hpp
+++ b/test/platform/platform_stub.hpp
@@ -27,7 +27,7 @@
   using AttemptResult = std::variant<base::Response, base::AttemptError>;
   AttemptResult send(const simulation::ProcessRunPtr& process, const std::string& address,
                      const base::Request& request, const base::AttemptRules& r);
-  bool stands(const std::string& address);
+  bool is_reachable(const std::string& address);
   StubInstance& add(const std::string& service, const std::string& version = "v1",
                     Duration cold = Duration(0), const std::string& address = {});
   void drain(StubInstance& instance);  // reports draining, keeps serving, deregisters, and stops
