--- a/test/unit/platform/rules_test.cpp
+++ b/test/unit/platform/rules_test.cpp
@@ -59,8 +59,8 @@
   return b.empty() ? "none" : b[0].rule;
 }
 
-void fires(const std::string& rule, const std::string& what,
-           const std::function<void(EventJournal&)>& spoil) {
+void expect_violation(const std::string& rule, const std::string& what,
+                      const std::function<void(EventJournal&)>& spoil) {
   auto d = good();
   spoil(d);
   same(first_broken(d), rule, what);
@@ -89,19 +89,19 @@
        [] { same(first_broken(good()), std::string("none"), "rules"); }},
       {"platform rules: MIXED",
        [] {
-         fires("MIXED", "no signature",
-               [](EventJournal& d) { d.attempts["ide"].response.headers.pop_back(); });
-         fires("MIXED", "the id of another request",
-               [](EventJournal& d) { d.attempts["ide"].response.headers[0].value = "non"; });
-         fires("MIXED", "a truncated body",
-               [](EventJournal& d) { d.attempts["ide"].response.body.pop_back(); });
-         fires("MIXED", "a failure reported as a success",
-               [](EventJournal& d) { d.stamped_responses["s-ide"].failed = true; });
-         fires("MIXED", "the response to another request", [](EventJournal& d) {
+         expect_violation("MIXED", "no signature",
+                          [](EventJournal& d) { d.attempts["ide"].response.headers.pop_back(); });
+         expect_violation("MIXED", "the id of another request",
+                          [](EventJournal& d) { d.attempts["ide"].response.headers[0].value = "non"; });
+         expect_violation("MIXED", "a truncated body",
+                          [](EventJournal& d) { d.attempts["ide"].response.body.pop_back(); });
+         expect_violation("MIXED", "a failure reported as a success",
+                          [](EventJournal& d) { d.stamped_responses["s-ide"].failed = true; });
+         expect_violation("MIXED", "the response to another request", [](EventJournal& d) {
            d.attempts["ide"].response = d.attempts["non"].response;
            d.attempts["ide"].response.headers[0].value = "ide";
          });
-         fires("MIXED", "a wrong range", [](EventJournal& d) {
+         expect_violation("MIXED", "a wrong range", [](EventJournal& d) {
            auto& response = d.attempts["cac"].response;
            response.status = 206;
            response.headers.emplace_back("Content-Range", "bytes 1-4/12");
@@ -110,19 +110,21 @@
        }},
       {"platform rules: UNASKED, TWICE, REFUSED",
        [] {
-         fires("UNASKED", "an id that no client sent", [](EventJournal& d) { d.arrivals[0].id = "?"; });
-         fires("UNASKED", "a changed body", [](EventJournal& d) { d.arrivals[1].body = "?"; });
-         fires("TWICE", "executed again", [](EventJournal& d) { d.arrivals.push_back(d.arrivals[1]); });
-         fires("REFUSED", "rejected, but executed", [](EventJournal& d) {
+         expect_violation("UNASKED", "an id that no client sent",
+                          [](EventJournal& d) { d.arrivals[0].id = "?"; });
+         expect_violation("UNASKED", "a changed body", [](EventJournal& d) { d.arrivals[1].body = "?"; });
+         expect_violation("TWICE", "executed again",
+                          [](EventJournal& d) { d.arrivals.push_back(d.arrivals[1]); });
+         expect_violation("REFUSED", "rejected, but executed", [](EventJournal& d) {
            d.attempts["non"].response = {503, {{"Attempt-Id", "non"}}, ""};
          });
-         fires("none", "an idempotent request may be executed again",
-               [](EventJournal& d) { d.arrivals.push_back(d.arrivals[0]); });
+         expect_violation("none", "an idempotent request may be executed again",
+                          [](EventJournal& d) { d.arrivals.push_back(d.arrivals[0]); });
        }},
       {"platform rules: ROUTE and CONFIG",
        [] {
-         fires("ROUTE", "a service that no configuration has for this route",
-               [](EventJournal& d) { d.arrivals[0].service = "huvo"; });
+         expect_violation("ROUTE", "a service that no configuration has for this route",
+                          [](EventJournal& d) { d.arrivals[0].service = "huvo"; });
          auto second = [](EventJournal& d, int64_t sent) {
            auto p = first_configuration(10);
            p.revision = 5;
@@ -131,82 +133,87 @@
            d.configurations.push_back({p, p.text(), "second", "h1", true, at(sent), at(sent + 10), 0});
            d.read_back[0] = {5, p.text(), at(60000)};
          };
-         fires("CONFIG", "late", [&](EventJournal& d) { second(d, 7000); });
-         fires("none", "not yet late", [&](EventJournal& d) { second(d, 8500); });
-         fires("none", "late, at a machine with a recent fault",
-               [&](EventJournal& d) { second(d, 7000), d.machine_faults["e1"] = {at(8000)}; });
-         fires("CONFIG", "reverted to an older configuration", [&](EventJournal& d) {
+         expect_violation("CONFIG", "late", [&](EventJournal& d) { second(d, 7000); });
+         expect_violation("none", "not yet late", [&](EventJournal& d) { second(d, 8500); });
+         expect_violation("none", "late, at a machine with a recent fault",
+                          [&](EventJournal& d) { second(d, 7000), d.machine_faults["e1"] = {at(8000)}; });
+         expect_violation("CONFIG", "reverted to an older configuration", [&](EventJournal& d) {
            second(d, 8500);
            auto t = asked("new", "idempotent", "/get/2", 9500, 503);
            t.response.headers.pop_back();
            d.attempts["new"] = t;
            d.arrivals.insert(d.arrivals.begin(), ran(t, "huvo"));
          });
-         fires("CONFIG", "an existing route returns 404", [&](EventJournal& d) {
+         expect_violation("CONFIG", "an existing route returns 404", [&](EventJournal& d) {
            second(d, 1000);
            d.arrivals[0].service = "huvo";
            auto t = asked("new", "idempotent", "/new/2", 9500, 404);
            t.host = "c.example";
            d.attempts["new"] = t;
          });
-         fires("CONFIG", "an older configuration is read back", [&](EventJournal& d) {
+         expect_violation("CONFIG", "an older configuration is read back", [&](EventJournal& d) {
            second(d, 60), d.arrivals[0].service = "huvo",
                           d.read_back[0] = {3, d.configurations[0].text, at(60000)};
          });
-         fires("CONFIG", "another text is read back", [](EventJournal& d) { d.read_back[0].text += " "; });
-         fires("CONFIG", "nothing is read back", [](EventJournal& d) { d.read_back.clear(); });
+         expect_violation("CONFIG", "another text is read back",
+                          [](EventJournal& d) { d.read_back[0].text += " "; });
+         expect_violation("CONFIG", "nothing is read back", [](EventJournal& d) { d.read_back.clear(); });
          auto other_content = [](EventJournal& d) -> StatedConfiguration& {
            auto p = first_configuration(10);
            p.routes[1].timeout_s = 1.25;
            d.configurations.push_back({p, p.text(), "other", "h1", true, at(100), {}, 0});
            return d.configurations.back();
          };
-         fires("none", "other content under the same number gets no definite response",
-               [&](EventJournal& d) { other_content(d); });
-         fires("CONFIG", "other content under the same number is acknowledged",
-               [&](EventJournal& d) { other_content(d).acknowledged = at(200); });
-         fires("CONFIG", "an acknowledged configuration is rejected when sent again",
-               [](EventJournal& d) { d.rejected_again.push_back("PUT /configuration: 409"); });
+         expect_violation("none", "other content under the same number gets no definite response",
+                          [&](EventJournal& d) { other_content(d); });
+         expect_violation("CONFIG", "other content under the same number is acknowledged",
+                          [&](EventJournal& d) { other_content(d).acknowledged = at(200); });
+         expect_violation("CONFIG", "an acknowledged configuration is rejected when sent again",
+                          [](EventJournal& d) { d.rejected_again.push_back("PUT /configuration: 409"); });
          auto invalid = [](EventJournal& d) -> StatedConfiguration& {
            d.configurations.push_back({{}, "x", "bad", "h1", false, at(5000), {}, 400});
            return d.configurations.back();
          };
-         fires("none", "an invalid configuration is rejected", [&](EventJournal& d) { invalid(d); });
-         fires("CONFIG", "an invalid configuration is acknowledged",
-               [&](EventJournal& d) { invalid(d).acknowledged = at(5010); });
-         fires("CONFIG", "an invalid configuration gets no 4xx",
-               [&](EventJournal& d) { invalid(d).rejections = 503; });
+         expect_violation("none", "an invalid configuration is rejected",
+                          [&](EventJournal& d) { invalid(d); });
+         expect_violation("CONFIG", "an invalid configuration is acknowledged",
+                          [&](EventJournal& d) { invalid(d).acknowledged = at(5010); });
+         expect_violation("CONFIG", "an invalid configuration gets no 4xx",
+                          [&](EventJournal& d) { invalid(d).rejections = 503; });
        }},
       {"platform rules: DRAIN",
        [] {
-         fires("DRAIN", "after the bound", [](EventJournal& d) {
+         expect_violation("DRAIN", "after the bound", [](EventJournal& d) {
            d.deregistrations.push_back({"i-1", "h1", at(7900)});
          });
-         fires("none", "within the bound", [](EventJournal& d) {
+         expect_violation("none", "within the bound", [](EventJournal& d) {
            d.deregistrations.push_back({"i-1", "h1", at(8300)});
          });
-         fires("none", "deregistered at a machine with a recent fault", [](EventJournal& d) {
+         expect_violation("none", "deregistered at a machine with a recent fault", [](EventJournal& d) {
            d.deregistrations.push_back({"i-1", "h1", at(7900)}), d.machine_faults["h1"] = {at(6000)};
          });
        }},
       {"platform rules: BUDGET, EXPOSURE, CEILING",
        [] {
-         fires("BUDGET", "each sent twice",
-               [](EventJournal& d) { crowd(d, "idempotent", "/get/1", "wuno", 200, 2, 20000, 20); });
-         fires("none", "each sent once",
-               [](EventJournal& d) { crowd(d, "idempotent", "/get/1", "wuno", 200, 1, 20000, 20); });
-         fires("CEILING", "an origin limited to ten requests per second",
-               [](EventJournal& d) { crowd(d, "cacheable", "/obj/1", "huvo", 100, 1, 20000, 40); });
+         expect_violation("BUDGET", "each sent twice", [](EventJournal& d) {
+           crowd(d, "idempotent", "/get/1", "wuno", 200, 2, 20000, 20);
+         });
+         expect_violation("none", "each sent once", [](EventJournal& d) {
+           crowd(d, "idempotent", "/get/1", "wuno", 200, 1, 20000, 20);
+         });
+         expect_violation("CEILING", "an origin limited to ten requests per second", [](EventJournal& d) {
+           crowd(d, "cacheable", "/obj/1", "huvo", 100, 1, 20000, 40);
+         });
          auto move = [](EventJournal& d, int n, bool all_bad) {
            d.version_rollouts.push_back(
                {"wuno", "v2", "rolled_back", true, at(20000), at(32000), at(20010), at(31000)});
            crowd(d, "idempotent", "/get/1", "wuno", n, 1, 20100, 100, "v2", all_bad);
          };
-         fires("EXPOSURE", "more than a tenth of the requests plus fifty",
-               [&](EventJournal& d) { move(d, 70, false); });
-         fires("none", "less", [&](EventJournal& d) { move(d, 50, false); });
-         fires("EXPOSURE", "requests after its fiftieth bad response",
-               [&](EventJournal& d) { move(d, 110, true); });
+         expect_violation("EXPOSURE", "more than a tenth of the requests plus fifty",
+                          [&](EventJournal& d) { move(d, 70, false); });
+         expect_violation("none", "less", [&](EventJournal& d) { move(d, 50, false); });
+         expect_violation("EXPOSURE", "requests after its fiftieth bad response",
+                          [&](EventJournal& d) { move(d, 110, true); });
        }},
       {"platform rules: STALE",
        [] {
@@ -216,23 +223,24 @@
              d.purges.push_back({"a.example", "/obj/1", "", at(purge), at(purge + 10)});
            };
          };
-         fires("STALE", "two seconds after a purge", purged(7000, 8000));
-         fires("none", "sooner", purged(7000, 8300));
-         fires("none", "replaced after the purge", purged(9000, 8000));
-         fires("STALE", "two seconds past its lifetime",
-               [](EventJournal& d) { d.replaced["/obj/1"] = {at(2000)}; });
+         expect_violation("STALE", "two seconds after a purge", purged(7000, 8000));
+         expect_violation("none", "sooner", purged(7000, 8300));
+         expect_violation("none", "replaced after the purge", purged(9000, 8000));
+         expect_violation("STALE", "two seconds past its lifetime",
+                          [](EventJournal& d) { d.replaced["/obj/1"] = {at(2000)}; });
        }},
       {"platform rules: LOST and ACKS",
        [] {
          auto lost = [](EventJournal& d) {
            d.attempts["ide"].complete = false, d.terminations = {{at(9900), "e1"}};
          };
-         fires("LOST", "by a planned shutdown", lost);
-         fires("none", "during an unplanned fault", [&](EventJournal& d) { lost(d), d.unplanned = true; });
-         fires("ACKS", "four seconds without faults", [](EventJournal& d) {
+         expect_violation("LOST", "by a planned shutdown", lost);
+         expect_violation("none", "during an unplanned fault",
+                          [&](EventJournal& d) { lost(d), d.unplanned = true; });
+         expect_violation("ACKS", "four seconds without faults", [](EventJournal& d) {
            d.unacknowledged.push_back({"a purge", at(9000), at(13100)});
          });
-         fires("none", "the core was changing", [](EventJournal& d) {
+         expect_violation("none", "the core was changing", [](EventJournal& d) {
            d.unacknowledged.push_back({"a purge", at(9000), at(13100)}), d.core_faults = {at(9500)};
          });
        }},
