--- a/test/unit/platform/rules_test.cpp
+++ b/test/unit/platform/rules_test.cpp
@@ -54,7 +54,7 @@
   return d;
 }
 
-std::string first_broken(const EventJournal& d) {
+std::string first_violated_rule(const EventJournal& d) {
   auto b = judge(d);
   return b.empty() ? "none" : b[0].rule;
 }
@@ -63,7 +63,7 @@
                       const std::function<void(EventJournal&)>& spoil) {
   auto d = good();
   spoil(d);
-  same(first_broken(d), rule, what);
+  same(first_violated_rule(d), rule, what);
 }
 
 void crowd(EventJournal& d, const std::string& kind, const std::string& target, const std::string& service,
@@ -86,7 +86,7 @@
 std::vector<Case> platform_rules_cases() {
   return {
       {"platform rules: a good journal violates none",
-       [] { same(first_broken(good()), std::string("none"), "rules"); }},
+       [] { same(first_violated_rule(good()), std::string("none"), "rules"); }},
       {"platform rules: MIXED",
        [] {
          expect_violation("MIXED", "no signature",
