--- a/test/unit/platform/rules_test.cpp
+++ b/test/unit/platform/rules_test.cpp
@@ -34,7 +34,7 @@
 }
 
 // One configuration, acknowledged long before, and one successful request of each kind.
-EventJournal good() {
+EventJournal valid_journal() {
   EventJournal d;
   auto p = first_configuration(10);
   d.configurations.push_back({p, p.text(), "first", "h1", true, at(0), at(10), 0});
@@ -61,7 +61,7 @@
 
 void expect_violation(const std::string& rule, const std::string& what,
                       const std::function<void(EventJournal&)>& spoil) {
-  auto d = good();
+  auto d = valid_journal();
   spoil(d);
   same(first_violated_rule(d), rule, what);
 }
@@ -86,7 +86,7 @@
 std::vector<Case> platform_rules_cases() {
   return {
       {"platform rules: a good journal violates none",
-       [] { same(first_violated_rule(good()), std::string("none"), "rules"); }},
+       [] { same(first_violated_rule(valid_journal()), std::string("none"), "rules"); }},
       {"platform rules: MIXED",
        [] {
          expect_violation("MIXED", "no signature",
