--- a/test/unit/platform/rules_test.cpp
+++ b/test/unit/platform/rules_test.cpp
@@ -66,9 +66,9 @@
   same(first_violated_rule(d), rule, what);
 }
 
-void crowd(EventJournal& d, const std::string& kind, const std::string& target, const std::string& service,
-           int n, int times, int64_t from, int64_t apart, const std::string& version = "v1",
-           bool bad = false) {
+void add_requests(EventJournal& d, const std::string& kind, const std::string& target,
+                  const std::string& service, int n, int times, int64_t from, int64_t apart,
+                  const std::string& version = "v1", bool bad = false) {
   for (int i = 0; i < n; ++i) {
     auto t = asked(std::to_string(i) + "x", kind, target, from + i * apart, 503);
     t.response.headers.pop_back();
@@ -196,18 +196,18 @@
       {"platform rules: BUDGET, EXPOSURE, CEILING",
        [] {
          expect_violation("BUDGET", "each sent twice", [](EventJournal& d) {
-           crowd(d, "idempotent", "/get/1", "wuno", 200, 2, 20000, 20);
+           add_requests(d, "idempotent", "/get/1", "wuno", 200, 2, 20000, 20);
          });
          expect_violation("none", "each sent once", [](EventJournal& d) {
-           crowd(d, "idempotent", "/get/1", "wuno", 200, 1, 20000, 20);
+           add_requests(d, "idempotent", "/get/1", "wuno", 200, 1, 20000, 20);
          });
          expect_violation("CEILING", "an origin limited to ten requests per second", [](EventJournal& d) {
-           crowd(d, "cacheable", "/obj/1", "huvo", 100, 1, 20000, 40);
+           add_requests(d, "cacheable", "/obj/1", "huvo", 100, 1, 20000, 40);
          });
          auto move = [](EventJournal& d, int n, bool all_bad) {
            d.version_rollouts.push_back(
                {"wuno", "v2", "rolled_back", true, at(20000), at(32000), at(20010), at(31000)});
-           crowd(d, "idempotent", "/get/1", "wuno", n, 1, 20100, 100, "v2", all_bad);
+           add_requests(d, "idempotent", "/get/1", "wuno", n, 1, 20100, 100, "v2", all_bad);
          };
          expect_violation("EXPOSURE", "more than a tenth of the requests plus fifty",
                           [&](EventJournal& d) { move(d, 70, false); });
