--- a/test/unit/compatibility/compatibility_test.cpp
+++ b/test/unit/compatibility/compatibility_test.cpp
@@ -222,16 +222,17 @@
 }
 
 /// Fails unless the new document contains all members of the old one. Members may be added.
-void says_all_of(const base::Json& now, const base::Json& old, const std::string& at) {
+void expect_members_kept(const base::Json& now, const base::Json& old, const std::string& at) {
   auto members = old.members();
   for (auto& [key, value] : members) {
     auto place = fmt::format("{}/{}", at, key);
     expect(now.has(key.c_str()), place + " is missing");
-    says_all_of(now.at(key.c_str()), value, place);
+    expect_members_kept(now.at(key.c_str()), value, place);
   }
   auto old_items = old.items(), items = now.items();
   same(items.size(), old_items.size(), at + ": items");
-  for (size_t i = 0; i < items.size(); ++i) says_all_of(items[i], old_items[i], fmt::format("{}/{}", at, i));
+  for (size_t i = 0; i < items.size(); ++i)
+    expect_members_kept(items[i], old_items[i], fmt::format("{}/{}", at, i));
   if (members.empty() && old_items.empty()) same(now.text(), old.text(), at);
 }
 
@@ -249,7 +250,7 @@
     auto stem = name.substr(0, name.rfind('.'));
     auto message = pairing.make(before_dot(name));
     read_whole(*message, read_file(kFixtures / "json" / (stem + ".bin")), stem);
-    says_all_of(parsed(control_api::message_json(*message), stem), parsed(text, name), stem);
+    expect_members_kept(parsed(control_api::message_json(*message), stem), parsed(text, name), stem);
   }
 }
 
