--- a/test/unit/compatibility/compatibility_test.cpp
+++ b/test/unit/compatibility/compatibility_test.cpp
@@ -189,7 +189,7 @@
   }
 }
 
-void read_whole(gp::Message& message, const std::string& bytes, const std::string& what) {
+void parse_known(gp::Message& message, const std::string& bytes, const std::string& what) {
   expect(message.ParseFromString(bytes), what + " does not parse");
   all_known(message, what);
 }
@@ -197,7 +197,7 @@
 void same_bytes(const Pairing& pairing, const std::string& folder) {
   for (auto& [name, bytes] : read_folder(folder)) {
     auto message = pairing.make(before_dot(name));
-    read_whole(*message, bytes, name);
+    parse_known(*message, bytes, name);
     expect(serialized(*message) == bytes, name + " has different bytes when serialized again");
   }
 }
@@ -249,7 +249,7 @@
     if (!name.ends_with(".json")) continue;
     auto stem = name.substr(0, name.rfind('.'));
     auto message = pairing.make(before_dot(name));
-    read_whole(*message, read_file(kFixtures / "json" / (stem + ".bin")), stem);
+    parse_known(*message, read_file(kFixtures / "json" / (stem + ".bin")), stem);
     expect_members_kept(parsed(control_api::message_json(*message), stem), parsed(text, name), stem);
   }
 }
@@ -275,8 +275,8 @@
   std::istringstream lines(read_file(kFixtures / "registers.txt"));
   for (std::string kind, name, bytes; lines >> kind;) {
     if (kind == "stage") lines >> out.stage;
-    if (kind == "set") lines >> bytes, read_whole(out.set, from_hex(bytes), "set");
-    if (kind == "register") lines >> name >> bytes, read_whole(out.registers[name], from_hex(bytes), name);
+    if (kind == "set") lines >> bytes, parse_known(out.set, from_hex(bytes), "set");
+    if (kind == "register") lines >> name >> bytes, parse_known(out.registers[name], from_hex(bytes), name);
   }
   return out;
 }
@@ -427,7 +427,7 @@
     }
     std::unique_ptr<gp::Message> value(
         gp::MessageFactory::generated_factory()->GetPrototype(type->second)->New());
-    read_whole(*value, bytes, name);
+    parse_known(*value, bytes, name);
     same(value->ByteSizeLong(), bytes.size(), name + ": size when serialized again");
   }
   same(met.size(), kRegisters.size(), "kinds of registers in the data folder");
