--- a/test/unit/compatibility/compatibility_test.cpp
+++ b/test/unit/compatibility/compatibility_test.cpp
@@ -175,7 +175,7 @@
 }
 
 /// Fails when the message has unknown fields at any depth.
-void all_known(const gp::Message& message, const std::string& what) {
+void expect_no_unknown_fields(const gp::Message& message, const std::string& what) {
   auto* reflection = message.GetReflection();
   expect(reflection->GetUnknownFields(message).empty(),
          what + ": unknown fields in " + message.GetDescriptor()->name());
@@ -183,15 +183,15 @@
   reflection->ListFields(message, &fields);
   for (auto* field : fields) {
     if (!field->message_type()) continue;
-    if (!field->is_repeated()) all_known(reflection->GetMessage(message, field), what);
+    if (!field->is_repeated()) expect_no_unknown_fields(reflection->GetMessage(message, field), what);
     for (int i = 0; field->is_repeated() && i < reflection->FieldSize(message, field); ++i)
-      all_known(reflection->GetRepeatedMessage(message, field, i), what);
+      expect_no_unknown_fields(reflection->GetRepeatedMessage(message, field, i), what);
   }
 }
 
 void parse_known(gp::Message& message, const std::string& bytes, const std::string& what) {
   expect(message.ParseFromString(bytes), what + " does not parse");
-  all_known(message, what);
+  expect_no_unknown_fields(message, what);
 }
 
 void same_bytes(const Pairing& pairing, const std::string& folder) {
@@ -289,7 +289,7 @@
   expect(serialized(loaded.snapshot.replica_set()) == serialized(want.set), "the replica set differs");
   same(size_t(loaded.snapshot.registers_size()), want.registers.size(), "registers");
   for (auto& slot : loaded.snapshot.registers()) {
-    all_known(slot, slot.name());
+    expect_no_unknown_fields(slot, slot.name());
     expect(want.registers.count(slot.name()) && serialized(slot) == serialized(want.registers[slot.name()]),
            "register " + slot.name() + " differs");
   }
