--- a/test/unit/main.cpp
+++ b/test/unit/main.cpp
@@ -42,7 +42,7 @@
                      &heartbeat_table_cases,
                      &compatibility_cases,
                      &keepers_cases,
-                     &platform_words_cases,
+                     &platform_translation_cases,
                      &platform_rules_cases})
     for (auto& c : (*part)()) all.push_back(c);
   return run_all(all, FLAGS_case_name);
--- a/test/unit/platform/translation_test.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -277,7 +277,7 @@
 }
 }  // namespace
 
-std::vector<Case> platform_words_cases() {
+std::vector<Case> platform_translation_cases() {
   return {{"platform: a configuration's fields", configuration_fields},
           {"platform: each invalid form is rejected", invalid_configurations},
           {"platform: a configuration is read back unchanged", configuration_round_trip},
--- a/test/unit/unit_cases.hpp
+++ b/test/unit/unit_cases.hpp
@@ -37,7 +37,7 @@
 std::vector<Case> heartbeat_table_cases();
 std::vector<Case> compatibility_cases();
 std::vector<Case> keepers_cases();
-std::vector<Case> platform_words_cases();
+std::vector<Case> platform_translation_cases();
 std::vector<Case> platform_rules_cases();
 
 template <class F>
