--- a/test/unit/main.cpp
+++ b/test/unit/main.cpp
@@ -41,7 +41,7 @@
                      &assignment_loader_cases,
                      &heartbeat_table_cases,
                      &compatibility_cases,
-                     &keepers_cases,
+                     &replica_repair_cases,
                      &platform_translation_cases,
                      &platform_rules_cases})
     for (auto& c : (*part)()) all.push_back(c);
--- a/test/unit/membership/replica_repair_test.cpp
+++ b/test/unit/membership/replica_repair_test.cpp
@@ -249,7 +249,7 @@
 }
 }  // namespace
 
-std::vector<Case> keepers_cases() {
+std::vector<Case> replica_repair_cases() {
   return {
       property(
           "replica_repair: under any failures a majority keeps voting and the set reaches the required size",
--- a/test/unit/unit_cases.hpp
+++ b/test/unit/unit_cases.hpp
@@ -36,7 +36,7 @@
 std::vector<Case> assignment_loader_cases();
 std::vector<Case> heartbeat_table_cases();
 std::vector<Case> compatibility_cases();
-std::vector<Case> keepers_cases();
+std::vector<Case> replica_repair_cases();
 std::vector<Case> platform_translation_cases();
 std::vector<Case> platform_rules_cases();
 
