--- a/test/unit/main.cpp
+++ b/test/unit/main.cpp
@@ -20,7 +20,7 @@
                      &fence_cases,
                      &control_state_cases,
                      &contact_cases,
-                     &move_cases,
+                     &version_rollout_cases,
 
                      &attempt_decision_cases,
                      &canary_admission_cases,
--- a/test/unit/rollout/version_rollout_test.cpp
+++ b/test/unit/rollout/version_rollout_test.cpp
@@ -438,7 +438,7 @@
 }
 }  // namespace
 
-std::vector<Case> move_cases() {
+std::vector<Case> version_rollout_cases() {
   std::vector<Case> cases{
       {"moves: a good version is completed within its deadline", good_in_time},
       {"moves: a usual rate of failures doesn't block a good version", good_with_usual_failures},
--- a/test/unit/unit_cases.hpp
+++ b/test/unit/unit_cases.hpp
@@ -16,7 +16,7 @@
 std::vector<Case> fence_cases();
 std::vector<Case> control_state_cases();
 std::vector<Case> contact_cases();
-std::vector<Case> move_cases();
+std::vector<Case> version_rollout_cases();
 std::vector<Case> attempt_decision_cases();
 std::vector<Case> canary_admission_cases();
 std::vector<Case> upstream_client_cases();
