--- a/test/model/rounds.cpp
+++ b/test/model/rounds.cpp
@@ -83,7 +83,7 @@
   if (!answers(replica, round.set)) return;
   auto reg = static_cast<size_t>(register_of(round.purpose));
   VoteStep vote = votes_.prepare(replica.registers[reg], round.ballot);
-  if (!vote.yes) return;
+  if (!vote.granted) return;
   State after = state;
   after.replicas[static_cast<size_t>(r)].registers[reg] = vote.state;
   Round& counted = after.proposers[static_cast<size_t>(p)].round;
@@ -118,7 +118,7 @@
   if (!contains(sets_[request.set].members(), r) || !answers(replica, request.set)) return;
   RegisterState known = replica.registers[static_cast<size_t>(reg)];
   VoteStep vote = votes_.accept(known, ballot, request.value);
-  if (!vote.yes) return;
+  if (!vote.granted) return;
   int p = proposer_of(ballot);
   const Round& round = state.proposers[static_cast<size_t>(p)].round;
   bool counts = round.phase == Phase::accepting && round.ballot == ballot &&
--- a/test/model/votes.hpp
+++ b/test/model/votes.hpp
@@ -35,7 +35,7 @@
 
 struct VoteStep {
   RegisterState state;
-  bool yes = false;
+  bool granted = false;
 };
 
 // Tables of the product's functions, filled on first use of each step.
