--- a/test/model/describe.cpp
+++ b/test/model/describe.cpp
@@ -18,7 +18,7 @@
   return {};
 }
 
-std::string of_round(const State& before, Action action, const State& after) {
+std::string describe_round(const State& before, Action action, const State& after) {
   auto& round = after.proposers[action.first].round;
   return proposer_name(action.first) + " begins round " + text_of_ballot(round.ballot) + " under " +
          text_of_set(before.proposers[action.first].set) + " to " + text(round.purpose);
@@ -47,7 +47,7 @@
 std::string Protocol::describe(const State& before, Action action, const State& after) const {
   switch (static_cast<Kind>(action.kind)) {
     case Kind::begin_round:
-      return of_round(before, action, after);
+      return describe_round(before, action, after);
     case Kind::prepare:
       return text_of_replica(action.second) + " promises " +
              text_of_ballot(before.proposers[action.first].round.ballot) + " of " +
