--- a/test/model/describe.cpp
+++ b/test/model/describe.cpp
@@ -24,7 +24,7 @@
          text_of_set(before.proposers[action.first].set) + " to " + text(round.purpose);
 }
 
-std::string of_accept(const State& before, Action action, const State& after) {
+std::string describe_accept(const State& before, Action action, const State& after) {
   auto reg = static_cast<Register>(action.first);
   auto& request = before.accepts[action.first][action.second];
   return text_of_replica(action.third) + " accepts " + text_of_ballot(action.second) + " of " + text(reg) +
@@ -54,7 +54,7 @@
              text(register_of(before.proposers[action.first].round.purpose)) +
              consequence(before, after, action.first);
     case Kind::accept:
-      return of_accept(before, action, after);
+      return describe_accept(before, action, after);
     case Kind::learn_from_replica:
       return text_of_replica(action.second) + " reports " + text_of_set(after.proposers[action.first].set) +
              " to " + proposer_name(action.first);
