--- a/test/model/describe.cpp
+++ b/test/model/describe.cpp
@@ -32,7 +32,7 @@
          consequence(before, after, proposer_of(action.second));
 }
 
-std::string of_dump(const State& before, Action action, const State& after) {
+std::string describe_dump(const State& before, Action action, const State& after) {
   auto& replica = after.replicas[action.first];
   auto& data = replica.registers[static_cast<size_t>(Register::data)];
   return text_of_replica(action.first) + " receives a dump from " + text_of_replica(action.second) +
@@ -68,7 +68,7 @@
     case Kind::wait_over:
       return text_of_replica(action.first) + " has waited for one round limit";
     case Kind::dump:
-      return of_dump(before, action, after);
+      return describe_dump(before, action, after);
     case Kind::adopt:
       return text_of_replica(action.second) + " adopts " + text_of_set(before.proposers[action.first].set) +
              " and confirms it to " + proposer_name(action.first);
