--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -28,7 +28,7 @@
   bool bad = false;
 };
 
-struct RegisterClient {
+struct JournalEvents {
   std::map<std::string, Ask> asks;
   std::vector<ReadResult> gots;
   std::vector<Ran> runs;
@@ -43,8 +43,8 @@
 
 int64_t number(const std::string& s) { return s.empty() ? -1 : std::strtoll(s.c_str(), nullptr, 10); }
 
-RegisterClient sort_out(const Journals& js) {
-  RegisterClient b;
+JournalEvents sort_out(const Journals& js) {
+  JournalEvents b;
   std::map<std::string, std::string> names;  // machine names by their address for clients
   for (auto& json : js.lines)
     if (json.at("t").string_or() == "machine")
@@ -94,7 +94,7 @@
 bool safe(const std::string& m) { return m == "GET" || m == "HEAD"; }
 
 struct Checks {
-  const RegisterClient& registers;
+  const JournalEvents& registers;
   CheckReport out;
   std::map<std::string, std::vector<const Ran*>> by_id;
   void breach(int r, std::string w) { out.breaches.push_back({r, std::move(w)}); }
