--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -94,7 +94,7 @@
 bool safe(const std::string& m) { return m == "GET" || m == "HEAD"; }
 
 struct Checks {
-  const JournalEvents& registers;
+  const JournalEvents& journal;
   CheckReport out;
   std::map<std::string, std::vector<const Ran*>> by_id;
   void breach(int r, std::string w) { out.breaches.push_back({r, std::move(w)}); }
@@ -106,18 +106,18 @@
   }
 
   void not_run() {
-    for (auto& g : registers.gots)
+    for (auto& g : journal.gots)
       if (g.outcome == "not-run" && by_id.count(g.id))
         breach(2, g.id + " was executed although its response stated not-run");
   }
 
   void whole() {
     std::map<std::string, std::set<std::string>> made;  // target -> responses created
-    for (auto& r : registers.runs) made[r.target].insert(r.out);
-    for (auto& g : registers.gots) {
+    for (auto& r : journal.runs) made[r.target].insert(r.out);
+    for (auto& g : journal.gots) {
       if (g.status >= 300) continue;
-      auto a = registers.asks.find(g.id);
-      if (a == registers.asks.end()) continue;
+      auto a = journal.asks.find(g.id);
+      if (a == journal.asks.end()) continue;
       bool mine = false;
       if (auto f = by_id.find(g.id); f != by_id.end())
         for (auto* r : f->second) mine |= r->out == g.out;
@@ -128,9 +128,9 @@
   }
 
   void true_to_caller() {
-    for (auto& r : registers.runs) {
-      auto a = registers.asks.find(r.id);
-      if (a == registers.asks.end())
+    for (auto& r : journal.runs) {
+      auto a = journal.asks.find(r.id);
+      if (a == journal.asks.end())
         breach(4, "an execution of " + r.id + " that no client requested");
       else if (a->second.method != r.method || a->second.target != r.target || a->second.in != r.in)
         breach(4, r.id + " was altered in transit");
@@ -140,14 +140,14 @@
   void allowed() {
     std::set<std::string> ok, routes;
     bool any = false;
-    for (auto& e : registers.events)
+    for (auto& e : journal.events)
       if (e.at("t").string_or() == "allowed") {
         any = true;
         ok.insert(e.at("service").string_or() + "/" + e.at("version").string_or() + "/" +
                   e.at("prefix").string_or());
       }
     if (!any) return;
-    for (auto& r : registers.runs) {
+    for (auto& r : journal.runs) {
       bool hit = false;
       for (auto& k : ok) {
         auto p = r.service + "/" + r.version + "/";
@@ -160,13 +160,13 @@
 
   void generations() {
     std::map<std::string, std::vector<std::pair<int64_t, int64_t>>> acked;  // relay -> (when, generation)
-    for (auto& e : registers.events)
+    for (auto& e : journal.events)
       if (e.at("t").string_or() == "assigned")
         acked[e.at("relay").string_or()].push_back(
             {e.at("at").integer_or(), e.at("generation").integer_or()});
     std::map<std::string, int64_t> shown, ended;
     std::map<std::string, std::vector<std::pair<int64_t, int64_t>>> tops;
-    for (auto& g : registers.gots) {
+    for (auto& g : journal.gots) {
       if (g.gen < 0) continue;
       for (auto& [at, n] : acked[g.relay])
         if (g.from > at + kBound && g.gen < n)
@@ -181,7 +181,7 @@
       t.push_back({g.at, top});
     }
     // For an attempt, the time at which it was sent counts, however long its request had waited.
-    for (auto& r : registers.runs)
+    for (auto& r : journal.runs)
       if (auto f = acked.find(r.relay); r.gen >= 0 && f != acked.end())
         for (auto& [at, n] : f->second)
           if (r.at > at + kBound && r.gen < n)
@@ -190,9 +190,8 @@
   }
 
   void left() {
-    for (auto& r : registers.runs)
-      if (auto f = registers.leaving.find(r.instance);
-          f != registers.leaving.end() && r.at > f->second + kBound)
+    for (auto& r : journal.runs)
+      if (auto f = journal.leaving.find(r.instance); f != journal.leaving.end() && r.at > f->second + kBound)
         breach(7, fmt::format("{} got {} {} ms after it reported that it leaves", r.instance, r.id,
                               r.at - f->second));
   }
@@ -200,17 +199,17 @@
   void purges() {
     // A response created after the purge request may be newer than the purge: only older ones are checked.
     std::vector<std::tuple<int64_t, int64_t, std::string, bool>> ps;
-    for (auto& e : registers.events)
+    for (auto& e : journal.events)
       if (e.at("t").string_or() == "purged")
         ps.push_back({e.at("asked").integer_or(e.at("at").integer_or()), e.at("at").integer_or(),
                       e.at("path").string_or(), e.at("prefix").bool_or()});
     int64_t life = 0;
-    for (auto& e : registers.events)
+    for (auto& e : journal.events)
       if (e.at("t").string_or() == "lifetime") life = std::max(life, e.at("ms").integer_or());
-    for (auto& g : registers.gots) {
+    for (auto& g : journal.gots) {
       if (g.status != 200 || g.produced < 0) continue;
-      auto a = registers.asks.find(g.id);
-      if (a == registers.asks.end() || !safe(a->second.method)) continue;
+      auto a = journal.asks.find(g.id);
+      if (a == journal.asks.end() || !safe(a->second.method)) continue;
       auto& t = a->second.target;
       // A response that an instance creates for this request may be slow, so its start counts; for a cached
       // one, the end counts.
@@ -225,11 +224,11 @@
 
   void repeats() {
     int64_t allowance = 20;
-    for (auto& e : registers.events)
+    for (auto& e : journal.events)
       if (e.at("t").string_or() == "allowance") allowance = e.at("n").integer_or();
     std::map<std::string, std::vector<std::pair<int64_t, bool>>> sends;
     std::set<std::string> seen;
-    for (auto& r : registers.runs) {
+    for (auto& r : journal.runs) {
       bool again = !seen.insert(r.id).second;
       sends[r.service].push_back({r.at, again});
       out.figures["repeats"] += again;
@@ -252,7 +251,7 @@
   }
 
   void versions() {
-    for (auto& e : registers.events) {
+    for (auto& e : journal.events) {
       if (e.at("t").string_or() != "bad_version") continue;
       auto s = e.at("service").string_or(), v = e.at("version").string_or();
       // For a rollout with a deadline, the share applies to the whole period, plus its slack.
@@ -260,7 +259,7 @@
            slack = e.at("slack").integer_or(kInFlight);
       int64_t all = 0, mine = 0, bad = 0, fifty = 0;
       bool over = false;
-      for (auto& r : registers.runs) {
+      for (auto& r : journal.runs) {
         if (r.service != s || r.at < since) continue;
         bool counts = !until || r.at < until;
         all += counts;
@@ -285,18 +284,18 @@
   }
 
   void rates() {
-    for (auto& e : registers.events) {
+    for (auto& e : journal.events) {
       if (e.at("t").string_or() != "rate") continue;
       auto s = e.at("service").string_or();
       auto rate = e.at("n").integer_or();
       // A rate applies from its event until the next rate event of the same service.
       int64_t since = e.at("at").integer_or(), till = INT64_MAX;
-      for (auto& x : registers.events)
+      for (auto& x : journal.events)
         if (x.at("t").string_or() == "rate" && x.at("service").string_or() == s &&
             x.at("at").integer_or() > since)
           till = std::min(till, x.at("at").integer_or());
       std::vector<int64_t> at;
-      for (auto& r : registers.runs)
+      for (auto& r : journal.runs)
         if (r.service == s && r.at >= since && r.at < till) at.push_back(r.at);
       size_t from = 0;
       int64_t top = 0;
@@ -312,21 +311,21 @@
   }
 
   void kept() {
-    for (auto& e : registers.events) {
+    for (auto& e : journal.events) {
       auto t = e.at("t").string_or();
       if (t == "layout_lost")
         breach(12, "the acknowledged " + e.at("release").string_or() + " could not be read back");
       if (t != "returned") continue;
       auto at = e.at("at").integer_or();
       // A later fault within this period has its own return event.
-      if (std::any_of(registers.harms.begin(), registers.harms.end(),
+      if (std::any_of(journal.harms.begin(), journal.harms.end(),
                       [&](auto h) { return h > at && h < at + 20000; }))
         continue;
       uint64_t good = 0, all = 0;
-      for (auto& [id, a] : registers.asks)
+      for (auto& [id, a] : journal.asks)
         if (a.at > at + 15000 && a.at < at + 20000) {
           ++all;
-          good += registers.well.count(id);
+          good += journal.well.count(id);
         }
       out.figures["returns_judged"] += all > 0;
       if (good * 2 < all)
