--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -43,7 +43,7 @@
 
 int64_t number(const std::string& s) { return s.empty() ? -1 : std::strtoll(s.c_str(), nullptr, 10); }
 
-JournalEvents sort_out(const Journals& js) {
+JournalEvents sort_events(const Journals& js) {
   JournalEvents b;
   std::map<std::string, std::string> names;  // machine names by their address for clients
   for (auto& json : js.lines)
@@ -348,7 +348,7 @@
 }
 
 CheckReport check(const Journals& js) {
-  auto b = sort_out(js);
+  auto b = sort_events(js);
   Checks c{b, {}, {}};
   for (auto& r : b.runs) c.by_id[r.id].push_back(&r);
   c.once();
