--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -14,7 +14,7 @@
 constexpr int64_t kBound = 2000;
 constexpr int64_t kInFlight = 5;
 
-struct Ask {
+struct ClientRequest {
   std::string method, target, in;
   int64_t at = 0;
 };
@@ -29,7 +29,7 @@
 };
 
 struct JournalEvents {
-  std::map<std::string, Ask> asks;
+  std::map<std::string, ClientRequest> asks;
   std::vector<ReadResult> gots;
   std::vector<Ran> runs;
   std::map<std::string, int64_t> leaving, gone;  // instance -> time of the first report
