--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -18,7 +18,7 @@
   std::string method, target, in;
   int64_t at = 0;
 };
-struct ReadResult {
+struct ClientResponse {
   std::string id, outcome, out, relay, retry;
   int64_t status = 0, produced = -1, gen = -1, from = 0, at = 0;
 };
@@ -30,11 +30,11 @@
 
 struct JournalEvents {
   std::map<std::string, ClientRequest> asks;
-  std::vector<ReadResult> gots;
+  std::vector<ClientResponse> gots;
   std::vector<Ran> runs;
   std::map<std::string, int64_t> leaving, gone;  // instance -> time of the first report
   std::vector<base::Json> events;
-  std::vector<ReadResult> lost;
+  std::vector<ClientResponse> lost;
   std::set<std::string> well;  // ids of requests with a successful response
   std::map<std::string, std::vector<int64_t>>
       harm;                    // machine -> times at which it was killed, frozen or warned
@@ -69,7 +69,7 @@
     } else if (t == "leaving") {
       b.leaving.emplace(s("instance"), json.at("at").integer_or());  // the first report counts
     } else if (t == "lost") {
-      ReadResult g;
+      ClientResponse g;
       g.id = s("id");
       g.relay = relay();
       g.from = json.at("from").integer_or();
