--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -22,7 +22,7 @@
   std::string id, outcome, out, relay, retry;
   int64_t status = 0, produced = -1, gen = -1, from = 0, at = 0;
 };
-struct Ran {
+struct Execution {
   std::string id, method, target, in, out, service, version, instance, relay;
   int64_t gen = -1, at = 0;
   bool bad = false;
@@ -31,7 +31,7 @@
 struct JournalEvents {
   std::map<std::string, ClientRequest> asks;
   std::vector<ClientResponse> gots;
-  std::vector<Ran> runs;
+  std::vector<Execution> runs;
   std::map<std::string, int64_t> leaving, gone;  // instance -> time of the first report
   std::vector<base::Json> events;
   std::vector<ClientResponse> lost;
@@ -96,7 +96,7 @@
 struct Checks {
   const JournalEvents& journal;
   CheckReport out;
-  std::map<std::string, std::vector<const Ran*>> by_id;
+  std::map<std::string, std::vector<const Execution*>> by_id;
   void breach(int r, std::string w) { out.breaches.push_back({r, std::move(w)}); }
 
   void once() {
