--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -29,7 +29,7 @@
 };
 
 struct JournalEvents {
-  std::map<std::string, ClientRequest> asks;
+  std::map<std::string, ClientRequest> requests;
   std::vector<ClientResponse> gots;
   std::vector<Execution> runs;
   std::map<std::string, int64_t> leaving, gone;  // instance -> time of the first report
@@ -57,7 +57,7 @@
       return f == names.end() ? s("relay") : f->second;
     };
     if (t == "ask") {
-      b.asks[s("id")] = {s("method"), s("target"), s("in"), json.at("at").integer_or()};
+      b.requests[s("id")] = {s("method"), s("target"), s("in"), json.at("at").integer_or()};
     } else if (t == "got") {
       b.gots.push_back({s("id"), s("outcome"), s("out"), relay(), s("retry_after"),
                         json.at("status").integer_or(), json.at("produced").integer_or(-1), number(s("gen")),
@@ -116,8 +116,8 @@
     for (auto& r : journal.runs) made[r.target].insert(r.out);
     for (auto& g : journal.gots) {
       if (g.status >= 300) continue;
-      auto a = journal.asks.find(g.id);
-      if (a == journal.asks.end()) continue;
+      auto a = journal.requests.find(g.id);
+      if (a == journal.requests.end()) continue;
       bool mine = false;
       if (auto f = by_id.find(g.id); f != by_id.end())
         for (auto* r : f->second) mine |= r->out == g.out;
@@ -129,8 +129,8 @@
 
   void true_to_caller() {
     for (auto& r : journal.runs) {
-      auto a = journal.asks.find(r.id);
-      if (a == journal.asks.end())
+      auto a = journal.requests.find(r.id);
+      if (a == journal.requests.end())
         breach(4, "an execution of " + r.id + " that no client requested");
       else if (a->second.method != r.method || a->second.target != r.target || a->second.in != r.in)
         breach(4, r.id + " was altered in transit");
@@ -208,8 +208,8 @@
       if (e.at("t").string_or() == "lifetime") life = std::max(life, e.at("ms").integer_or());
     for (auto& g : journal.gots) {
       if (g.status != 200 || g.produced < 0) continue;
-      auto a = journal.asks.find(g.id);
-      if (a == journal.asks.end() || !safe(a->second.method)) continue;
+      auto a = journal.requests.find(g.id);
+      if (a == journal.requests.end() || !safe(a->second.method)) continue;
       auto& t = a->second.target;
       // A response that an instance creates for this request may be slow, so its start counts; for a cached
       // one, the end counts.
@@ -322,7 +322,7 @@
                       [&](auto h) { return h > at && h < at + 20000; }))
         continue;
       uint64_t good = 0, all = 0;
-      for (auto& [id, a] : journal.asks)
+      for (auto& [id, a] : journal.requests)
         if (a.at > at + 15000 && a.at < at + 20000) {
           ++all;
           good += journal.well.count(id);
@@ -364,7 +364,7 @@
   c.rates();
   c.kept();
   auto& f = c.out.figures;
-  f["asked"] = b.asks.size();
+  f["asked"] = b.requests.size();
   f["answered"] = b.gots.size();
   int64_t last = 0;  // responses are sorted by their end times
   for (auto& g : b.gots) {
@@ -384,7 +384,7 @@
     f["lost_unexplained"] += !told;
   }
   f["unanswered"] =
-      std::count_if(b.asks.begin(), b.asks.end(), [&](auto& a) { return !ended.count(a.first); });
+      std::count_if(b.requests.begin(), b.requests.end(), [&](auto& a) { return !ended.count(a.first); });
   std::set<std::string> retries;
   for (auto& g : b.gots) {
     if (g.status != 503 || g.outcome != "not-run") continue;
