--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -30,7 +30,7 @@
 
 struct JournalEvents {
   std::map<std::string, ClientRequest> requests;
-  std::vector<ClientResponse> gots;
+  std::vector<ClientResponse> responses;
   std::vector<Execution> runs;
   std::map<std::string, int64_t> leaving, gone;  // instance -> time of the first report
   std::vector<base::Json> events;
@@ -59,9 +59,9 @@
     if (t == "ask") {
       b.requests[s("id")] = {s("method"), s("target"), s("in"), json.at("at").integer_or()};
     } else if (t == "got") {
-      b.gots.push_back({s("id"), s("outcome"), s("out"), relay(), s("retry_after"),
-                        json.at("status").integer_or(), json.at("produced").integer_or(-1), number(s("gen")),
-                        json.at("from").integer_or(), json.at("at").integer_or()});
+      b.responses.push_back({s("id"), s("outcome"), s("out"), relay(), s("retry_after"),
+                             json.at("status").integer_or(), json.at("produced").integer_or(-1),
+                             number(s("gen")), json.at("from").integer_or(), json.at("at").integer_or()});
     } else if (t == "run") {
       b.runs.push_back({s("id"), s("method"), s("target"), s("in"), s("out"), s("service"), s("version"),
                         s("instance"), s("relay"), number(s("gen")), json.at("at").integer_or(),
@@ -83,11 +83,11 @@
       if (!cut) b.harm[s("machine")].push_back(json.at("at").integer_or());
     }
   }
-  for (auto& g : b.gots)
+  for (auto& g : b.responses)
     if (g.status < 400) b.well.insert(g.id);
   auto by_time = [](auto& x, auto& y) { return x.at < y.at; };
   std::stable_sort(b.runs.begin(), b.runs.end(), by_time);
-  std::stable_sort(b.gots.begin(), b.gots.end(), by_time);
+  std::stable_sort(b.responses.begin(), b.responses.end(), by_time);
   return b;
 }
 
@@ -106,7 +106,7 @@
   }
 
   void not_run() {
-    for (auto& g : journal.gots)
+    for (auto& g : journal.responses)
       if (g.outcome == "not-run" && by_id.count(g.id))
         breach(2, g.id + " was executed although its response stated not-run");
   }
@@ -114,7 +114,7 @@
   void whole() {
     std::map<std::string, std::set<std::string>> made;  // target -> responses created
     for (auto& r : journal.runs) made[r.target].insert(r.out);
-    for (auto& g : journal.gots) {
+    for (auto& g : journal.responses) {
       if (g.status >= 300) continue;
       auto a = journal.requests.find(g.id);
       if (a == journal.requests.end()) continue;
@@ -166,7 +166,7 @@
             {e.at("at").integer_or(), e.at("generation").integer_or()});
     std::map<std::string, int64_t> shown, ended;
     std::map<std::string, std::vector<std::pair<int64_t, int64_t>>> tops;
-    for (auto& g : journal.gots) {
+    for (auto& g : journal.responses) {
       if (g.gen < 0) continue;
       for (auto& [at, n] : acked[g.relay])
         if (g.from > at + kBound && g.gen < n)
@@ -206,7 +206,7 @@
     int64_t life = 0;
     for (auto& e : journal.events)
       if (e.at("t").string_or() == "lifetime") life = std::max(life, e.at("ms").integer_or());
-    for (auto& g : journal.gots) {
+    for (auto& g : journal.responses) {
       if (g.status != 200 || g.produced < 0) continue;
       auto a = journal.requests.find(g.id);
       if (a == journal.requests.end() || !safe(a->second.method)) continue;
@@ -365,16 +365,16 @@
   c.kept();
   auto& f = c.out.figures;
   f["asked"] = b.requests.size();
-  f["answered"] = b.gots.size();
+  f["answered"] = b.responses.size();
   int64_t last = 0;  // responses are sorted by their end times
-  for (auto& g : b.gots) {
+  for (auto& g : b.responses) {
     if (g.status >= 400) continue;
     if (last) f["longest_gap_ms"] = std::max(f["longest_gap_ms"], static_cast<uint64_t>(g.at - last));
     last = g.at;
   }
   f["lost"] = b.lost.size();
   std::set<std::string> ended;
-  for (auto& g : b.gots) ended.insert(g.id);
+  for (auto& g : b.responses) ended.insert(g.id);
   for (auto& l : b.lost) {
     ended.insert(l.id);
     auto h = b.harm.find(l.relay);
@@ -386,20 +386,20 @@
   f["unanswered"] =
       std::count_if(b.requests.begin(), b.requests.end(), [&](auto& a) { return !ended.count(a.first); });
   std::set<std::string> retries;
-  for (auto& g : b.gots) {
+  for (auto& g : b.responses) {
     if (g.status != 503 || g.outcome != "not-run") continue;
     retries.insert(g.retry);
     f["no_retry_after"] += g.retry.empty();
   }
   f["retry_after_kinds"] = retries.size();
-  for (auto& g : b.gots)
+  for (auto& g : b.responses)
     if (auto h = b.harm.find(g.relay);
         g.outcome == "not-run" &&
         (h == b.harm.end() || std::none_of(h->second.begin(), h->second.end(),
                                            [&](auto t) { return t <= g.at && t > g.from - 8000; })))
       f["longest_not_run_ms"] = std::max(f["longest_not_run_ms"], static_cast<uint64_t>(g.at - g.from));
   f["ran"] = b.runs.size();
-  for (auto& g : b.gots) {
+  for (auto& g : b.responses) {
     if (g.status < 400)
       ++f["ok"];
     else
