--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -31,7 +31,7 @@
 struct JournalEvents {
   std::map<std::string, ClientRequest> requests;
   std::vector<ClientResponse> responses;
-  std::vector<Execution> runs;
+  std::vector<Execution> executions;
   std::map<std::string, int64_t> leaving, gone;  // instance -> time of the first report
   std::vector<base::Json> events;
   std::vector<ClientResponse> lost;
@@ -63,9 +63,9 @@
                              json.at("status").integer_or(), json.at("produced").integer_or(-1),
                              number(s("gen")), json.at("from").integer_or(), json.at("at").integer_or()});
     } else if (t == "run") {
-      b.runs.push_back({s("id"), s("method"), s("target"), s("in"), s("out"), s("service"), s("version"),
-                        s("instance"), s("relay"), number(s("gen")), json.at("at").integer_or(),
-                        json.at("bad").bool_or()});
+      b.executions.push_back({s("id"), s("method"), s("target"), s("in"), s("out"), s("service"),
+                              s("version"), s("instance"), s("relay"), number(s("gen")),
+                              json.at("at").integer_or(), json.at("bad").bool_or()});
     } else if (t == "leaving") {
       b.leaving.emplace(s("instance"), json.at("at").integer_or());  // the first report counts
     } else if (t == "lost") {
@@ -86,7 +86,7 @@
   for (auto& g : b.responses)
     if (g.status < 400) b.well.insert(g.id);
   auto by_time = [](auto& x, auto& y) { return x.at < y.at; };
-  std::stable_sort(b.runs.begin(), b.runs.end(), by_time);
+  std::stable_sort(b.executions.begin(), b.executions.end(), by_time);
   std::stable_sort(b.responses.begin(), b.responses.end(), by_time);
   return b;
 }
@@ -113,7 +113,7 @@
 
   void whole() {
     std::map<std::string, std::set<std::string>> made;  // target -> responses created
-    for (auto& r : journal.runs) made[r.target].insert(r.out);
+    for (auto& r : journal.executions) made[r.target].insert(r.out);
     for (auto& g : journal.responses) {
       if (g.status >= 300) continue;
       auto a = journal.requests.find(g.id);
@@ -128,7 +128,7 @@
   }
 
   void true_to_caller() {
-    for (auto& r : journal.runs) {
+    for (auto& r : journal.executions) {
       auto a = journal.requests.find(r.id);
       if (a == journal.requests.end())
         breach(4, "an execution of " + r.id + " that no client requested");
@@ -147,7 +147,7 @@
                   e.at("prefix").string_or());
       }
     if (!any) return;
-    for (auto& r : journal.runs) {
+    for (auto& r : journal.executions) {
       bool hit = false;
       for (auto& k : ok) {
         auto p = r.service + "/" + r.version + "/";
@@ -181,7 +181,7 @@
       t.push_back({g.at, top});
     }
     // For an attempt, the time at which it was sent counts, however long its request had waited.
-    for (auto& r : journal.runs)
+    for (auto& r : journal.executions)
       if (auto f = acked.find(r.relay); r.gen >= 0 && f != acked.end())
         for (auto& [at, n] : f->second)
           if (r.at > at + kBound && r.gen < n)
@@ -190,7 +190,7 @@
   }
 
   void left() {
-    for (auto& r : journal.runs)
+    for (auto& r : journal.executions)
       if (auto f = journal.leaving.find(r.instance); f != journal.leaving.end() && r.at > f->second + kBound)
         breach(7, fmt::format("{} got {} {} ms after it reported that it leaves", r.instance, r.id,
                               r.at - f->second));
@@ -228,7 +228,7 @@
       if (e.at("t").string_or() == "allowance") allowance = e.at("n").integer_or();
     std::map<std::string, std::vector<std::pair<int64_t, bool>>> sends;
     std::set<std::string> seen;
-    for (auto& r : journal.runs) {
+    for (auto& r : journal.executions) {
       bool again = !seen.insert(r.id).second;
       sends[r.service].push_back({r.at, again});
       out.figures["repeats"] += again;
@@ -259,7 +259,7 @@
            slack = e.at("slack").integer_or(kInFlight);
       int64_t all = 0, mine = 0, bad = 0, fifty = 0;
       bool over = false;
-      for (auto& r : journal.runs) {
+      for (auto& r : journal.executions) {
         if (r.service != s || r.at < since) continue;
         bool counts = !until || r.at < until;
         all += counts;
@@ -295,7 +295,7 @@
             x.at("at").integer_or() > since)
           till = std::min(till, x.at("at").integer_or());
       std::vector<int64_t> at;
-      for (auto& r : journal.runs)
+      for (auto& r : journal.executions)
         if (r.service == s && r.at >= since && r.at < till) at.push_back(r.at);
       size_t from = 0;
       int64_t top = 0;
@@ -350,7 +350,7 @@
 CheckReport check(const Journals& js) {
   auto b = sort_events(js);
   Checks c{b, {}, {}};
-  for (auto& r : b.runs) c.by_id[r.id].push_back(&r);
+  for (auto& r : b.executions) c.by_id[r.id].push_back(&r);
   c.once();
   c.not_run();
   c.whole();
@@ -398,7 +398,7 @@
         (h == b.harm.end() || std::none_of(h->second.begin(), h->second.end(),
                                            [&](auto t) { return t <= g.at && t > g.from - 8000; })))
       f["longest_not_run_ms"] = std::max(f["longest_not_run_ms"], static_cast<uint64_t>(g.at - g.from));
-  f["ran"] = b.runs.size();
+  f["ran"] = b.executions.size();
   for (auto& g : b.responses) {
     if (g.status < 400)
       ++f["ok"];
