--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -35,7 +35,7 @@
   std::map<std::string, int64_t> leaving, gone;  // instance -> time of the first report
   std::vector<base::Json> events;
   std::vector<ClientResponse> lost;
-  std::set<std::string> well;  // ids of requests with a successful response
+  std::set<std::string> succeeded;  // ids of requests with a successful response
   std::map<std::string, std::vector<int64_t>>
       harm;                    // machine -> times at which it was killed, frozen or warned
   std::vector<int64_t> harms;  // times of all kills and freezes, and of cuts of links
@@ -84,7 +84,7 @@
     }
   }
   for (auto& g : b.responses)
-    if (g.status < 400) b.well.insert(g.id);
+    if (g.status < 400) b.succeeded.insert(g.id);
   auto by_time = [](auto& x, auto& y) { return x.at < y.at; };
   std::stable_sort(b.executions.begin(), b.executions.end(), by_time);
   std::stable_sort(b.responses.begin(), b.responses.end(), by_time);
@@ -325,7 +325,7 @@
       for (auto& [id, a] : journal.requests)
         if (a.at > at + 15000 && a.at < at + 20000) {
           ++all;
-          good += journal.well.count(id);
+          good += journal.succeeded.count(id);
         }
       out.figures["returns_judged"] += all > 0;
       if (good * 2 < all)
