--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -37,7 +37,7 @@
   std::vector<ClientResponse> lost;
   std::set<std::string> succeeded;  // ids of requests with a successful response
   std::map<std::string, std::vector<int64_t>>
-      harm;                    // machine -> times at which it was killed, frozen or warned
+      machine_faults;          // machine -> times at which it was killed, frozen or warned
   std::vector<int64_t> harms;  // times of all kills and freezes, and of cuts of links
 };
 
@@ -80,7 +80,7 @@
       bool cut = t == "cut";
       if (!cut && t != "killed" && t != "frozen" && t != "warned") continue;
       if (t != "warned") b.harms.push_back(json.at("at").integer_or());
-      if (!cut) b.harm[s("machine")].push_back(json.at("at").integer_or());
+      if (!cut) b.machine_faults[s("machine")].push_back(json.at("at").integer_or());
     }
   }
   for (auto& g : b.responses)
@@ -377,8 +377,8 @@
   for (auto& g : b.responses) ended.insert(g.id);
   for (auto& l : b.lost) {
     ended.insert(l.id);
-    auto h = b.harm.find(l.relay);
-    bool told = h != b.harm.end() && std::any_of(h->second.begin(), h->second.end(), [&](auto t) {
+    auto h = b.machine_faults.find(l.relay);
+    bool told = h != b.machine_faults.end() && std::any_of(h->second.begin(), h->second.end(), [&](auto t) {
                   return t <= l.at + 500 && t > l.from - 8000;
                 });
     f["lost_unexplained"] += !told;
@@ -393,10 +393,10 @@
   }
   f["retry_after_kinds"] = retries.size();
   for (auto& g : b.responses)
-    if (auto h = b.harm.find(g.relay);
+    if (auto h = b.machine_faults.find(g.relay);
         g.outcome == "not-run" &&
-        (h == b.harm.end() || std::none_of(h->second.begin(), h->second.end(),
-                                           [&](auto t) { return t <= g.at && t > g.from - 8000; })))
+        (h == b.machine_faults.end() || std::none_of(h->second.begin(), h->second.end(),
+                                                     [&](auto t) { return t <= g.at && t > g.from - 8000; })))
       f["longest_not_run_ms"] = std::max(f["longest_not_run_ms"], static_cast<uint64_t>(g.at - g.from));
   f["ran"] = b.executions.size();
   for (auto& g : b.responses) {
