--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -37,8 +37,8 @@
   std::vector<ClientResponse> lost;
   std::set<std::string> succeeded;  // ids of requests with a successful response
   std::map<std::string, std::vector<int64_t>>
-      machine_faults;          // machine -> times at which it was killed, frozen or warned
-  std::vector<int64_t> harms;  // times of all kills and freezes, and of cuts of links
+      machine_faults;                // machine -> times at which it was killed, frozen or warned
+  std::vector<int64_t> fault_times;  // times of all kills and freezes, and of cuts of links
 };
 
 int64_t number(const std::string& s) { return s.empty() ? -1 : std::strtoll(s.c_str(), nullptr, 10); }
@@ -79,7 +79,7 @@
       b.events.push_back(json);
       bool cut = t == "cut";
       if (!cut && t != "killed" && t != "frozen" && t != "warned") continue;
-      if (t != "warned") b.harms.push_back(json.at("at").integer_or());
+      if (t != "warned") b.fault_times.push_back(json.at("at").integer_or());
       if (!cut) b.machine_faults[s("machine")].push_back(json.at("at").integer_or());
     }
   }
@@ -318,7 +318,7 @@
       if (t != "returned") continue;
       auto at = e.at("at").integer_or();
       // A later fault within this period has its own return event.
-      if (std::any_of(journal.harms.begin(), journal.harms.end(),
+      if (std::any_of(journal.fault_times.begin(), journal.fault_times.end(),
                       [&](auto h) { return h > at && h < at + 20000; }))
         continue;
       uint64_t good = 0, all = 0;
