--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -99,19 +99,19 @@
   std::map<std::string, std::vector<const Execution*>> by_id;
   void breach(int r, std::string w) { out.breaches.push_back({r, std::move(w)}); }
 
-  void once() {
+  void check_executed_once() {
     for (auto& [id, rs] : by_id)
       if (rs.size() > 1 && !safe(rs.front()->method))
         breach(1, id + " ran " + std::to_string(rs.size()) + " times");
   }
 
-  void not_run() {
+  void check_not_run() {
     for (auto& g : journal.responses)
       if (g.outcome == "not-run" && by_id.count(g.id))
         breach(2, g.id + " was executed although its response stated not-run");
   }
 
-  void whole() {
+  void check_responses() {
     std::map<std::string, std::set<std::string>> made;  // target -> responses created
     for (auto& r : journal.executions) made[r.target].insert(r.out);
     for (auto& g : journal.responses) {
@@ -127,7 +127,7 @@
     }
   }
 
-  void true_to_caller() {
+  void check_requests() {
     for (auto& r : journal.executions) {
       auto a = journal.requests.find(r.id);
       if (a == journal.requests.end())
@@ -137,7 +137,7 @@
     }
   }
 
-  void allowed() {
+  void check_allowed_versions() {
     std::set<std::string> ok, routes;
     bool any = false;
     for (auto& e : journal.events)
@@ -158,7 +158,7 @@
     }
   }
 
-  void generations() {
+  void check_generations() {
     std::map<std::string, std::vector<std::pair<int64_t, int64_t>>> acked;  // relay -> (when, generation)
     for (auto& e : journal.events)
       if (e.at("t").string_or() == "assigned")
@@ -189,14 +189,14 @@
                                   r.id, r.relay, r.gen, r.at - at, n));
   }
 
-  void left() {
+  void check_leaving() {
     for (auto& r : journal.executions)
       if (auto f = journal.leaving.find(r.instance); f != journal.leaving.end() && r.at > f->second + kBound)
         breach(7, fmt::format("{} got {} {} ms after it reported that it leaves", r.instance, r.id,
                               r.at - f->second));
   }
 
-  void purges() {
+  void check_purges() {
     // A response created after the purge request may be newer than the purge: only older ones are checked.
     std::vector<std::tuple<int64_t, int64_t, std::string, bool>> ps;
     for (auto& e : journal.events)
@@ -222,7 +222,7 @@
     }
   }
 
-  void repeats() {
+  void check_repeats() {
     int64_t allowance = 20;
     for (auto& e : journal.events)
       if (e.at("t").string_or() == "allowance") allowance = e.at("n").integer_or();
@@ -250,7 +250,7 @@
     }
   }
 
-  void versions() {
+  void check_versions() {
     for (auto& e : journal.events) {
       if (e.at("t").string_or() != "bad_version") continue;
       auto s = e.at("service").string_or(), v = e.at("version").string_or();
@@ -283,7 +283,7 @@
     }
   }
 
-  void rates() {
+  void check_rates() {
     for (auto& e : journal.events) {
       if (e.at("t").string_or() != "rate") continue;
       auto s = e.at("service").string_or();
@@ -310,7 +310,7 @@
     }
   }
 
-  void kept() {
+  void check_recovery() {
     for (auto& e : journal.events) {
       auto t = e.at("t").string_or();
       if (t == "layout_lost")
@@ -351,18 +351,18 @@
   auto b = sort_events(js);
   Checks c{b, {}, {}};
   for (auto& r : b.executions) c.by_id[r.id].push_back(&r);
-  c.once();
-  c.not_run();
-  c.whole();
-  c.true_to_caller();
-  c.allowed();
-  c.generations();
-  c.left();
-  c.purges();
-  c.repeats();
-  c.versions();
-  c.rates();
-  c.kept();
+  c.check_executed_once();
+  c.check_not_run();
+  c.check_responses();
+  c.check_requests();
+  c.check_allowed_versions();
+  c.check_generations();
+  c.check_leaving();
+  c.check_purges();
+  c.check_repeats();
+  c.check_versions();
+  c.check_rates();
+  c.check_recovery();
   auto& f = c.out.figures;
   f["asked"] = b.requests.size();
   f["answered"] = b.responses.size();
