--- a/test/unit/checker/checker_test.cpp
+++ b/test/unit/checker/checker_test.cpp
@@ -62,7 +62,7 @@
   a.insert(a.end(), b.begin(), b.end());
   return a;
 }
-Case doctored(int rule, const std::string& what, std::vector<std::string> more) {
+Case rejected_case(int rule, const std::string& what, std::vector<std::string> more) {
   return {fmt::format("checker: rule {} fails on {}", rule, what), [rule, more] {
             auto ls = clean();
             ls.insert(ls.end(), more.begin(), more.end());
@@ -122,17 +122,18 @@
     return v;
   };
   return {
-      doctored(6, "an attempt under an old layout after a wait",
-               {R"({"t":"assigned","relay":"r","generation":2,"at":100})", ask("d", "GET", "/c"),
-                ran("d", "GET", "/c", 2101, R"(,"relay":"r","gen":"1")")}),
+      rejected_case(6, "an attempt under an old layout after a wait",
+                    {R"({"t":"assigned","relay":"r","generation":2,"at":100})", ask("d", "GET", "/c"),
+                     ran("d", "GET", "/c", 2101, R"(,"relay":"r","gen":"1")")}),
       accepted_case(6, "an attempt just within the bound",
                     {R"({"t":"assigned","relay":"r","generation":2,"at":100})", ask("d", "GET", "/c"),
                      ran("d", "GET", "/c", 2100, R"(,"relay":"r","gen":"1")")}),
       accepted_case(
           7, "a request to an instance that has just reported leaving",
           {R"({"t":"leaving","instance":"w","at":10})", ask("d", "GET", "/c"), ran("d", "GET", "/c", 2010)}),
-      doctored(8, "purged content served late from a cache",
-               {R"({"t":"purged","path":"/c","at":150})", ask("d", "GET", "/c"), got("d", 200, "", 2146)}),
+      rejected_case(
+          8, "purged content served late from a cache",
+          {R"({"t":"purged","path":"/c","at":150})", ask("d", "GET", "/c"), got("d", 200, "", 2146)}),
       accepted_case(
           8, "purged content served just in time",
           {R"({"t":"purged","path":"/c","at":150})", ask("d", "GET", "/c"), got("d", 200, "", 2145)}),
@@ -142,46 +143,48 @@
       accepted_case(8, "content just within its lifetime",
                     {R"({"t":"lifetime","ms":1000,"at":0})", got("b", 200, "", 3095)}),
       accepted_case(9, "as many retries as allowed", repeats(20)),
-      doctored(9, "one retry too many", repeats(21)),
+      rejected_case(9, "one retry too many", repeats(21)),
       accepted_case(10, "a tenth plus the requests in flight",
                     plus({two, trial}, plus(row(98, 1, 300), row(15, 1, 500, "", "2")))),
-      doctored(10, "a bad version beyond the slack of its period", within(13)),
+      rejected_case(10, "a bad version beyond the slack of its period", within(13)),
       accepted_case(10, "a bad version just within the slack of its period", within(14)),
-      doctored(10, "more than a tenth plus the requests in flight",
-               plus({two, trial}, plus(row(98, 1, 300), row(17, 1, 500, "", "2")))),
+      rejected_case(10, "more than a tenth plus the requests in flight",
+                    plus({two, trial}, plus(row(98, 1, 300), row(17, 1, 500, "", "2")))),
       accepted_case(11, "a tenth more than the rate",
                     plus({R"({"t":"rate","service":"s","n":10,"at":300})"}, row(55, 1, 300))),
-      doctored(11, "one request more than that",
-               plus({R"({"t":"rate","service":"s","n":10,"at":300})"}, row(56, 1, 300))),
+      rejected_case(11, "one request more than that",
+                    plus({R"({"t":"rate","service":"s","n":10,"at":300})"}, row(56, 1, 300))),
       accepted_case(12, "half of the requests failing 15 s after the return", failing(20, 10)),
-      doctored(12, "more than half failing, with few requests", failing(7, 3)),
+      rejected_case(12, "more than half failing, with few requests", failing(7, 3)),
       {"checker: a clean journal is clean",
        [] { expect(rules(clean()).empty(), "the checker reported a breach"); }},
-      doctored(1, "a POST executed twice", {ran("a", "POST", "/p", 110)}),
-      doctored(2, "a request executed despite a not-run response",
-               {ask("c", "POST", "/p"), ran("c", "POST", "/p", 101)}),
-      doctored(3, "a response that no backend instance created",
-               {ask("d", "GET", "/c"), got("d", 200, "", 100, 100, "1", "forged")}),
-      doctored(3, "the response to another request", {ask("d", "POST", "/p"), got("d", 200, "", 100)}),
-      doctored(4, "a request that no client sent", {ran("ghost", "POST", "/p", 120)}),
-      doctored(4, "an altered request", {ask("d", "POST", "/other"), ran("d", "POST", "/p", 120)}),
-      doctored(5, "a version never allowed", {ask("d", "GET", "/c"), ran("d", "GET", "/c", 120, "", "9")}),
-      doctored(6, "an old layout past the bound",
-               {R"({"t":"assigned","relay":"r","generation":2,"at":100})", got("c", 503, "not-run", 2200)}),
-      doctored(6, "reverting to an older generation",
-               {got("c", 503, "not-run", 120, 100, "7"), got("c", 503, "not-run", 200, 100, "6")}),
-      doctored(
+      rejected_case(1, "a POST executed twice", {ran("a", "POST", "/p", 110)}),
+      rejected_case(2, "a request executed despite a not-run response",
+                    {ask("c", "POST", "/p"), ran("c", "POST", "/p", 101)}),
+      rejected_case(3, "a response that no backend instance created",
+                    {ask("d", "GET", "/c"), got("d", 200, "", 100, 100, "1", "forged")}),
+      rejected_case(3, "the response to another request", {ask("d", "POST", "/p"), got("d", 200, "", 100)}),
+      rejected_case(4, "a request that no client sent", {ran("ghost", "POST", "/p", 120)}),
+      rejected_case(4, "an altered request", {ask("d", "POST", "/other"), ran("d", "POST", "/p", 120)}),
+      rejected_case(5, "a version never allowed",
+                    {ask("d", "GET", "/c"), ran("d", "GET", "/c", 120, "", "9")}),
+      rejected_case(
+          6, "an old layout past the bound",
+          {R"({"t":"assigned","relay":"r","generation":2,"at":100})", got("c", 503, "not-run", 2200)}),
+      rejected_case(6, "reverting to an older generation",
+                    {got("c", 503, "not-run", 120, 100, "7"), got("c", 503, "not-run", 200, 100, "6")}),
+      rejected_case(
           7, "an instance that still got requests after it reported leaving",
           {R"({"t":"leaving","instance":"w","at":10})", ask("d", "GET", "/c"), ran("d", "GET", "/c", 2011)}),
-      doctored(8, "purged content", {R"({"t":"purged","path":"/c","at":150})", got("b", 200, "", 2151)}),
-      doctored(8, "content past its lifetime",
-               {R"({"t":"lifetime","ms":1000,"at":0})", got("b", 200, "", 3101)}),
-      doctored(9, "too many retries", again),
-      doctored(10, "too great a share for a bad version", bad),
-      doctored(10, "a bad version used too long", late),
-      doctored(11, "an origin that gets more than its rate", rate),
-      doctored(12, "a layout that was lost", {R"({"t":"layout_lost","release":"x","at":5})"}),
-      doctored(12, "failing 15 s after machines returned", returned),
+      rejected_case(8, "purged content", {R"({"t":"purged","path":"/c","at":150})", got("b", 200, "", 2151)}),
+      rejected_case(8, "content past its lifetime",
+                    {R"({"t":"lifetime","ms":1000,"at":0})", got("b", 200, "", 3101)}),
+      rejected_case(9, "too many retries", again),
+      rejected_case(10, "too great a share for a bad version", bad),
+      rejected_case(10, "a bad version used too long", late),
+      rejected_case(11, "an origin that gets more than its rate", rate),
+      rejected_case(12, "a layout that was lost", {R"({"t":"layout_lost","release":"x","at":5})"}),
+      rejected_case(12, "failing 15 s after machines returned", returned),
   };
 }
 
