--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -42,7 +42,7 @@
   Relay relay(backend.address());
   if (one.kept) same(relay.ask("warm-up", false, kPlentyMs).status, 200, "the first on the connection");
   backend.expect_victim();
-  bool silent = one.plan.trouble == Trouble::silence;
+  bool silent = one.plan.trouble == BackendFault::silence;
   auto answer = relay.ask(one.plan.victim, one.safe, silent ? kPatienceMs : kPlentyMs);
   auto next = relay.ask("follower", false, kPlentyMs);
   // What comes late may stand where the next answer is due, and nobody can tell what that was.
@@ -82,12 +82,13 @@
   return backend.request_bytes();
 }
 
-std::vector<ClientAttempt> cuts(bool receiving, Trouble trouble) {
+std::vector<ClientAttempt> cuts(bool receiving, BackendFault trouble) {
   std::vector<ClientAttempt> all;
   for (bool chunked : {false, true}) {
     if (receiving && chunked) continue;
     auto bytes = receiving ? request_bytes() : good_answer("victim", chunked).size();
-    bool lasting = !receiving && trouble == Trouble::silence;  // after a whole answer it is the next one's
+    bool lasting =
+        !receiving && trouble == BackendFault::silence;  // after a whole answer it is the next one's
     for (bool safe : {false, true})
       for (bool kept : {false, true})
         for (size_t at = 0; at < bytes + !lasting; ++at) {
@@ -101,12 +102,12 @@
 void each_byte(bool receiving) {
   constexpr size_t kDigits = 4;  // by which the time left may be written shorter
   auto shortest = request_bytes() - kDigits;
-  for (auto trouble : {Trouble::close, Trouble::reset, Trouble::silence}) {
+  for (auto trouble : {BackendFault::close, BackendFault::reset, BackendFault::silence}) {
     play_all(cuts(receiving, trouble), [&](const ClientAttempt& one) {
       auto answer = play_day(one);
       bool lost = one.plan.at < (receiving ? shortest : good_answer("victim", one.plan.chunked).size());
       if (!lost) return;
-      if (one.safe && trouble != Trouble::silence)
+      if (one.safe && trouble != BackendFault::silence)
         same(answer.status, 200, "a repeatable request has a second backend instance");
       else if (!receiving || one.plan.at > 0)  // at 0 the connection may end before a byte is sent
         same(answer.status, 502, "what is told when the answer was lost");
