--- a/test/support/byte_backend.hpp
+++ b/test/support/byte_backend.hpp
@@ -120,7 +120,7 @@
 
   // Reads one request and responds to it; false when the connection must be closed.
   bool serve(net::Connection& connection) {
-    bool told_early = false;
+    bool sent_early = false;
     std::optional<size_t> size;
     for (;;) {
       wait_while_frozen();
@@ -131,7 +131,7 @@
       bool is_victim = !hit_ && (plan_.victim.empty() || header_of(got, "Attempt-Id") == plan_.victim ||
                                  (expect_victim_ && !size));
       if (plan_.receiving && is_victim && got.size() >= plan_.at) {
-        if (!plan_.early.empty() && !std::exchange(told_early, true)) connection.write(plan_.early);
+        if (!plan_.early.empty() && !std::exchange(sent_early, true)) connection.write(plan_.early);
         if (plan_.trouble != BackendFault::none) {
           hit_ = true;
           if (size && plan_.at >= *size) count(got, *size);
