--- a/test/support/byte_backend.hpp
+++ b/test/support/byte_backend.hpp
@@ -46,7 +46,7 @@
   ~ByteBackend() {
     closing_ = true;
     acceptor_->close();
-    for (auto& weak : lines_)
+    for (auto& weak : connections_)
       if (auto connection = weak.lock()) connection->interrupt();
     net::SystemClock clock;
     while (open_) clock.sleep(1ms);
@@ -75,7 +75,7 @@
       if (failed) return;
       ++open_;
       auto connection = std::make_shared<net::Connection>(std::move(socket));
-      lines_.push_back(connection);
+      connections_.push_back(connection);
       pool().spawn([this, connection] {
         while (serve(*connection)) {
         }
@@ -173,7 +173,7 @@
  private:
   Plan plan_;
   std::shared_ptr<Acceptor> acceptor_;
-  std::vector<std::weak_ptr<net::Connection>> lines_;
+  std::vector<std::weak_ptr<net::Connection>> connections_;
   std::map<std::string, int> whole_;
   std::set<std::string> begun_;
   size_t request_bytes_ = 0;
