--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -21,8 +21,9 @@
     same(base::header(answer.headers, "Edge-Signature"), "s." + id, "a success with another's stamp");
   }
   if (safe) return;
-  expect(backend.whole(id) <= 1, fmt::format("it ran {} times", backend.whole(id)));
-  if (promises_not_run(answer.status)) same(backend.whole(id), 0, "runs of what was promised not to run");
+  expect(backend.received_count(id) <= 1, fmt::format("it ran {} times", backend.received_count(id)));
+  if (promises_not_run(answer.status))
+    same(backend.received_count(id), 0, "runs of what was promised not to run");
 }
 
 struct ClientAttempt {
@@ -236,7 +237,7 @@
       auto answer = relay.ask("victim", safe, kFrozenMs, std::string(bytes, 'b'));
       backend.thaw();
       net::SystemClock().sleep(100ms);
-      same(backend.whole("victim"), 0, "runs of what was given up before it was sent whole");
+      same(backend.received_count("victim"), 0, "runs of what was given up before it was sent whole");
       if (promises_not_run(answer.status)) expect(!backend.begun("victim"), "some of it had left");
     }
 }
--- a/test/net/forward_test.cpp
+++ b/test/net/forward_test.cpp
@@ -58,7 +58,7 @@
   auto answer = relay.get("/kept/x", "a");
   same(answer.status, 503, "its status");
   expect(!base::header(answer.headers, "Retry-After").empty(), "it was not told when to come back");
-  same(backend.whole("a"), 0, "direct sends around the shield");
+  same(backend.received_count("a"), 0, "direct sends around the shield");
 }
 
 // A forwarded answer that is past its life is fetched anew; a fresh one is served and kept.
--- a/test/support/byte_backend.hpp
+++ b/test/support/byte_backend.hpp
@@ -52,9 +52,9 @@
     while (open_) clock.sleep(1ms);
   }
   std::string address() const { return fmt::format("127.0.0.1:{}", acceptor_->local_endpoint().port()); }
-  int whole(const std::string& id) const {
-    auto found = whole_.find(id);
-    return found == whole_.end() ? 0 : found->second;
+  int received_count(const std::string& id) const {
+    auto found = received_counts_.find(id);
+    return found == received_counts_.end() ? 0 : found->second;
   }
   bool begun(const std::string& id) const { return begun_.count(id) > 0; }  // its head was received
   size_t request_bytes() const {
@@ -148,7 +148,7 @@
   }
 
   void count(std::string_view request, size_t size) {
-    ++whole_[header_of(request, "Attempt-Id")];
+    ++received_counts_[header_of(request, "Attempt-Id")];
     request_bytes_ = std::max(request_bytes_, size);
   }
 
@@ -174,7 +174,7 @@
   Plan plan_;
   std::shared_ptr<Acceptor> acceptor_;
   std::vector<std::weak_ptr<net::Connection>> connections_;
-  std::map<std::string, int> whole_;
+  std::map<std::string, int> received_counts_;
   std::set<std::string> begun_;
   size_t request_bytes_ = 0;
   int open_ = 0;
