--- a/test/net/backend_responses_test.cpp
+++ b/test/net/backend_responses_test.cpp
@@ -31,19 +31,19 @@
   bool safe = false;
   bool kept = false;  // the connection has carried a request before
   std::string text() const {
-    return fmt::format("trouble {} {} byte {}, {}, {}, {}", static_cast<int>(plan.trouble),
+    return fmt::format("trouble {} {} byte {}, {}, {}, {}", static_cast<int>(plan.fault),
                        plan.receiving ? "receiving" : "sending", plan.at, plan.chunked ? "chunked" : "length",
                        safe ? "repeatable" : "once", kept ? "kept connection" : "new connection");
   }
 };
 
-// The victim meets the trouble, then another client asks on the same relay.
+// The victim meets the fault, then another client asks on the same relay.
 base::Response play_day(const ClientAttempt& one) {
   ByteBackend backend(one.plan);
   Relay relay(backend.address());
   if (one.kept) same(relay.ask("warm-up", false, kPlentyMs).status, 200, "the first on the connection");
   backend.expect_victim();
-  bool silent = one.plan.trouble == BackendFault::silence;
+  bool silent = one.plan.fault == BackendFault::silence;
   auto answer = relay.ask(one.plan.victim, one.safe, silent ? kPatienceMs : kPlentyMs);
   auto next = relay.ask("follower", false, kPlentyMs);
   // What comes late may stand where the next answer is due, and nobody can tell what that was.
@@ -83,17 +83,16 @@
   return backend.request_bytes();
 }
 
-std::vector<ClientAttempt> cuts(bool receiving, BackendFault trouble) {
+std::vector<ClientAttempt> cuts(bool receiving, BackendFault fault) {
   std::vector<ClientAttempt> all;
   for (bool chunked : {false, true}) {
     if (receiving && chunked) continue;
     auto bytes = receiving ? request_bytes() : good_answer("victim", chunked).size();
-    bool lasting =
-        !receiving && trouble == BackendFault::silence;  // after a whole answer it is the next one's
+    bool lasting = !receiving && fault == BackendFault::silence;  // after a whole answer it is the next one's
     for (bool safe : {false, true})
       for (bool kept : {false, true})
         for (size_t at = 0; at < bytes + !lasting; ++at) {
-          Plan plan{"victim", trouble, receiving, at, chunked};
+          Plan plan{"victim", fault, receiving, at, chunked};
           all.push_back({plan, safe, kept});
         }
   }
@@ -103,12 +102,12 @@
 void each_byte(bool receiving) {
   constexpr size_t kDigits = 4;  // by which the time left may be written shorter
   auto shortest = request_bytes() - kDigits;
-  for (auto trouble : {BackendFault::close, BackendFault::reset, BackendFault::silence}) {
-    play_all(cuts(receiving, trouble), [&](const ClientAttempt& one) {
+  for (auto fault : {BackendFault::close, BackendFault::reset, BackendFault::silence}) {
+    play_all(cuts(receiving, fault), [&](const ClientAttempt& one) {
       auto answer = play_day(one);
       bool lost = one.plan.at < (receiving ? shortest : good_answer("victim", one.plan.chunked).size());
       if (!lost) return;
-      if (one.safe && trouble != BackendFault::silence)
+      if (one.safe && fault != BackendFault::silence)
         same(answer.status, 200, "a repeatable request has a second backend instance");
       else if (!receiving || one.plan.at > 0)  // at 0 the connection may end before a byte is sent
         same(answer.status, 502, "what is told when the answer was lost");
--- a/test/support/byte_backend.hpp
+++ b/test/support/byte_backend.hpp
@@ -13,7 +13,7 @@
 // What the backend does with the first request that carries `victim` as its Attempt-Id.
 struct Plan {
   std::string victim;
-  BackendFault trouble = BackendFault::none;
+  BackendFault fault = BackendFault::none;
   bool receiving = false;  // whether `at` counts bytes of the request; otherwise of the response
   size_t at = 0;           // bytes after which the fault occurs
   bool chunked = false;    // whether responses are chunked; otherwise Content-Length
@@ -109,9 +109,9 @@
 
   // Injects the planned fault; silence lasts until the peer closes the connection.
   bool fail(net::Connection& connection) {
-    if (plan_.trouble == BackendFault::reset)
+    if (plan_.fault == BackendFault::reset)
       connection.socket().set_option(boost::asio::socket_base::linger(true, 0));
-    if (plan_.trouble == BackendFault::silence) {
+    if (plan_.fault == BackendFault::silence) {
       connection.consume(connection.buffered().size());
       while (!connection.read_more()) connection.consume(connection.buffered().size());
     }
@@ -132,7 +132,7 @@
                                  (expect_victim_ && !size));
       if (plan_.receiving && is_victim && got.size() >= plan_.at) {
         if (!plan_.early.empty() && !std::exchange(sent_early, true)) connection.write(plan_.early);
-        if (plan_.trouble != BackendFault::none) {
+        if (plan_.fault != BackendFault::none) {
           hit_ = true;
           if (size && plan_.at >= *size) count(got, *size);
           return fail(connection);
@@ -156,7 +156,7 @@
     auto proper = good_answer(id, plan_.chunked);
     if (id != plan_.victim || std::exchange(hit_, true)) return !connection.write(proper);
     if (!plan_.instead.empty()) proper = plan_.instead;
-    if (plan_.trouble != BackendFault::none && !plan_.receiving) {
+    if (plan_.fault != BackendFault::none && !plan_.receiving) {
       connection.write(std::string_view(proper).substr(0, plan_.at));
       return fail(connection);
     }
