--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -2,7 +2,7 @@
 // states the requirements of its kind beyond the rules.
 #include <fmt/format.h>
 
-#include "platform/day.hpp"
+#include "platform/platform_scenario.hpp"
 
 namespace dunlinwing::test {
 std::map<std::string, FaultKind> machine_kinds();
--- a/test/platform/machine_kinds.cpp
+++ b/test/platform/machine_kinds.cpp
@@ -1,7 +1,7 @@
 // Faults of machines, clocks and links, and the final faults of a scenario.
 #include <fmt/format.h>
 
-#include "platform/day.hpp"
+#include "platform/platform_scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
--- a/test/platform/main.cpp
+++ b/test/platform/main.cpp
@@ -4,7 +4,7 @@
 #include <unistd.h>
 
 #include "base/log.hpp"
-#include "platform/day.hpp"
+#include "platform/platform_scenario.hpp"
 
 DEFINE_string(case_name, "", "only the kind with this name, or all kinds whose names contain it");
 DEFINE_uint64(seed, 0, "only this seed; 0: seeds 1 to --seeds");
--- a/test/platform/day.cpp
+++ b/test/platform/platform_scenario.cpp
@@ -1,6 +1,6 @@
 // The relays run the product's code with the protocol adapter of platform/; machines, links,
 // clients and operators are simulated.
-#include "platform/day.hpp"
+#include "platform/platform_scenario.hpp"
 
 #include <fmt/format.h>
 
