--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -179,7 +179,7 @@
   scenario.require(scenario.operator_stub.put(configuration), "a configuration was not acknowledged");
   scenario.configuration = configuration;
   scenario.fleet.sleep(Duration(5000));
-  scenario.kill_for(scenario.any(false).name, Duration(500));
+  scenario.kill_for(scenario.running_host(false).name, Duration(500));
   scenario.fleet.sleep(Duration(5000));
   scenario.min_served_share = 0.3;
 }
--- a/test/platform/machine_kinds.cpp
+++ b/test/platform/machine_kinds.cpp
@@ -8,7 +8,7 @@
 
 void node_kill(PlatformScenario& scenario) {
   for (int i = 0; i < 3; ++i) {
-    scenario.kill_for(scenario.any(i == 1).name, Duration(200 + scenario.below(2500)));
+    scenario.kill_for(scenario.running_host(i == 1).name, Duration(200 + scenario.below(2500)));
     scenario.fleet.sleep(Duration(3500));
   }
   scenario.min_served_share = 0.85;
@@ -47,7 +47,7 @@
 
 void core_cut(PlatformScenario& scenario) {
   scenario.journal.unplanned = true;
-  auto one = scenario.any(true).name;
+  auto one = scenario.running_host(true).name;
   bool one_way = scenario.below(2);
   for (auto& host : scenario.fleet.hosts())
     if (host->has_disk && host->name != one) {
@@ -64,7 +64,7 @@
 
 void node_cut(PlatformScenario& scenario) {
   scenario.journal.unplanned = true;
-  auto one = scenario.any(false).name;
+  auto one = scenario.running_host(false).name;
   for (auto& host : scenario.fleet.hosts())
     if (host->has_disk) scenario.world.partition(one, host->name), scenario.world.partition(host->name, one);
   scenario.fleet.sleep(Duration(1000));
@@ -78,7 +78,7 @@
 void node_freeze(PlatformScenario& scenario) {
   scenario.journal.unplanned = true;
   for (bool core : {false, true}) {
-    auto& host = scenario.any(core);
+    auto& host = scenario.running_host(core);
     scenario.world.freeze(host.name, scenario.world.now() + Duration(1500 + scenario.below(3500)));
     scenario.fleet.sleep(Duration(500));
     scenario.change(scenario.world.draw() % 100000);
@@ -116,7 +116,7 @@
   for (auto& host : scenario.fleet.hosts()) host->node->set_seeds({"http:e1", "http:h3", "http:e2"});
   scenario.fleet.sleep(Duration(1000));
   scenario.change(0);
-  scenario.kill_for(scenario.any(false).name, Duration(300));
+  scenario.kill_for(scenario.running_host(false).name, Duration(300));
   scenario.fleet.sleep(Duration(5000));
 }
 
--- a/test/platform/platform_scenario.cpp
+++ b/test/platform/platform_scenario.cpp
@@ -100,7 +100,7 @@
   return ok;
 }
 
-simulation::Host& PlatformScenario::any(bool core) {
+simulation::Host& PlatformScenario::running_host(bool core) {
   std::vector<simulation::Host*> v;
   for (auto& host : fleet.hosts())
     if (host->up() && host->has_disk == core && !world.frozen(host->name)) v.push_back(host.get());
--- a/test/platform/platform_scenario.hpp
+++ b/test/platform/platform_scenario.hpp
@@ -26,7 +26,7 @@
   void require(bool ok, const std::string& what);
   bool change(uint64_t dice);  // sends the operator's next configuration
   uint64_t below(uint64_t n) { return world.below(n); }
-  simulation::Host& any(bool core);  // a host that is up
+  simulation::Host& running_host(bool core);  // a host that is up
   void kill_for(const std::string& host, Duration down);
   void note_core_fault() { journal.core_faults.push_back(world.now()); }
   void note_machine_fault(const std::string& host) { journal.machine_faults[host].push_back(world.now()); }
