--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -11,7 +11,7 @@
 
 void config_change(PlatformScenario& scenario) {
   for (int i = 0; i < 7; ++i) {
-    scenario.require(scenario.change(scenario.world.draw() % 1000000),
+    scenario.require(scenario.send_next_configuration(scenario.world.draw() % 1000000),
                      "a configuration was not acknowledged");
     scenario.fleet.sleep(Duration(300 + scenario.below(2000)));
   }
@@ -59,7 +59,8 @@
   scenario.operator_stub.read_back(Duration(100));
   scenario.fleet.sleep(Duration(2500));
   scenario.clients.probe("bad.example", "/bad/x");
-  scenario.require(scenario.change(0), "a valid configuration was not acknowledged after invalid ones");
+  scenario.require(scenario.send_next_configuration(0),
+                   "a valid configuration was not acknowledged after invalid ones");
 }
 
 std::string object(PlatformScenario& scenario) { return fmt::format("/obj/{:x}", scenario.below(40)); }
--- a/test/platform/machine_kinds.cpp
+++ b/test/platform/machine_kinds.cpp
@@ -55,7 +55,7 @@
       if (!one_way) scenario.world.partition(host->name, one);
     }
   scenario.fleet.sleep(Duration(1000));
-  scenario.change(5 * scenario.below(100));
+  scenario.send_next_configuration(5 * scenario.below(100));
   scenario.fleet.sleep(Duration(4000));
   scenario.world.heal_all();
   scenario.fleet.sleep(Duration(4000));
@@ -68,7 +68,7 @@
   for (auto& host : scenario.fleet.hosts())
     if (host->has_disk) scenario.world.partition(one, host->name), scenario.world.partition(host->name, one);
   scenario.fleet.sleep(Duration(1000));
-  scenario.change(5 * scenario.below(100));
+  scenario.send_next_configuration(5 * scenario.below(100));
   scenario.fleet.sleep(Duration(4000));
   scenario.world.heal_all();
   scenario.fleet.sleep(Duration(4000));
@@ -81,7 +81,7 @@
     auto& host = scenario.running_host(core);
     scenario.world.freeze(host.name, scenario.world.now() + Duration(1500 + scenario.below(3500)));
     scenario.fleet.sleep(Duration(500));
-    scenario.change(scenario.world.draw() % 100000);
+    scenario.send_next_configuration(scenario.world.draw() % 100000);
     scenario.fleet.sleep(Duration(6500));
   }
   scenario.min_served_share = 0.8;
@@ -98,7 +98,7 @@
       scenario.note_machine_fault(host->name);
       if (host->has_disk) scenario.note_core_fault();
     }
-    scenario.change(scenario.world.draw() % 100000);
+    scenario.send_next_configuration(scenario.world.draw() % 100000);
     scenario.fleet.sleep(Duration(4500));
   }
 }
@@ -115,7 +115,7 @@
 void seed_change(PlatformScenario& scenario) {
   for (auto& host : scenario.fleet.hosts()) host->node->set_seeds({"http:e1", "http:h3", "http:e2"});
   scenario.fleet.sleep(Duration(1000));
-  scenario.change(0);
+  scenario.send_next_configuration(0);
   scenario.kill_for(scenario.running_host(false).name, Duration(300));
   scenario.fleet.sleep(Duration(5000));
 }
--- a/test/platform/platform_scenario.cpp
+++ b/test/platform/platform_scenario.cpp
@@ -83,7 +83,7 @@
   return ok;
 }
 
-bool PlatformScenario::change(uint64_t dice) {
+bool PlatformScenario::send_next_configuration(uint64_t dice) {
   auto old = configuration;
   configuration = next_configuration(configuration, configuration.revision + 1 + dice % 3, dice);
   // Clients stop requesting a removed route before it is removed, and request an added one only after it is
--- a/test/platform/platform_scenario.hpp
+++ b/test/platform/platform_scenario.hpp
@@ -24,7 +24,7 @@
 
   bool begin(int per_second = 60, double rate = 0);  // starts everything up to the first traffic
   void require(bool ok, const std::string& what);
-  bool change(uint64_t dice);  // sends the operator's next configuration
+  bool send_next_configuration(uint64_t dice);  // sends the operator's next configuration
   uint64_t below(uint64_t n) { return world.below(n); }
   simulation::Host& running_host(bool core);  // a host that is up
   void kill_for(const std::string& host, Duration down);
