--- a/test/platform/platform_scenario.cpp
+++ b/test/platform/platform_scenario.cpp
@@ -53,7 +53,7 @@
   for (int i = 0; i < 7; ++i) platform_stub.add("wuno");
   for (int i = 0; i < 4; ++i) platform_stub.add("huvo");
   for (int i = 0; i < 40; ++i) journal.tags[fmt::format("/obj/{:x}", i)] = fmt::format("t{}", i % 5);
-  fleet.spawn_outside([this] { watch(); });
+  fleet.spawn_outside([this] { record_faults(); });
   clients.poll_readiness();
   fleet.sleep(Duration(500));
   bool ok = operator_stub.put(configuration);
@@ -140,7 +140,7 @@
   fleet.start(host);
 }
 
-void PlatformScenario::watch() {
+void PlatformScenario::record_faults() {
   for (;;) {
     std::string core;
     int up = 0, all = 0;
--- a/test/platform/platform_scenario.hpp
+++ b/test/platform/platform_scenario.hpp
@@ -33,7 +33,7 @@
   void terminate(const std::string& host);  // sends SIGTERM, waits for the exit and restarts it
 
  private:
-  void watch();  // records faults of machines and links
+  void record_faults();  // records faults of machines and links
   std::map<std::string, const void*> processes_;
   std::string core_state_;
 };
