--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -68,11 +68,11 @@
 void purge(PlatformScenario& scenario) {
   for (int i = 0; i < 12; ++i) {
     auto o = object(scenario);
-    scenario.platform_stub.change(o);
+    scenario.platform_stub.replace_object(o);
     bool tag = scenario.below(3) == 0;
     if (tag)  // changes every object with this tag
       for (auto& [k, t] : scenario.journal.tags)
-        if (t == scenario.journal.tags[o] && k != o) scenario.platform_stub.change(k);
+        if (t == scenario.journal.tags[o] && k != o) scenario.platform_stub.replace_object(k);
     scenario.require(
         scenario.operator_stub.purge("a.example", tag ? "" : o, tag ? scenario.journal.tags[o] : ""),
         "a purge was not acknowledged");
@@ -85,7 +85,7 @@
   while (scenario.world.now() < end) {
     scenario.fleet.spawn_outside([&scenario] {
       auto o = object(scenario);
-      scenario.platform_stub.change(o);
+      scenario.platform_stub.replace_object(o);
       scenario.require(scenario.operator_stub.purge("a.example", o, ""), "a purge was not acknowledged");
     });
     scenario.fleet.sleep(Duration(60));
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -113,7 +113,9 @@
   dark ? instance.unreachable = true : instance.alive = false;
 }
 
-void PlatformStub::change(const std::string& t) { journal_.replaced[t].push_back(fleet_.world().now()); }
+void PlatformStub::replace_object(const std::string& t) {
+  journal_.replaced[t].push_back(fleet_.world().now());
+}
 
 base::Response PlatformStub::answer(StubInstance& instance, const base::Request& request, bool fails) {
   auto h = [&](const char* n) { return base::header(request.headers, n); };
