--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -95,7 +95,7 @@
 
 void release(PlatformScenario& scenario) {
   for (auto* service : {"wuno", "huvo"})
-    for (auto* instance : scenario.platform_stub.of(service)) {
+    for (auto* instance : scenario.platform_stub.instances_of(service)) {
       if (scenario.below(2)) continue;
       scenario.platform_stub.add(service, "v1", Duration(2000));
       scenario.fleet.sleep(Duration(1000));
@@ -107,7 +107,7 @@
 // The addresses of removed instances are reused by instances of the other service.
 void replace_with_reuse(PlatformScenario& scenario) {
   bool drained = scenario.below(2);
-  auto v = scenario.platform_stub.of("wuno");
+  auto v = scenario.platform_stub.instances_of("wuno");
   for (int i = 0; i < 2; ++i) {
     auto* instance = v[i];
     scenario.fleet.spawn_outside([&scenario, instance, drained] {
@@ -120,14 +120,14 @@
 }
 
 void scale_in(PlatformScenario& scenario) {
-  auto v = scenario.platform_stub.of("wuno");
+  auto v = scenario.platform_stub.instances_of("wuno");
   for (size_t i = 0; i < 3; ++i)
     scenario.fleet.spawn_outside([&scenario, s = v[i]] { scenario.platform_stub.drain(*s); });
   scenario.fleet.sleep(Duration(4000));
 }
 
 void srv_crash(PlatformScenario& scenario) {
-  auto v = scenario.platform_stub.of("wuno"), u = scenario.platform_stub.of("huvo");
+  auto v = scenario.platform_stub.instances_of("wuno"), u = scenario.platform_stub.instances_of("huvo");
   bool dark = scenario.below(2);
   for (auto* instance : {v[0], u[0]}) scenario.platform_stub.crash(*instance, dark);
   scenario.fleet.sleep(Duration(5000));
@@ -143,22 +143,22 @@
 
 void srv_slow(PlatformScenario& scenario) {
   for (auto* n : {"wuno", "huvo"}) {
-    auto v = scenario.platform_stub.of(n);
+    auto v = scenario.platform_stub.instances_of(n);
     for (size_t i = 0; i < v.size(); ++i)
       if (i == 0 || scenario.below(3) == 0) v[i]->slowdown = 4;
   }
   scenario.fleet.sleep(Duration(5000));
   for (auto* n : {"wuno", "huvo"})
-    for (auto* instance : scenario.platform_stub.of(n)) instance->slowdown = 1;
+    for (auto* instance : scenario.platform_stub.instances_of(n)) instance->slowdown = 1;
   scenario.fleet.sleep(Duration(2000));
 }
 
 // Every instance of one service is slow, and clients ignore Retry-After.
 void crowd(PlatformScenario& scenario) {
   scenario.clients.impatient = true;
-  for (auto* instance : scenario.platform_stub.of("wuno")) instance->slowdown = 24;
+  for (auto* instance : scenario.platform_stub.instances_of("wuno")) instance->slowdown = 24;
   scenario.fleet.sleep(Duration(8000));
-  for (auto* instance : scenario.platform_stub.of("wuno")) instance->slowdown = 1;
+  for (auto* instance : scenario.platform_stub.instances_of("wuno")) instance->slowdown = 1;
   scenario.fleet.sleep(Duration(3000));
   scenario.min_served_share = 0.3;
 }
@@ -166,7 +166,7 @@
 void misbehave(PlatformScenario& scenario, int StubInstance::*how, int permille) {
   scenario.journal.origin_trouble.push_back(scenario.world.now());
   for (auto* n : {"wuno", "huvo"}) {
-    auto v = scenario.platform_stub.of(n);
+    auto v = scenario.platform_stub.instances_of(n);
     for (size_t i = 0; i < v.size(); i += 2) v[i]->*how = permille;
   }
   scenario.fleet.sleep(Duration(9000));
@@ -187,7 +187,7 @@
 
 void rollout(PlatformScenario& scenario, bool bad) {
   std::string service = scenario.below(2) ? "wuno" : "huvo";
-  auto old = scenario.platform_stub.of(service);
+  auto old = scenario.platform_stub.instances_of(service);
   std::vector<StubInstance*> fresh;
   for (size_t i = 0; i < old.size(); ++i)
     fresh.push_back(&scenario.platform_stub.add(service, "v2", Duration(2000)));
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -33,7 +33,8 @@
   return instance && !instance->unreachable;
 }
 
-std::vector<StubInstance*> PlatformStub::of(const std::string& service, const std::string& version) {
+std::vector<StubInstance*> PlatformStub::instances_of(const std::string& service,
+                                                      const std::string& version) {
   std::vector<StubInstance*> out;
   for (auto& s : instances_)
     if (s->alive && !s->draining && s->service == service && (version.empty() || s->version == version))
--- a/test/platform/platform_stub.hpp
+++ b/test/platform/platform_stub.hpp
@@ -32,7 +32,7 @@
                     Duration cold = Duration(0), const std::string& address = {});
   void drain(StubInstance& instance);  // reports draining, keeps serving, deregisters, and stops
   void crash(StubInstance& instance, bool dark = false);
-  std::vector<StubInstance*> of(const std::string& service, const std::string& version = {});
+  std::vector<StubInstance*> instances_of(const std::string& service, const std::string& version = {});
   void replace_object(const std::string& target);  // replaces an object
   std::map<std::string, double> rates;             // requests per second that a service accepts
 
