--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -243,15 +243,15 @@
     return ++world.faults_met["answer_cut"], base::AttemptError::unknown;
   if (world.random(instance->spoil_permille))
     return ++world.faults_met["answer_spoilt"], base::AttemptError::unknown;
-  if (instance->late) {
+  if (instance->surplus_response) {
     // The previous response arrives in place of this one; the caller may be able to detect it.
-    auto before = *std::exchange(instance->late, {});
+    auto before = *std::exchange(instance->surplus_response, {});
     ++world.faults_met["answer_extra"];
     if (rules.is_own_response && !rules.is_own_response(before) && world.below(2))
       return base::AttemptError::unknown;
     return before;
   }
-  if (world.random(instance->extra_permille)) instance->late = response;
+  if (world.random(instance->extra_permille)) instance->surplus_response = response;
   return response;
 }
 
