--- a/test/platform/event_journal.hpp
+++ b/test/platform/event_journal.hpp
@@ -90,7 +90,8 @@
   std::vector<std::pair<TimePoint, std::string>> terminations;  // SIGTERMs
   bool unplanned = false;                                       // an unplanned fault was injected
   std::vector<ReadBack> read_back;
-  std::optional<TimePoint> closed, back;  // times of the final fault and of the restart of all machines
+  std::optional<TimePoint> final_fault_at,
+      restarted_at;  // times of the final fault and of the restart of all machines
 };
 
 // Whether neither the machine nor the core had a fault in the three seconds before `t`.
--- a/test/platform/machine_kinds.cpp
+++ b/test/platform/machine_kinds.cpp
@@ -150,7 +150,7 @@
   scenario.require(scenario.operator_stub.put(scenario.configuration),
                    "the last configuration was not acknowledged");
   scenario.journal.unplanned = true;
-  scenario.journal.closed = scenario.world.now();
+  scenario.journal.final_fault_at = scenario.world.now();
   scenario.fleet.sleep(Duration(scenario.below(4)));
   std::string one = fmt::format("h{}", 1 + scenario.below(3));
   for (auto& host : scenario.fleet.hosts())
@@ -158,7 +158,7 @@
   if (how == 2) scenario.fleet.wipe(one);
   scenario.fleet.sleep(Duration(how == 0 ? 500 : 3000));
   scenario.fleet.start_all();
-  scenario.journal.back = scenario.world.now();
+  scenario.journal.restarted_at = scenario.world.now();
   scenario.fleet.sleep(Duration(15000));
   auto wanted = scenario.clients.wanted, served = scenario.clients.served;
   scenario.fleet.sleep(Duration(4000));
