--- a/test/checker/checker.cpp
+++ b/test/checker/checker.cpp
@@ -378,10 +378,10 @@
   for (auto& l : b.lost) {
     ended.insert(l.id);
     auto h = b.machine_faults.find(l.relay);
-    bool told = h != b.machine_faults.end() && std::any_of(h->second.begin(), h->second.end(), [&](auto t) {
-                  return t <= l.at + 500 && t > l.from - 8000;
-                });
-    f["lost_unexplained"] += !told;
+    bool explained = h != b.machine_faults.end() &&
+                     std::any_of(h->second.begin(), h->second.end(),
+                                 [&](auto t) { return t <= l.at + 500 && t > l.from - 8000; });
+    f["lost_unexplained"] += !explained;
   }
   f["unanswered"] =
       std::count_if(b.requests.begin(), b.requests.end(), [&](auto& a) { return !ended.count(a.first); });
