--- a/test/model/lease.cpp
+++ b/test/model/lease.cpp
@@ -14,7 +14,7 @@
 void count_up(uint8_t& age, int most) { age = static_cast<uint8_t>(std::min(age + 1, most)); }
 
 uint8_t lease_length(const LeaseGuards& guards, int span, bool counted_from_start, uint8_t age) {
-  int complete = guards.three_quarters ? longest_three_quarters(span) : longest_full_span(span);
+  int complete = guards.three_quarters ? longest_safe_hold(span) : longest_full_span(span);
   return static_cast<uint8_t>(std::max(0, complete - (counted_from_start ? age : 0)));
 }
 
--- a/test/model/lease.hpp
+++ b/test/model/lease.hpp
@@ -24,7 +24,7 @@
 inline constexpr int kDriftDivisor = 8;  // clocks drift by one part in this many
 
 // The longest duration of three quarters of a span, and of the full span, for a node that relies on it.
-constexpr int longest_three_quarters(int span) { return span * 3 / 4 * kDriftDivisor / (kDriftDivisor - 1); }
+constexpr int longest_safe_hold(int span) { return span * 3 / 4 * kDriftDivisor / (kDriftDivisor - 1); }
 constexpr int longest_full_span(int span) { return span * kDriftDivisor / (kDriftDivisor - 1); }
 // The shortest duration of the full span for a node that waits for it, in whole ticks.
 constexpr int shortest_wait(int span) { return (span * kDriftDivisor + kDriftDivisor) / (kDriftDivisor + 1); }
