--- a/test/platform/platform_scenario.hpp
+++ b/test/platform/platform_scenario.hpp
@@ -24,16 +24,16 @@
 
   bool begin(int per_second = 60, double rate = 0);  // starts everything up to the first traffic
   void require(bool ok, const std::string& what);
-  bool send_next_configuration(uint64_t dice);  // sends the operator's next configuration
+  bool send_next_configuration(uint64_t dice);
   uint64_t below(uint64_t n) { return world.below(n); }
-  simulation::Host& running_host(bool core);  // a host that is up
+  simulation::Host& running_host(bool core);
   void kill_for(const std::string& host, Duration down);
   void note_core_fault() { journal.core_faults.push_back(world.now()); }
   void note_machine_fault(const std::string& host) { journal.machine_faults[host].push_back(world.now()); }
   void terminate(const std::string& host);  // sends SIGTERM, waits for the exit and restarts it
 
  private:
-  void record_faults();  // records faults of machines and links
+  void record_faults();
   std::map<std::string, const void*> processes_;
   std::string core_state_;
 };
--- a/test/platform/platform_stub.hpp
+++ b/test/platform/platform_stub.hpp
@@ -33,8 +33,8 @@
   void drain(StubInstance& instance);  // reports draining, keeps serving, deregisters, and stops
   void crash(StubInstance& instance, bool dark = false);
   std::vector<StubInstance*> instances_of(const std::string& service, const std::string& version = {});
-  void replace_object(const std::string& target);  // replaces an object
-  std::map<std::string, double> rates;             // requests per second that a service accepts
+  void replace_object(const std::string& target);
+  std::map<std::string, double> rates;  // requests per second that a service accepts
 
  private:
   void send_heartbeats(StubInstance& instance);
--- a/test/support/byte_backend.hpp
+++ b/test/support/byte_backend.hpp
@@ -57,9 +57,8 @@
     return found == received_counts_.end() ? 0 : found->second;
   }
   bool begun(const std::string& id) const { return begun_.count(id) > 0; }  // its head was received
-  size_t request_bytes() const {
-    return request_bytes_;
-  }  // of the longest request that was received completely
+  // The size of the longest request that was received completely.
+  size_t request_bytes() const { return request_bytes_; }
   void freeze() { frozen_ = true; }
   void thaw() { frozen_ = false; }
 
