--- a/test/platform/event_journal.hpp
+++ b/test/platform/event_journal.hpp
@@ -86,7 +86,7 @@
   std::map<std::string, std::vector<TimePoint>>
       machine_faults;                  // machine -> times of faults of the machine or its links
   std::vector<TimePoint> core_faults;  // times at which the core was changing or had no majority
-  std::vector<TimePoint> origin_trouble;
+  std::vector<TimePoint> origin_faults;
   std::vector<std::pair<TimePoint, std::string>> terminations;  // SIGTERMs
   bool unplanned = false;                                       // an unplanned fault was injected
   std::vector<ReadBack> read_back;
--- a/test/platform/kinds.cpp
+++ b/test/platform/kinds.cpp
@@ -164,7 +164,7 @@
 }
 
 void misbehave(PlatformScenario& scenario, int StubInstance::*how, int permille) {
-  scenario.journal.origin_trouble.push_back(scenario.world.now());
+  scenario.journal.origin_faults.push_back(scenario.world.now());
   for (auto* n : {"wuno", "huvo"}) {
     auto v = scenario.platform_stub.instances_of(n);
     for (size_t i = 0; i < v.size(); i += 2) v[i]->*how = permille;
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -110,7 +110,7 @@
 }
 
 void PlatformStub::crash(StubInstance& instance, bool dark) {
-  journal_.origin_trouble.push_back(fleet_.world().now());
+  journal_.origin_faults.push_back(fleet_.world().now());
   dark ? instance.unreachable = true : instance.alive = false;
 }
 
