--- a/test/platform/platform_scenario.cpp
+++ b/test/platform/platform_scenario.cpp
@@ -144,7 +144,7 @@
   for (;;) {
     std::string core;
     int up = 0, all = 0;
-    std::vector<simulation::Host*> held;
+    std::vector<simulation::Host*> running_core;
     for (auto& host : fleet.hosts()) {
       bool well = host->up() && !world.frozen(host->name);
       auto& life = processes_[host->name];
@@ -153,7 +153,7 @@
       if (!host->has_disk) continue;
       ++all;
       up += well;
-      if (well) held.push_back(host.get());
+      if (well) running_core.push_back(host.get());
       core +=
           fmt::format("{}{}{}", host->name, well, host->process ? fmt::ptr(host->process.get()) : nullptr);
     }
@@ -162,9 +162,9 @@
              (!world.is_partitioned(a.name, b.name) && !world.is_partitioned(b.name, a.name));
     };
     std::vector<simulation::Host*> main;  // core hosts that can reach a majority of the core
-    for (auto* a : held) {
+    for (auto* a : running_core) {
       int n = 0;
-      for (auto* b : held) {
+      for (auto* b : running_core) {
         n += joined(*a, *b);
         core += joined(*a, *b) ? "+" : "-";
       }
