--- a/test/support/byte_backend.hpp
+++ b/test/support/byte_backend.hpp
@@ -126,7 +126,7 @@
       auto got = connection.buffered();
       size = request_size(got);
       if (size) begun_.insert(header_of(got.substr(0, got.find("\r\n\r\n") + 2), "Attempt-Id"));
-      bool whole = size && got.size() >= *size;
+      bool complete = size && got.size() >= *size;
       bool is_victim = !hit_ && (plan_.victim.empty() || header_of(got, "Attempt-Id") == plan_.victim ||
                                  (expect_victim_ && !size));
       if (plan_.receiving && is_victim && got.size() >= plan_.at) {
@@ -137,7 +137,7 @@
           return fail(connection);
         }
       }
-      if (whole) break;
+      if (complete) break;
       if (connection.read_more()) return false;
     }
     std::string head(connection.buffered().substr(0, connection.buffered().find("\r\n\r\n") + 2));
