--- a/test/model/lease.cpp
+++ b/test/model/lease.cpp
@@ -14,8 +14,8 @@
 void count_up(uint8_t& age, int most) { age = static_cast<uint8_t>(std::min(age + 1, most)); }
 
 uint8_t lease_length(const LeaseGuards& guards, int span, bool counted_from_start, uint8_t age) {
-  int complete = guards.three_quarters ? longest_safe_hold(span) : longest_full_span(span);
-  return static_cast<uint8_t>(std::max(0, complete - (counted_from_start ? age : 0)));
+  int longest = guards.three_quarters ? longest_safe_hold(span) : longest_full_span(span);
+  return static_cast<uint8_t>(std::max(0, longest - (counted_from_start ? age : 0)));
 }
 
 std::string node_name(int node) { return "N" + std::to_string(node + 1); }
