--- a/test/measure/catchup.cpp
+++ b/test/measure/catchup.cpp
@@ -10,9 +10,9 @@
 constexpr const char* kWriter = "h1";
 constexpr const char* kStopped = "h5";
 constexpr int kWritersAtOnce = 8;
-constexpr Duration kIdle{4000};       // over which an idle fleet's bytes are counted
-constexpr Duration kLongest{600000};  // for one step
-constexpr Duration kSlice{1000};      // of a run, after which its end is looked for
+constexpr Duration kIdle{4000};       // interval over which the bytes of an idle fleet are counted
+constexpr Duration kLongest{600000};  // timeout of one step
+constexpr Duration kSlice{1000};      // simulated time between checks whether the run has ended
 
 class Catchup {
  public:
@@ -55,7 +55,7 @@
     return static_cast<double>(world_.bytes - before) / static_cast<double>(span.count());
   }
 
-  // Writes the registers in turn, several at once.
+  // Writes the registers in turn, with several concurrent writers.
   void write(int changes) {
     auto left = std::make_shared<int>(kWritersAtOnce);
     auto* host = &fleet_.at(kWriter);
@@ -88,7 +88,7 @@
     return host.node->state_cache().has_read_lease();
   }
 
-  // Of the registers written here, those whose latest value is not on the replica's own disk.
+  // The number of written registers whose latest value is not on the replica's own disk.
   double behind(simulation::Host& host) const {
     double n = 0;
     for (auto& [i, version] : versions_) {
@@ -110,7 +110,7 @@
     fleet_.wait_until(kLongest, [&] { return knows_all(host); });
     auto took = static_cast<double>((world_.now() - from).count());
     figures[as + "_knows_all_ms"] = took;
-    fleet_.sleep(kIdle);  // the others pull what it tells anew only after it votes
+    fleet_.sleep(kIdle);  // other nodes pull its refilled registers only after it votes
     took += static_cast<double>(kIdle.count());
     figures[as + "_bytes"] = std::max(0.0, static_cast<double>(world_.bytes - bytes) - idle_bytes_ * took);
     figures[as + "_registers_behind"] = behind(host);
@@ -120,7 +120,7 @@
   simulation::Fleet& fleet_;
   CatchupLoad load_;
   int registers_ = 1;
-  double idle_bytes_ = 0;  // a millisecond
+  double idle_bytes_ = 0;  // per millisecond
   std::map<int, uint64_t> versions_;
 };
 
--- a/test/measure/delays.cpp
+++ b/test/measure/delays.cpp
@@ -1,4 +1,4 @@
-// Whole deployments under callers, seen from outside in steps of 20 to 50 ms.
+// Complete simulated deployments with client traffic, sampled from outside every 20 to 50 ms.
 #include "delays.hpp"
 
 #include <algorithm>
@@ -59,7 +59,7 @@
 }
 
 namespace {
-// Milliseconds until the condition holds on every host that is up.
+// Milliseconds until every running host satisfies the condition.
 double till_all(Scene& scene, const std::function<bool(simulation::Host&)>& ok) {
   auto from = scene.world.now();
   scene.fleet.wait_until(Duration(20000), [&] {
@@ -70,7 +70,7 @@
   return static_cast<double>((scene.world.now() - from).count());
 }
 
-// How long callers of the others went without a good answer.
+// The longest time after the fault in which the fleet sent no successful response.
 double gap(Scene& scene, const std::function<void()>& harm, Duration look) {
   harm();
   auto end = scene.world.now() + look;
--- a/test/measure/delays.hpp
+++ b/test/measure/delays.hpp
@@ -1,5 +1,5 @@
-// Figures of whole simulated deployments with callers: what control costs by size, how
-// long statuses takes, and how long there is no service when machines are lost.
+// Measurements of complete simulated deployments with client traffic: the cost of control by
+// fleet size, propagation delays, and the time without service when machines fail.
 #pragma once
 
 namespace dunlinwing::measure {
--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -1,5 +1,5 @@
-// The meter sums each node's own link by whole seconds. "Everywhere" is what every node
-// that is up knows; a region that is apart counts once it is joined again.
+// The meter sums the bytes of each node's link per second. "Everywhere" means known to every
+// running node; a disconnected region counts after it is reconnected.
 #include "faults.hpp"
 
 #include <fmt/format.h>
@@ -13,7 +13,7 @@
   explicit Meter(Hollow& x) : f(x) {}
   Hollow& f;
   std::vector<uint64_t> was;
-  Spread each;  // bytes of one node in one second
+  Spread each;  // bytes of one relay that is no replica in one second
   double total = 0;
   bool on = true;
 };
@@ -55,7 +55,7 @@
 
 bool whole(Hollow& f) { return f.all_up() && f.fresh() && f.serving("first"); }
 
-// No survivor takes one of the dead for a member.
+// Whether no running node lists a killed node as a member.
 bool known_gone(Hollow& f, const std::vector<Node*>& dead) {
   for (auto& n : f.nodes) {
     if (!n->up()) continue;
@@ -69,7 +69,7 @@
 
 void zone(Hollow& f, const Trouble& t, Figures& o) {
   std::vector<Node*> dead;
-  auto z = f.nodes[0]->zone;  // a holder's
+  auto z = f.nodes[0]->zone;  // the zone of a replica
   for (auto& n : f.nodes)
     if (n->zone == z) dead.push_back(n.get());
   auto m = meter(f);
--- a/test/measure/faults.hpp
+++ b/test/measure/faults.hpp
@@ -1,5 +1,5 @@
-// Failures at a size: how long until everything is everywhere again, and what it costs
-// the node that pays most.
+// Failures by fleet size: the time until all nodes have recovered, and the bytes of the
+// node with the highest cost.
 #pragma once
 #include "steady.hpp"
 
@@ -7,8 +7,8 @@
 
 struct Trouble {
   std::string kind;                // zone, apart, restart, storm
-  int hold_s = 10;                 // how long it lasts
-  double changes = 0, purges = 0;  // a second, while it lasts
+  int hold_s = 10;                 // duration of the fault
+  double changes = 0, purges = 0;  // per second, during the fault
 };
 Figures trouble(uint64_t seed, Shape s, const Trouble& t);
 
--- a/test/measure/figures.cpp
+++ b/test/measure/figures.cpp
@@ -1,5 +1,5 @@
-// The users' figures one by one. What was seen comes from the rows; a verdict at the
-// users' size follows from the roles' table, so it stands here in words.
+// The users' requirements one by one. Measured values come from the rows; verdicts at the
+// users' size follow from the table of roles and are written here as text.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace {
 using Rows = std::vector<Row>;
 
-// A figure at the largest size that its run reached: "VALUE UNIT at N nodes".
+// The value of a figure at the largest fleet size of the run: "VALUE UNIT at N nodes".
 std::string most(const Rows& r, const std::string& run, const std::string& figure, const std::string& unit,
                  double k = 1) {
   int n = 0;
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -1,6 +1,5 @@
-// Processor time at a node is what its code, the codec and the event list spend; real
-// sockets cost more (sockets.cpp). The bytes are those of a frame, without
-// the headers of TCP and IP.
+// The processor time of a node covers its code, the codec and the event list; real sockets
+// cost more (sockets.cpp). Bytes include the frame header, but no TCP or IP headers.
 #include "hollow.hpp"
 
 #include <fmt/format.h>
@@ -11,7 +10,7 @@
 
 namespace dunlinwing::measure {
 namespace {
-constexpr size_t kFrame = 4;  // length before each message
+constexpr size_t kFrame = 4;  // length prefix of each message
 constexpr uint64_t kSample = 16;
 
 class HollowNet final : public base::PeerTransport {
@@ -78,7 +77,7 @@
       auto response = n.relay().handle_peer_request(q);
       auto out = response.SerializeAsString();
       if (q.has_pull()) {
-        n.answer_ns += cpu_ns() - from;  // a pull parks nowhere
+        n.answer_ns += cpu_ns() - from;  // handling a pull never suspends, so this is its own processor time
         if (++f_.answers % kSample == 0) look(response.pull());
       }
       count(n, out.size());
@@ -165,7 +164,7 @@
   world.spawn(process, [p = n.proc.get()] { p->node->start(); });
 }
 
-// Not in one instant: a fleet's pulls are spread over their span.
+// Spreads the starts, and so the pulls, over 250 ms.
 void Hollow::start_all() {
   for (auto& n : nodes) world.after(Duration(world.below(250)), [this, p = n.get()] { start(*p); });
 }
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -1,6 +1,6 @@
-// Hollow relays: the product's own control (statuses, registers, permits, duties,
-// rollout) without callers, many in one process on invented time. What goes between
-// two of them is encoded and decoded as on a wire, and counted at both ends.
+// Hollow relays: the product's control code (statuses, registers, read leases, leadership,
+// rollout) without client requests, many nodes in one process on simulated time. Messages
+// between nodes are encoded and decoded as on the wire, and counted at both ends.
 #pragma once
 #include "control_api/router.hpp"
 #include "simulation/ports.hpp"
@@ -9,19 +9,19 @@
 
 struct Shape {
   int nodes = 14, replicas = 5, zones = 3, regions = 3;
-  Duration near{1}, far{3};  // a message's way
+  Duration near{1}, far{3};  // shortest and longest one-way latency
   Duration bound{2000};
 };
 
-struct Toll {  // at one node's own link, both ways
+struct Toll {  // traffic of one node's link, both directions
   uint64_t messages = 0, bytes = 0;
 };
 
-struct Split {  // what the bytes of pulls are, from one pull in sixteen
+struct Split {  // bytes of pulls by content, sampled from one pull in sixteen
   uint64_t marks = 0, own = 0, statuses = 0, slots = 0;
 };
 
-struct Proc;  // one run of one node's process
+struct Proc;  // one process of one node
 struct Hollow;
 
 struct Node {
@@ -31,7 +31,7 @@
   simulation::DiskContents disk_contents;
   int64_t wall = 0;
   Toll toll;
-  uint64_t answer_ns = 0;  // processor time spent on others' pulls
+  uint64_t answer_ns = 0;  // processor time for answering other nodes' pulls
   std::shared_ptr<Proc> proc;
   bool up() const;
   node::Node& relay() const;
@@ -51,12 +51,12 @@
   void sleep(Duration s);
   bool until(Duration most, const std::function<bool()>& f);
   bool on(Node& n, Duration most,
-          std::function<void()> f);  // runs it in the node's process; false when it did not end
-  Node& some();                      // one that is up
+          std::function<void()> f);  // runs `f` in the node's process; false if it did not end in time
+  Node& some();                      // a random running node
   bool all_up();
-  bool fresh();                                    // every node that is up has a read_lease
-  bool serving(const std::string& configuration);  // and runs this layout
-  void beats(int backends, Duration period);       // each worker stays with its relay
+  bool fresh();                                    // every running node has a read lease
+  bool serving(const std::string& configuration);  // every running node runs this configuration
+  void beats(int backends, Duration period);       // each instance always uses the same relay
   bool cut(const Node& a, const Node& b) const {
     return apart >= 0 && (a.region == apart) != (b.region == apart);
   }
@@ -64,15 +64,15 @@
   simulation::World& world;
   Shape s;
   std::vector<std::unique_ptr<Node>> nodes;
-  std::map<std::string, Node*> by;  // by address
+  std::map<std::string, Node*> by;  // nodes by address
   simulation::ProcessRunPtr out;
   std::vector<std::shared_ptr<Proc>> graves;
-  int apart = -1;  // a region that hears no other
+  int apart = -1;  // the region that is disconnected from all others; -1: none
   uint64_t asks = 0, answers = 0, beats_taken = 0, beats_missed = 0;
   Split split;
 };
 
-uint64_t cpu_ns();    // of this thread
-uint64_t resident();  // bytes of this process
+uint64_t cpu_ns();    // processor time of this thread
+uint64_t resident();  // resident memory of this process in bytes
 
 }  // namespace dunlinwing::measure
--- a/test/measure/main.cpp
+++ b/test/measure/main.cpp
@@ -1,6 +1,6 @@
-// Figures of control. Without --part: delays and costs of small whole deployments.
-// With it: one hollow run, whose figures are appended to a CSV file, or the page that is
-// made of that file. test/capacity runs all of them.
+// Measures the cost of control. Without --part: delays and costs of small complete deployments.
+// With --part: one hollow run, whose figures are appended to a CSV file, or the page generated
+// from that file. test/capacity starts all runs.
 #include <fmt/format.h>
 #include <gflags/gflags.h>
 #include <unistd.h>
@@ -15,33 +15,33 @@
 #include "sockets.hpp"
 #include "tree.hpp"
 
-DEFINE_int32(seeds, 5, "how many seeds each figure of whole deployments is drawn from");
+DEFINE_int32(seeds, 5, "seeds for each figure of complete deployments");
 DEFINE_bool(grow, true, "cost of control by fleet size");
 DEFINE_bool(delays, true, "delays and gaps");
 DEFINE_string(part, "",
-              "steady, fault, sockets, tree, catchup or page; empty: the figures of whole deployments");
-DEFINE_string(run, "sizes", "what the run is for: the first column of its rows");
+              "steady, fault, sockets, tree, catchup or page; empty: the figures of complete deployments");
+DEFINE_string(run, "sizes", "name of the series: the first column of its rows");
 DEFINE_string(fault, "zone", "zone, apart, restart or storm");
-DEFINE_int32(seed, 1, "of a hollow run");
-DEFINE_int32(nodes, 14, "hollow relays in all");
-DEFINE_int32(holders, 5, "of them with a disk");
-DEFINE_int32(zones, 6, "over which they are spread");
-DEFINE_int32(regions, 3, "over which the zones are spread");
-DEFINE_int32(far_ms, 3, "a message's longest way; the shortest is 1");
-DEFINE_int32(workers, 0, "that beat");
-DEFINE_int32(period_ms, 2000, "between two beats of a worker");
-DEFINE_int32(registers, 0, "written once and left alone");
-DEFINE_double(changes, 0, "registers written anew a second");
-DEFINE_double(purges, 0, "a second");
-DEFINE_int32(history, 100, "changes over the life of the fleet, for catchup");
-DEFINE_int32(layouts, 0, "put in force one after another");
-DEFINE_int32(seconds, 5, "how long is measured, or how long a fault lasts");
-DEFINE_string(way, "region+zone", "of the tree's model: direct, region, zone, region+zone, or fan");
-DEFINE_int32(entry_bytes, 12, "of a purge in the tree's model");
-DEFINE_int32(pull_ms, 250, "between two pulls in the tree's model");
-DEFINE_string(csv, "", "rows are appended to it");
-DEFINE_string(page, "", "whose tables are made anew from the rows");
-DEFINE_string(plot, "", "SVG to be made from the rows");
+DEFINE_int32(seed, 1, "random seed of a hollow run");
+DEFINE_int32(nodes, 14, "number of hollow relays");
+DEFINE_int32(holders, 5, "replicas among the relays");
+DEFINE_int32(zones, 6, "zones with relays");
+DEFINE_int32(regions, 3, "regions with zones");
+DEFINE_int32(far_ms, 3, "longest one-way latency of a message; the shortest is 1");
+DEFINE_int32(workers, 0, "backend instances that send heartbeats");
+DEFINE_int32(period_ms, 2000, "time between two heartbeats of an instance");
+DEFINE_int32(registers, 0, "registers written once before the measurement");
+DEFINE_double(changes, 0, "register writes per second");
+DEFINE_double(purges, 0, "purges per second");
+DEFINE_int32(history, 100, "register changes in all, for catchup");
+DEFINE_int32(layouts, 0, "configurations rolled out one after another");
+DEFINE_int32(seconds, 5, "duration of the measurement or of a fault");
+DEFINE_string(way, "region+zone", "shape of the tree model: direct, region, zone, region+zone, or fan");
+DEFINE_int32(entry_bytes, 12, "size of a purge in the tree model");
+DEFINE_int32(pull_ms, 250, "time between two pulls in the tree model");
+DEFINE_string(csv, "", "CSV file: rows are appended to it or read from it");
+DEFINE_string(page, "", "page whose tables are replaced from the rows");
+DEFINE_string(plot, "", "SVG file to draw from the rows");
 
 namespace dm = dunlinwing::measure;
 
@@ -117,7 +117,7 @@
              FLAGS_part == "tree" || FLAGS_part == "catchup") {
     status = one();
   } else {
-    std::cerr << "measure: no part is named " << FLAGS_part << "\n";
+    std::cerr << "measure: unknown --part " << FLAGS_part << "\n";
     status = 1;
   }
   std::cout.flush();
--- a/test/measure/page.cpp
+++ b/test/measure/page.cpp
@@ -1,4 +1,4 @@
-// A mark without a table of its name is a defect, and so is a missing end.
+// Fails on a mark with the name of an unknown table and on a missing end mark.
 #include "page.hpp"
 
 #include <fmt/format.h>
@@ -14,7 +14,7 @@
 
 int page(const std::string& csv, const std::string& file, const std::string& plot) {
   auto rows = read_rows(csv);
-  if (rows.empty()) return std::cerr << "measure: no rows in " << csv << "\n", 1;
+  if (rows.empty()) return std::cerr << "measure: missing file or no rows: " << csv << "\n", 1;
   auto all = tables(rows);
   if (file.empty()) {
     for (auto& [n, t] : all) std::cout << "<!-- table " << n << " -->\n" << t << "<!-- end -->\n";
@@ -25,17 +25,19 @@
     while (std::getline(in, s)) {
       if (s.starts_with("<!-- table ")) {
         open = s.substr(11, s.find(' ', 11) - 11);
-        if (!all.count(open)) return std::cerr << "measure: no table is named " << open << "\n", 1;
+        if (!all.count(open))
+          return std::cerr << "measure: unknown table name in the page: " << open << "\n", 1;
         out += s + "\n" + all[open];
         continue;
       }
       if (s == "<!-- end -->") open.clear();
       if (open.empty()) out += s + "\n";
     }
-    if (!open.empty()) return std::cerr << "measure: the table " << open << " has no end\n", 1;
+    if (!open.empty()) return std::cerr << "measure: the table " << open << " has no <!-- end --> mark\n", 1;
     std::ofstream(file) << out;
   }
-  if (!plot.empty() && !draw(rows, plot)) return std::cerr << "measure: gnuplot drew nothing\n", 1;
+  if (!plot.empty() && !draw(rows, plot))
+    return std::cerr << "measure: gnuplot failed or is not installed\n", 1;
   return 0;
 }
 
--- a/test/measure/page.hpp
+++ b/test/measure/page.hpp
@@ -1,5 +1,5 @@
-// Makes the tables of a page from the rows of all runs: what stands between the marks
-// <!-- table NAME --> and <!-- end --> is written anew.
+// Generates the tables of a page from the rows of all runs: replaces the text between the
+// marks <!-- table NAME --> and <!-- end -->.
 #pragma once
 #include <string>
 
--- a/test/measure/pick.cpp
+++ b/test/measure/pick.cpp
@@ -1,4 +1,4 @@
-// A run is known by all of its columns; one that did not end well counts nowhere.
+// A run is identified by all of its columns; failed runs are left out of all tables.
 #include "pick.hpp"
 
 #include <fmt/format.h>
--- a/test/measure/plot.cpp
+++ b/test/measure/plot.cpp
@@ -1,5 +1,5 @@
-// Four panels: bytes, processor time, memory, and the holder's bytes; each with its
-// limit where the users state one. Points are single runs.
+// Four panels: bytes, processor time, memory, and the bytes of a replica; each with its
+// limit if the users gave one. Each point is one run.
 #include "plot.hpp"
 
 #include <fmt/format.h>
--- a/test/measure/plot.hpp
+++ b/test/measure/plot.hpp
@@ -1,4 +1,4 @@
-// What one node's control costs by size, drawn by gnuplot as SVG.
+// Draws the control cost of one node by fleet size with gnuplot, as SVG.
 #pragma once
 #include "rows.hpp"
 
--- a/test/measure/project.cpp
+++ b/test/measure/project.cpp
@@ -1,7 +1,7 @@
-// The laws: what a relay pays grows by a straight line with the fleet; what a holder pays
-// is the number of those who pull times such a line. Loads were measured at 64 nodes: what
-// is pulled costs a relay the same at any size and a holder by who pulls; what is written
-// costs a holder the same and a relay its part.
+// The laws: the cost of a relay grows linearly with the fleet; the cost of a replica is such a
+// line times the number of pulling nodes. Loads were measured at 64 nodes: pulled data costs a
+// relay the same at any size, and a replica in proportion to the pulling nodes; written data
+// costs a replica the same at any size, and is shared by the relays.
 #include "project.hpp"
 
 #include <fmt/format.h>
@@ -16,7 +16,7 @@
 using Rows = std::vector<Row>;
 constexpr double kNodes = 17000, kWorkers = 6800, kPurges = 160, kChanges = 12000.0 / 86400,
                  kRegisters = 12000;
-constexpr double kAt = 64, kHolders = 5;  // of the runs under loads
+constexpr double kAt = 64, kHolders = 5;  // nodes and replicas in the runs under load
 
 struct Law {
   const char *figure, *what, *unit;
@@ -44,7 +44,7 @@
 struct Term {
   const char *run, *what;
   std::function<double(const Row&)> x;
-  double fitted_to;  // what lies beyond is for the check
+  double fitted_to;  // the largest load used for the fit; larger ones are for the check
 };
 const Term kTerms[] = {
     {"workers", "worker (a beat each 2 s)", [](auto& r) { return r.backends; }, 64},
@@ -73,14 +73,14 @@
   return fmt::format("{} ({}, {})", num(f.slope * k), num(f.least * k), num(f.most * k));
 }
 
-// What a load of the users' size adds to a figure; purges were run at that rate.
+// The amount that a load of the users' size adds to a figure; purges were measured at that rate.
 struct Added {
   double value = 0;
   std::string text;
 };
 
-// Of one change or purge a second: what each node that pulls pays for it, and what the
-// writing costs, which all nodes share.
+// The cost of one change or purge per second: for each pulling node, and for writing, which
+// all nodes share.
 struct Cost {
   double pulled = 0, written = 0;
 };
@@ -129,7 +129,7 @@
 
 struct Role {
   const char *role, *what, *figure;
-  double limit;  // in the law's unit; 0: none is stated
+  double limit;  // in the unit of the law; 0: no limit given
   double times;
   const char *limit_text, *mechanism;
 };
@@ -176,7 +176,8 @@
     for (auto* f : {"relay_bytes", "relay_cpu_ms_s", "memory_bytes", "holder_bytes", "holder_cpu_ms_s"}) {
       auto& l = law(f);
       auto x = by_term(rows, t, f);
-      if (!x.points || std::string(t.run) == "beats") continue;  // their rate costs nothing: the loads' table
+      if (!x.points || std::string(t.run) == "beats")
+        continue;  // no cost by heartbeat rate; it is in the table of loads
       m.row({l.what, l.unit, t.what, num(x.base * l.scale), range(x, l.scale),
              fmt::format("{}, {}", x.points, x.seeds), fmt::format("`{}`", t.run)});
     }
--- a/test/measure/project.hpp
+++ b/test/measure/project.hpp
@@ -1,4 +1,4 @@
-// From measured slopes to the size to design for, each figure beside its limit.
+// Projects the measured slopes to the size to design for and compares each figure with its limit.
 #pragma once
 #include "rows.hpp"
 
@@ -6,7 +6,7 @@
 
 std::string slopes(const std::vector<Row>& rows);
 std::string roles(const std::vector<Row>& rows);
-std::string check(const std::vector<Row>& rows);  // the fit against a run at twice its largest size
+std::string check(const std::vector<Row>& rows);  // compares the fit with a run at twice its largest size
 std::string figures(const std::vector<Row>& rows);
 
 }  // namespace dunlinwing::measure
--- a/test/measure/rows.cpp
+++ b/test/measure/rows.cpp
@@ -1,4 +1,4 @@
-// The CSV is plain: no field of it holds a comma.
+// The CSV has no quoting: no field may contain a comma.
 #include "rows.hpp"
 
 #include <fmt/format.h>
@@ -89,7 +89,7 @@
   for (int s : seeds) {
     std::vector<Point> one;
     std::copy_if(ps.begin(), ps.end(), std::back_inserter(one), [s](auto& p) { return p.seed == s; });
-    // A seed that was not run at the largest size has no slope to compare.
+    // The slope of a seed without a run at the largest size is not comparable.
     if (one.size() < 2 || std::none_of(one.begin(), one.end(), [&](auto& p) { return p.x == far; })) continue;
     auto b = line(one).second;
     l.least = std::min(l.least, b);
--- a/test/measure/rows.hpp
+++ b/test/measure/rows.hpp
@@ -1,5 +1,5 @@
-// Rows of figures: each run appends its own to one CSV file, and the page is made
-// from that file alone.
+// Rows of measured figures: each run appends its rows to one CSV file, and the page is
+// generated only from that file.
 #pragma once
 #include <map>
 #include <memory>
@@ -9,9 +9,9 @@
 namespace dunlinwing::measure {
 
 struct Row {
-  std::string run;  // what the run was for
+  std::string run;  // name of the series
   int nodes = 0, backends = 0, period_ms = 0, registers = 0;
-  double changes = 0, purges = 0;  // a second
+  double changes = 0, purges = 0;  // per second
   int seed = 0;
   std::string figure;
   double value = 0;
@@ -20,11 +20,11 @@
 using Figures = std::map<std::string, double>;
 
 std::vector<Row> read_rows(const std::string& file);
-// Writes the heading when the file is new; `like` says what the run was.
+// Appends the figures; writes the heading first if the file is new. `like` holds the other columns.
 bool add_rows(const std::string& file, const Row& like, const Figures& f);
 
-// Percentiles of what was seen, by a histogram of equal steps on a log scale (a
-// thousandth to a thousand million, one percent a step).
+// Percentiles of observed values, from a histogram with equal steps on a logarithmic scale
+// (1e-3 to 1e9, one percent per step).
 class Spread {
  public:
   Spread();
@@ -42,9 +42,9 @@
   size_t n_ = 0;
 };
 
-// A straight line by least squares, with the slopes of each seed alone beside it.
+// A straight line fitted by least squares, and the range of the slopes fitted for single seeds.
 struct Line {
-  double base = 0, slope = 0, least = 0, most = 0;  // of the slope, over seeds
+  double base = 0, slope = 0, least = 0, most = 0;  // least and most: of the slopes by seed
   int points = 0, seeds = 0;
   double at(double x) const { return base + slope * x; }
 };
--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -1,6 +1,6 @@
-// The connections to a holder are shared by the nodes of the process, as the product
-// keeps them by thread and address. Disks are memory without a wait. Processor time is
-// the whole process's, the system's part in it.
+// All nodes of the process share the connections to a replica, since the product keeps one
+// set by thread and address. Disks are simulated in memory without delay. Processor time is that
+// of the whole process, including system time.
 #include "sockets.hpp"
 
 #include <fmt/format.h>
@@ -113,16 +113,16 @@
     }
     if (!until(Duration(30000),
                [&] { return each([](Real& r) { return r.node->state_cache().has_read_lease(); }); }))
-      return "not every node got a permit";
+      return "not every node got a read lease";
     if (!until(Duration(20000), [&] {
           base::Request q{"", "PUT", "/v1/releases/layout/first", layout_doc(0), {}};
           auto st = all.back()->control->handle(q).status;
           return st == 200 || st == 202;
         }))
-      return "the first layout was not taken";
+      return "the first configuration was not accepted";
     if (!until(Duration(30000),
                [&] { return each([](Real& r) { return r.node->configuration_name() == "first"; }); }))
-      return "not every node runs the first layout";
+      return "not every node runs the first configuration";
     return {};
   }
 
@@ -161,7 +161,7 @@
 }  // namespace
 
 Figures sockets(Shape s, int seconds) {
-  auto* r = new Run;  // its thread never ends; the process does
+  auto* r = new Run;  // never deleted: its thread runs until the process ends
   auto f = r->told.get_future();
   std::thread([r, s, seconds] {
     r->pool.run([r, s, seconds] { r->told.set_value(r->measure(s, seconds)); });
--- a/test/measure/sockets.hpp
+++ b/test/measure/sockets.hpp
@@ -1,4 +1,4 @@
-// Hollow relays over real sockets of the loopback, all in one process and one thread.
+// Hollow relays that communicate over loopback sockets, all in one process and one thread.
 #pragma once
 #include "hollow.hpp"
 #include "rows.hpp"
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -1,5 +1,5 @@
-// One fleet, one load, one window. Figures per node count both ways of its own link;
-// a message is so counted at both of its ends.
+// One fleet, one load, one window. Figures per node count both directions of its link, so
+// each message is counted at both ends.
 #include "steady.hpp"
 
 #include <fmt/format.h>
@@ -24,8 +24,8 @@
   f.until(Duration(300000), [&] { return done >= n; });
 }
 
-// A watch of the duty's pair: what a holder does each eighth of the bound when the
-// read_lease is another's. It parks nowhere.
+// The processor time of one tick of the rollout standby: the work that a replica does every
+// eighth of the bound while another node is the leader. It never suspends.
 double watch_ms(Hollow& f) {
   auto& n = *f.nodes[0];
   double ms = 0;
@@ -34,7 +34,7 @@
                                 n.zone, f.s.bound);
     rollout::RolloutController c(n.ports(), n.relay().registers(), n.relay().state_cache(), none,
                                  {f.s.bound, 600});
-    c.tick();  // reads the releases once
+    c.tick();  // reads the releases, which later ticks do not repeat
     auto from = cpu_ns();
     for (int i = 0; i < kTicks; ++i) c.tick();
     ms = static_cast<double>(cpu_ns() - from) / 1e6 / kTicks;
@@ -42,7 +42,7 @@
   return ms;
 }
 
-// What a console gets for a look at all nodes, and what the answer costs the node.
+// The size of the responses that a console gets when it queries all nodes.
 void console(Hollow& f, Figures& o) {
   for (auto* what : {"nodes", "assignments"}) {
     size_t bytes = 0;
@@ -92,8 +92,10 @@
   o["holder_bytes_worst"] = most;
   o["holder_messages"] = hm / hn;
   o["duty_bytes"] = leadership;
-  o["cpu_ms_s"] = all;                                                      // the whole fleet
-  o["relay_cpu_ms_s"] = (all - ans) / static_cast<double>(f.nodes.size());  // a node's own pulls and tables
+  o["cpu_ms_s"] = all;  // of the complete fleet
+  o["relay_cpu_ms_s"] =
+      (all - ans) /
+      static_cast<double>(f.nodes.size());  // a node's own pulls and tables, without responses to pulls
   o["holder_cpu_ms_s"] = o["relay_cpu_ms_s"] + ans / hn;
   auto per = [&](uint64_t a, uint64_t b) {
     return static_cast<double>(a - b) * 16 / sec / static_cast<double>(f.nodes.size());
@@ -108,7 +110,7 @@
 std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(Hollow&)>& script) {
   simulation::World world(seed);
   Hollow f(world, s);
-  std::string why = "the run's time was over";
+  std::string why = "the run timed out";
   world.run(world.now() + length + kUp, nullptr, [&] {
     f.start_all();
     f.outside([&] {
@@ -117,13 +119,13 @@
         f.end();
       };
       if (!f.until(kUp / 2, [&] { return f.all_up() && f.fresh(); }))
-        return not_up("not every node got a permit");
-      if (!put_layout(f, "first", 0)) return not_up("the first layout was not taken");
+        return not_up("not every node got a read lease");
+      if (!put_layout(f, "first", 0)) return not_up("the first configuration was not accepted");
       if (!f.until(kUp / 2, [&] { return f.serving("first"); }))
-        return not_up("not every node runs the first layout");
+        return not_up("not every node runs the first configuration");
       script(f);
       why.clear();
-      f.end();  // so that what is left of the run's time costs nothing
+      f.end();  // the rest of the simulated time then needs no computation
     });
   });
   f.end();
--- a/test/measure/steady.hpp
+++ b/test/measure/steady.hpp
@@ -1,5 +1,5 @@
-// What control costs on an ordinary stretch: a hollow fleet of one size under a stated
-// load of workers, registers, changes and purges, watched for a while.
+// The cost of control without faults: a hollow fleet of one size under a given load of
+// backend instances, registers, changes and purges, measured for a time window.
 #pragma once
 #include "hollow.hpp"
 #include "rows.hpp"
@@ -8,23 +8,24 @@
 
 struct Load {
   int backends = 0, period_ms = 2000, registers = 0;
-  double changes = 0, purges = 0;  // a second
-  int configurations = 0;          // put in force one after another
+  double changes = 0, purges = 0;  // per second
+  int configurations = 0;          // rolled out one after another
   int window_s = 5;
 };
 
-// Runs `story` in a fleet that is up and serves a layout; tells why not otherwise.
+// Runs `script` in a running fleet that serves a configuration.
+// @return empty, or the reason why the run failed
 std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(Hollow&)>& script);
 Figures steady(uint64_t seed, Shape s, const Load& l);
 
-// Streams of changes and purges, and how long each takes until all nodes know it.
+// Streams of changes and purges; measures the time until all nodes know each of them.
 class Stream {
  public:
   explicit Stream(Hollow& f);
   ~Stream();
   void changes(double a_second, TimePoint until);
   void purges(double a_second, TimePoint until);
-  bool rest(Duration most);  // true once all that was acknowledged is everywhere
+  bool rest(Duration most);  // waits until all nodes know all acknowledged writes; false on timeout
   void figures(Figures& out) const;
 
  private:
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -1,5 +1,5 @@
-// A look each 10 ms compares every node that is up and not cut off with what was
-// acknowledged; times count from the asking.
+// Every 10 ms each running node is compared with the acknowledged writes; times are measured
+// from the request.
 #include <fmt/format.h>
 
 #include "config/routing_configuration.hpp"
@@ -55,7 +55,7 @@
   uint64_t asked_changes = 0, asked_purges = 0, failed = 0, named = 0, under_way = 0, folded = 0;
   bool looking = false;
 
-  // What the slowest node knows of a key.
+  // The version, or the purge number, of a key at the node that is furthest behind.
   uint64_t least(const std::string& key, bool purges) {
     auto& v = seen[key];
     v.resize(f.nodes.size());
--- a/test/measure/tables.cpp
+++ b/test/measure/tables.cpp
@@ -1,4 +1,4 @@
-// What was seen, as it was seen; what follows for the users' size is in project.cpp.
+// Tables of measured values; projections to the users' size are in project.cpp.
 #include "tables.hpp"
 
 #include <fmt/format.h>
@@ -101,7 +101,7 @@
                     "memory_bytes", "purge_most_ms", "purge_folds_seen"})
       for (auto& x : pick(r, t.run, f)) by[t.x(x)][f].push_back(x.value);
     for (auto& [x, f] : by)
-      if (x > 0 || std::string(t.run) == "workers")  // without any load, once
+      if (x > 0 || std::string(t.run) == "workers")  // the row without any load appears only once
         m.row({fmt::format("{:g} {}", x, t.head), cell(f["relay_bytes"], 1e-3),
                cell(f["relay_bytes_worst"], 1e-3), cell(f["relay_messages"]), cell(f["relay_cpu_ms_s"]),
                cell(f["holder_cpu_ms_s"]), cell(f["memory_bytes"], 1e-6), cell(f["purge_most_ms"]),
--- a/test/measure/tables.hpp
+++ b/test/measure/tables.hpp
@@ -1,4 +1,4 @@
-// The page's tables in markdown, by name.
+// The tables of the page in Markdown, by name.
 #pragma once
 #include "rows.hpp"
 
--- a/test/measure/tree.cpp
+++ b/test/measure/tree.cpp
@@ -1,7 +1,7 @@
-// Ways between machines are assumed: 1 to 3 ms in a zone, 3 to 10 in a region, 20 to 120
-// in the world. A write takes two rounds of the world set. A layout of 2000 bytes
-// comes 12000 times a day; each pull of a node carries 50 bytes of its own zone's
-// changes and its region's sums besides. Nothing here costs processor time.
+// Assumed one-way latencies: 1 to 3 ms in a zone, 3 to 10 in a region, 20 to 120 between
+// regions. A write takes two rounds of the global replica set. A configuration of 2000 bytes
+// is written 12000 times a day; each pull of a node also carries 50 bytes: the changes of its
+// own zone and the sums of its region. Processor time is not modelled.
 #include "tree.hpp"
 
 #include <fmt/format.h>
@@ -13,19 +13,19 @@
 
 namespace dunlinwing::measure {
 namespace {
-constexpr int kAsk = 24, kReply = 24, kScoped = 50, kLayout = 2000;  // bytes, the frame in them
+constexpr int kAsk = 24, kReply = 24, kScoped = 50, kLayout = 2000;  // bytes, including the frame
 constexpr double kChanges = 12000.0 / 86400;
 constexpr double kPermit = 1500;  // three quarters of the bound
-constexpr int kGiveUp = 125;      // ms of silence before the other parent is asked
+constexpr int kGiveUp = 125;      // ms without a reply before the other parent is queried
 
 struct Peer {
   int level = 0, region = 0;
-  std::vector<int> parents;  // empty: a server, which reads a majority of the servers that vote
-  size_t now = 0;            // the parent asked
+  std::vector<int> parents;  // empty: a server, which reads a majority of the voting servers
+  size_t now = 0;            // index of the current parent
   size_t have = 0;
-  double proof = -1e9;  // all that was acknowledged before this moment is known here
+  double proof = -1e9;  // everything acknowledged before this time is known here
   double bytes = 0, messages = 0, served = 0;
-  double before = 0;  // bytes when the region was joined again
+  double before = 0;  // bytes at the time when the region was reconnected
   bool dead = false;
 };
 
@@ -34,8 +34,8 @@
   std::mt19937_64 rng;
   std::vector<Peer> ps;
   std::vector<double> asked, told,
-      weight;                   // by number: when it was asked for and acknowledged; bytes up to it
-  double now = 0, from = 1e18;  // counted from then on
+      weight;                   // by number: request time, acknowledgement time, cumulative bytes
+  double now = 0, from = 1e18;  // `from`: start of the measurement
   int apart = -1;
   double joined = 0, repaired = -1, heaviest = 0;
   size_t all = 0;
@@ -88,7 +88,7 @@
         for (int i = 0; i < 2; ++i) mine.push_back(add(2, r, above));
       }
       for (int i = 0; i < n; ++i) {
-        // In a tree of ordinary nodes, each pulls from one of two that came before it.
+        // In a tree of ordinary nodes, each pulls from one of two nodes added before it.
         std::vector<int> p = mine;
         if (t.fan && i >= 2 * t.fan)
           p = {in[static_cast<size_t>(i / t.fan - 1)], in[static_cast<size_t>(i / t.fan - 2)]};
@@ -105,7 +105,7 @@
     auto& c = ps[static_cast<size_t>(i)];
     if (c.dead) return;
     double began = now;
-    if (c.parents.empty()) {  // a server: three of the five that vote
+    if (c.parents.empty()) {  // a server: the slowest of three of the five voting servers
       double w = std::max({draw(20, 120), draw(20, 120), draw(20, 120)});
       at(now + w, [this, i, w, began] {
         auto n = acknowledged();
