--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -4,15 +4,14 @@
 ///
 /// Violations:
 /// - a request that an instance executed gets no response although its relay was not killed and its client
-/// did
-///   not leave; a relay that received SIGTERM is no exception;
+///   did not leave; a relay that received SIGTERM is no exception;
 /// - a non-idempotent request is executed twice, or although its client was told that it was not executed;
 /// - a response under a configuration older than one that was acknowledged the propagation bound before the
 ///   request was sent, or older than one that the same relay process had used before;
 /// - a running relay does not respond in time;
 /// - half a second after their clients left early, instances still execute more than a quarter of the
-/// idempotent
-///   requests; or a running relay cancels a non-idempotent request that was executing for such a client.
+///   idempotent requests; or a running relay cancels a non-idempotent request of such a client during
+///   execution.
 ///
 /// Thread safety: used only by the single event loop of the soak program.
 #pragma once
