--- a/test/fleet/fleet.cpp
+++ b/test/fleet/fleet.cpp
@@ -147,7 +147,7 @@
     add_backend(lobby ? "matchmaking" : "application", "1", zone(i), {});
 }
 
-bool Fleet::gone(const std::string& n) {
+bool Fleet::reap(const std::string& n) {
   auto& m = at(n);
   int st = 0;
   if (m.pid > 0 && waitpid(m.pid, &st, WNOHANG) == m.pid) {
@@ -175,7 +175,7 @@
   pool_.spawn([this] {
     while (supervised) {
       for (size_t i = 0; i < 14; ++i)
-        if (machines_[i].pid > 0 && gone(machines_[i].name)) start(machines_[i].name);
+        if (machines_[i].pid > 0 && reap(machines_[i].name)) start(machines_[i].name);
       clock.sleep(50ms);
     }
   });
@@ -187,8 +187,8 @@
   ::kill(m.pid, SIGTERM);
   event(fmt::format(R"("t":"warned","machine":"{}")", n));
   auto end = clock.now() + 6s;
-  while (!gone(n) && clock.now() < end) clock.sleep(20ms);
-  if (!gone(n)) {
+  while (!reap(n) && clock.now() < end) clock.sleep(20ms);
+  if (!reap(n)) {
     event(fmt::format(R"("t":"overstayed","machine":"{}")", n));
     kill(n);
   }
@@ -234,7 +234,7 @@
     }
   auto end = clock.now() + 6s;
   for (auto& machine : machines_)
-    while (!gone(machine.name) && clock.now() < end) clock.sleep(20ms);
+    while (!reap(machine.name) && clock.now() < end) clock.sleep(20ms);
   for (auto& machine : machines_)
     if (machine.pid > 0) kill(machine.name);
   while (watching_) clock.sleep(20ms);
--- a/test/fleet/fleet.hpp
+++ b/test/fleet/fleet.hpp
@@ -46,7 +46,7 @@
   void thaw(const std::string& name);
   void wipe(const std::string& name);
   void stop_all();
-  bool gone(const std::string& name);  // reaps the process if it has ended
+  bool reap(const std::string& name);  // reaps the process if it has ended
   // Acts as each machine's supervisor: restarts a relay that has ended, with the staged program
   // after exit status 75, with the last good one after any other status.
   void supervise();
--- a/test/fleet/scenarios.cpp
+++ b/test/fleet/scenarios.cpp
@@ -167,7 +167,7 @@
         if (run.fleet.at(old).pid > 0) ::kill(run.fleet.at(old).pid, SIGTERM);
       }
       run.fleet.clock.sleep(Duration(300 + rng() % 1500));
-      for (auto& x : run.fleet.machines()) run.fleet.gone(x.name);
+      for (auto& x : run.fleet.machines()) run.fleet.reap(x.name);
       if (rng() % 3 == 0) run.fleet.links().mend_all();
       for (auto& x : run.fleet.machines()) {
         if (x.frozen && rng() % 2) run.fleet.thaw(x.name);
