--- a/test/fleet/fleet.cpp
+++ b/test/fleet/fleet.cpp
@@ -181,7 +181,7 @@
   });
 }
 
-void Fleet::warn(const std::string& n) {
+void Fleet::terminate(const std::string& n) {
   auto& m = at(n);
   if (m.pid <= 0) return;
   ::kill(m.pid, SIGTERM);
--- a/test/fleet/fleet.hpp
+++ b/test/fleet/fleet.hpp
@@ -40,7 +40,7 @@
   void start_backends();
   std::string add_backend(const std::string& service, const std::string& version, const std::string& zone,
                           const std::vector<std::string>& more);
-  void warn(const std::string& name);  // SIGTERM, and SIGKILL if it still runs six seconds later
+  void terminate(const std::string& name);  // SIGTERM, and SIGKILL if it still runs six seconds later
   void kill(const std::string& name);
   void freeze(const std::string& name);
   void thaw(const std::string& name);
--- a/test/fleet/fleet_test.cpp
+++ b/test/fleet/fleet_test.cpp
@@ -158,7 +158,7 @@
     fleet.kill("e5");  // a replica, without SIGTERM
     fleet.wipe("e5");
     fleet.start("e5");
-    fleet.warn("e2");
+    fleet.terminate("e2");
     fleet.start("e2");
     // Clients send requests until the rollout is done, which needs their traffic as evidence.
     int round = 1;
--- a/test/fleet/scenarios.cpp
+++ b/test/fleet/scenarios.cpp
@@ -102,7 +102,7 @@
     bool ok = true;
     for (int i = 0; i < 14; ++i) {
       auto n = run.fleet.machines()[static_cast<size_t>(i)].name;
-      run.fleet.warn(n);
+      run.fleet.terminate(n);
       run.fleet.start(n);
       ok &= run.fleet.until(10s, [&] { return run.fleet.http(n, "GET", "/readyz").status == 200; });
     }
@@ -151,7 +151,7 @@
         if (put_configuration(run, fmt::format("day{}", i), doc))
           acked[fmt::format("day{}", i)] = doc, ++met["layout"];
       }
-      if (d == 6) ++met["warn"], run.fleet.warn(n), run.fleet.start(n);
+      if (d == 6) ++met["warn"], run.fleet.terminate(n), run.fleet.start(n);
       if (d == 7) {  // a backend instance crashes and is restarted
         auto& w = run.fleet.machines()[14 + rng() % (run.fleet.machines().size() - 14)];
         auto args = w.args;
@@ -301,7 +301,7 @@
     bool out = run.fleet.until(20s, [&] {
       return run.fleet.http_any("PUT", "/v1/holders/s2", R"({"holder":false})").status == 200;
     });
-    run.fleet.warn("e12");
+    run.fleet.terminate("e12");
     auto path = run.fleet.config().directory + "/e12/relay.json";
     std::ifstream i(path);
     std::string t((std::istreambuf_iterator<char>(i)), {});
