--- a/test/fleet/fleet.cpp
+++ b/test/fleet/fleet.cpp
@@ -295,7 +295,7 @@
   return last;
 }
 
-bool Fleet::until(Duration most, const std::function<bool()>& what) {
+bool Fleet::wait_until(Duration most, const std::function<bool()>& what) {
   auto end = clock.now() + most;
   while (clock.now() < end) {
     if (what()) return true;
@@ -305,7 +305,7 @@
 }
 
 bool Fleet::all_ready(Duration most) {
-  return until(most, [&] {
+  return wait_until(most, [&] {
     for (size_t i = 0; i < machines_.size(); ++i)
       if (auto& machine = machines_[i]; machine.kind != "worker" && machine.pid > 0 && !machine.frozen &&
                                         http(machine.name, "GET", "/readyz").status != 200)
@@ -315,7 +315,7 @@
 }
 
 bool Fleet::await_configuration_everywhere(const std::string& name, Duration most) {
-  return until(most, [&] {
+  return wait_until(most, [&] {
     auto response = http_any("GET", "/v1/releases/layout/" + name);
     auto p = base::Json::parse(response.body);
     auto* j = std::get_if<base::Json>(&p);
--- a/test/fleet/fleet.hpp
+++ b/test/fleet/fleet.hpp
@@ -58,7 +58,7 @@
   base::Response http(const std::string& node, const std::string& method, const std::string& target,
                       const std::string& body = {}, base::Headers headers = {});
   base::Response http_any(const std::string& method, const std::string& target, const std::string& body = {});
-  bool until(Duration most, const std::function<bool()>& what);  // polls the condition
+  bool wait_until(Duration most, const std::function<bool()>& what);  // polls the condition
   bool all_ready(Duration most);
   bool await_configuration_everywhere(const std::string& name, Duration most);
   void event(const std::string& json_fields);
--- a/test/fleet/fleet_test.cpp
+++ b/test/fleet/fleet_test.cpp
@@ -138,15 +138,15 @@
   try {
     fleet.start_nodes();
     fleet.start_backends();
-    test::expect(fleet.until(30s, [&] { return fleet.http_any("GET", "/v1/nodes").status == 200; }),
+    test::expect(fleet.wait_until(30s, [&] { return fleet.http_any("GET", "/v1/nodes").status == 200; }),
                  "the control API did not respond");
     test::same(
         fleet.http_any("PUT", "/v1/releases/layout/first", test::configuration_document("lobby")).status, 202,
         "the first configuration");
     test::expect(fleet.all_ready(30s), "not all relays became ready");
     test::expect(
-        fleet.until(15s,
-                    [&] { return count(fleet.http_any("GET", "/v1/workers").body, "\"gone\":false") == 10; }),
+        fleet.wait_until(
+            15s, [&] { return count(fleet.http_any("GET", "/v1/workers").body, "\"gone\":false") == 10; }),
         "not all backend instances are registered");
     framing(pool, fleet);
     faces(fleet);
@@ -162,13 +162,13 @@
     fleet.start("e2");
     // Clients send requests until the rollout is done, which needs their traffic as evidence.
     int round = 1;
-    bool done = fleet.until(150s, [&] {
+    bool done = fleet.wait_until(150s, [&] {
       if (fleet.client_done(p))
         p = fleet.start_client(fmt::format("c{}", ++round), 200, 20, static_cast<uint64_t>(round));
       return fleet.await_configuration_everywhere("second", 1s);
     });
     test::expect(done, "the second configuration does not run on all relays");
-    test::expect(fleet.until(60s, [&] { return fleet.client_done(p); }), "the client did not end");
+    test::expect(fleet.wait_until(60s, [&] { return fleet.client_done(p); }), "the client did not end");
     test::expect(fleet.all_ready(30s), "not all relays are ready at the end");
     for (auto& machine : fleet.machines())
       if (machine.kind != "worker")
--- a/test/fleet/load_scenarios.cpp
+++ b/test/fleet/load_scenarios.cpp
@@ -32,7 +32,7 @@
       run.fleet.clock.sleep(8s);
       auto p = run.fleet.start_client(fmt::format("crowd{}", i), run.rate * 5, 4,
                                       run.seed + 100 + static_cast<uint64_t>(i));
-      ok &= run.fleet.until(60s, [&] { return run.fleet.client_done(p); });
+      ok &= run.fleet.wait_until(60s, [&] { return run.fleet.client_done(p); });
       run.fleet.clock.sleep(4s);
       run.fleet.event(R"("t":"returned")");
     }
--- a/test/fleet/scenarios.cpp
+++ b/test/fleet/scenarios.cpp
@@ -32,7 +32,7 @@
   run.fleet.start_nodes();
   run.fleet.watch_assignments();
   run.fleet.start_backends();
-  bool put = run.fleet.until(20s, [&] { return run.fleet.http_any("GET", "/v1/nodes").status == 200; });
+  bool put = run.fleet.wait_until(20s, [&] { return run.fleet.http_any("GET", "/v1/nodes").status == 200; });
   return report(put, "the control API responds") &&
          report(put_configuration(run, "first", configuration_document(run.fleet.config().deployment)),
                 "first configuration recorded") &&
@@ -104,7 +104,7 @@
       auto n = run.fleet.machines()[static_cast<size_t>(i)].name;
       run.fleet.terminate(n);
       run.fleet.start(n);
-      ok &= run.fleet.until(10s, [&] { return run.fleet.http(n, "GET", "/readyz").status == 200; });
+      ok &= run.fleet.wait_until(10s, [&] { return run.fleet.http(n, "GET", "/readyz").status == 200; });
     }
     return report(ok, "every relay was restarted and became ready");
   });
@@ -210,16 +210,16 @@
   return with_traffic(run, [&] {
     run.fleet.clock.sleep(3s);
     run.fleet.event(fmt::format(R"("t":"bad_version","service":"{}","version":"2")", svc));
-    bool put = run.fleet.until(10s, [&] {
+    bool put = run.fleet.wait_until(10s, [&] {
       return run.fleet.http_any("PUT", fmt::format("/v1/services/{}", svc), R"({"version":"2"})").status ==
              200;
     });
     return report(put, "the version rollout was requested") &&
-           report(run.fleet.until(Duration(run.seconds * 1000),
-                                  [&] {
-                                    return run.fleet.http_any("GET", fmt::format("/v1/services/{}", svc))
-                                               .body.find("\"2\":\"") != std::string::npos;
-                                  }),
+           report(run.fleet.wait_until(Duration(run.seconds * 1000),
+                                       [&] {
+                                         return run.fleet.http_any("GET", fmt::format("/v1/services/{}", svc))
+                                                    .body.find("\"2\":\"") != std::string::npos;
+                                       }),
                   "the bad version is quarantined");
   });
 }
@@ -246,7 +246,7 @@
 }
 
 bool software_is(Run& run, const std::string& name, const std::string& ph, Duration most) {
-  return run.fleet.until(most, [&] {
+  return run.fleet.wait_until(most, [&] {
     return run.fleet.http_any("GET", "/v1/releases/software/" + name).body.find("\"phase\":\"" + ph + "\"") !=
            std::string::npos;
   });
@@ -276,7 +276,7 @@
            record_software(run, "better", "0.2.0", run.fleet.config().binaries + "/relay_next") &&
            report(software_is(run, "better", "DONE", Duration(run.seconds * 1000)),
                   "the release of the better program completed") &&
-           report(run.fleet.until(30s, [&] { return running(run, "0.2.0") == 14; }),
+           report(run.fleet.wait_until(30s, [&] { return running(run, "0.2.0") == 14; }),
                   "all machines run the better program");
   });
 }
@@ -288,17 +288,17 @@
   allow_version(run, "1");
   return with_traffic(run, [&] {
     run.fleet.kill("s2");
-    bool in = run.fleet.until(20s, [&] {
+    bool in = run.fleet.wait_until(20s, [&] {
       return run.fleet
                  .http_any(
                      "PUT", "/v1/holders/e2",
                      fmt::format(R"({{"holder":true,"address":"{}"}})", run.fleet.at("e2").peer_address))
                  .status == 200;
     });
-    bool votes = run.fleet.until(20s, [&] {
+    bool votes = run.fleet.wait_until(20s, [&] {
       return run.fleet.http("e2", "GET", "/status").body.find("\"votes\":true") != std::string::npos;
     });
-    bool out = run.fleet.until(20s, [&] {
+    bool out = run.fleet.wait_until(20s, [&] {
       return run.fleet.http_any("PUT", "/v1/holders/s2", R"({"holder":false})").status == 200;
     });
     run.fleet.terminate("e12");
@@ -311,7 +311,8 @@
     run.fleet.start("e12");
     return report(in && votes, "e2 was added to the replica set and votes") &&
            report(out, "s2 was removed from the replica set") &&
-           report(run.fleet.until(30s, [&] { return run.fleet.http("e12", "GET", "/readyz").status == 200; }),
+           report(run.fleet.wait_until(30s,
+                                       [&] { return run.fleet.http("e12", "GET", "/readyz").status == 200; }),
                   "e12 discovered the replicas through its seeds");
   });
 }
