--- a/test/fleet/links.cpp
+++ b/test/fleet/links.cpp
@@ -92,7 +92,7 @@
   f->second->close_all();
 }
 
-void Links::mend(const std::string& a, const std::string& b) {
+void Links::restore(const std::string& a, const std::string& b) {
   auto f = by_.find({a, b});
   if (f != by_.end()) f->second->cut = false;
 }
@@ -102,7 +102,7 @@
     if (k.first == n || k.second == n) cut(k.first, k.second);
 }
 
-void Links::mend_all() {
+void Links::restore_all() {
   for (auto& [k, l] : by_) l->cut = false;
 }
 
--- a/test/fleet/links.hpp
+++ b/test/fleet/links.hpp
@@ -13,9 +13,9 @@
   void open(const std::string& from, const std::string& to, const std::string& listen,
             const std::string& target);
   void cut(const std::string& from, const std::string& to);
-  void mend(const std::string& from, const std::string& to);
+  void restore(const std::string& from, const std::string& to);
   void cut_off(const std::string& node);  // cuts its links to and from all other nodes
-  void mend_all();
+  void restore_all();
 
  private:
   struct Link;
--- a/test/fleet/load_scenarios.cpp
+++ b/test/fleet/load_scenarios.cpp
@@ -88,7 +88,7 @@
       for (int k = 0; k < 25; ++k, ++all)
         done += purge(run, fmt::format("s{}-{}", i, k), k % 4 ? "path" : "prefix",
                       fmt::format("{}{}", base, rng() % 20));
-      run.fleet.links().mend_all();
+      run.fleet.links().restore_all();
       run.fleet.clock.sleep(Duration(rng() % 1500));
     }
     std::cout << "purges acknowledged: " << done << " of " << all << "\n";
--- a/test/fleet/scenarios.cpp
+++ b/test/fleet/scenarios.cpp
@@ -168,13 +168,13 @@
       }
       run.fleet.clock.sleep(Duration(300 + rng() % 1500));
       for (auto& x : run.fleet.machines()) run.fleet.reap(x.name);
-      if (rng() % 3 == 0) run.fleet.links().mend_all();
+      if (rng() % 3 == 0) run.fleet.links().restore_all();
       for (auto& x : run.fleet.machines()) {
         if (x.frozen && rng() % 2) run.fleet.thaw(x.name);
         if (x.kind != "worker" && x.pid <= 0 && rng() % 2) run.fleet.start(x.name);
       }
     }
-    run.fleet.links().mend_all();
+    run.fleet.links().restore_all();
     for (auto& x : run.fleet.machines()) {
       if (x.frozen) run.fleet.thaw(x.name);
       if (x.kind != "worker" && x.pid <= 0) run.fleet.start(x.name);
