--- a/test/fleet/links.cpp
+++ b/test/fleet/links.cpp
@@ -61,7 +61,7 @@
   l->acc.set_option(asio::socket_base::reuse_address(true));
   l->acc.bind(at);
   l->acc.listen(256);
-  by_[{from, to}] = l;
+  links_by_ends_[{from, to}] = l;
   pool_.spawn([this, l] {
     for (;;) {
       auto s = std::make_shared<tcp::socket>(pool_.io(0));
@@ -86,24 +86,24 @@
 }
 
 void Links::cut(const std::string& a, const std::string& b) {
-  auto f = by_.find({a, b});
-  if (f == by_.end()) return;
+  auto f = links_by_ends_.find({a, b});
+  if (f == links_by_ends_.end()) return;
   f->second->cut = true;
   f->second->close_all();
 }
 
 void Links::restore(const std::string& a, const std::string& b) {
-  auto f = by_.find({a, b});
-  if (f != by_.end()) f->second->cut = false;
+  auto f = links_by_ends_.find({a, b});
+  if (f != links_by_ends_.end()) f->second->cut = false;
 }
 
 void Links::cut_off(const std::string& n) {
-  for (auto& [k, l] : by_)
+  for (auto& [k, l] : links_by_ends_)
     if (k.first == n || k.second == n) cut(k.first, k.second);
 }
 
 void Links::restore_all() {
-  for (auto& [k, l] : by_) l->cut = false;
+  for (auto& [k, l] : links_by_ends_) l->cut = false;
 }
 
 }  // namespace dunlinwing::test
--- a/test/fleet/links.hpp
+++ b/test/fleet/links.hpp
@@ -20,7 +20,7 @@
  private:
   struct Link;
   net::EventLoopPool& pool_;
-  std::map<std::pair<std::string, std::string>, std::shared_ptr<Link>> by_;
+  std::map<std::pair<std::string, std::string>, std::shared_ptr<Link>> links_by_ends_;
 };
 
 }  // namespace dunlinwing::test
