--- a/test/fleet/soak_main.cpp
+++ b/test/fleet/soak_main.cpp
@@ -26,9 +26,9 @@
 constexpr int kBackendPorts = 8;
 
 /// Injects faults into the relays and changes the configuration while clients send requests.
-class Troubles {
+class FaultInjector {
  public:
-  Troubles(net::EventLoopPool& pool, SoakFleet& fleet, SoakTraffic& traffic, uint64_t seed)
+  FaultInjector(net::EventLoopPool& pool, SoakFleet& fleet, SoakTraffic& traffic, uint64_t seed)
       : pool_(pool), fleet_(fleet), traffic_(traffic), random_(seed) {}
 
   /// Suspends the calling fiber until the last fault has ended.
@@ -131,7 +131,7 @@
   if (!traffic.change_configuration()) return traffic.report("the first configuration was not acknowledged");
   if (!await_ready(fleet)) return traffic.report("not all relays became ready");
   traffic.start_clients(FLAGS_clients);
-  Troubles(pool, fleet, traffic, FLAGS_seed).run(Duration(FLAGS_seconds * 1000));
+  FaultInjector(pool, fleet, traffic, FLAGS_seed).run(Duration(FLAGS_seconds * 1000));
   for (auto& relay : fleet.relays())
     if (fleet.has_crashed(relay)) traffic.report(relay.name + " ended without a signal");
   if (!await_ready(fleet)) traffic.report("not all relays are ready after the faults");
