--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -281,7 +281,7 @@
   connection.consume(whole);
   const auto status = static_cast<int>(parse_number(response_head.substr(response_head.find(' ') + 1, 3)));
   if (!sent.kept.empty() && status == 200) judge_kept(sent, body);
-  judge_answer(sent, status, parse_number(header_of(response_head, "Dunlinwing-Generation")));
+  verify_response(sent, status, parse_number(header_of(response_head, "Dunlinwing-Generation")));
   return header_of(response_head, "Connection") != "close";
 }
 
@@ -292,7 +292,7 @@
   return after == acknowledged_.begin() ? 0 : std::prev(after)->second;
 }
 
-void SoakTraffic::judge_answer(const Sent& sent, int status, uint64_t generation) {
+void SoakTraffic::verify_response(const Sent& sent, int status, uint64_t generation) {
   const bool refused = status == 429 || status == 503;
   ++(status < 400 ? figures_.answered : refused ? figures_.refused : figures_.other);
   const int runs = runs_[sent.id];
