--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -280,7 +280,7 @@
   const std::string body(connection.buffered().substr(end + 4, whole - end - 4));
   connection.consume(whole);
   const auto status = static_cast<int>(parse_number(response_head.substr(response_head.find(' ') + 1, 3)));
-  if (!sent.kept.empty() && status == 200) judge_kept(sent, body);
+  if (!sent.kept.empty() && status == 200) verify_cacheable(sent, body);
   verify_response(sent, status, parse_number(header_of(response_head, "Dunlinwing-Generation")));
   return header_of(response_head, "Connection") != "close";
 }
@@ -312,7 +312,7 @@
 }
 
 // Verifies that a cacheable response is of the requested object, intact, and not past its lifetime.
-void SoakTraffic::judge_kept(const Sent& sent, const std::string& body) {
+void SoakTraffic::verify_cacheable(const Sent& sent, const std::string& body) {
   ++figures_.kept;
   const auto space = body.find(' ');
   if (body.substr(0, space) != sent.kept)
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -91,7 +91,7 @@
   SoakRelay* choose_relay(std::mt19937_64& random);
   bool exchange(net::Connection& connection, const Sent& sent);
   void verify_response(const Sent& sent, int status, uint64_t generation);
-  void judge_kept(const Sent& sent, const std::string& body);
+  void verify_cacheable(const Sent& sent, const std::string& body);
   void judge_cut(const Sent& sent, bool timed_out);
   uint64_t oldest_allowed(TimePoint sent_at) const;
 
