--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -274,7 +274,7 @@
   const size_t whole = end + 4 + parse_number(header_of(response_head, "Content-Length"));
   while (!cut && connection.buffered().size() < whole) cut = static_cast<bool>(connection.read_more());
   if (cut) {
-    judge_cut(sent, connection.is_interrupted());
+    verify_cut(sent, connection.is_interrupted());
     return false;
   }
   const std::string body(connection.buffered().substr(end + 4, whole - end - 4));
@@ -327,7 +327,7 @@
                        sent.relay->name, (sent.at - produced).count()));
 }
 
-void SoakTraffic::judge_cut(const Sent& sent, bool timed_out) {
+void SoakTraffic::verify_cut(const Sent& sent, bool timed_out) {
   const TimePoint now = clock_.now();
   if (timed_out) return report(fmt::format("{} got no response from {} in time", sent.id, sent.relay->name));
   if (sent.relay->killed_at >= sent.at - 1s) {
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -92,7 +92,7 @@
   bool exchange(net::Connection& connection, const Sent& sent);
   void verify_response(const Sent& sent, int status, uint64_t generation);
   void verify_cacheable(const Sent& sent, const std::string& body);
-  void judge_cut(const Sent& sent, bool timed_out);
+  void verify_cut(const Sent& sent, bool timed_out);
   uint64_t oldest_allowed(TimePoint sent_at) const;
 
   net::EventLoopPool& pool_;
