--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -149,7 +149,7 @@
   figures_.left_runs_that_went_on += clock_.now() - std::max(left->second, begun) > kGoneSlack;
 }
 
-void SoakTraffic::judge_leavers() {
+void SoakTraffic::verify_abandoned() {
   if (figures_.left_runs_that_went_on * 4 > figures_.left_runs)
     report(fmt::format("{} of {} executions continued after their clients had left",
                        figures_.left_runs_that_went_on, figures_.left_runs));
@@ -348,7 +348,7 @@
   stopping_ = true;
   while (clients_ > 0) clock_.sleep(20ms);
   clock_.sleep(kWorkForLeavers + kGoneSlack);
-  judge_leavers();
+  verify_abandoned();
 }
 
 // ---- Configurations ----
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -87,7 +87,7 @@
   void work_for_leaver(const base::Request& request, const std::string& id);
   void leave_early(net::Connection& connection, const Sent& sent, std::mt19937_64& random);
   static std::string request_bytes(const Sent& sent);
-  void judge_leavers();
+  void verify_abandoned();
   SoakRelay* choose_relay(std::mt19937_64& random);
   bool exchange(net::Connection& connection, const Sent& sent);
   void verify_response(const Sent& sent, int status, uint64_t generation);
