--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -112,7 +112,7 @@
   }
   ++runs_[id];
   if (id.starts_with(kLeaver))
-    work_for_leaver(request, id);
+    execute_abandoned(request, id);
   else
     clock_.sleep(Duration(std::hash<std::string>()(id) % static_cast<size_t>(kLongestWork.count())));
   std::string body = "ran " + id;
@@ -127,7 +127,7 @@
 
 // Executes a request until its time is up or the relay ends the connection, and verifies that an idempotent
 // request is cancelled and a non-idempotent one is not.
-void SoakTraffic::work_for_leaver(const base::Request& request, const std::string& id) {
+void SoakTraffic::execute_abandoned(const base::Request& request, const std::string& id) {
   const auto name = base::header(request.headers, "Dunlinwing-Relay");
   const auto relay = std::find_if(fleet_.relays().begin(), fleet_.relays().end(),
                                   [&](const SoakRelay& one) { return one.name == name; });
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -84,7 +84,7 @@
   void count_fetch();
   void send_heartbeats(const std::string& service, const std::string& instance, const std::string& address);
   void run_client(int number);
-  void work_for_leaver(const base::Request& request, const std::string& id);
+  void execute_abandoned(const base::Request& request, const std::string& id);
   void leave_early(net::Connection& connection, const Sent& sent, std::mt19937_64& random);
   static std::string request_bytes(const Sent& sent);
   void verify_abandoned();
