--- a/test/fleet/soak_main.cpp
+++ b/test/fleet/soak_main.cpp
@@ -146,7 +146,7 @@
                    "refused, {} other, {} cut by kills, "
                    "{} cut unread ({} of them late), {} left early ({} of {} runs went on), {} changes, {} "
                    "broken\n",
-                   FLAGS_seed, figures.requests, figures.connections, figures.answered, figures.kept,
+                   FLAGS_seed, figures.requests, figures.connections, figures.answered, figures.cacheable,
                    figures.fetches, figures.refused, figures.other, figures.cut_by_kill, figures.cut_unread,
                    figures.late_cuts, figures.left, figures.left_runs_that_went_on, figures.left_runs,
                    figures.changes, figures.broken.size())
--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -313,7 +313,7 @@
 
 // Verifies that a cacheable response is of the requested object, intact, and not past its lifetime.
 void SoakTraffic::verify_cacheable(const Sent& sent, const std::string& body) {
-  ++figures_.kept;
+  ++figures_.cacheable;
   const auto space = body.find(' ');
   if (body.substr(0, space) != sent.kept)
     return report(fmt::format("{} requested from {} object {} and got {}", sent.id, sent.relay->name,
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -31,7 +31,7 @@
   uint64_t answered = 0;                ///< responses with a status below 400
   uint64_t refused = 0;                 ///< responses with 429 or 503
   uint64_t other = 0;                   ///< responses with another status
-  uint64_t kept = 0;                    ///< answered requests for cacheable objects
+  uint64_t cacheable = 0;               ///< answered requests for cacheable objects
   uint64_t fetches = 0;                 ///< requests for cacheable objects that reached the instances
   uint64_t cut_unread = 0;              ///< the connection ended and no instance had received the request
   uint64_t cut_by_kill = 0;             ///< the connection ended because the relay was killed
