--- a/test/fleet/soak_main.cpp
+++ b/test/fleet/soak_main.cpp
@@ -140,7 +140,7 @@
 }
 
 int print(const SoakFigures& figures) {
-  for (const auto& what : figures.broken) std::cout << "BROKEN: " << what << "\n";
+  for (const auto& what : figures.violations) std::cout << "BROKEN: " << what << "\n";
   std::cout << fmt::format(
                    "seed {}: {} requests on {} connections, {} answered ({} kept ones by {} fetches), {} "
                    "refused, {} other, {} cut by kills, "
@@ -149,9 +149,9 @@
                    FLAGS_seed, figures.requests, figures.connections, figures.answered, figures.cacheable,
                    figures.fetches, figures.refused, figures.other, figures.cut_by_kill, figures.cut_unread,
                    figures.late_cuts, figures.left, figures.left_runs_that_went_on, figures.left_runs,
-                   figures.changes, figures.broken.size())
+                   figures.changes, figures.violations.size())
             << std::flush;
-  return figures.broken.empty() && figures.answered > figures.requests / 3 ? 0 : 1;
+  return figures.violations.empty() && figures.answered > figures.requests / 3 ? 0 : 1;
 }
 }  // namespace
 }  // namespace dunlinwing::test
--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -82,7 +82,7 @@
 SoakTraffic::SoakTraffic(net::EventLoopPool& pool, SoakFleet& fleet, uint64_t seed, int first_port)
     : pool_(pool), fleet_(fleet), seed_(seed), first_port_(first_port) {}
 
-void SoakTraffic::report(std::string what) { figures_.broken.push_back(std::move(what)); }
+void SoakTraffic::report(std::string what) { figures_.violations.push_back(std::move(what)); }
 
 // ---- Backend instances ----
 
