--- a/test/fleet/soak_main.cpp
+++ b/test/fleet/soak_main.cpp
@@ -148,7 +148,7 @@
                    "broken\n",
                    FLAGS_seed, figures.requests, figures.connections, figures.answered, figures.cacheable,
                    figures.fetches, figures.refused, figures.other, figures.cut_by_kill, figures.cut_unread,
-                   figures.late_cuts, figures.left, figures.left_runs_that_went_on, figures.left_runs,
+                   figures.late_cuts, figures.left, figures.left_runs_continued, figures.left_runs,
                    figures.changes, figures.violations.size())
             << std::flush;
   return figures.violations.empty() && figures.answered > figures.requests / 3 ? 0 : 1;
--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -146,13 +146,13 @@
     return;
   }
   ++figures_.left_runs;
-  figures_.left_runs_that_went_on += clock_.now() - std::max(left->second, begun) > kGoneSlack;
+  figures_.left_runs_continued += clock_.now() - std::max(left->second, begun) > kGoneSlack;
 }
 
 void SoakTraffic::verify_abandoned() {
-  if (figures_.left_runs_that_went_on * 4 > figures_.left_runs)
+  if (figures_.left_runs_continued * 4 > figures_.left_runs)
     report(fmt::format("{} of {} executions continued after their clients had left",
-                       figures_.left_runs_that_went_on, figures_.left_runs));
+                       figures_.left_runs_continued, figures_.left_runs));
 }
 
 // The origin's rate limit applies to the fetches of all relays together.
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -39,7 +39,7 @@
   uint64_t connections = 0;             ///< opened by clients
   uint64_t left = 0;                    ///< requests whose clients left before the response
   uint64_t left_runs = 0;               ///< of `left`: idempotent requests that were executed
-  uint64_t left_runs_that_went_on = 0;  ///< of `left_runs`: still executing 500 ms after the client left
+  uint64_t left_runs_continued = 0;     ///< of `left_runs`: still executing 500 ms after the client left
   uint64_t changes = 0;                 ///< acknowledged configuration changes
   std::vector<std::string> violations;  ///< descriptions of the violations
 };
