--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -234,7 +234,7 @@
         leave_early(*connection, sent, random);
         break;
       }
-      if (!sent.once && random() % 2 == 0)
+      if (!sent.non_idempotent && random() % 2 == 0)
         sent.kept = fmt::format("/kept/{}", std::min(random() % kKeptObjects, random() % kKeptObjects));
       if (!exchange(*connection, sent)) break;
       connection->start_read();  // detects when the relay closes the connection
@@ -247,8 +247,9 @@
 
 std::string SoakTraffic::request_bytes(const Sent& sent) {
   const std::string head = fmt::format("Host: soak\r\nCaller-Id: {}\r\n", sent.id);
-  return sent.once ? "POST /once/x HTTP/1.1\r\n" + head + "Content-Length: 2\r\n\r\n{}"
-                   : "GET " + (sent.kept.empty() ? "/any/x" : sent.kept) + " HTTP/1.1\r\n" + head + "\r\n";
+  return sent.non_idempotent
+             ? "POST /once/x HTTP/1.1\r\n" + head + "Content-Length: 2\r\n\r\n{}"
+             : "GET " + (sent.kept.empty() ? "/any/x" : sent.kept) + " HTTP/1.1\r\n" + head + "\r\n";
 }
 
 // Sends one request and leaves without waiting for its response.
@@ -296,9 +297,9 @@
   const bool refused = status == 429 || status == 503;
   ++(status < 400 ? figures_.answered : refused ? figures_.refused : figures_.other);
   const int runs = runs_[sent.id];
-  if (sent.once && refused && runs > 0)
+  if (sent.non_idempotent && refused && runs > 0)
     report(fmt::format("{} was rejected with {}, but was executed", sent.id, status));
-  if (sent.once && runs > 1) report(fmt::format("{} was executed {} times", sent.id, runs));
+  if (sent.non_idempotent && runs > 1) report(fmt::format("{} was executed {} times", sent.id, runs));
   if (generation == 0) return;
   if (const auto oldest = oldest_allowed(sent.at); generation < oldest)
     report(fmt::format("{} was handled by {} under configuration {}, though {} was acknowledged", sent.id,
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -74,8 +74,8 @@
     std::string id;
     SoakRelay* relay = nullptr;
     int life = 0;
-    bool once = false;    ///< not idempotent: may be executed only once
-    bool leaves = false;  ///< its client does not wait for the response
+    bool non_idempotent = false;  ///< not idempotent: may be executed only once
+    bool leaves = false;          ///< its client does not wait for the response
     TimePoint at{0};
     std::string kept;  ///< path of the requested cacheable object; empty: the request is not cacheable
   };
