--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -235,7 +235,8 @@
         break;
       }
       if (!sent.non_idempotent && random() % 2 == 0)
-        sent.kept = fmt::format("/kept/{}", std::min(random() % kKeptObjects, random() % kKeptObjects));
+        sent.cacheable_path =
+            fmt::format("/kept/{}", std::min(random() % kKeptObjects, random() % kKeptObjects));
       if (!exchange(*connection, sent)) break;
       connection->start_read();  // detects when the relay closes the connection
       clock_.sleep(draw_duration(random, kLongestPause));
@@ -247,9 +248,9 @@
 
 std::string SoakTraffic::request_bytes(const Sent& sent) {
   const std::string head = fmt::format("Host: soak\r\nCaller-Id: {}\r\n", sent.id);
-  return sent.non_idempotent
-             ? "POST /once/x HTTP/1.1\r\n" + head + "Content-Length: 2\r\n\r\n{}"
-             : "GET " + (sent.kept.empty() ? "/any/x" : sent.kept) + " HTTP/1.1\r\n" + head + "\r\n";
+  return sent.non_idempotent ? "POST /once/x HTTP/1.1\r\n" + head + "Content-Length: 2\r\n\r\n{}"
+                             : "GET " + (sent.cacheable_path.empty() ? "/any/x" : sent.cacheable_path) +
+                                   " HTTP/1.1\r\n" + head + "\r\n";
 }
 
 // Sends one request and leaves without waiting for its response.
@@ -281,7 +282,7 @@
   const std::string body(connection.buffered().substr(end + 4, whole - end - 4));
   connection.consume(whole);
   const auto status = static_cast<int>(parse_number(response_head.substr(response_head.find(' ') + 1, 3)));
-  if (!sent.kept.empty() && status == 200) verify_cacheable(sent, body);
+  if (!sent.cacheable_path.empty() && status == 200) verify_cacheable(sent, body);
   verify_response(sent, status, parse_number(header_of(response_head, "Dunlinwing-Generation")));
   return header_of(response_head, "Connection") != "close";
 }
@@ -316,15 +317,15 @@
 void SoakTraffic::verify_cacheable(const Sent& sent, const std::string& body) {
   ++figures_.cacheable;
   const auto space = body.find(' ');
-  if (body.substr(0, space) != sent.kept)
+  if (body.substr(0, space) != sent.cacheable_path)
     return report(fmt::format("{} requested from {} object {} and got {}", sent.id, sent.relay->name,
-                              sent.kept, body.substr(0, space)));
+                              sent.cacheable_path, body.substr(0, space)));
   const TimePoint produced(Duration(static_cast<int64_t>(parse_number(body.substr(space + 1)))));
-  if (body != kept_body(sent.kept, produced.count()))
+  if (body != kept_body(sent.cacheable_path, produced.count()))
     report(fmt::format("{} got {} bytes from {} that differ from the content of {}", sent.id, body.size(),
-                       sent.relay->name, sent.kept));
+                       sent.relay->name, sent.cacheable_path));
   if (sent.at - produced > kKeptLifetime + kBoundSlack)
-    report(fmt::format("{} got {} from {}, already {} ms old when requested", sent.id, sent.kept,
+    report(fmt::format("{} got {} from {}, already {} ms old when requested", sent.id, sent.cacheable_path,
                        sent.relay->name, (sent.at - produced).count()));
 }
 
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -77,7 +77,8 @@
     bool non_idempotent = false;  ///< not idempotent: may be executed only once
     bool leaves = false;          ///< its client does not wait for the response
     TimePoint at{0};
-    std::string kept;  ///< path of the requested cacheable object; empty: the request is not cacheable
+    std::string
+        cacheable_path;  ///< path of the requested cacheable object; empty: the request is not cacheable
   };
 
   base::Response answer(base::Request& request, const std::string& service, const std::string& instance);
