--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -10,10 +10,10 @@
 using namespace std::chrono_literals;
 
 constexpr int kBackends = 4;
-constexpr int kKeptBackends = 2;  // of the service with cacheable responses
-constexpr int kKeptRate = 60;     // rate limit of this service, in requests per second
-constexpr int kKeptObjects = 25;
-constexpr Duration kKeptLifetime{1000};
+constexpr int kCacheableBackends = 2;  // of the service with cacheable responses
+constexpr int kCacheableRate = 60;     // rate limit of this service, in requests per second
+constexpr int kCacheableObjects = 25;
+constexpr Duration kCacheableLifetime{1000};
 constexpr Duration kRateWindow{5000};
 constexpr double kRateOverage = 1.1;
 constexpr int kRateSlack = 5;
@@ -40,7 +40,7 @@
 
 /// The body of a cacheable object: its path, its creation time, and padding derived from both, long enough
 /// that nodes transfer it in several parts.
-std::string kept_body(const std::string& target, int64_t made_at) {
+std::string cacheable_body(const std::string& target, int64_t made_at) {
   constexpr size_t kLongestPadding = 60000;
   constexpr int64_t kLetters = 26;
   const size_t padding = std::hash<std::string>()(target) % kLongestPadding;
@@ -57,7 +57,7 @@
       R"({{"prefix":"/once/","service":"app","methods":["POST"]}},)"
       R"({{"prefix":"/added-{}/","service":"app","methods":["GET"]}}],)"
       R"("limits":{{"idle_ms":{},"head_ms":3000}}}},"stated":"configuration {}"}})",
-      kKeptRate, number, number % 3 ? 15000 : 4000, number);
+      kCacheableRate, number, number % 3 ? 15000 : 4000, number);
 }
 
 uint64_t parse_number(const std::string& text) {
@@ -87,7 +87,7 @@
 // ---- Backend instances ----
 
 void SoakTraffic::start_backends() {
-  for (int i = 0; i < kBackends + kKeptBackends; ++i) {
+  for (int i = 0; i < kBackends + kCacheableBackends; ++i) {
     const std::string service = i < kBackends ? "app" : "kept";
     const auto instance = fmt::format("i{}", i);
     const auto address = fmt::format("127.0.0.1:{}", first_port_ + i);
@@ -118,8 +118,8 @@
   std::string body = "ran " + id;
   if (service == "kept") {
     count_fetch();
-    body = kept_body(request.target, clock_.now().count());
-    headers.emplace_back("Cache-Control", fmt::format("max-age={}", kKeptLifetime / 1s));
+    body = cacheable_body(request.target, clock_.now().count());
+    headers.emplace_back("Cache-Control", fmt::format("max-age={}", kCacheableLifetime / 1s));
   }
   headers.emplace_back("Content-Digest", "sha-256=:" + base::sha256_base64(body) + ":");
   return {200, headers, body};
@@ -161,7 +161,7 @@
   fetched_at_.push_back(now);
   ++figures_.fetches;
   while (now - fetched_at_.front() > kRateWindow) fetched_at_.pop_front();
-  const double most = kKeptRate * kRateOverage * static_cast<double>(kRateWindow / 1s) + kRateSlack;
+  const double most = kCacheableRate * kRateOverage * static_cast<double>(kRateWindow / 1s) + kRateSlack;
   if (static_cast<double>(fetched_at_.size()) > most)
     report(fmt::format("the origin received {} requests in five seconds, above its rate limit",
                        fetched_at_.size()));
@@ -236,7 +236,7 @@
       }
       if (!sent.non_idempotent && random() % 2 == 0)
         sent.cacheable_path =
-            fmt::format("/kept/{}", std::min(random() % kKeptObjects, random() % kKeptObjects));
+            fmt::format("/kept/{}", std::min(random() % kCacheableObjects, random() % kCacheableObjects));
       if (!exchange(*connection, sent)) break;
       connection->start_read();  // detects when the relay closes the connection
       clock_.sleep(draw_duration(random, kLongestPause));
@@ -321,10 +321,10 @@
     return report(fmt::format("{} requested from {} object {} and got {}", sent.id, sent.relay->name,
                               sent.cacheable_path, body.substr(0, space)));
   const TimePoint produced(Duration(static_cast<int64_t>(parse_number(body.substr(space + 1)))));
-  if (body != kept_body(sent.cacheable_path, produced.count()))
+  if (body != cacheable_body(sent.cacheable_path, produced.count()))
     report(fmt::format("{} got {} bytes from {} that differ from the content of {}", sent.id, body.size(),
                        sent.relay->name, sent.cacheable_path));
-  if (sent.at - produced > kKeptLifetime + kBoundSlack)
+  if (sent.at - produced > kCacheableLifetime + kBoundSlack)
     report(fmt::format("{} got {} from {}, already {} ms old when requested", sent.id, sent.cacheable_path,
                        sent.relay->name, (sent.at - produced).count()));
 }
