--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -110,7 +110,7 @@
     headers.emplace_back("Dunlinwing-Outcome", "not-run");
     return {421, headers, ""};
   }
-  ++runs_[id];
+  ++executions_[id];
   if (id.starts_with(kLeaver))
     execute_abandoned(request, id);
   else
@@ -297,7 +297,7 @@
 void SoakTraffic::verify_response(const Sent& sent, int status, uint64_t generation) {
   const bool refused = status == 429 || status == 503;
   ++(status < 400 ? figures_.answered : refused ? figures_.refused : figures_.other);
-  const int runs = runs_[sent.id];
+  const int runs = executions_[sent.id];
   if (sent.non_idempotent && refused && runs > 0)
     report(fmt::format("{} was rejected with {}, but was executed", sent.id, status));
   if (sent.non_idempotent && runs > 1) report(fmt::format("{} was executed {} times", sent.id, runs));
@@ -337,7 +337,7 @@
     return;
   }
   clock_.sleep(50ms);  // an instance may be about to count the request
-  if (runs_[sent.id] > 0)
+  if (executions_[sent.id] > 0)
     return report(
         fmt::format("{} was executed, but got no response from {} (start {}, {} ms after it was sent{})",
                     sent.id, sent.relay->name, sent.life, (now - sent.at).count(),
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -103,7 +103,7 @@
   net::SystemClock clock_;
   net::HttpClient http_{4U << 20};
   std::vector<std::unique_ptr<net::HttpServer>> backends_;
-  std::map<std::string, int> runs_;             ///< executions at instances, by request
+  std::map<std::string, int> executions_;       ///< executions at instances, by request
   std::deque<TimePoint> fetched_at_;            ///< fetches within the last kRateWindow
   std::map<std::string, TimePoint> left_at_;    ///< time when the client left, by request
   std::map<TimePoint, uint64_t> acknowledged_;  ///< highest configuration number, by time of acknowledgement
