--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -305,7 +305,7 @@
   if (const auto oldest = oldest_allowed(sent.at); generation < oldest)
     report(fmt::format("{} was handled by {} under configuration {}, though {} was acknowledged", sent.id,
                        sent.relay->name, generation, oldest));
-  auto& shown = shown_[fmt::format("{}/{}", sent.relay->name, sent.life)];
+  auto& shown = used_generations_[fmt::format("{}/{}", sent.relay->name, sent.life)];
   if (const auto later = shown.upper_bound(sent.at - kRevertSlack); later != shown.begin())
     if (const auto before = std::prev(later)->second; generation < before)
       report(fmt::format("{} used configuration {} after {}", sent.relay->name, generation, before));
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -108,7 +108,7 @@
   std::map<std::string, TimePoint> left_at_;    ///< time when the client left, by request
   std::map<TimePoint, uint64_t> acknowledged_;  ///< highest configuration number, by time of acknowledgement
   std::map<std::string, std::map<TimePoint, uint64_t>>
-      shown_;  ///< by relay and start count: generations, by time of the response
+      used_generations_;  ///< by relay and start count: generations, by time of the response
   uint64_t next_number_ = 0;
   uint64_t highest_acknowledged_ = 0;
   int clients_ = 0;
