--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -19,7 +19,7 @@
 constexpr int kRateSlack = 5;
 constexpr Duration kLongestWork{250};
 constexpr Duration kHeartbeatPeriod{800};
-constexpr Duration kPatience{
+constexpr Duration kClientTimeout{
     6000};                        // timeout of a client; longer than the two-second deadline of the service
 constexpr Duration kBound{2000};  // within which every relay applies a new configuration
 constexpr Duration kBoundSlack{250};   // tolerance for time measured in this process
@@ -266,7 +266,7 @@
 bool SoakTraffic::exchange(net::Connection& connection, const Sent& sent) {
   ++figures_.requests;
   net::Timer patience;
-  patience.set(std::chrono::steady_clock::now() + kPatience, [&] { connection.interrupt(); });
+  patience.set(std::chrono::steady_clock::now() + kClientTimeout, [&] { connection.interrupt(); });
   bool cut = static_cast<bool>(connection.write(request_bytes(sent)));
   size_t end = std::string::npos;
   while (!cut && (end = connection.buffered().find("\r\n\r\n")) == std::string::npos)
