--- a/test/fleet/soak_fleet.cpp
+++ b/test/fleet/soak_fleet.cpp
@@ -67,13 +67,13 @@
 }
 
 void SoakFleet::start(SoakRelay& relay) {
-  write_settings(relay, relay.life == 0, relay.life);
+  write_settings(relay, relay.start_count == 0, relay.start_count);
   const auto folder = options_.directory + "/" + relay.name;
   relay.process =
       spawn_process(options_.relay_program, {"--config", folder + "/relay.json"}, folder + "/log");
   relay.terminating = false;
   relay.started_at = clock_.now();
-  ++relay.life;
+  ++relay.start_count;
 }
 
 bool SoakFleet::reap(SoakRelay& relay) {
--- a/test/fleet/soak_fleet.hpp
+++ b/test/fleet/soak_fleet.hpp
@@ -32,7 +32,7 @@
   char zone = 'a';
   bool has_disk = false;
   pid_t process = -1;        ///< -1: not running
-  int life = 0;              ///< number of starts
+  int start_count = 0;       ///< number of starts
   TimePoint started_at{0};   ///< start of the current process
   bool terminating = false;  ///< SIGTERM was sent to the current process
   TimePoint terminated_at{0};
--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -132,12 +132,12 @@
   const auto relay = std::find_if(fleet_.relays().begin(), fleet_.relays().end(),
                                   [&](const SoakRelay& one) { return one.name == name; });
   const bool known = relay != fleet_.relays().end();
-  const int life = known ? relay->life : 0;
+  const int start_count = known ? relay->start_count : 0;
   const TimePoint begun = clock_.now();
   while (clock_.now() - begun < kWorkForLeavers && !base::is_cancelled(request.cancellation))
     clock_.sleep(kWorkStep);
   // A relay that has ended or is terminating closes its connections anyway.
-  if (!known || relay->life != life || relay->terminating) return;
+  if (!known || relay->start_count != start_count || relay->terminating) return;
   const auto left = left_at_.find(id);
   if (left == left_at_.end()) return;
   if (request.method == "POST") {
@@ -225,9 +225,10 @@
       continue;
     }
     ++figures_.connections;
-    const int life = relay->life;
+    const int start_count = relay->start_count;
     for (int i = 0; i < kRequestsEach && !stopping_; ++i) {
-      Sent sent{fmt::format("{}-{}", number, made++), relay, life, random() % 4 == 0, false, clock_.now()};
+      Sent sent{
+          fmt::format("{}-{}", number, made++), relay, start_count, random() % 4 == 0, false, clock_.now()};
       sent.leaves = random() % kOneInSoManyLeaves == 0;
       if (sent.leaves) {
         sent.id = kLeaver + sent.id;
@@ -305,7 +306,7 @@
   if (const auto oldest = oldest_allowed(sent.at); generation < oldest)
     report(fmt::format("{} was handled by {} under configuration {}, though {} was acknowledged", sent.id,
                        sent.relay->name, generation, oldest));
-  auto& shown = used_generations_[fmt::format("{}/{}", sent.relay->name, sent.life)];
+  auto& shown = used_generations_[fmt::format("{}/{}", sent.relay->name, sent.start_count)];
   if (const auto later = shown.upper_bound(sent.at - kRevertSlack); later != shown.begin())
     if (const auto before = std::prev(later)->second; generation < before)
       report(fmt::format("{} used configuration {} after {}", sent.relay->name, generation, before));
@@ -340,7 +341,7 @@
   if (executions_[sent.id] > 0)
     return report(
         fmt::format("{} was executed, but got no response from {} (start {}, {} ms after it was sent{})",
-                    sent.id, sent.relay->name, sent.life, (now - sent.at).count(),
+                    sent.id, sent.relay->name, sent.start_count, (now - sent.at).count(),
                     sent.relay->terminating ? ", after SIGTERM" : ""));
   ++figures_.cut_unread;
   figures_.late_cuts += now - sent.at > kUnreadSlack;
--- a/test/fleet/soak_traffic.hpp
+++ b/test/fleet/soak_traffic.hpp
@@ -73,7 +73,7 @@
   struct Sent {
     std::string id;
     SoakRelay* relay = nullptr;
-    int life = 0;
+    int start_count = 0;
     bool non_idempotent = false;  ///< not idempotent: may be executed only once
     bool leaves = false;          ///< its client does not wait for the response
     TimePoint at{0};
