--- a/test/fleet/soak_fleet.cpp
+++ b/test/fleet/soak_fleet.cpp
@@ -86,8 +86,8 @@
 }
 
 bool SoakFleet::terminate(SoakRelay& relay) {
-  ++out_;
-  disks_out_ += relay.has_disk;
+  ++terminating_count_;
+  terminating_replicas_ += relay.has_disk;
   relay.terminating = true;
   relay.terminated_at = clock_.now();
   ::kill(relay.process, SIGTERM);
@@ -99,8 +99,8 @@
     ::waitpid(relay.process, nullptr, 0);
     relay.process = -1;
   }
-  --out_;
-  disks_out_ -= relay.has_disk;
+  --terminating_count_;
+  terminating_replicas_ -= relay.has_disk;
   return ended;
 }
 
--- a/test/fleet/soak_fleet.hpp
+++ b/test/fleet/soak_fleet.hpp
@@ -61,8 +61,8 @@
   bool has_crashed(SoakRelay& relay);
 
   std::vector<SoakRelay>& relays() { return relays_; }
-  int out() const { return out_; }              ///< relays that are terminating
-  int disks_out() const { return disks_out_; }  ///< the replicas among these
+  int terminating_count() const { return terminating_count_; }        ///< relays that are terminating
+  int terminating_replicas() const { return terminating_replicas_; }  ///< the replicas among these
 
  private:
   void write_settings(const SoakRelay& relay, bool first_start, int rotation) const;
@@ -71,8 +71,8 @@
   SoakFleetOptions options_;
   std::vector<SoakRelay> relays_;
   net::SystemClock clock_;
-  int out_ = 0;
-  int disks_out_ = 0;
+  int terminating_count_ = 0;
+  int terminating_replicas_ = 0;
 };
 
 }  // namespace dunlinwing::test
--- a/test/fleet/soak_main.cpp
+++ b/test/fleet/soak_main.cpp
@@ -61,8 +61,9 @@
     auto& relays = fleet_.relays();
     auto& relay = relays[random_() % relays.size()];
     if (relay.process < 0 || relay.terminating) return nullptr;
-    if (relay.has_disk && (fleet_.disks_out() > 0 || clock_.now() < disk_rests_until_)) return nullptr;
-    if (fleet_.out() * 3 >= static_cast<int>(relays.size())) return nullptr;
+    if (relay.has_disk && (fleet_.terminating_replicas() > 0 || clock_.now() < disk_rests_until_))
+      return nullptr;
+    if (fleet_.terminating_count() * 3 >= static_cast<int>(relays.size())) return nullptr;
     if (relay.has_disk) disk_rests_until_ = clock_.now() + 3s;
     return &relay;
   }
