--- a/test/fleet/fleet_test.cpp
+++ b/test/fleet/fleet_test.cpp
@@ -61,7 +61,7 @@
   return n;
 }
 
-void framing(net::EventLoopPool& pool, test::Fleet& fleet) {
+void check_framing(net::EventLoopPool& pool, test::Fleet& fleet) {
   auto at = fleet.at("e2").client_address;
   auto starts = [&](const std::string& what, const std::string& bytes, const std::string& want) {
     auto r = raw(pool, at, bytes);
@@ -104,7 +104,7 @@
   test::expect(two.find("/lobbies/1") < two.find("/lobbies/2"), "pipelined responses out of order");
 }
 
-void faces(test::Fleet& fleet) {
+void check_control_api(test::Fleet& fleet) {
   auto response = fleet.http("e3", "PUT", "/v1/releases/layout/bad",
                              R"({"content":{"services":{},"routes":[{"prefix":"x"}]}})");
   test::same(response.status, 422, "an invalid configuration");
@@ -130,7 +130,7 @@
              "a method that the resource does not support");
 }
 
-void whole(net::EventLoopPool& pool) {
+void check_fleet(net::EventLoopPool& pool) {
   test::FleetConfig c{std::filesystem::absolute(FLAGS_dir).string(), FLAGS_bin, "lobby", FLAGS_port, 1500};
   test::Fleet fleet(pool, c);
   fleet.write_settings();
@@ -148,8 +148,8 @@
         fleet.wait_until(
             15s, [&] { return count(fleet.http_any("GET", "/v1/workers").body, "\"gone\":false") == 10; }),
         "not all backend instances are registered");
-    framing(pool, fleet);
-    faces(fleet);
+    check_framing(pool, fleet);
+    check_control_api(fleet);
     fleet.watch_assignments();
     auto p = fleet.start_client("c1", 200, 20, 7);
     test::same(fleet.http_any("PUT", "/v1/releases/layout/second", test::configuration_document("lobby", "2"))
@@ -200,7 +200,7 @@
   std::filesystem::remove_all(FLAGS_dir);
   net::EventLoopPool pool(1);
   pool.run([&] {
-    int rc = test::run_all({{"fleet: faults and a rollout under load", [&] { whole(pool); }}}, "");
+    int rc = test::run_all({{"fleet: faults and a rollout under load", [&] { check_fleet(pool); }}}, "");
     net::EventLoopPool::stop(rc);
   });
 }
