--- a/test/fleet/client.cpp
+++ b/test/fleet/client.cpp
@@ -62,7 +62,7 @@
     return request;
   }
 
-  void one(const base::Request& request, Relay& r) {
+  void send_request(const base::Request& request, Relay& r) {
     auto id = base::header(request.headers, "Caller-Id");
     auto from = clock.now().count();
     journal.line(fmt::format(
@@ -92,7 +92,7 @@
     --open;
   }
 
-  void watch(Relay& r) {
+  void poll_readiness(Relay& r) {
     for (;;) {
       base::Request request;
       request.method = "GET";
@@ -105,7 +105,7 @@
   }
 
   void run() {
-    for (auto& r : relays) pool.spawn([this, p = r.get()] { watch(*p); });
+    for (auto& r : relays) pool.spawn([this, p = r.get()] { poll_readiness(*p); });
     clock.sleep(300ms);
     auto from = std::chrono::steady_clock::now();
     uint64_t all = static_cast<uint64_t>(FLAGS_rate) * static_cast<uint64_t>(FLAGS_seconds), turn = 0;
@@ -122,7 +122,7 @@
       auto request = make(n);
       if (!r) r = relays[turn % relays.size()].get();
       ++open;
-      pool.spawn_on(1 + static_cast<int>(n % 2), [this, request, r] { one(request, *r); });
+      pool.spawn_on(1 + static_cast<int>(n % 2), [this, request, r] { send_request(request, *r); });
     }
     while (open > 0) clock.sleep(20ms);
     std::cout << fmt::format("asked {} ok {} not_run {} unknown {} other {} lost {}\n", all, ok.load(),
