--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 struct Meter {
-  explicit Meter(Hollow& x) : f(x) {}
-  Hollow& f;
+  explicit Meter(HollowFleet& x) : f(x) {}
+  HollowFleet& f;
   std::vector<uint64_t> was;
   Spread each;  // bytes of one relay that is no replica in one second
   double total = 0;
   bool on = true;
 };
 
-std::shared_ptr<Meter> meter(Hollow& f) {
+std::shared_ptr<Meter> meter(HollowFleet& f) {
   auto m = std::make_shared<Meter>(f);
   for (auto& n : f.nodes) m->was.push_back(n->toll.bytes);
   f.outside([m] {
@@ -42,21 +42,21 @@
   o[when + "_fleet_bytes_s"] = m.total / sec;
 }
 
-double ms_until(Hollow& f, Duration most, const std::function<bool()>& ok) {
+double ms_until(HollowFleet& f, Duration most, const std::function<bool()>& ok) {
   auto from = f.world.now();
   return f.until(most, ok) ? static_cast<double>((f.world.now() - from).count()) : -1;
 }
 
-double permits(Hollow& f) {
+double permits(HollowFleet& f) {
   int n = 0;
   for (auto& x : f.nodes) n += x->up() && x->relay().state_cache().has_read_lease();
   return n;
 }
 
-bool whole(Hollow& f) { return f.all_up() && f.fresh() && f.serving("first"); }
+bool whole(HollowFleet& f) { return f.all_up() && f.fresh() && f.serving("first"); }
 
 // Whether no running node lists a killed node as a member.
-bool known_gone(Hollow& f, const std::vector<Node*>& dead) {
+bool known_gone(HollowFleet& f, const std::vector<Node*>& dead) {
   for (auto& n : f.nodes) {
     if (!n->up()) continue;
     std::map<std::string, bool> in;
@@ -67,7 +67,7 @@
   return true;
 }
 
-void zone(Hollow& f, const Trouble& t, Figures& o) {
+void zone(HollowFleet& f, const Trouble& t, Figures& o) {
   std::vector<Node*> dead;
   auto z = f.nodes[0]->zone;  // the zone of a replica
   for (auto& n : f.nodes)
@@ -90,7 +90,7 @@
   put(o, "after", *m, 5 + std::max(0.0, o["whole_again_ms"]) / 1000);
 }
 
-void apart(Hollow& f, const Trouble& t, Figures& o) {
+void apart(HollowFleet& f, const Trouble& t, Figures& o) {
   Stream st(f);
   auto from = f.world.now(), end = from + Duration(t.hold_s * 1000);
   auto m = meter(f);
@@ -117,7 +117,7 @@
   put(o, "after", *m, static_cast<double>((f.world.now() - end).count()) / 1000);
 }
 
-void restart(Hollow& f, const Trouble& t, Figures& o) {
+void restart(HollowFleet& f, const Trouble& t, Figures& o) {
   std::vector<Node*> them;
   size_t want = std::max<size_t>(2, f.nodes.size() / 100);
   for (auto i = f.nodes.size(); them.size() < want; --i) them.push_back(f.nodes[i - 1].get());
@@ -133,7 +133,7 @@
   put(o, "after", *m, t.hold_s + std::max(0.0, o["whole_again_ms"]) / 1000);
 }
 
-void storm(Hollow& f, const Trouble& t, Figures& o) {
+void storm(HollowFleet& f, const Trouble& t, Figures& o) {
   Stream st(f);
   auto end = f.world.now() + Duration(t.hold_s * 1000);
   auto m = meter(f);
@@ -154,7 +154,7 @@
 
 Figures trouble(uint64_t seed, Shape s, const Trouble& t) {
   Figures o;
-  auto why = play(seed, s, Duration(t.hold_s * 1000 + 300000), [&](Hollow& f) {
+  auto why = play(seed, s, Duration(t.hold_s * 1000 + 300000), [&](HollowFleet& f) {
     f.sleep(Duration(3000));
     auto m = meter(f);
     f.sleep(Duration(5000));
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -15,7 +15,7 @@
 
 class HollowNet final : public base::PeerTransport {
  public:
-  HollowNet(Hollow& f, Node& me, simulation::ProcessRunPtr process)
+  HollowNet(HollowFleet& f, Node& me, simulation::ProcessRunPtr process)
       : f_(f), me_(me), process_(std::move(process)) {}
   std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
                                                        const pb::PeerRequest& request,
@@ -84,7 +84,7 @@
       back(t, n, std::move(out));
     });
   }
-  Hollow& f_;
+  HollowFleet& f_;
   Node& me_;
   simulation::ProcessRunPtr process_;
 };
@@ -111,7 +111,7 @@
   std::unique_ptr<node::Node> node;
   std::unique_ptr<control_api::Router> control;
 
-  Proc(Hollow& f, Node& n, simulation::ProcessRunPtr process, const node::NodeConfig& config)
+  Proc(HollowFleet& f, Node& n, simulation::ProcessRunPtr process, const node::NodeConfig& config)
       : life(process),
         clock(f.world, process, &n.wall),
         random(f.world),
@@ -129,7 +129,7 @@
 const simulation::ProcessRunPtr& Node::life() const { return proc->life; }
 base::Ports& Node::ports() const { return proc->ports; }
 
-Hollow::Hollow(simulation::World& world, Shape shape)
+HollowFleet::HollowFleet(simulation::World& world, Shape shape)
     : world(world), s(shape), out(std::make_shared<simulation::ProcessRun>()) {
   out->host = "outside";
   for (int i = 0; i < s.nodes; ++i) {
@@ -145,9 +145,9 @@
     nodes.push_back(std::move(n));
   }
 }
-Hollow::~Hollow() = default;
+HollowFleet::~HollowFleet() = default;
 
-void Hollow::start(Node& n) {
+void HollowFleet::start(Node& n) {
   if (n.up()) return;
   auto process = std::make_shared<simulation::ProcessRun>();
   process->host = n.name;
@@ -165,29 +165,29 @@
 }
 
 // Spreads the starts, and so the pulls, over 250 ms.
-void Hollow::start_all() {
+void HollowFleet::start_all() {
   for (auto& n : nodes) world.after(Duration(world.below(250)), [this, p = n.get()] { start(*p); });
 }
 
-void Hollow::kill(Node& n) {
+void HollowFleet::kill(Node& n) {
   if (!n.up()) return;
   world.kill(n.life());
   graves.push_back(n.proc);
 }
 
-void Hollow::end() {
+void HollowFleet::end() {
   world.kill(out);
   for (auto& n : nodes) kill(*n);
 }
 
-void Hollow::outside(std::function<void()> f) { world.spawn(out, std::move(f)); }
+void HollowFleet::outside(std::function<void()> f) { world.spawn(out, std::move(f)); }
 
-void Hollow::sleep(Duration d) {
+void HollowFleet::sleep(Duration d) {
   simulation::Wait x;
   world.wait(out, d, x);
 }
 
-bool Hollow::until(Duration most, const std::function<bool()>& f) {
+bool HollowFleet::until(Duration most, const std::function<bool()>& f) {
   auto end = world.now() + most;
   while (!f()) {
     if (world.now() >= end) return false;
@@ -196,7 +196,7 @@
   return true;
 }
 
-bool Hollow::on(Node& n, Duration most, std::function<void()> f) {
+bool HollowFleet::on(Node& n, Duration most, std::function<void()> f) {
   if (!n.up()) return false;
   auto done = std::make_shared<bool>(false);
   world.spawn(n.life(), [done, f = std::move(f)] {
@@ -206,30 +206,30 @@
   return until(most, [&] { return *done; });
 }
 
-Node& Hollow::some() {
+Node& HollowFleet::some() {
   for (;;)
     if (auto& n = *nodes[world.below(nodes.size())]; n.up()) return n;
 }
 
-bool Hollow::all_up() {
+bool HollowFleet::all_up() {
   for (auto& n : nodes)
     if (!n->up()) return false;
   return true;
 }
 
-bool Hollow::fresh() {
+bool HollowFleet::fresh() {
   for (auto& n : nodes)
     if (n->up() && !n->relay().state_cache().has_read_lease()) return false;
   return true;
 }
 
-bool Hollow::serving(const std::string& configuration) {
+bool HollowFleet::serving(const std::string& configuration) {
   for (auto& n : nodes)
     if (n->up() && n->relay().configuration_name() != configuration) return false;
   return true;
 }
 
-void Hollow::beats(int backends, Duration period) {
+void HollowFleet::beats(int backends, Duration period) {
   for (int i = 0; i < backends; ++i) {
     auto* n = nodes[static_cast<size_t>(i) % nodes.size()].get();
     outside([this, i, n, period] {
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -22,7 +22,7 @@
 };
 
 struct Proc;  // one process of one node
-struct Hollow;
+struct HollowFleet;
 
 struct Node {
   std::string name, zone, address;
@@ -40,9 +40,9 @@
   base::Ports& ports() const;
 };
 
-struct Hollow {
-  Hollow(simulation::World& world, Shape s);
-  ~Hollow();
+struct HollowFleet {
+  HollowFleet(simulation::World& world, Shape s);
+  ~HollowFleet();
   void start(Node& n);
   void start_all();
   void kill(Node& n);
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kUp{120000};
 constexpr int kTicks = 8;
 
-void registers(Hollow& f, int n) {
+void registers(HollowFleet& f, int n) {
   int left = n, done = 0;
   for (int k = 0; k < std::min(n, 16); ++k)
     f.world.spawn(f.nodes[0]->life(), [&f, &left, &done] {
@@ -26,7 +26,7 @@
 
 // The processor time of one tick of the rollout standby: the work that a replica does every
 // eighth of the bound while another node is the leader. It never suspends.
-double watch_ms(Hollow& f) {
+double watch_ms(HollowFleet& f) {
   auto& n = *f.nodes[0];
   double ms = 0;
   f.on(n, Duration(5000), [&] {
@@ -43,7 +43,7 @@
 }
 
 // The size of the responses that a console gets when it queries all nodes.
-void console(Hollow& f, Figures& o) {
+void console(HollowFleet& f, Figures& o) {
   for (auto* what : {"nodes", "assignments"}) {
     size_t bytes = 0;
     f.on(*f.nodes.back(), Duration(5000), [&] {
@@ -59,13 +59,13 @@
   uint64_t answer_ns = 0;
 };
 
-std::vector<Mark> marks(Hollow& f) {
+std::vector<Mark> marks(HollowFleet& f) {
   std::vector<Mark> v;
   for (auto& n : f.nodes) v.push_back({n->toll, n->answer_ns});
   return v;
 }
 
-void costs(Hollow& f, const std::vector<Mark>& was, const Split& split, uint64_t cpu, double sec,
+void costs(HollowFleet& f, const std::vector<Mark>& was, const Split& split, uint64_t cpu, double sec,
            Figures& o) {
   Spread bytes;
   double rb = 0, rm = 0, hb = 0, hm = 0, ans = 0, most = 0, leadership = 0;
@@ -107,9 +107,9 @@
 }
 }  // namespace
 
-std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(Hollow&)>& script) {
+std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(HollowFleet&)>& script) {
   simulation::World world(seed);
-  Hollow f(world, s);
+  HollowFleet f(world, s);
   std::string why = "the run timed out";
   world.run(world.now() + length + kUp, nullptr, [&] {
     f.start_all();
@@ -138,7 +138,7 @@
   auto empty = resident();
   auto began = cpu_ns();
   TimePoint up{0};
-  auto why = play(seed, s, Duration(l.window_s * 1000 + 400000), [&](Hollow& f) {
+  auto why = play(seed, s, Duration(l.window_s * 1000 + 400000), [&](HollowFleet& f) {
     up = f.world.now();
     o["start_cpu_ms"] = static_cast<double>(cpu_ns() - began) / 1e6;
     if (l.registers) registers(f, l.registers);
--- a/test/measure/steady.hpp
+++ b/test/measure/steady.hpp
@@ -15,13 +15,13 @@
 
 // Runs `script` in a running fleet that serves a configuration.
 // @return empty, or the reason why the run failed
-std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(Hollow&)>& script);
+std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(HollowFleet&)>& script);
 Figures steady(uint64_t seed, Shape s, const Load& l);
 
 // Streams of changes and purges; measures the time until all nodes know each of them.
 class Stream {
  public:
-  explicit Stream(Hollow& f);
+  explicit Stream(HollowFleet& f);
   ~Stream();
   void changes(double a_second, TimePoint until);
   void purges(double a_second, TimePoint until);
@@ -34,6 +34,6 @@
 };
 
 std::string layout_doc(int k);
-bool put_layout(Hollow& f, const std::string& name, int k);
+bool put_layout(HollowFleet& f, const std::string& name, int k);
 
 }  // namespace dunlinwing::measure
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -21,7 +21,7 @@
                      2000 + k);
 }
 
-bool put_layout(Hollow& f, const std::string& name, int k) {
+bool put_layout(HollowFleet& f, const std::string& name, int k) {
   bool ok = false;
   for (int i = 0; i < 20 && !ok; ++i) {
     auto& n = f.some();
@@ -45,7 +45,7 @@
   struct Seen {
     uint64_t version = 0, number = 0;
   };
-  Hollow& f;
+  HollowFleet& f;
   std::vector<Want> wants;
   std::map<std::string, std::vector<Seen>> seen;
   std::map<std::string, uint64_t> version;
@@ -147,7 +147,7 @@
   }
 };
 
-Stream::Stream(Hollow& f) : impl_(std::make_shared<Impl>(f)) {}
+Stream::Stream(HollowFleet& f) : impl_(std::make_shared<Impl>(f)) {}
 Stream::~Stream() = default;
 void Stream::changes(double n, TimePoint until) {
   impl_->flow(n, until, impl_->asked_changes, [p = impl_] { p->change_one(); });
