--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -13,9 +13,9 @@
 constexpr size_t kFrame = 4;  // length prefix of each message
 constexpr uint64_t kSample = 16;
 
-class HollowNet final : public base::PeerTransport {
+class HollowTransport final : public base::PeerTransport {
  public:
-  HollowNet(HollowFleet& f, Node& me, simulation::ProcessRunPtr process)
+  HollowTransport(HollowFleet& f, Node& me, simulation::ProcessRunPtr process)
       : f_(f), me_(me), process_(std::move(process)) {}
   std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
                                                        const pb::PeerRequest& request,
@@ -104,7 +104,7 @@
   simulation::Clock clock;
   simulation::Random random;
   simulation::Tasks tasks;
-  HollowNet net;
+  HollowTransport net;
   NoOrigin origin;
   base::Ports ports;
   std::unique_ptr<simulation::Disk> disk;
--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -24,7 +24,7 @@
   return static_cast<double>(t.tv_sec) * 1000 + static_cast<double>(t.tv_usec) / 1000;
 }
 
-class CountedNet final : public base::PeerTransport {
+class CountingTransport final : public base::PeerTransport {
  public:
   std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
                                                        const pb::PeerRequest& request,
@@ -52,7 +52,7 @@
 
 struct Real {
   simulation::DiskContents disk_contents;
-  CountedNet net;
+  CountingTransport net;
   NoOrigin origin;
   std::unique_ptr<base::Ports> ports;
   std::unique_ptr<storage::SnapshotStore> disk;
