--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -20,12 +20,12 @@
 
 std::shared_ptr<Meter> meter(HollowFleet& f) {
   auto m = std::make_shared<Meter>(f);
-  for (auto& n : f.nodes) m->was.push_back(n->toll.bytes);
+  for (auto& n : f.nodes) m->was.push_back(n->link_traffic.bytes);
   f.outside([m] {
     while (m->on) {
       m->f.sleep(Duration(1000));
       for (size_t i = 0; i < m->was.size(); ++i) {
-        auto& now = m->f.nodes[i]->toll.bytes;
+        auto& now = m->f.nodes[i]->link_traffic.bytes;
         double d = static_cast<double>(now - std::exchange(m->was[i], now));
         m->total += d;
         if (!m->f.nodes[i]->replica) m->each.add(d);
@@ -124,11 +124,11 @@
   for (auto* n : them) f.kill(*n);
   f.sleep(Duration(1000));
   auto m = meter(f);
-  auto bytes = them[0]->toll.bytes;
+  auto bytes = them[0]->link_traffic.bytes;
   for (auto* n : them) f.start(*n);
   o["restarted"] = static_cast<double>(want);
   o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return whole(f); });
-  o["first_bytes"] = static_cast<double>(them[0]->toll.bytes - bytes);
+  o["first_bytes"] = static_cast<double>(them[0]->link_traffic.bytes - bytes);
   f.sleep(Duration(t.hold_s * 1000));
   put(o, "after", *m, t.hold_s + std::max(0.0, o["whole_again_ms"]) / 1000);
 }
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -43,8 +43,8 @@
     simulation::Wait wait;
   };
   void count(Node& n, size_t bytes) {
-    ++n.toll.messages;
-    n.toll.bytes += bytes + kFrame;
+    ++n.link_traffic.messages;
+    n.link_traffic.bytes += bytes + kFrame;
   }
   void look(const pb::PullRequest& p) {
     f_.split.own += p.own_status().ByteSizeLong();
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -13,7 +13,7 @@
   Duration bound{2000};
 };
 
-struct Toll {  // traffic of one node's link, both directions
+struct LinkTraffic {  // traffic of one node's link, both directions
   uint64_t messages = 0, bytes = 0;
 };
 
@@ -30,7 +30,7 @@
   bool replica = false;
   simulation::DiskContents disk_contents;
   int64_t wall = 0;
-  Toll toll;
+  LinkTraffic link_traffic;
   uint64_t answer_ns = 0;  // processor time for answering other nodes' pulls
   std::shared_ptr<Proc> proc;
   bool up() const;
--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -29,13 +29,13 @@
   std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
                                                        const pb::PeerRequest& request,
                                                        const base::CallRules& rules) override {
-    toll.messages += 2;
-    toll.bytes += request.ByteSizeLong() + 8;
+    link_traffic.messages += 2;
+    link_traffic.bytes += request.ByteSizeLong() + 8;
     auto r = net_.call(address, request, rules);
-    if (auto* response = std::get_if<pb::PeerResponse>(&r)) toll.bytes += response->ByteSizeLong();
+    if (auto* response = std::get_if<pb::PeerResponse>(&r)) link_traffic.bytes += response->ByteSizeLong();
     return r;
   }
-  Toll toll;
+  LinkTraffic link_traffic;
 
  private:
   net::PeerClient net_;
@@ -132,22 +132,22 @@
     o["ended"] = why.empty();
     if (!why.empty()) return o;
     clock.sleep(Duration(3000));
-    auto toll = [&] {
-      Toll t;
+    auto link_traffic = [&] {
+      LinkTraffic t;
       for (size_t i = static_cast<size_t>(s.replicas); i < all.size(); ++i) {
-        t.bytes += all[i]->net.toll.bytes;
-        t.messages += all[i]->net.toll.messages;
+        t.bytes += all[i]->net.link_traffic.bytes;
+        t.messages += all[i]->net.link_traffic.messages;
       }
       return t;
     };
-    auto t0 = toll();
+    auto t0 = link_traffic();
     auto u0 = used_ms(false), s0 = used_ms(true);
     auto from = clock.now();
     int looks = 0, stale = 0;
     for (; clock.now() - from < Duration(seconds * 1000); clock.sleep(Duration(250)), ++looks)
       stale += !each([](Real& r) { return r.node->state_cache().has_read_lease(); });
     double sec = static_cast<double>((clock.now() - from).count()) / 1000, n = s.nodes;
-    auto t1 = toll();
+    auto t1 = link_traffic();
     o["relay_bytes"] = static_cast<double>(t1.bytes - t0.bytes) / sec / (n - s.replicas);
     o["relay_messages"] = static_cast<double>(t1.messages - t0.messages) / sec / (n - s.replicas);
     o["user_ms_s"] = (used_ms(false) - u0) / sec / n;
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -55,13 +55,13 @@
 }
 
 struct Mark {
-  Toll toll;
+  LinkTraffic link_traffic;
   uint64_t answer_ns = 0;
 };
 
 std::vector<Mark> marks(HollowFleet& f) {
   std::vector<Mark> v;
-  for (auto& n : f.nodes) v.push_back({n->toll, n->answer_ns});
+  for (auto& n : f.nodes) v.push_back({n->link_traffic, n->answer_ns});
   return v;
 }
 
@@ -72,8 +72,8 @@
   int rn = 0, hn = 0;
   for (size_t i = 0; i < f.nodes.size(); ++i) {
     auto& n = *f.nodes[i];
-    double b = static_cast<double>(n.toll.bytes - was[i].toll.bytes) / sec;
-    double m = static_cast<double>(n.toll.messages - was[i].toll.messages) / sec;
+    double b = static_cast<double>(n.link_traffic.bytes - was[i].link_traffic.bytes) / sec;
+    double m = static_cast<double>(n.link_traffic.messages - was[i].link_traffic.messages) / sec;
     ans += static_cast<double>(n.answer_ns - was[i].answer_ns) / 1e6 / sec;
     (n.replica ? hb : rb) += b;
     (n.replica ? hm : rm) += m;
