--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -17,7 +17,7 @@
   uint64_t messages = 0, bytes = 0;
 };
 
-struct Split {  // bytes of pulls by content, sampled from one pull in sixteen
+struct PullBytes {  // bytes of pulls by content, sampled from one pull in sixteen
   uint64_t marks = 0, own = 0, statuses = 0, slots = 0;
 };
 
@@ -69,7 +69,7 @@
   std::vector<std::shared_ptr<Proc>> graves;
   int apart = -1;  // the region that is disconnected from all others; -1: none
   uint64_t asks = 0, answers = 0, beats_taken = 0, beats_missed = 0;
-  Split split;
+  PullBytes split;
 };
 
 uint64_t cpu_ns();    // processor time of this thread
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -65,7 +65,7 @@
   return v;
 }
 
-void costs(HollowFleet& f, const std::vector<Mark>& was, const Split& split, uint64_t cpu, double sec,
+void costs(HollowFleet& f, const std::vector<Mark>& was, const PullBytes& split, uint64_t cpu, double sec,
            Figures& o) {
   Spread bytes;
   double rb = 0, rm = 0, hb = 0, hm = 0, ans = 0, most = 0, leadership = 0;
