--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -99,7 +99,7 @@
 };
 }  // namespace
 
-struct Proc {
+struct NodeProcess {
   simulation::ProcessRunPtr life;
   simulation::Clock clock;
   simulation::Random random;
@@ -111,7 +111,7 @@
   std::unique_ptr<node::Node> node;
   std::unique_ptr<control_api::Router> control;
 
-  Proc(HollowFleet& f, Node& n, simulation::ProcessRunPtr process, const node::NodeConfig& config)
+  NodeProcess(HollowFleet& f, Node& n, simulation::ProcessRunPtr process, const node::NodeConfig& config)
       : life(process),
         clock(f.world, process, &n.wall),
         random(f.world),
@@ -160,7 +160,7 @@
   config.scale = 600;
   for (auto& x : nodes)
     if (x->replica) config.replicas.push_back({x->name, x->address});
-  n.proc = std::make_shared<Proc>(*this, n, process, config);
+  n.proc = std::make_shared<NodeProcess>(*this, n, process, config);
   world.spawn(process, [p = n.proc.get()] { p->node->start(); });
 }
 
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -21,7 +21,7 @@
   uint64_t marks = 0, own = 0, statuses = 0, slots = 0;
 };
 
-struct Proc;  // one process of one node
+struct NodeProcess;  // one process of one node
 struct HollowFleet;
 
 struct Node {
@@ -32,7 +32,7 @@
   int64_t wall = 0;
   LinkTraffic link_traffic;
   uint64_t answer_ns = 0;  // processor time for answering other nodes' pulls
-  std::shared_ptr<Proc> proc;
+  std::shared_ptr<NodeProcess> proc;
   bool up() const;
   node::Node& relay() const;
   control_api::Router& control() const;
@@ -66,7 +66,7 @@
   std::vector<std::unique_ptr<Node>> nodes;
   std::map<std::string, Node*> by;  // nodes by address
   simulation::ProcessRunPtr out;
-  std::vector<std::shared_ptr<Proc>> graves;
+  std::vector<std::shared_ptr<NodeProcess>> graves;
   int apart = -1;  // the region that is disconnected from all others; -1: none
   uint64_t asks = 0, answers = 0, beats_taken = 0, beats_missed = 0;
   PullBytes split;
