--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -20,7 +20,7 @@
   std::variant<pb::PeerResponse, base::PeerError> call(const std::string& address,
                                                        const pb::PeerRequest& request,
                                                        const base::CallRules& rules) override {
-    auto t = std::make_shared<Talk>();
+    auto t = std::make_shared<PendingCall>();
     auto to = f_.by.find(address);
     auto& world = f_.world;
     auto text = request.SerializeAsString();
@@ -37,7 +37,7 @@
   }
 
  private:
-  struct Talk {
+  struct PendingCall {
     std::optional<std::string> reply;
     bool refused = false;
     simulation::Wait wait;
@@ -58,7 +58,7 @@
     auto most = static_cast<uint64_t>((f_.s.far - f_.s.near).count());
     return f_.s.near + Duration(f_.world.below(most + 1));
   }
-  void back(const std::shared_ptr<Talk>& t, Node& from, std::optional<std::string> r) {
+  void back(const std::shared_ptr<PendingCall>& t, Node& from, std::optional<std::string> r) {
     if (f_.cut(me_, from)) return;
     f_.world.after(way(), [this, t, r = std::move(r)]() mutable {
       if (r) count(me_, r->size());
@@ -67,7 +67,7 @@
       f_.world.notify(t->wait);
     });
   }
-  void arrive(const std::shared_ptr<Talk>& t, Node& n, const std::string& text) {
+  void arrive(const std::shared_ptr<PendingCall>& t, Node& n, const std::string& text) {
     if (!n.up()) return back(t, n, {});
     count(n, text.size());
     f_.world.spawn(n.life(), [this, t, &n, text] {
