--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -27,7 +27,7 @@
     count(me_, text.size());
     if (++f_.asks % kSample == 0 && request.has_pull()) look(request.pull());
     if (to != f_.by.end() && !f_.cut(me_, *to->second))
-      world.after(way(), [this, t, n = to->second, text = std::move(text)] { arrive(t, *n, text); });
+      world.after(draw_latency(), [this, t, n = to->second, text = std::move(text)] { arrive(t, *n, text); });
     TimePoint end = world.now() + rules.timeout;
     while (!t->reply && !t->refused && world.now() < end) world.wait(process_, end - world.now(), t->wait);
     if (!t->reply) return t->refused ? base::PeerError::unreachable : base::PeerError::timed_out;
@@ -54,13 +54,13 @@
     for (auto& status : r.statuses()) f_.split.statuses += status.ByteSizeLong();
     for (auto& state : r.registers()) f_.split.slots += state.ByteSizeLong();
   }
-  Duration way() {
+  Duration draw_latency() {
     auto most = static_cast<uint64_t>((f_.s.far - f_.s.near).count());
     return f_.s.near + Duration(f_.world.below(most + 1));
   }
   void back(const std::shared_ptr<PendingCall>& t, Node& from, std::optional<std::string> r) {
     if (f_.cut(me_, from)) return;
-    f_.world.after(way(), [this, t, r = std::move(r)]() mutable {
+    f_.world.after(draw_latency(), [this, t, r = std::move(r)]() mutable {
       if (r) count(me_, r->size());
       t->refused = !r;
       t->reply = std::move(r);
--- a/test/measure/tree.cpp
+++ b/test/measure/tree.cpp
@@ -53,7 +53,7 @@
   double draw(double a, double b) { return std::uniform_real_distribution<double>(a, b)(rng); }
   void at(double when, std::function<void()> f) { q.push({when, order++, std::move(f)}); }
 
-  double way(const Peer& a, const Peer& b) {
+  double draw_latency(const Peer& a, const Peer& b) {
     if (a.region != b.region || a.level == 0 || b.level == 0) return draw(20, 120);
     return a.level == 1 || b.level == 1 ? draw(3, 10) : draw(1, 3);
   }
@@ -129,7 +129,7 @@
       });
       return;
     }
-    double w = way(c, p), seen = static_cast<double>(c.have);
+    double w = draw_latency(c, p), seen = static_cast<double>(c.have);
     at(now + w, [this, i, up, w, began, seen] {
       auto& p = ps[static_cast<size_t>(up)];
       auto have = p.have;
