--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -55,8 +55,8 @@
     for (auto& state : r.registers()) f_.split.slots += state.ByteSizeLong();
   }
   Duration draw_latency() {
-    auto most = static_cast<uint64_t>((f_.s.far - f_.s.near).count());
-    return f_.s.near + Duration(f_.world.below(most + 1));
+    auto most = static_cast<uint64_t>((f_.s.max_latency - f_.s.min_latency).count());
+    return f_.s.min_latency + Duration(f_.world.below(most + 1));
   }
   void back(const std::shared_ptr<PendingCall>& t, Node& from, std::optional<std::string> r) {
     if (f_.cut(me_, from)) return;
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -9,7 +9,7 @@
 
 struct Shape {
   int nodes = 14, replicas = 5, zones = 3, regions = 3;
-  Duration near{1}, far{3};  // shortest and longest one-way latency
+  Duration min_latency{1}, max_latency{3};  // shortest and longest one-way latency
   Duration bound{2000};
 };
 
--- a/test/measure/main.cpp
+++ b/test/measure/main.cpp
@@ -67,7 +67,7 @@
   s.replicas = FLAGS_holders;
   s.zones = FLAGS_zones;
   s.regions = FLAGS_regions;
-  s.far = dunlinwing::Duration(FLAGS_far_ms);
+  s.max_latency = dunlinwing::Duration(FLAGS_far_ms);
   if (FLAGS_part == "fault")
     return dm::trouble(seed, s, {FLAGS_fault, FLAGS_seconds, FLAGS_changes, FLAGS_purges});
   if (FLAGS_part == "sockets") return dm::sockets(s, FLAGS_seconds);
