--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -27,7 +27,8 @@
     count(me_, text.size());
     if (++f_.asks % kSample == 0 && request.has_pull()) look(request.pull());
     if (to != f_.by.end() && !f_.cut(me_, *to->second))
-      world.after(draw_latency(), [this, t, n = to->second, text = std::move(text)] { arrive(t, *n, text); });
+      world.after(draw_latency(),
+                  [this, t, n = to->second, text = std::move(text)] { receive_request(t, *n, text); });
     TimePoint end = world.now() + rules.timeout;
     while (!t->reply && !t->refused && world.now() < end) world.wait(process_, end - world.now(), t->wait);
     if (!t->reply) return t->refused ? base::PeerError::unreachable : base::PeerError::timed_out;
@@ -58,7 +59,7 @@
     auto most = static_cast<uint64_t>((f_.s.max_latency - f_.s.min_latency).count());
     return f_.s.min_latency + Duration(f_.world.below(most + 1));
   }
-  void back(const std::shared_ptr<PendingCall>& t, Node& from, std::optional<std::string> r) {
+  void send_reply(const std::shared_ptr<PendingCall>& t, Node& from, std::optional<std::string> r) {
     if (f_.cut(me_, from)) return;
     f_.world.after(draw_latency(), [this, t, r = std::move(r)]() mutable {
       if (r) count(me_, r->size());
@@ -67,8 +68,8 @@
       f_.world.notify(t->wait);
     });
   }
-  void arrive(const std::shared_ptr<PendingCall>& t, Node& n, const std::string& text) {
-    if (!n.up()) return back(t, n, {});
+  void receive_request(const std::shared_ptr<PendingCall>& t, Node& n, const std::string& text) {
+    if (!n.up()) return send_reply(t, n, {});
     count(n, text.size());
     f_.world.spawn(n.life(), [this, t, &n, text] {
       auto from = cpu_ns();
@@ -81,7 +82,7 @@
         if (++f_.answers % kSample == 0) look(response.pull());
       }
       count(n, out.size());
-      back(t, n, std::move(out));
+      send_reply(t, n, std::move(out));
     });
   }
   HollowFleet& f_;
