--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -25,7 +25,7 @@
     auto& world = f_.world;
     auto text = request.SerializeAsString();
     count(me_, text.size());
-    if (++f_.asks % kSample == 0 && request.has_pull()) look(request.pull());
+    if (++f_.asks % kSample == 0 && request.has_pull()) sample_pull(request.pull());
     if (to != f_.by.end() && !f_.cut(me_, *to->second))
       world.after(draw_latency(),
                   [this, t, n = to->second, text = std::move(text)] { receive_request(t, *n, text); });
@@ -47,11 +47,11 @@
     ++n.link_traffic.messages;
     n.link_traffic.bytes += bytes + kFrame;
   }
-  void look(const pb::PullRequest& p) {
+  void sample_pull(const pb::PullRequest& p) {
     f_.split.own += p.own_status().ByteSizeLong();
     f_.split.marks += p.ByteSizeLong() - p.own_status().ByteSizeLong();
   }
-  void look(const pb::PullResponse& r) {
+  void sample_pull(const pb::PullResponse& r) {
     for (auto& status : r.statuses()) f_.split.statuses += status.ByteSizeLong();
     for (auto& state : r.registers()) f_.split.slots += state.ByteSizeLong();
   }
@@ -79,7 +79,7 @@
       auto out = response.SerializeAsString();
       if (q.has_pull()) {
         n.answer_ns += cpu_ns() - from;  // handling a pull never suspends, so this is its own processor time
-        if (++f_.answers % kSample == 0) look(response.pull());
+        if (++f_.answers % kSample == 0) sample_pull(response.pull());
       }
       count(n, out.size());
       send_reply(t, n, std::move(out));
