--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -77,7 +77,7 @@
     return out;
   }
 
-  void look() {
+  void watch_propagation() {
     if (std::exchange(looking, true)) return;
     f.outside([this] {
       for (;; f.sleep(Duration(10))) {
@@ -138,7 +138,7 @@
 
   void flow(double a_second, TimePoint until, uint64_t& count, std::function<void()> one) {
     if (a_second <= 0) return;
-    look();
+    watch_propagation();
     f.outside([this, a_second, until, &count, one] {
       double due = 0;
       for (; f.world.now() < until; f.sleep(Duration(5)))
