--- a/test/measure/tree.cpp
+++ b/test/measure/tree.cpp
@@ -148,7 +148,7 @@
 
   bool counts(const Peer& p) const { return p.level == 3 && !p.dead && p.region != apart; }
 
-  void look() {
+  void check_nodes() {
     size_t least = SIZE_MAX;
     double oldest = 0;
     for (auto& p : ps)
@@ -165,7 +165,7 @@
     if (now > from && (joined == 0 || repaired >= 0)) age.add(oldest);
     for (; all < least; ++all)
       if (asked[all] > from) done.add(now - asked[all]);
-    at(now + 10, [this] { look(); });
+    at(now + 10, [this] { check_nodes(); });
   }
 
   void statuses(double end) {
@@ -194,7 +194,7 @@
   m.statuses(end);
   for (size_t i = 0; i < m.ps.size(); ++i)
     m.at(m.draw(0, t.pull_ms), [&m, i] { m.pull(static_cast<int>(i)); });
-  m.at(10, [&m] { m.look(); });
+  m.at(10, [&m] { m.check_nodes(); });
   m.at(warm, [&m] {
     m.from = m.now;
     for (auto& p : m.ps) p.bytes = p.messages = p.served = 0;
