--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -173,7 +173,7 @@
 void HollowFleet::kill(Node& n) {
   if (!n.up()) return;
   world.kill(n.life());
-  graves.push_back(n.proc);
+  killed_processes.push_back(n.proc);
 }
 
 void HollowFleet::end() {
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -66,7 +66,7 @@
   std::vector<std::unique_ptr<Node>> nodes;
   std::map<std::string, Node*> by;  // nodes by address
   simulation::ProcessRunPtr out;
-  std::vector<std::shared_ptr<NodeProcess>> graves;
+  std::vector<std::shared_ptr<NodeProcess>> killed_processes;
   int apart = -1;  // the region that is disconnected from all others; -1: none
   uint64_t asks = 0, answers = 0, beats_taken = 0, beats_missed = 0;
   PullBytes split;
