--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -94,9 +94,9 @@
   Stream st(f);
   auto from = f.world.now(), end = from + Duration(t.hold_s * 1000);
   auto m = meter(f);
-  f.apart = f.nodes.back()->region;
+  f.isolated_region = f.nodes.back()->region;
   int inside = 0;
-  for (auto& n : f.nodes) inside += n->region == f.apart;
+  for (auto& n : f.nodes) inside += n->region == f.isolated_region;
   o["apart_nodes"] = inside;
   st.changes(t.changes, end);
   st.purges(t.purges, end);
@@ -108,7 +108,7 @@
   o["permits_least"] = least;
   put(o, "while", *m, t.hold_s);
   m = meter(f);
-  f.apart = -1;
+  f.isolated_region = -1;
   o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return whole(f); });
   o["all_everywhere"] = st.rest(Duration(30000));
   st.figures(o);
--- a/test/measure/tree.cpp
+++ b/test/measure/tree.cpp
@@ -204,9 +204,9 @@
       if ((m.ps[i].level == 1 || m.ps[i].level == 2) && i % 2) m.ps[i].dead = true;
   });
   if (t.fault == "region") {
-    m.at(warm + t.seconds * 100.0, [&m] { m.apart = 0; });
+    m.at(warm + t.seconds * 100.0, [&m] { m.isolated_region = 0; });
     m.at(warm + t.seconds * 900.0, [&m] {
-      m.apart = -1;
+      m.isolated_region = -1;
       m.joined = m.now;
       for (auto& p : m.ps) p.before = p.bytes;
     });
