--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -230,7 +230,7 @@
   return true;
 }
 
-void HollowFleet::beats(int backends, Duration period) {
+void HollowFleet::send_heartbeats(int backends, Duration period) {
   for (int i = 0; i < backends; ++i) {
     auto* n = nodes[static_cast<size_t>(i) % nodes.size()].get();
     outside([this, i, n, period] {
@@ -247,7 +247,7 @@
         heartbeat.set_sequence(k);
         heartbeat.set_period_ms(static_cast<uint32_t>(period.count()));
         world.spawn(n->life(), [this, n, heartbeat] {
-          ++(n->relay().accept_heartbeat(heartbeat) ? beats_taken : beats_missed);
+          ++(n->relay().accept_heartbeat(heartbeat) ? heartbeats_accepted : heartbeats_rejected);
         });
       }
     });
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -54,9 +54,9 @@
           std::function<void()> f);  // runs `f` in the node's process; false if it did not end in time
   Node& some();                      // a random running node
   bool all_up();
-  bool fresh();                                    // every running node has a read lease
-  bool serving(const std::string& configuration);  // every running node runs this configuration
-  void beats(int backends, Duration period);       // each instance always uses the same relay
+  bool fresh();                                         // every running node has a read lease
+  bool serving(const std::string& configuration);       // every running node runs this configuration
+  void send_heartbeats(int backends, Duration period);  // each instance always uses the same relay
   bool cut(const Node& a, const Node& b) const {
     return apart >= 0 && (a.region == apart) != (b.region == apart);
   }
@@ -68,7 +68,7 @@
   simulation::ProcessRunPtr out;
   std::vector<std::shared_ptr<NodeProcess>> killed_processes;
   int apart = -1;  // the region that is disconnected from all others; -1: none
-  uint64_t asks = 0, answers = 0, beats_taken = 0, beats_missed = 0;
+  uint64_t asks = 0, answers = 0, heartbeats_accepted = 0, heartbeats_rejected = 0;
   PullBytes split;
 };
 
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -142,13 +142,13 @@
     up = f.world.now();
     o["start_cpu_ms"] = static_cast<double>(cpu_ns() - began) / 1e6;
     if (l.registers) registers(f, l.registers);
-    if (l.backends) f.beats(l.backends, Duration(l.period_ms));
+    if (l.backends) f.send_heartbeats(l.backends, Duration(l.period_ms));
     f.sleep(Duration(2500) + Duration(l.backends ? 2 * l.period_ms : 0));
     Stream st(f);
     auto end = f.world.now() + Duration(l.window_s * 1000);
     auto was = marks(f);
     auto split = f.split;
-    auto taken = f.beats_taken, missed = f.beats_missed;
+    auto taken = f.heartbeats_accepted, missed = f.heartbeats_rejected;
     auto cpu = cpu_ns();
     st.changes(l.changes, end);
     st.purges(l.purges, end);
@@ -163,8 +163,8 @@
     for (; f.world.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.fresh();
     costs(f, was, split, cpu_ns() - cpu,
           static_cast<double>((f.world.now() - end).count() + l.window_s * 1000) / 1000, o);
-    o["beats_taken"] = static_cast<double>(f.beats_taken - taken);
-    o["beats_missed"] = static_cast<double>(f.beats_missed - missed);
+    o["beats_taken"] = static_cast<double>(f.heartbeats_accepted - taken);
+    o["beats_missed"] = static_cast<double>(f.heartbeats_rejected - missed);
     o["looks_without_all_permits"] = static_cast<double>(stale);
     o["memory_bytes"] = static_cast<double>(resident() - empty) / static_cast<double>(f.nodes.size());
     if (l.configurations) {
