--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -53,7 +53,7 @@
   return n;
 }
 
-bool whole(HollowFleet& f) { return f.all_up() && f.fresh() && f.serving("first"); }
+bool whole(HollowFleet& f) { return f.all_up() && f.all_have_read_leases() && f.serving("first"); }
 
 // Whether no running node lists a killed node as a member.
 bool known_gone(HollowFleet& f, const std::vector<Node*>& dead) {
@@ -79,7 +79,7 @@
   o["known_gone_ms"] = ms_until(f, Duration(20000), [&] { return known_gone(f, dead); });
   uint64_t looks = 0, stale = 0;
   for (; f.world.now() - from < Duration(t.hold_s * 1000); f.sleep(Duration(50)), ++looks)
-    stale += !f.fresh();
+    stale += !f.all_have_read_leases();
   o["looks"] = static_cast<double>(looks);
   o["looks_without_all_permits"] = static_cast<double>(stale);
   put(o, "while", *m, t.hold_s);
@@ -141,7 +141,7 @@
   st.changes(t.changes, end);
   st.purges(t.purges, end);
   uint64_t looks = 0, stale = 0;
-  for (; f.world.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.fresh();
+  for (; f.world.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.all_have_read_leases();
   o["cpu_ms_s"] = static_cast<double>(cpu_ns() - cpu) / 1e6 / t.hold_s;
   o["looks"] = static_cast<double>(looks);
   o["looks_without_all_permits"] = static_cast<double>(stale);
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -218,7 +218,7 @@
   return true;
 }
 
-bool HollowFleet::fresh() {
+bool HollowFleet::all_have_read_leases() {
   for (auto& n : nodes)
     if (n->up() && !n->relay().state_cache().has_read_lease()) return false;
   return true;
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -54,7 +54,7 @@
           std::function<void()> f);  // runs `f` in the node's process; false if it did not end in time
   Node& some();                      // a random running node
   bool all_up();
-  bool fresh();                                         // every running node has a read lease
+  bool all_have_read_leases();                          // every running node has a read lease
   bool serving(const std::string& configuration);       // every running node runs this configuration
   void send_heartbeats(int backends, Duration period);  // each instance always uses the same relay
   bool cut(const Node& a, const Node& b) const {
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -118,7 +118,7 @@
         why = x;
         f.end();
       };
-      if (!f.until(kUp / 2, [&] { return f.all_up() && f.fresh(); }))
+      if (!f.until(kUp / 2, [&] { return f.all_up() && f.all_have_read_leases(); }))
         return not_up("not every node got a read lease");
       if (!put_layout(f, "first", 0)) return not_up("the first configuration was not accepted");
       if (!f.until(kUp / 2, [&] { return f.serving("first"); }))
@@ -160,7 +160,7 @@
         configurations.add(static_cast<double>((f.world.now() - from).count()));
     }
     uint64_t looks = 0, stale = 0;
-    for (; f.world.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.fresh();
+    for (; f.world.now() < end; f.sleep(Duration(250)), ++looks) stale += !f.all_have_read_leases();
     costs(f, was, split, cpu_ns() - cpu,
           static_cast<double>((f.world.now() - end).count() + l.window_s * 1000) / 1000, o);
     o["beats_taken"] = static_cast<double>(f.heartbeats_accepted - taken);
