--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -53,7 +53,7 @@
   return n;
 }
 
-bool whole(HollowFleet& f) { return f.all_up() && f.all_have_read_leases() && f.serving("first"); }
+bool whole(HollowFleet& f) { return f.all_up() && f.all_have_read_leases() && f.all_run("first"); }
 
 // Whether no running node lists a killed node as a member.
 bool known_gone(HollowFleet& f, const std::vector<Node*>& dead) {
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -224,7 +224,7 @@
   return true;
 }
 
-bool HollowFleet::serving(const std::string& configuration) {
+bool HollowFleet::all_run(const std::string& configuration) {
   for (auto& n : nodes)
     if (n->up() && n->relay().configuration_name() != configuration) return false;
   return true;
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -55,7 +55,7 @@
   Node& some();                      // a random running node
   bool all_up();
   bool all_have_read_leases();                          // every running node has a read lease
-  bool serving(const std::string& configuration);       // every running node runs this configuration
+  bool all_run(const std::string& configuration);       // every running node runs this configuration
   void send_heartbeats(int backends, Duration period);  // each instance always uses the same relay
   bool cut(const Node& a, const Node& b) const {
     return apart >= 0 && (a.region == apart) != (b.region == apart);
