--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -207,7 +207,7 @@
   return until(most, [&] { return *done; });
 }
 
-Node& HollowFleet::some() {
+Node& HollowFleet::random_running_node() {
   for (;;)
     if (auto& n = *nodes[world.below(nodes.size())]; n.up()) return n;
 }
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -24,7 +24,7 @@
 bool put_layout(HollowFleet& f, const std::string& name, int k) {
   bool ok = false;
   for (int i = 0; i < 20 && !ok; ++i) {
-    auto& n = f.some();
+    auto& n = f.random_running_node();
     auto st = std::make_shared<int>(0);
     f.on(n, Duration(5000), [&n, name, k, st] {
       base::Request request{"", "PUT", "/v1/releases/layout/" + name, layout_doc(k), {}};
@@ -98,7 +98,7 @@
     if (busy[key]) return void(++failed);
     busy[key] = true;
     auto from = f.world.now();
-    auto* n = &f.some();
+    auto* n = &f.random_running_node();
     ++under_way;
     f.world.spawn(n->life(), [this, key, from, n] {
       auto r = n->relay().registers().write(key, version[key], std::string(kChangeBytes, 'x'));
