--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -197,7 +197,7 @@
   return true;
 }
 
-bool HollowFleet::on(Node& n, Duration most, std::function<void()> f) {
+bool HollowFleet::run_on_node(Node& n, Duration most, std::function<void()> f) {
   if (!n.up()) return false;
   auto done = std::make_shared<bool>(false);
   world.spawn(n.life(), [done, f = std::move(f)] {
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -50,9 +50,10 @@
   void outside(std::function<void()> f);
   void sleep(Duration s);
   bool until(Duration most, const std::function<bool()>& f);
-  bool on(Node& n, Duration most,
-          std::function<void()> f);  // runs `f` in the node's process; false if it did not end in time
-  Node& random_running_node();       // a random running node
+  bool run_on_node(
+      Node& n, Duration most,
+      std::function<void()> f);  // runs `f` in the node's process; false if it did not end in time
+  Node& random_running_node();   // a random running node
   bool all_up();
   bool all_have_read_leases();                          // every running node has a read lease
   bool all_run(const std::string& configuration);       // every running node runs this configuration
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -29,7 +29,7 @@
 double watch_ms(HollowFleet& f) {
   auto& n = *f.nodes[0];
   double ms = 0;
-  f.on(n, Duration(5000), [&] {
+  f.run_on_node(n, Duration(5000), [&] {
     membership::Leadership none(n.ports(), n.relay().registers(), n.relay().state_cache(), "measured", n.name,
                                 n.zone, f.s.bound);
     rollout::RolloutController c(n.ports(), n.relay().registers(), n.relay().state_cache(), none,
@@ -46,7 +46,7 @@
 void console(HollowFleet& f, Figures& o) {
   for (auto* what : {"nodes", "assignments"}) {
     size_t bytes = 0;
-    f.on(*f.nodes.back(), Duration(5000), [&] {
+    f.run_on_node(*f.nodes.back(), Duration(5000), [&] {
       base::Request request{"", "GET", fmt::format("/v1/{}", what), "", {}};
       bytes = f.nodes.back()->control().handle(request).body.size();
     });
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -26,7 +26,7 @@
   for (int i = 0; i < 20 && !ok; ++i) {
     auto& n = f.random_running_node();
     auto st = std::make_shared<int>(0);
-    f.on(n, Duration(5000), [&n, name, k, st] {
+    f.run_on_node(n, Duration(5000), [&n, name, k, st] {
       base::Request request{"", "PUT", "/v1/releases/layout/" + name, layout_doc(k), {}};
       *st = n.control().handle(request).status;
     });
