--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -44,7 +44,7 @@
 
 double ms_until(HollowFleet& f, Duration most, const std::function<bool()>& ok) {
   auto from = f.world.now();
-  return f.until(most, ok) ? static_cast<double>((f.world.now() - from).count()) : -1;
+  return f.wait_until(most, ok) ? static_cast<double>((f.world.now() - from).count()) : -1;
 }
 
 double permits(HollowFleet& f) {
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -188,7 +188,7 @@
   world.wait(out, d, x);
 }
 
-bool HollowFleet::until(Duration most, const std::function<bool()>& f) {
+bool HollowFleet::wait_until(Duration most, const std::function<bool()>& f) {
   auto end = world.now() + most;
   while (!f()) {
     if (world.now() >= end) return false;
@@ -204,7 +204,7 @@
     f();
     *done = true;
   });
-  return until(most, [&] { return *done; });
+  return wait_until(most, [&] { return *done; });
 }
 
 Node& HollowFleet::random_running_node() {
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -49,7 +49,7 @@
   void end();
   void outside(std::function<void()> f);
   void sleep(Duration s);
-  bool until(Duration most, const std::function<bool()>& f);
+  bool wait_until(Duration most, const std::function<bool()>& f);
   bool run_on_node(
       Node& n, Duration most,
       std::function<void()> f);  // runs `f` in the node's process; false if it did not end in time
--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -67,7 +67,7 @@
   std::vector<std::unique_ptr<Real>> all;
   std::promise<Figures> told;
 
-  bool until(Duration most, const std::function<bool()>& f) {
+  bool wait_until(Duration most, const std::function<bool()>& f) {
     auto end = clock.now() + most;
     for (; !f(); clock.sleep(Duration(20)))
       if (clock.now() >= end) return false;
@@ -111,17 +111,17 @@
       clock.sleep(Duration(250 / s.nodes));
       pool.spawn([n = r->node.get()] { n->start(); });
     }
-    if (!until(Duration(30000),
-               [&] { return each([](Real& r) { return r.node->state_cache().has_read_lease(); }); }))
+    if (!wait_until(Duration(30000),
+                    [&] { return each([](Real& r) { return r.node->state_cache().has_read_lease(); }); }))
       return "not every node got a read lease";
-    if (!until(Duration(20000), [&] {
+    if (!wait_until(Duration(20000), [&] {
           base::Request q{"", "PUT", "/v1/releases/layout/first", layout_doc(0), {}};
           auto st = all.back()->control->handle(q).status;
           return st == 200 || st == 202;
         }))
       return "the first configuration was not accepted";
-    if (!until(Duration(30000),
-               [&] { return each([](Real& r) { return r.node->configuration_name() == "first"; }); }))
+    if (!wait_until(Duration(30000),
+                    [&] { return each([](Real& r) { return r.node->configuration_name() == "first"; }); }))
       return "not every node runs the first configuration";
     return {};
   }
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -21,7 +21,7 @@
         ++done;
       }
     });
-  f.until(Duration(300000), [&] { return done >= n; });
+  f.wait_until(Duration(300000), [&] { return done >= n; });
 }
 
 // The processor time of one tick of the rollout standby: the work that a replica does every
@@ -118,10 +118,10 @@
         why = x;
         f.end();
       };
-      if (!f.until(kUp / 2, [&] { return f.all_up() && f.all_have_read_leases(); }))
+      if (!f.wait_until(kUp / 2, [&] { return f.all_up() && f.all_have_read_leases(); }))
         return not_up("not every node got a read lease");
       if (!put_layout(f, "first", 0)) return not_up("the first configuration was not accepted");
-      if (!f.until(kUp / 2, [&] { return f.all_run("first"); }))
+      if (!f.wait_until(kUp / 2, [&] { return f.all_run("first"); }))
         return not_up("not every node runs the first configuration");
       script(f);
       why.clear();
@@ -156,7 +156,7 @@
     for (int i = 1; i <= l.configurations; ++i) {
       auto from = f.world.now();
       auto name = fmt::format("next{}", i);
-      if (put_layout(f, name, i) && f.until(Duration(60000), [&] { return f.all_run(name); }))
+      if (put_layout(f, name, i) && f.wait_until(Duration(60000), [&] { return f.all_run(name); }))
         configurations.add(static_cast<double>((f.world.now() - from).count()));
     }
     uint64_t looks = 0, stale = 0;
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -156,7 +156,7 @@
   impl_->flow(n, until, impl_->asked_purges, [p = impl_] { p->purge_one(); });
 }
 bool Stream::rest(Duration most) {
-  return impl_->f.until(most, [p = impl_] { return p->wants.empty() && !p->under_way; });
+  return impl_->f.wait_until(most, [p = impl_] { return p->wants.empty() && !p->under_way; });
 }
 
 void Stream::figures(Figures& o) const {
