--- a/test/measure/delays.cpp
+++ b/test/measure/delays.cpp
@@ -21,8 +21,8 @@
   }
 };
 
-void play(uint64_t seed, simulation::FleetShape shape, Duration length,
-          const std::function<void(Scene&)>& script) {
+void run_deployment(uint64_t seed, simulation::FleetShape shape, Duration length,
+                    const std::function<void(Scene&)>& script) {
   simulation::World world(seed);
   simulation::Fleet fleet(world, shape);
   Scene scene{world, fleet, {}};
@@ -43,7 +43,7 @@
     for (int k = 1; k <= seeds; ++k) {
       simulation::FleetShape shape;
       shape.edge_nodes = edges;
-      play(static_cast<uint64_t>(k), shape, Duration(30000), [&](Scene& scene) {
+      run_deployment(static_cast<uint64_t>(k), shape, Duration(30000), [&](Scene& scene) {
         if (!start_traffic(scene, 100)) return;
         scene.fleet.sleep(Duration(2000));
         auto m = scene.world.messages, b = scene.world.bytes;
@@ -94,7 +94,7 @@
   Figure purge_seen, assigned, replica, zone, all, quarantine, bad;
   for (int k = 1; k <= seeds * 4; ++k) {
     auto seed = static_cast<uint64_t>(k);
-    play(seed, {}, Duration(70000), [&](Scene& scene) {
+    run_deployment(seed, {}, Duration(70000), [&](Scene& scene) {
       if (!start_traffic(scene, 100)) return;
       for (int i = 0; i < 3; ++i) {
         scene.fleet.sleep(Duration(1000 + scene.world.below(1000)));
@@ -134,7 +134,7 @@
           },
           Duration(10000)));
     });
-    play(seed, {}, Duration(60000), [&](Scene& scene) {
+    run_deployment(seed, {}, Duration(60000), [&](Scene& scene) {
       if (!start_traffic(scene, 150, simulated_configuration("\"1\",\"2\"", 4))) return;
       auto& backend = scene.fleet.add_backend("app", "2", 0);
       backend.bad_percent = 70;
--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -154,7 +154,7 @@
 
 Figures trouble(uint64_t seed, Shape s, const Trouble& t) {
   Figures o;
-  auto why = play(seed, s, Duration(t.hold_s * 1000 + 300000), [&](HollowFleet& f) {
+  auto why = run_in_fleet(seed, s, Duration(t.hold_s * 1000 + 300000), [&](HollowFleet& f) {
     f.sleep(Duration(3000));
     auto m = meter(f);
     f.sleep(Duration(5000));
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -107,7 +107,8 @@
 }
 }  // namespace
 
-std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(HollowFleet&)>& script) {
+std::string run_in_fleet(uint64_t seed, Shape s, Duration length,
+                         const std::function<void(HollowFleet&)>& script) {
   simulation::World world(seed);
   HollowFleet f(world, s);
   std::string why = "the run timed out";
@@ -138,7 +139,7 @@
   auto empty = resident();
   auto began = cpu_ns();
   TimePoint up{0};
-  auto why = play(seed, s, Duration(l.window_s * 1000 + 400000), [&](HollowFleet& f) {
+  auto why = run_in_fleet(seed, s, Duration(l.window_s * 1000 + 400000), [&](HollowFleet& f) {
     up = f.world.now();
     o["start_cpu_ms"] = static_cast<double>(cpu_ns() - began) / 1e6;
     if (l.registers) registers(f, l.registers);
--- a/test/measure/steady.hpp
+++ b/test/measure/steady.hpp
@@ -15,7 +15,8 @@
 
 // Runs `script` in a running fleet that serves a configuration.
 // @return empty, or the reason why the run failed
-std::string play(uint64_t seed, Shape s, Duration length, const std::function<void(HollowFleet&)>& script);
+std::string run_in_fleet(uint64_t seed, Shape s, Duration length,
+                         const std::function<void(HollowFleet&)>& script);
 Figures steady(uint64_t seed, Shape s, const Load& l);
 
 // Streams of changes and purges; measures the time until all nodes know each of them.
