--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -110,7 +110,7 @@
   m = meter(f);
   f.isolated_region = -1;
   o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return whole(f); });
-  o["all_everywhere"] = st.rest(Duration(30000));
+  o["all_everywhere"] = st.await_propagation(Duration(30000));
   st.figures(o);
   o["all_everywhere_ms"] = o["whole_again_ms"] < 0 ? -1 : static_cast<double>((f.world.now() - end).count());
   f.sleep(Duration(5000));
@@ -146,7 +146,7 @@
   o["looks"] = static_cast<double>(looks);
   o["looks_without_all_permits"] = static_cast<double>(stale);
   put(o, "while", *m, t.hold_s);
-  o["all_everywhere"] = st.rest(Duration(60000));
+  o["all_everywhere"] = st.await_propagation(Duration(60000));
   o["all_everywhere_ms"] = static_cast<double>((f.world.now() - end).count());
   st.figures(o);
 }
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -174,7 +174,7 @@
       o["layout_most_ms"] = configurations.most();
     }
     if (l.changes > 0 || l.purges > 0) {
-      o["all_everywhere"] = st.rest(Duration(30000));
+      o["all_everywhere"] = st.await_propagation(Duration(30000));
       st.figures(o);
     }
     o["watch_ms"] = watch_ms(f);
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -155,7 +155,7 @@
 void Stream::purges(double n, TimePoint until) {
   impl_->flow(n, until, impl_->asked_purges, [p = impl_] { p->purge_one(); });
 }
-bool Stream::rest(Duration most) {
+bool Stream::await_propagation(Duration most) {
   return impl_->f.wait_until(most, [p = impl_] { return p->wants.empty() && !p->under_way; });
 }
 
