--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -47,16 +47,16 @@
   return f.wait_until(most, ok) ? static_cast<double>((f.world.now() - from).count()) : -1;
 }
 
-double permits(HollowFleet& f) {
+double count_read_leases(HollowFleet& f) {
   int n = 0;
   for (auto& x : f.nodes) n += x->up() && x->relay().state_cache().has_read_lease();
   return n;
 }
 
-bool whole(HollowFleet& f) { return f.all_up() && f.all_have_read_leases() && f.all_run("first"); }
+bool has_recovered(HollowFleet& f) { return f.all_up() && f.all_have_read_leases() && f.all_run("first"); }
 
 // Whether no running node lists a killed node as a member.
-bool known_gone(HollowFleet& f, const std::vector<Node*>& dead) {
+bool all_removed(HollowFleet& f, const std::vector<Node*>& dead) {
   for (auto& n : f.nodes) {
     if (!n->up()) continue;
     std::map<std::string, bool> in;
@@ -76,7 +76,7 @@
   auto from = f.world.now();
   for (auto* n : dead) f.kill(*n);
   o["lost_nodes"] = static_cast<double>(dead.size());
-  o["known_gone_ms"] = ms_until(f, Duration(20000), [&] { return known_gone(f, dead); });
+  o["known_gone_ms"] = ms_until(f, Duration(20000), [&] { return all_removed(f, dead); });
   uint64_t looks = 0, stale = 0;
   for (; f.world.now() - from < Duration(t.hold_s * 1000); f.sleep(Duration(50)), ++looks)
     stale += !f.all_have_read_leases();
@@ -85,7 +85,7 @@
   put(o, "while", *m, t.hold_s);
   m = meter(f);
   for (auto* n : dead) f.start(*n);
-  o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return whole(f); });
+  o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return has_recovered(f); });
   f.sleep(Duration(5000));
   put(o, "after", *m, 5 + std::max(0.0, o["whole_again_ms"]) / 1000);
 }
@@ -101,15 +101,15 @@
   st.changes(t.changes, end);
   st.purges(t.purges, end);
   f.sleep(std::min<Duration>(Duration(5000), end - f.world.now()));
-  o["permits_while"] = permits(f);
+  o["permits_while"] = count_read_leases(f);
   o["others"] = static_cast<double>(f.nodes.size()) - inside;
   double least = o["permits_while"];
-  for (; f.world.now() < end; f.sleep(Duration(500))) least = std::min(least, permits(f));
+  for (; f.world.now() < end; f.sleep(Duration(500))) least = std::min(least, count_read_leases(f));
   o["permits_least"] = least;
   put(o, "while", *m, t.hold_s);
   m = meter(f);
   f.isolated_region = -1;
-  o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return whole(f); });
+  o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return has_recovered(f); });
   o["all_everywhere"] = st.await_propagation(Duration(30000));
   st.figures(o);
   o["all_everywhere_ms"] = o["whole_again_ms"] < 0 ? -1 : static_cast<double>((f.world.now() - end).count());
@@ -127,7 +127,7 @@
   auto bytes = them[0]->link_traffic.bytes;
   for (auto* n : them) f.start(*n);
   o["restarted"] = static_cast<double>(want);
-  o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return whole(f); });
+  o["whole_again_ms"] = ms_until(f, Duration(60000), [&] { return has_recovered(f); });
   o["first_bytes"] = static_cast<double>(them[0]->link_traffic.bytes - bytes);
   f.sleep(Duration(t.hold_s * 1000));
   put(o, "after", *m, t.hold_s + std::max(0.0, o["whole_again_ms"]) / 1000);
