--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -67,7 +67,7 @@
   return true;
 }
 
-void zone(HollowFleet& f, const Trouble& t, Figures& o) {
+void zone(HollowFleet& f, const FaultScenario& t, Figures& o) {
   std::vector<Node*> dead;
   auto z = f.nodes[0]->zone;  // the zone of a replica
   for (auto& n : f.nodes)
@@ -90,7 +90,7 @@
   put(o, "after", *m, 5 + std::max(0.0, o["whole_again_ms"]) / 1000);
 }
 
-void apart(HollowFleet& f, const Trouble& t, Figures& o) {
+void apart(HollowFleet& f, const FaultScenario& t, Figures& o) {
   Stream st(f);
   auto from = f.world.now(), end = from + Duration(t.hold_s * 1000);
   auto m = meter(f);
@@ -117,7 +117,7 @@
   put(o, "after", *m, static_cast<double>((f.world.now() - end).count()) / 1000);
 }
 
-void restart(HollowFleet& f, const Trouble& t, Figures& o) {
+void restart(HollowFleet& f, const FaultScenario& t, Figures& o) {
   std::vector<Node*> them;
   size_t want = std::max<size_t>(2, f.nodes.size() / 100);
   for (auto i = f.nodes.size(); them.size() < want; --i) them.push_back(f.nodes[i - 1].get());
@@ -133,7 +133,7 @@
   put(o, "after", *m, t.hold_s + std::max(0.0, o["whole_again_ms"]) / 1000);
 }
 
-void storm(HollowFleet& f, const Trouble& t, Figures& o) {
+void storm(HollowFleet& f, const FaultScenario& t, Figures& o) {
   Stream st(f);
   auto end = f.world.now() + Duration(t.hold_s * 1000);
   auto m = meter(f);
@@ -152,7 +152,7 @@
 }
 }  // namespace
 
-Figures trouble(uint64_t seed, Shape s, const Trouble& t) {
+Figures measure_fault(uint64_t seed, Shape s, const FaultScenario& t) {
   Figures o;
   auto why = run_in_fleet(seed, s, Duration(t.hold_s * 1000 + 300000), [&](HollowFleet& f) {
     f.sleep(Duration(3000));
--- a/test/measure/faults.hpp
+++ b/test/measure/faults.hpp
@@ -5,11 +5,11 @@
 
 namespace dunlinwing::measure {
 
-struct Trouble {
+struct FaultScenario {
   std::string kind;                // zone, apart, restart, storm
   int hold_s = 10;                 // duration of the fault
   double changes = 0, purges = 0;  // per second, during the fault
 };
-Figures trouble(uint64_t seed, Shape s, const Trouble& t);
+Figures measure_fault(uint64_t seed, Shape s, const FaultScenario& t);
 
 }  // namespace dunlinwing::measure
--- a/test/measure/main.cpp
+++ b/test/measure/main.cpp
@@ -69,7 +69,7 @@
   s.regions = FLAGS_regions;
   s.max_latency = dunlinwing::Duration(FLAGS_far_ms);
   if (FLAGS_part == "fault")
-    return dm::trouble(seed, s, {FLAGS_fault, FLAGS_seconds, FLAGS_changes, FLAGS_purges});
+    return dm::measure_fault(seed, s, {FLAGS_fault, FLAGS_seconds, FLAGS_changes, FLAGS_purges});
   if (FLAGS_part == "sockets") return dm::sockets(s, FLAGS_seconds);
   return dm::steady(seed, s,
                     {FLAGS_workers, FLAGS_period_ms, FLAGS_registers, FLAGS_changes, FLAGS_purges,
