--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -65,7 +65,7 @@
   net::SystemClock clock;
   net::SystemRandom random;
   std::vector<std::unique_ptr<Real>> all;
-  std::promise<Figures> told;
+  std::promise<Figures> result;
 
   bool wait_until(Duration most, const std::function<bool()>& f) {
     auto end = clock.now() + most;
@@ -162,9 +162,9 @@
 
 Figures sockets(Shape s, int seconds) {
   auto* r = new Run;  // never deleted: its thread runs until the process ends
-  auto f = r->told.get_future();
+  auto f = r->result.get_future();
   std::thread([r, s, seconds] {
-    r->pool.run([r, s, seconds] { r->told.set_value(r->measure(s, seconds)); });
+    r->pool.run([r, s, seconds] { r->result.set_value(r->measure(s, seconds)); });
   }).detach();
   return f.get();
 }
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -51,7 +51,7 @@
   std::map<std::string, uint64_t> version;
   std::map<std::string, bool> busy;
   std::vector<std::unique_ptr<control_api::PurgeWriter>> purgers;
-  Spread change, purge, change_told, purge_told;
+  Spread change, purge, change_acknowledged, purge_acknowledged;
   uint64_t asked_changes = 0, asked_purges = 0, failed = 0, named = 0, under_way = 0, folded = 0;
   bool looking = false;
 
@@ -107,7 +107,7 @@
       auto* h = std::get_if<consensus::VersionedValue>(&r);
       if (!h) return void(++failed);
       version[key] = h->version;
-      change_told.add(static_cast<double>((f.world.now() - from).count()));
+      change_acknowledged.add(static_cast<double>((f.world.now() - from).count()));
       wants.push_back({key, h->version, from, false});
     });
   }
@@ -131,7 +131,7 @@
       --under_way;
       auto* d = std::get_if<control_api::PurgeResult>(&r);
       if (!d) return void(++failed);
-      purge_told.add(static_cast<double>((f.world.now() - from).count()));
+      purge_acknowledged.add(static_cast<double>((f.world.now() - from).count()));
       wants.push_back({"purge/" + service, d->number, from, true});
     });
   }
@@ -160,18 +160,18 @@
 }
 
 void Stream::figures(Figures& o) const {
-  auto tell = [&](const char* n, const Spread& all, const Spread& told, uint64_t asked) {
+  auto tell = [&](const char* n, const Spread& all, const Spread& acknowledged, uint64_t asked) {
     if (!asked) return;
     o[fmt::format("{}_asked", n)] = static_cast<double>(asked);
     o[fmt::format("{}_everywhere", n)] = static_cast<double>(all.count());
-    o[fmt::format("{}_told_p50_ms", n)] = told.at(0.5);
-    o[fmt::format("{}_told_p99_ms", n)] = told.at(0.99);
+    o[fmt::format("{}_told_p50_ms", n)] = acknowledged.at(0.5);
+    o[fmt::format("{}_told_p99_ms", n)] = acknowledged.at(0.99);
     o[fmt::format("{}_p50_ms", n)] = all.at(0.5);
     o[fmt::format("{}_p99_ms", n)] = all.at(0.99);
     o[fmt::format("{}_most_ms", n)] = all.most();
   };
-  tell("change", impl_->change, impl_->change_told, impl_->asked_changes);
-  tell("purge", impl_->purge, impl_->purge_told, impl_->asked_purges);
+  tell("change", impl_->change, impl_->change_acknowledged, impl_->asked_changes);
+  tell("purge", impl_->purge, impl_->purge_acknowledged, impl_->asked_purges);
   if (impl_->asked_purges) o["purge_folds_seen"] = static_cast<double>(impl_->folded);
   if (impl_->asked_changes + impl_->asked_purges) o["stream_failed"] = static_cast<double>(impl_->failed);
 }
--- a/test/measure/tree.cpp
+++ b/test/measure/tree.cpp
@@ -33,7 +33,7 @@
   Tree t;
   std::mt19937_64 rng;
   std::vector<Peer> ps;
-  std::vector<double> asked, told,
+  std::vector<double> requested_at, acknowledged_at,
       weight;                   // by number: request time, acknowledgement time, cumulative bytes
   double now = 0, from = 1e18;  // `from`: start of the measurement
   int apart = -1;
@@ -98,7 +98,8 @@
   }
 
   size_t acknowledged() const {
-    return static_cast<size_t>(std::upper_bound(told.begin(), told.end(), now) - told.begin());
+    return static_cast<size_t>(std::upper_bound(acknowledged_at.begin(), acknowledged_at.end(), now) -
+                               acknowledged_at.begin());
   }
 
   void pull(int i) {
@@ -164,7 +165,7 @@
     }
     if (now > from && (joined == 0 || repaired >= 0)) age.add(oldest);
     for (; all < least; ++all)
-      if (asked[all] > from) done.add(now - asked[all]);
+      if (requested_at[all] > from) done.add(now - requested_at[all]);
     at(now + 10, [this] { check_nodes(); });
   }
 
@@ -178,9 +179,9 @@
     weight.push_back(0);
     double last = 0;
     for (auto& [x, b] : v) {
-      asked.push_back(x);
+      requested_at.push_back(x);
       last = std::max(last, x + draw(20, 120) * 4);
-      told.push_back(last);
+      acknowledged_at.push_back(last);
       weight.push_back(weight.back() + b);
     }
   }
