--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -160,7 +160,7 @@
 }
 
 void Stream::figures(Figures& o) const {
-  auto tell = [&](const char* n, const Spread& all, const Spread& acknowledged, uint64_t asked) {
+  auto put_figures = [&](const char* n, const Spread& all, const Spread& acknowledged, uint64_t asked) {
     if (!asked) return;
     o[fmt::format("{}_asked", n)] = static_cast<double>(asked);
     o[fmt::format("{}_everywhere", n)] = static_cast<double>(all.count());
@@ -170,8 +170,8 @@
     o[fmt::format("{}_p99_ms", n)] = all.at(0.99);
     o[fmt::format("{}_most_ms", n)] = all.most();
   };
-  tell("change", impl_->change, impl_->change_acknowledged, impl_->asked_changes);
-  tell("purge", impl_->purge, impl_->purge_acknowledged, impl_->asked_purges);
+  put_figures("change", impl_->change, impl_->change_acknowledged, impl_->asked_changes);
+  put_figures("purge", impl_->purge, impl_->purge_acknowledged, impl_->asked_purges);
   if (impl_->asked_purges) o["purge_folds_seen"] = static_cast<double>(impl_->folded);
   if (impl_->asked_changes + impl_->asked_purges) o["stream_failed"] = static_cast<double>(impl_->failed);
 }
