--- a/test/measure/faults.cpp
+++ b/test/measure/faults.cpp
@@ -13,7 +13,7 @@
   explicit Meter(HollowFleet& x) : f(x) {}
   HollowFleet& f;
   std::vector<uint64_t> was;
-  Spread each;  // bytes of one relay that is no replica in one second
+  Distribution each;  // bytes of one relay that is no replica in one second
   double total = 0;
   bool on = true;
 };
--- a/test/measure/rows.cpp
+++ b/test/measure/rows.cpp
@@ -45,21 +45,21 @@
   return static_cast<bool>(f.flush());
 }
 
-struct Spread::Impl {
+struct Distribution::Impl {
   decltype(bh::make_histogram(Axis(2780, kLeast, kMost))) h = bh::make_histogram(Axis(2780, kLeast, kMost));
 };
 
-Spread::Spread() : impl_(new Impl) {}
-Spread::Spread(Spread&&) noexcept = default;
-Spread::~Spread() = default;
+Distribution::Distribution() : impl_(new Impl) {}
+Distribution::Distribution(Distribution&&) noexcept = default;
+Distribution::~Distribution() = default;
 
-void Spread::add(double x) {
+void Distribution::add(double x) {
   impl_->h(std::clamp(x, kLeast, kMost * 0.999));
   most_ = std::max(most_, x);
   ++n_;
 }
 
-double Spread::at(double part) const {
+double Distribution::at(double part) const {
   double want = part * static_cast<double>(n_), sum = 0;
   for (auto&& c : bh::indexed(impl_->h))
     if ((sum += *c) >= want && sum > 0) return std::min(most_, c.bin().upper());
--- a/test/measure/rows.hpp
+++ b/test/measure/rows.hpp
@@ -25,11 +25,11 @@
 
 // Percentiles of observed values, from a histogram with equal steps on a logarithmic scale
 // (1e-3 to 1e9, one percent per step).
-class Spread {
+class Distribution {
  public:
-  Spread();
-  Spread(Spread&&) noexcept;
-  ~Spread();
+  Distribution();
+  Distribution(Distribution&&) noexcept;
+  ~Distribution();
   void add(double x);
   double at(double part) const;  // 0.5: the median
   double most() const { return most_; }
--- a/test/measure/steady.cpp
+++ b/test/measure/steady.cpp
@@ -67,7 +67,7 @@
 
 void costs(HollowFleet& f, const std::vector<Mark>& was, const PullBytes& split, uint64_t cpu, double sec,
            Figures& o) {
-  Spread bytes;
+  Distribution bytes;
   double rb = 0, rm = 0, hb = 0, hm = 0, ans = 0, most = 0, leadership = 0;
   int rn = 0, hn = 0;
   for (size_t i = 0; i < f.nodes.size(); ++i) {
@@ -153,7 +153,7 @@
     auto cpu = cpu_ns();
     st.changes(l.changes, end);
     st.purges(l.purges, end);
-    Spread configurations;
+    Distribution configurations;
     for (int i = 1; i <= l.configurations; ++i) {
       auto from = f.world.now();
       auto name = fmt::format("next{}", i);
--- a/test/measure/stream.cpp
+++ b/test/measure/stream.cpp
@@ -51,7 +51,7 @@
   std::map<std::string, uint64_t> version;
   std::map<std::string, bool> busy;
   std::vector<std::unique_ptr<control_api::PurgeWriter>> purgers;
-  Spread change, purge, change_acknowledged, purge_acknowledged;
+  Distribution change, purge, change_acknowledged, purge_acknowledged;
   uint64_t asked_changes = 0, asked_purges = 0, failed = 0, named = 0, under_way = 0, folded = 0;
   bool looking = false;
 
@@ -160,7 +160,8 @@
 }
 
 void Stream::figures(Figures& o) const {
-  auto put_figures = [&](const char* n, const Spread& all, const Spread& acknowledged, uint64_t asked) {
+  auto put_figures = [&](const char* n, const Distribution& all, const Distribution& acknowledged,
+                         uint64_t asked) {
     if (!asked) return;
     o[fmt::format("{}_asked", n)] = static_cast<double>(asked);
     o[fmt::format("{}_everywhere", n)] = static_cast<double>(all.count());
--- a/test/measure/tree.cpp
+++ b/test/measure/tree.cpp
@@ -39,7 +39,7 @@
   int apart = -1;
   double joined = 0, repaired = -1, heaviest = 0;
   size_t all = 0;
-  Spread done, age;
+  Distribution done, age;
   struct Event {
     double at;
     uint64_t order;
@@ -219,7 +219,7 @@
     e.f();
   }
   Figures o;
-  Spread by[4], served[4], msgs[4];
+  Distribution by[4], served[4], msgs[4];
   for (auto& p : m.ps) {
     by[p.level].add(p.bytes / t.seconds);
     served[p.level].add(p.served / t.seconds);
