--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -50,7 +50,7 @@
   }
 };
 
-struct Real {
+struct SocketNode {
   simulation::DiskContents disk_contents;
   CountingTransport net;
   NoOrigin origin;
@@ -64,7 +64,7 @@
   net::EventLoopPool pool{1};
   net::SystemClock clock;
   net::SystemRandom random;
-  std::vector<std::unique_ptr<Real>> all;
+  std::vector<std::unique_ptr<SocketNode>> all;
   std::promise<Figures> result;
 
   bool wait_until(Duration most, const std::function<bool()>& f) {
@@ -73,7 +73,7 @@
       if (clock.now() >= end) return false;
     return true;
   }
-  bool each(const std::function<bool(Real&)>& f) {
+  bool each(const std::function<bool(SocketNode&)>& f) {
     for (auto& r : all)
       if (!f(*r)) return false;
     return true;
@@ -84,7 +84,7 @@
     auto addr = [](int i) { return fmt::format("127.0.0.1:{}", kPort + i); };
     for (int i = 0; i < s.replicas; ++i) hs.push_back({fmt::format("h{}", i + 1), addr(i)});
     for (int i = 0; i < s.nodes; ++i) {
-      auto r = std::make_unique<Real>();
+      auto r = std::make_unique<SocketNode>();
       r->ports = std::make_unique<base::Ports>(base::Ports{clock, random, pool, r->net, r->origin});
       if (i < s.replicas)
         r->disk = std::make_unique<storage::SnapshotStore>(
@@ -111,8 +111,9 @@
       clock.sleep(Duration(250 / s.nodes));
       pool.spawn([n = r->node.get()] { n->start(); });
     }
-    if (!wait_until(Duration(30000),
-                    [&] { return each([](Real& r) { return r.node->state_cache().has_read_lease(); }); }))
+    if (!wait_until(Duration(30000), [&] {
+          return each([](SocketNode& r) { return r.node->state_cache().has_read_lease(); });
+        }))
       return "not every node got a read lease";
     if (!wait_until(Duration(20000), [&] {
           base::Request q{"", "PUT", "/v1/releases/layout/first", layout_doc(0), {}};
@@ -120,8 +121,9 @@
           return st == 200 || st == 202;
         }))
       return "the first configuration was not accepted";
-    if (!wait_until(Duration(30000),
-                    [&] { return each([](Real& r) { return r.node->configuration_name() == "first"; }); }))
+    if (!wait_until(Duration(30000), [&] {
+          return each([](SocketNode& r) { return r.node->configuration_name() == "first"; });
+        }))
       return "not every node runs the first configuration";
     return {};
   }
@@ -145,7 +147,7 @@
     auto from = clock.now();
     int looks = 0, stale = 0;
     for (; clock.now() - from < Duration(seconds * 1000); clock.sleep(Duration(250)), ++looks)
-      stale += !each([](Real& r) { return r.node->state_cache().has_read_lease(); });
+      stale += !each([](SocketNode& r) { return r.node->state_cache().has_read_lease(); });
     double sec = static_cast<double>((clock.now() - from).count()) / 1000, n = s.nodes;
     auto t1 = link_traffic();
     o["relay_bytes"] = static_cast<double>(t1.bytes - t0.bytes) / sec / (n - s.replicas);
