--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -59,7 +59,7 @@
   bool all_run(const std::string& configuration);       // every running node runs this configuration
   void send_heartbeats(int backends, Duration period);  // each instance always uses the same relay
   bool cut(const Node& a, const Node& b) const {
-    return apart >= 0 && (a.region == apart) != (b.region == apart);
+    return isolated_region >= 0 && (a.region == isolated_region) != (b.region == isolated_region);
   }
 
   simulation::World& world;
@@ -68,7 +68,7 @@
   std::map<std::string, Node*> by;  // nodes by address
   simulation::ProcessRunPtr out;
   std::vector<std::shared_ptr<NodeProcess>> killed_processes;
-  int apart = -1;  // the region that is disconnected from all others; -1: none
+  int isolated_region = -1;  // the region that is disconnected from all others; -1: none
   uint64_t asks = 0, answers = 0, heartbeats_accepted = 0, heartbeats_rejected = 0;
   PullBytes split;
 };
--- a/test/measure/tree.cpp
+++ b/test/measure/tree.cpp
@@ -36,7 +36,7 @@
   std::vector<double> requested_at, acknowledged_at,
       weight;                   // by number: request time, acknowledgement time, cumulative bytes
   double now = 0, from = 1e18;  // `from`: start of the measurement
-  int apart = -1;
+  int isolated_region = -1;
   double joined = 0, repaired = -1, heaviest = 0;
   size_t all = 0;
   Distribution done, age;
@@ -57,7 +57,9 @@
     if (a.region != b.region || a.level == 0 || b.level == 0) return draw(20, 120);
     return a.level == 1 || b.level == 1 ? draw(3, 10) : draw(1, 3);
   }
-  bool cut(const Peer& a, const Peer& b) { return apart >= 0 && (a.region == apart) != (b.region == apart); }
+  bool cut(const Peer& a, const Peer& b) {
+    return isolated_region >= 0 && (a.region == isolated_region) != (b.region == isolated_region);
+  }
 
   int add(int level, int region, std::vector<int> parents) {
     Peer p;
@@ -147,7 +149,7 @@
     });
   }
 
-  bool counts(const Peer& p) const { return p.level == 3 && !p.dead && p.region != apart; }
+  bool counts(const Peer& p) const { return p.level == 3 && !p.dead && p.region != isolated_region; }
 
   void check_nodes() {
     size_t least = SIZE_MAX;
