--- a/test/bench/days.py
+++ b/test/bench/days.py
@@ -65,7 +65,7 @@
            [t("replace_core", at, x=1.0) for at in (5, 17, 29)], WIPE)
 
 
-def many():
+def many_requests():
     """d: hundreds of operator requests with kills, wiped disks and a network cut."""
     plan = [t("config_race", 1, count=130, gap_s=0.6), t("purge", 1.2, count=750, gap_s=0.104)]
     faults = [t("node_kill", 8, on="core", count=1, for_s=2.0, how="power"),
@@ -90,14 +90,14 @@
                          t("core_cut", 16, count=1, for_s=8.0, how="both")], POWER)
 
 
-def moves(services):
+def good_rollouts(services):
     """f: the rollout of a good version that has to complete before its deadline, without faults."""
     for service in services:
         for term in (14.0, 16.0, 20.0):
             yield "f-good-%s-%d" % (service, term), 32.0, [t("rollout_good", 3, for_s=term, service=service)], [], None
 
 
-def rows():
+def successive_losses():
     """g: successive losses, each as soon as the previous one may count as recovered."""
     races = lambda n: t("config_race", 2, count=n, gap_s=1.0)
     yield ("g-wipes", 45.0, [races(40)], [t("after_ack_wipe", at, for_s=1.0) for at in (3, 9, 15, 21, 27)], WIPE)
@@ -176,7 +176,7 @@
            [t("burst", 20, x=1.5, for_s=20.0)], None)
 
 
-def unseen(services):
+def hidden_failures(services):
     """j: a bad version that shows no failures at its canary share, without faults; a good version for comparison."""
     for service in services:
         for share in (0.1, 0.6):
@@ -203,7 +203,7 @@
 
 def every(services, origins=()):
     """All days. `services`: those that execute requests; `origins`: those whose responses are cached."""
-    for part in (cuts(), versions(), replaced(), many(), answers(), moves(services), rows(), reduced(),
-                 exposures([*services, *origins]), changes(), unseen([*services, *origins]),
+    for part in (cuts(), versions(), replaced(), many_requests(), answers(), good_rollouts(services), successive_losses(), reduced(),
+                 exposures([*services, *origins]), changes(), hidden_failures([*services, *origins]),
                  leavers([*services, *origins])):
         yield from part
--- a/test/measure/hollow.hpp
+++ b/test/measure/hollow.hpp
@@ -50,13 +50,12 @@
   void outside(std::function<void()> f);
   void sleep(Duration s);
   bool wait_until(Duration most, const std::function<bool()>& f);
-  bool run_on_node(
-      Node& n, Duration most,
-      std::function<void()> f);  // runs `f` in the node's process; false if it did not end in time
-  Node& random_running_node();   // a random running node
+  /// Runs `f` in the node's process; false if it did not end in time.
+  bool run_on_node(Node& n, Duration most, std::function<void()> f);
+  Node& random_running_node();
   bool all_up();
-  bool all_have_read_leases();                          // every running node has a read lease
-  bool all_run(const std::string& configuration);       // every running node runs this configuration
+  bool all_have_read_leases();                          // of the running nodes
+  bool all_run(const std::string& configuration);       // of the running nodes
   void send_heartbeats(int backends, Duration period);  // each instance always uses the same relay
   bool cut(const Node& a, const Node& b) const {
     return isolated_region >= 0 && (a.region == isolated_region) != (b.region == isolated_region);
