--- a/test/bench/days.py
+++ b/test/bench/days.py
@@ -203,7 +203,7 @@
 
 def every(services, origins=()):
     """All days. `services`: those that execute requests; `origins`: those whose responses are cached."""
-    for part in (cuts(), versions(), replaced(), many_requests(), answers(), good_rollouts(services), successive_losses(), reduced(),
-                 exposures([*services, *origins]), changes(), hidden_failures([*services, *origins]),
+    for part in (cuts(), versions(), replaced(), many_requests(), answers(), good_rollouts(services),
+                 successive_losses(), reduced(), exposures([*services, *origins]), changes(), hidden_failures([*services, *origins]),
                  leavers([*services, *origins])):
         yield from part
--- a/test/fleet/soak_fleet.cpp
+++ b/test/fleet/soak_fleet.cpp
@@ -18,8 +18,7 @@
 constexpr int kSeeds = 3;
 constexpr int kZones = 3;
 constexpr Duration kReapEvery{10};
-constexpr Duration kUntilMain{
-    1000};  // upper bound from fork to the start of the relay's main function on a loaded machine
+constexpr Duration kUntilMain{1000};  // upper bound from fork to the start of main on a loaded machine
 constexpr double kMsPerSecond = 1000;
 
 std::string loopback(int port) { return fmt::format("127.0.0.1:{}", port); }
--- a/test/fleet/soak_traffic.cpp
+++ b/test/fleet/soak_traffic.cpp
@@ -19,23 +19,20 @@
 constexpr int kRateSlack = 5;
 constexpr Duration kLongestWork{250};
 constexpr Duration kHeartbeatPeriod{800};
-constexpr Duration kClientTimeout{
-    6000};                        // timeout of a client; longer than the two-second deadline of the service
-constexpr Duration kBound{2000};  // within which every relay applies a new configuration
-constexpr Duration kBoundSlack{250};   // tolerance for time measured in this process
+constexpr Duration kClientTimeout{6000};  // longer than the service's deadline of two seconds
+constexpr Duration kBound{2000};          // within which every relay applies a new configuration
+constexpr Duration kBoundSlack{250};      // tolerance for time measured in this process
 constexpr Duration kRevertSlack{250};  // after which a relay uses no configuration older than one it has used
 constexpr Duration kUnreadSlack{200};  // within which the connection of an unread request may end
-constexpr Duration kNewConnections{
-    1500};  // after SIGTERM, clients still open connections to the relay for this long
-constexpr Duration kLongestPause{120};  // between two requests of a client
+constexpr Duration kNewConnections{1500};  // for which clients still connect after SIGTERM
+constexpr Duration kLongestPause{120};     // between two requests of a client
 constexpr Duration kOperatorTries{8000};
 constexpr int kRequestsEach = 40;  // maximum on one connection
 constexpr int kOneInSoManyLeaves = 12;
 constexpr Duration kLongestStay{150};      // before a client leaves early
 constexpr Duration kWorkForLeavers{1400};  // far longer than kLongestStay
 constexpr Duration kWorkStep{20};
-constexpr Duration kGoneSlack{
-    500};  // after which no instance may still execute a request whose client has left
+constexpr Duration kGoneSlack{500};         // after which no instance may work for a client that has left
 constexpr const char* kLeaver = "leaver-";  // prefix of the IDs of requests whose clients leave early
 
 /// The body of a cacheable object: its path, its creation time, and padding derived from both, long enough
--- a/test/measure/steady.hpp
+++ b/test/measure/steady.hpp
@@ -26,8 +26,8 @@
   ~Stream();
   void changes(double a_second, TimePoint until);
   void purges(double a_second, TimePoint until);
-  bool await_propagation(
-      Duration most);  // waits until all nodes know all acknowledged writes; false on timeout
+  /// Waits until all nodes know all acknowledged writes; false on timeout.
+  bool await_propagation(Duration most);
   void figures(Figures& out) const;
 
  private:
