--- a/test/platform/rules.cpp
+++ b/test/platform/rules.cpp
@@ -1,6 +1,6 @@
-// Each rule is one function over the diary. A request may be handled as any of the
-// configurations says that may be in force where it came in: from the newest that was
-// acknowledged long enough before it was sent, to whatever was sent by the time it ran.
+// Each rule is one function over the event journal. A request may be handled according to any configuration
+// that may be in force at its node: from the newest that was acknowledged long enough before the request was
+// sent, to any that was sent by the time the request was executed.
 #include "platform/rules.hpp"
 
 #include <fmt/format.h>
@@ -12,32 +12,34 @@
 constexpr Duration kApply{2000}, kRevert{250}, kDrain{2000}, kPurge{2000}, kStaleSlack{2000}, kRollback{5000},
     kWindow{10000}, kCeiling{5000};
 
-struct Bench {
+struct RuleChecker {
   const EventJournal& journal;
   std::vector<Violation> out;
   std::map<std::string, std::vector<const Arrival*>> runs;  // by id
 
-  explicit Bench(const EventJournal& x) : journal(x) {
+  explicit RuleChecker(const EventJournal& x) : journal(x) {
     for (auto& a : journal.arrivals)
       if (a.executed) runs[a.id].push_back(&a);
   }
-  void say(const char* rule, std::string what) { out.push_back({rule, std::move(what)}); }
-  const ClientAttempt* asked(const std::string& id) const {
+  void report(const char* rule, std::string what) { out.push_back({rule, std::move(what)}); }
+  const ClientAttempt* find_attempt(const std::string& id) const {
     auto f = journal.attempts.find(id);
     return f == journal.attempts.end() ? nullptr : &f->second;
   }
   bool ran(const std::string& id) const { return runs.count(id) > 0; }
 
-  void mixed() {
+  void check_mixed() {
     for (auto& [id, t] : journal.attempts) {
       if (!t.complete) continue;
       auto& response = t.response;
-      auto told = base::header(response.headers, "Attempt-Id");
-      if (!told.empty() && told != id) say("MIXED", fmt::format("{} got the answer to {}", id, told));
+      auto response_id = base::header(response.headers, "Attempt-Id");
+      if (!response_id.empty() && response_id != id)
+        report("MIXED", fmt::format("{} got the response to {}", id, response_id));
       if (response.status / 100 != 2) continue;
       auto f = journal.stamped_responses.find(base::header(response.headers, "Edge-Signature"));
       if (f == journal.stamped_responses.end()) {
-        say("MIXED", fmt::format("a success without a worker's stamp at {} {}", t.relay, t.target));
+        report("MIXED", fmt::format("a success without the signature of a backend instance at {} {}", t.relay,
+                                    t.target));
         continue;
       }
       auto& m = f->second;
@@ -49,42 +51,44 @@
         body = first <= last && last < m.body.size() ? m.body.substr(first, last - first + 1) : "?";
       }
       if (response.body != body)
-        say("MIXED",
-            fmt::format("not the worker's whole body for {} at {}: {}", t.target, t.relay, response.body));
+        report("MIXED", fmt::format("not the complete body of the backend instance for {} at {}: {}",
+                                    t.target, t.relay, response.body));
       if (m.target != t.target || (!m.object && m.id != id))
-        say("MIXED", fmt::format("{} {} got what was made for {} {}", id, t.target, m.id, m.target));
-      if (m.failed) say("MIXED", "a failure came as a success");
+        report("MIXED",
+               fmt::format("{} {} got the response created for {} {}", id, t.target, m.id, m.target));
+      if (m.failed) report("MIXED", "a failure was reported as a success");
     }
   }
 
-  void unasked() {
+  void check_unasked() {
     for (auto& a : journal.arrivals) {
       if (!a.executed) continue;
       bool read = a.method == "GET" && a.target.starts_with("/obj/");
-      auto* attempt = asked(a.id);
+      auto* attempt = find_attempt(a.id);
       if (!attempt) {
-        if (!read) say("UNASKED", fmt::format("{} ran {} {} under {}", a.instance, a.method, a.target, a.id));
+        if (!read)
+          report("UNASKED", fmt::format("{} ran {} {} under {}", a.instance, a.method, a.target, a.id));
         continue;
       }
       if (attempt->method != a.method || attempt->target != a.target || attempt->body != a.body)
-        say("UNASKED", fmt::format("{} ran {} {} for {} {}", a.instance, a.method, a.target, attempt->method,
-                                   attempt->target));
+        report("UNASKED", fmt::format("{} ran {} {} for {} {}", a.instance, a.method, a.target,
+                                      attempt->method, attempt->target));
     }
   }
 
-  void promises() {
+  void check_executions() {
     for (auto& [id, t] : journal.attempts) {
       if (t.kind != "non_idempotent") continue;
       auto n = runs.count(id) ? runs[id].size() : 0;
-      if (n > 1) say("TWICE", fmt::format("{} ran {} times", id, n));
+      if (n > 1) report("TWICE", fmt::format("{} ran {} times", id, n));
       int st = t.complete ? t.response.status : 0;
       if (n && (st == 429 || st == 503 || st == 408 || st == 421))
-        say("REFUSED", fmt::format("{} got {} and ran", id, st));
+        report("REFUSED", fmt::format("{} got {} and ran", id, st));
     }
   }
 
-  // Configurations that may hold for a request sent at `sent` and handled at `at`.
-  std::vector<const StatedConfiguration*> may_hold(TimePoint sent, TimePoint at) const {
+  // Configurations that may be in force for a request sent at `sent` and handled at `at`.
+  std::vector<const StatedConfiguration*> possible_configurations(TimePoint sent, TimePoint at) const {
     uint64_t least = 0;
     for (auto& s : journal.configurations)
       if (s.valid && s.acknowledged && *s.acknowledged + kApply < sent)
@@ -95,55 +99,56 @@
     return v;
   }
 
-  void routes() {
+  void check_routes() {
     for (auto& a : journal.arrivals) {
-      auto* attempt = asked(a.id);
+      auto* attempt = find_attempt(a.id);
       if (!a.executed || !attempt) continue;
       bool ever = std::any_of(journal.configurations.begin(), journal.configurations.end(), [&](auto& s) {
         return s.valid && s.sent <= a.at &&
                s.configuration.routes_to(attempt->host, attempt->target, a.service);
       });
       if (!ever)
-        say("ROUTE",
-            fmt::format("{} {} ran at {} of {}", attempt->host, attempt->target, a.instance, a.service));
-      if (!ever || !in_touch(journal, attempt->relay, a.at)) continue;
-      auto v = may_hold(attempt->sent, a.at);
+        report("ROUTE",
+               fmt::format("{} {} ran at {} of {}", attempt->host, attempt->target, a.instance, a.service));
+      if (!ever || !without_recent_fault(journal, attempt->relay, a.at)) continue;
+      auto v = possible_configurations(attempt->sent, a.at);
       if (std::none_of(v.begin(), v.end(), [&](auto* s) {
             return s->configuration.routes_to(attempt->host, attempt->target, a.service);
           }))
-        say("CONFIG",
-            fmt::format("late at {}: {} {} ran at {} after {}", attempt->relay, attempt->host,
-                        attempt->target, a.service, v.empty() ? 0 : v.front()->configuration.revision));
+        report("CONFIG",
+               fmt::format("late at {}: {} {} ran at {} after {}", attempt->relay, attempt->host,
+                           attempt->target, a.service, v.empty() ? 0 : v.front()->configuration.revision));
     }
     size_t denied = 0;
     std::string which;
     for (auto& [id, t] : journal.attempts) {
       int st = t.complete ? t.response.status : 0;
       if (st / 100 != 4 || st == 408 || st == 421 || st == 429 || st == 416 ||
-          !in_touch(journal, t.relay, t.ended))
+          !without_recent_fault(journal, t.relay, t.ended))
         continue;
-      auto v = may_hold(t.sent, t.ended);
+      auto v = possible_configurations(t.sent, t.ended);
       bool there = !v.empty() && std::all_of(v.begin(), v.end(), [&](auto* s) {
         return s->configuration.match(t.host, t.target);
       });
       if (!there) continue;
       ++denied;
       which = fmt::format("{} to {} {} at {}", st, t.host, t.target, t.relay);
-      if (st == 404) say("CONFIG", "late: " + which);
+      if (st == 404) report("CONFIG", "late: " + which);
     }
     if (denied > 5 + journal.attempts.size() / 500)
-      say("DENIED", fmt::format("{} times, such as {}", denied, which));
+      report("DENIED", fmt::format("{} times, such as {}", denied, which));
   }
 
-  // Within one life a machine never handles a request as only an older one than it has shown allows.
-  void back() {
-    struct Shown {
+  // While a process runs, it never handles a request in a way that only a configuration older than one it has
+  // already applied allows.
+  void check_reverts() {
+    struct AppliedRevision {
       uint64_t least = 0;
       TimePoint at{0};
     };
-    std::map<const void*, std::vector<Shown>> shown;
+    std::map<const void*, std::vector<AppliedRevision>> applied_revisions;
     for (auto& a : journal.arrivals) {
-      auto* attempt = asked(a.id);
+      auto* attempt = find_attempt(a.id);
       if (!a.executed || !attempt) continue;
       uint64_t least = UINT64_MAX, most = 0;
       for (auto& s : journal.configurations)
@@ -153,16 +158,16 @@
           most = std::max(most, s.configuration.revision);
         }
       if (!most) continue;
-      auto& v = shown[attempt->process];
+      auto& v = applied_revisions[attempt->process];
       for (auto& x : v)
         if (attempt->sent > x.at + kRevert && most < x.least)
-          say("CONFIG", fmt::format("back at {}: {} of {} after {} was seen", attempt->relay, attempt->target,
-                                    most, x.least));
+          report("CONFIG", fmt::format("reverted at {}: {} handled by configuration {} after {} was in use",
+                                       attempt->relay, attempt->target, most, x.least));
       if (v.empty() || least > v.back().least) v.push_back({least, a.at});
     }
   }
 
-  void configurations() {
+  void check_configurations() {
     auto newest = [&](TimePoint at) {
       uint64_t n = 0;
       for (auto& s : journal.configurations)
@@ -170,48 +175,51 @@
       return n;
     };
     for (auto& s : journal.configurations) {
-      if (!s.valid && s.acknowledged) say("CONFIG", "acknowledged though invalid: " + s.what);
+      if (!s.valid && s.acknowledged) report("CONFIG", "invalid, but acknowledged: " + s.what);
       if (!s.valid && s.rejections / 100 != 4)
-        say("CONFIG", fmt::format("invalid, and {} to it: {}", s.rejections, s.what));
+        report("CONFIG", fmt::format("invalid, but got status {}: {}", s.rejections, s.what));
       if (s.valid && s.rejections / 100 == 4)
-        say("CONFIG", fmt::format("valid, and {} to it: {}", s.rejections, s.what));
+        report("CONFIG", fmt::format("valid, but got status {}: {}", s.rejections, s.what));
     }
     for (auto& s : journal.configurations)
       for (auto& t : journal.configurations) {
         bool confirmed = s.valid && t.valid && s.acknowledged && t.acknowledged && s.text != t.text;
         if (confirmed && s.configuration.revision == t.configuration.revision &&
             *s.acknowledged <= *t.acknowledged && newest(*t.acknowledged) == t.configuration.revision)
-          say("CONFIG", fmt::format("two contents are confirmed under {}", t.configuration.revision));
+          report("CONFIG", fmt::format("two configurations are acknowledged under the number {}",
+                                       t.configuration.revision));
       }
-    for (auto& r : journal.rejected_again) say("CONFIG", "acknowledged, sent again and refused: " + r);
+    for (auto& r : journal.rejected_again)
+      report("CONFIG", "acknowledged, but rejected when sent again: " + r);
     if (newest(TimePoint::max()) && journal.read_back.empty())
-      say("CONFIG", "it does not come when read back");
+      report("CONFIG", "no configuration could be read back");
     for (auto& [n, text, asked] : journal.read_back) {
       if (n < newest(asked))
-        say("CONFIG", fmt::format("{} is read back, and {} was acknowledged", n, newest(asked)));
+        report("CONFIG", fmt::format("{} is read back although {} was acknowledged", n, newest(asked)));
       if (std::none_of(journal.configurations.begin(), journal.configurations.end(),
                        [&](auto& s) { return s.valid && s.text == text; }))
-        say("CONFIG", fmt::format("what is read back under {} was never sent", n));
+        report("CONFIG", fmt::format("the content read back under {} was never sent", n));
     }
   }
 
-  void drains() {
+  void check_drains() {
     for (auto& l : journal.deregistrations) {
-      if (!in_touch(journal, l.by, l.at)) continue;
+      if (!without_recent_fault(journal, l.by, l.at)) continue;
       for (auto& a : journal.arrivals)
         if (a.instance == l.instance && !a.wrong_instance && a.at > l.at + kDrain &&
-            in_touch(journal, a.node, a.at))
-          say("DRAIN", fmt::format("{} got a request from {} {} ms after {} took its word", a.instance,
-                                   a.node, (a.at - l.at).count(), l.by));
+            without_recent_fault(journal, a.node, a.at))
+          report("DRAIN",
+                 fmt::format("{} got a request from {} {} ms after {} acknowledged its deregistration",
+                             a.instance, a.node, (a.at - l.at).count(), l.by));
     }
   }
 
-  void budget() {
+  void check_budget() {
     std::map<std::string, std::vector<TimePoint>> again;
     std::map<std::string, std::vector<std::pair<TimePoint, double>>> asked_for;
     std::set<std::string> seen;
     for (auto& a : journal.arrivals)
-      if (asked(a.id) && !seen.insert(a.service + a.id).second) again[a.service].push_back(a.at);
+      if (find_attempt(a.id) && !seen.insert(a.service + a.id).second) again[a.service].push_back(a.at);
     for (auto& [id, t] : journal.attempts)
       for (auto& s : journal.configurations)
         if (auto* route = s.valid && s.acknowledged && *s.acknowledged <= t.sent
@@ -233,14 +241,14 @@
         auto from = v[i] - kWindow;
         double most = 0.2 * std::max({in(from), in(from - kWindow), in(from - kWindow / 2)}) + 64;
         if (static_cast<double>(i - j + 1) > most) {
-          say("BUDGET", fmt::format("{}: {} further arrivals in ten seconds, {:.0f} allowed", service,
-                                    i - j + 1, most));
+          report("BUDGET", fmt::format("{}: {} repeated arrivals in ten seconds, {:.0f} allowed", service,
+                                       i - j + 1, most));
           break;
         }
       }
   }
 
-  void exposure() {
+  void check_exposure() {
     for (auto& m : journal.version_rollouts) {
       if (!m.bad) continue;
       double all = 0, mine = 0;
@@ -250,22 +258,24 @@
         if (a.service != m.service || a.at < m.ordered || a.at > m.deadline) continue;
         ++all;
         bool here = a.version == m.version;
-        mine += here && in_touch(journal, a.node, a.at);
+        mine += here && without_recent_fault(journal, a.node, a.at);
         if (here && a.executed && a.failed && ++bad == 50) fiftieth = a.at;
-        auto* attempt = asked(a.id);
+        auto* attempt = find_attempt(a.id);
         if (here && fiftieth && attempt && attempt->sent > *fiftieth + kRollback &&
             (journal.core_faults.empty() || journal.core_faults.back() < *fiftieth) &&
-            in_touch(journal, a.node, a.at))
-          say("EXPOSURE", fmt::format("{} still gets requests {} ms after its 50th bad answer", m.version,
-                                      (attempt->sent - *fiftieth).count()));
+            without_recent_fault(journal, a.node, a.at))
+          report("EXPOSURE", fmt::format("{} still gets requests {} ms after its 50th bad response",
+                                         m.version, (attempt->sent - *fiftieth).count()));
       }
-      if (mine > 0.1 * all + 50) say("EXPOSURE", fmt::format("{} got {} of {}", m.version, mine, all));
+      if (mine > 0.1 * all + 50)
+        report("EXPOSURE", fmt::format("{} got {} of {} requests", m.version, mine, all));
     }
   }
 
-  void stale() {
+  void check_stale() {
     for (auto& [id, t] : journal.attempts) {
-      if (!t.complete || t.response.status / 100 != 2 || !in_touch(journal, t.relay, t.sent)) continue;
+      if (!t.complete || t.response.status / 100 != 2 || !without_recent_fault(journal, t.relay, t.sent))
+        continue;
       auto f = journal.stamped_responses.find(base::header(t.response.headers, "Edge-Signature"));
       auto g = journal.replaced.find(t.target);
       if (f == journal.stamped_responses.end() || g == journal.replaced.end() || !f->second.object ||
@@ -276,20 +286,20 @@
       for (auto& p : journal.purges) {
         bool named = p.tag.empty() ? p.host == t.host && p.path == t.target : p.tag == tag || p.tag == "tall";
         if (named && p.acknowledged && p.sent >= gone && t.sent > *p.acknowledged + kPurge)
-          say("STALE", fmt::format("{} at {} {} ms after its purge was acknowledged", t.target, t.relay,
-                                   (t.sent - *p.acknowledged).count()));
+          report("STALE", fmt::format("{} at {} {} ms after its purge was acknowledged", t.target, t.relay,
+                                      (t.sent - *p.acknowledged).count()));
       }
       double keep = 0;
       for (auto& s : journal.configurations)
         if (auto* route = s.valid ? s.configuration.match(t.host, t.target) : nullptr)
           keep = std::max(keep, route->cache_ttl_s);
       if (t.sent > gone + Duration(static_cast<int64_t>(keep * 1000)) + kStaleSlack)
-        say("STALE",
-            fmt::format("{} at {} {} ms after it was replaced", t.target, t.relay, (t.sent - gone).count()));
+        report("STALE", fmt::format("{} at {} {} ms after it was replaced", t.target, t.relay,
+                                    (t.sent - gone).count()));
     }
   }
 
-  void ceiling() {
+  void check_ceiling() {
     std::map<std::string, double> rates;
     for (auto& s : journal.configurations)
       for (auto& b : s.configuration.backends)
@@ -298,42 +308,43 @@
       if (rate <= 0) continue;
       std::vector<TimePoint> v;
       for (auto& a : journal.arrivals)
-        if (a.service == service && in_touch(journal, a.node, a.at)) v.push_back(a.at);
+        if (a.service == service && without_recent_fault(journal, a.node, a.at)) v.push_back(a.at);
       for (size_t i = 0, j = 0; i < v.size(); ++i) {
         while (v[j] + kCeiling <= v[i]) ++j;
         if (static_cast<double>(i - j + 1) > rate * 5 * 1.1 + 5) {
-          say("CEILING", fmt::format("{} got {} in five seconds, its rate is {}", service, i - j + 1, rate));
+          report("CEILING", fmt::format("{} got {} requests in five seconds, its rate is {} per second",
+                                        service, i - j + 1, rate));
           break;
         }
       }
     }
   }
 
-  void lost() {
+  void check_lost() {
     for (auto& [id, t] : journal.attempts) {
       if (t.complete || !t.read_by_node || t.ended >= t.deadline || t.probe || journal.unplanned) continue;
       bool planned = std::any_of(journal.terminations.begin(), journal.terminations.end(), [&](auto& x) {
         return x.second == t.relay && t.ended >= x.first && t.ended < x.first + Duration(7000);
       });
-      if (planned) say("LOST", fmt::format("{} was broken off at {} by its planned end", id, t.relay));
+      if (planned) report("LOST", fmt::format("{} was aborted at {} by a planned shutdown", id, t.relay));
     }
   }
 
-  void orders() {
+  void check_orders() {
     for (auto& l : journal.unacknowledged) {
       bool calm = std::none_of(journal.core_faults.begin(), journal.core_faults.end(),
-                               [&](TimePoint t) { return t > l.sent - kContact && t < l.ended; });
+                               [&](TimePoint t) { return t > l.sent - kRecentFaultPeriod && t < l.ended; });
       for (auto& [n, v] : journal.machine_faults)
-        for (auto t : v) calm &= t <= l.sent - kContact || t >= l.ended;
-      if (calm) say("ACKS", l.what + " had no acknowledgement in four calm seconds");
+        for (auto t : v) calm &= t <= l.sent - kRecentFaultPeriod || t >= l.ended;
+      if (calm) report("ACKS", l.what + " was not acknowledged in four seconds without faults");
     }
   }
 };
 }  // namespace
 
-bool in_touch(const EventJournal& journal, const std::string& machine, TimePoint t) {
+bool without_recent_fault(const EventJournal& journal, const std::string& machine, TimePoint t) {
   auto within = [&](const std::vector<TimePoint>& v) {
-    auto i = std::lower_bound(v.begin(), v.end(), t - kContact);
+    auto i = std::lower_bound(v.begin(), v.end(), t - kRecentFaultPeriod);
     return i != v.end() && *i <= t;
   };
   auto f = journal.machine_faults.find(machine);
@@ -341,20 +352,20 @@
 }
 
 std::vector<Violation> judge(const EventJournal& journal) {
-  Bench b(journal);
-  b.mixed();
-  b.unasked();
-  b.promises();
-  b.routes();
-  b.back();
-  b.configurations();
-  b.drains();
-  b.budget();
-  b.exposure();
-  b.stale();
-  b.ceiling();
-  b.lost();
-  b.orders();
+  RuleChecker b(journal);
+  b.check_mixed();
+  b.check_unasked();
+  b.check_executions();
+  b.check_routes();
+  b.check_reverts();
+  b.check_configurations();
+  b.check_drains();
+  b.check_budget();
+  b.check_exposure();
+  b.check_stale();
+  b.check_ceiling();
+  b.check_lost();
+  b.check_orders();
   return std::move(b.out);
 }
 
--- a/test/scenarios/leadership_fence_scenarios.cpp
+++ b/test/scenarios/leadership_fence_scenarios.cpp
@@ -1,5 +1,5 @@
-// Leaders of the rollout that are frozen or cut off for longer than their lease, at each point
-// between reading a register and having it written, while their successors write too.
+// Rollout leaders are frozen or partitioned for longer than their lease, at each point between
+// reading a register and completing its write, while their successors write too.
 #include "limits/rate_quotas.hpp"
 #include "rollout/rollout_controller.hpp"
 #include "rollout/version_rollout.hpp"
@@ -8,11 +8,11 @@
 namespace dunlinwing::test {
 namespace {
 
-constexpr size_t kMajority = 3;          // of the five replicas
-constexpr uint64_t kPoints = 10;         // promises and accepts of one write, on five disks
-constexpr Duration kPastTheLease{9000};  // the lease is four seconds, and a successor waits six at most
+constexpr size_t kMajority = 3;             // of five replicas
+constexpr uint64_t kVotesPerWrite = 10;     // promises and accepts of one write, on five disks
+constexpr Duration kLongerThanLease{9000};  // the lease is four seconds, and a successor waits six at most
 
-// The term that a value carries, when the register is one that only a leader decides.
+// The leader's term in a value, when only a leader may write the register.
 std::optional<uint64_t> term_in(const std::string& name, const std::string& data) {
   if (name == rollout::kRolloutKey) {
     pb::RolloutState r;
@@ -32,7 +32,7 @@
   return {};
 }
 
-// What the disks say was chosen, version by version.
+// The terms of the versions that were chosen according to the disks.
 class History {
  public:
   void synced(const std::string& host, const pb::RegisterState& slot) {
@@ -44,39 +44,40 @@
     auto& terms = terms_[slot.name()];
     auto at = terms.emplace(slot.value().version(), *term).first;
     highest = std::max(highest, *term);
-    if (at != terms.begin() && std::prev(at)->second > *term) fault(slot.name(), *std::prev(at), *at);
+    if (at != terms.begin() && std::prev(at)->second > *term)
+      report_violation(slot.name(), *std::prev(at), *at);
     if (auto next = std::next(at); next != terms.end() && next->second < *term)
-      fault(slot.name(), *at, *next);
+      report_violation(slot.name(), *at, *next);
   }
-  std::string broken;
+  std::string violation;
   uint64_t highest = 0;
 
  private:
   using VersionAndTerm = std::pair<const uint64_t, uint64_t>;
-  void fault(const std::string& name, const VersionAndTerm& earlier, const VersionAndTerm& later) {
-    broken = fmt::format("{} has term {} in version {} and term {} in version {}", name, earlier.second,
-                         earlier.first, later.second, later.first);
+  void report_violation(const std::string& name, const VersionAndTerm& earlier, const VersionAndTerm& later) {
+    violation = fmt::format("{} has term {} in version {} and term {} in version {}", name, earlier.second,
+                            earlier.first, later.second, later.first);
   }
   std::map<std::tuple<std::string, uint64_t, std::string>, std::set<std::string>> votes_;
   std::map<std::string, std::map<uint64_t, uint64_t>> terms_;
 };
 
-// Springs on the leader when so many of its votes have reached a disk.
-struct Trap {
+// Freezes or partitions the leader once the given number of its votes has reached a disk.
+struct LeaderFault {
   std::string leader;
   uint64_t votes_left = 0;
   bool freezes = false;
-  uint64_t sprung = 0;
+  uint64_t times_triggered = 0;
 
   void synced(Scene& scene, const pb::RegisterState& slot) {
     if (leader.empty() || !term_in(slot.name(), "")) return;
     if (slot.promised().node() != leader || votes_left-- > 0) return;
     if (freezes)
-      scene.world.freeze(leader, scene.world.now() + kPastTheLease);
+      scene.world.freeze(leader, scene.world.now() + kLongerThanLease);
     else
       scene.fleet.isolate(leader);
     leader.clear();
-    ++sprung;
+    ++times_triggered;
   }
 };
 
@@ -85,13 +86,13 @@
   scene.required_faults = {"freeze", "cut"};
   scene.script = [&scene] {
     auto history = std::make_shared<History>();
-    auto trap = std::make_shared<Trap>();
-    scene.world.synced = [&scene, history, trap, before = scene.world.synced](const std::string& host,
-                                                                              const pb::LogRecord& r) {
+    auto leader_fault = std::make_shared<LeaderFault>();
+    scene.world.on_record_synced = [&scene, history, leader_fault, before = scene.world.on_record_synced](
+                                       const std::string& host, const pb::LogRecord& r) {
       before(host, r);
       if (!r.has_register_state()) return;
       history->synced(host, r.register_state());
-      trap->synced(scene, r.register_state());
+      leader_fault->synced(scene, r.register_state());
     };
     if (!start_traffic(scene, 60, simulated_configuration("\"1\",\"2\"", 4, 40))) return;
     for (int i = 0; i < 3; ++i)
@@ -109,19 +110,21 @@
         scene.fleet.sleep(Duration(3000));
         continue;
       }
-      trap->votes_left = scene.world.below(kPoints);
-      trap->freezes = scene.world.random(500);
-      trap->leader = h->name;
-      scene.fleet.wait_until(Duration(3000), [&] { return trap->leader.empty(); });
-      trap->leader.clear();
-      scene.fleet.sleep(kPastTheLease);
+      leader_fault->votes_left = scene.world.below(kVotesPerWrite);
+      leader_fault->freezes = scene.world.random(500);
+      leader_fault->leader = h->name;
+      scene.fleet.wait_until(Duration(3000), [&] { return leader_fault->leader.empty(); });
+      leader_fault->leader.clear();
+      scene.fleet.sleep(kLongerThanLease);
       scene.world.heal_all();
       scene.fleet.sleep(Duration(2500));
     }
-    scene.require(history->broken.empty(), history->broken);
-    scene.require(trap->sprung >= 4, fmt::format("only {} leaders were stopped in a write", trap->sprung));
-    scene.require(history->highest >= trap->sprung, "the leadership did not change hands");
-    scene.figures["leaders_stopped"] = trap->sprung;
+    scene.require(history->violation.empty(), history->violation);
+    scene.require(leader_fault->times_triggered >= 4,
+                  fmt::format("only {} leaders were stopped during a write", leader_fault->times_triggered));
+    scene.require(history->highest >= leader_fault->times_triggered,
+                  "the leadership did not change often enough");
+    scene.figures["leaders_stopped"] = leader_fault->times_triggered;
     scene.figures["highest_term"] = history->highest;
   };
 }
--- a/test/scenarios/mixed_scenarios.cpp
+++ b/test/scenarios/mixed_scenarios.cpp
@@ -1,12 +1,12 @@
-// Any faults of the brief's list, several at once, drawn from the seed: what a day
-// could bring that nobody thought of. Then all is mended, and within fifteen seconds
-// the fleet serves and every acknowledged statement is there.
+// Random combinations of all fault kinds, several at once, drawn from the seed, to find
+// untested interactions. After all faults end, every node is ready within 15 seconds
+// and has every acknowledged configuration.
 #include "scenarios/scenario.hpp"
 
 namespace dunlinwing::test {
 namespace {
 
-struct Mix {
+struct RandomFaults {
   Scene& scene;
   std::map<std::string, std::string> configurations;
   int turn = 0;
@@ -17,13 +17,13 @@
     auto* backend = ws[scene.world.below(ws.size())].get();
     return backend->alive && !backend->leaving && !backend->foreign ? backend : nullptr;
   }
-  void met(const char* what) { ++scene.world.faults_met[what]; }
+  void count_fault(const char* what) { ++scene.world.fault_counts[what]; }
 
   void kill() {
-    if (auto& h = host(); may_lose(scene, h)) scene.fleet.kill(h.name);
+    if (auto& h = host(); may_kill(scene, h)) scene.fleet.kill(h.name);
   }
   void kill_many() {
-    met("kill_many");
+    count_fault("kill_many");
     for (auto& host : scene.fleet.hosts())
       if (scene.world.random(400)) scene.fleet.kill(host->name);
     scene.fleet.sleep(Duration(300));
@@ -52,7 +52,7 @@
   void restart() {
     auto* h = &host();
     if (!h->up()) return;
-    met("restart");
+    count_fault("restart");
     auto gone = std::make_shared<bool>(false);
     auto name = h->name;
     scene.world.spawn(h->process, [n = h->node.get(), gone] {
@@ -63,8 +63,8 @@
     scene.fleet.kill(name);
     scene.fleet.start(name);
   }
-  void jump() {
-    met("clock_jump");
+  void jump_clock() {
+    count_fault("clock_jump");
     host().wall_offset_ms += static_cast<int64_t>(scene.world.below(4 * 86400000ull)) - 2 * 86400000ll;
   }
   void slow_disk() {
@@ -72,14 +72,14 @@
     contents.min_latency = Duration(200);
     contents.max_latency = Duration(1500);
   }
-  void weather() {
+  void degrade_network() {
     scene.world.network = {static_cast<int>(scene.world.below(30)), static_cast<int>(scene.world.below(30)),
                            Duration(1), Duration(1 + scene.world.below(30))};
   }
   void worker_dies() {
     auto* backend = worker();
     if (!backend) return;
-    met("worker_died");
+    count_fault("worker_died");
     auto service = backend->service, version = backend->version;
     auto age = backend->max_age;
     backend->alive = false;
@@ -88,7 +88,7 @@
   void worker_leaves() {
     auto* backend = worker();
     if (!backend) return;
-    met("worker_left");
+    count_fault("worker_left");
     scene.fleet.add_backend(backend->service, backend->version, backend->max_age);
     backend->leaving = true;
     scene.fleet.spawn_outside([this, backend] {
@@ -96,10 +96,10 @@
       backend->alive = false;
     });
   }
-  void worker_ill() {
+  void make_backend_faulty() {
     auto* backend = worker();
     if (!backend) return;
-    met("worker_ill");
+    count_fault("worker_ill");
     backend->lose_percent = static_cast<int>(scene.world.below(20));
     backend->wrong_percent = static_cast<int>(scene.world.below(10));
     backend->bad_percent = static_cast<int>(scene.world.below(10));
@@ -108,7 +108,7 @@
   void address_passes() {
     auto* backend = worker();
     if (!backend) return;
-    met("address_passed");
+    count_fault("address_passed");
     auto service = backend->service, version = backend->version, address = backend->address;
     auto age = backend->max_age;
     backend->alive = false;
@@ -118,7 +118,7 @@
     scene.fleet.add_backend(service, version, age);
   }
   void crowd() {
-    met("crowd");
+    count_fault("crowd");
     scene.fleet.generate_requests(150, scene.world.now() + Duration(2500), [this] {
       scene.fleet.call("GET", fmt::format("/a/{}", scene.world.below(100000)));
     });
@@ -128,22 +128,22 @@
     auto doc = simulated_configuration("\"1\",\"2\"", 1 + static_cast<int>(scene.world.below(3)), 0,
                                        scene.world.random(300) ? R"(,"express":"mixed")" : "");
     if (scene.fleet.operator_call("PUT", "/v1/releases/layout/" + name, doc).status == 202)
-      configurations[name] = doc, met("layout");
+      configurations[name] = doc, count_fault("layout");
   }
   void invalid() {
     auto response = scene.fleet.operator_call("PUT", fmt::format("/v1/releases/layout/i{}", turn),
                                               R"({"content":{"services":{},"routes":7}})");
     scene.require(response.lost || response.status == 422 || response.status == 503,
-                  "an invalid layout gave " + response.body);
-    met("invalid_layout");
+                  "an invalid configuration got " + response.body);
+    count_fault("invalid_layout");
   }
-  void clear() {
+  void send_purge() {
     purge(scene, fmt::format("u{}", turn), scene.world.random(500) ? "prefix" : "path",
           scene.world.random(500) ? "/c/" : "/c/3"),
-        met("purge");
+        count_fault("purge");
   }
   void storm() {
-    met("purge_storm");
+    count_fault("purge_storm");
     for (int k = 0; k < 30; ++k)
       scene.fleet.spawn_outside([this, k, t = turn] {
         purge(scene, fmt::format("w{}-{}", t, k), "path", fmt::format("/c/{}", k % 20));
@@ -154,17 +154,35 @@
             .operator_call("PUT", "/v1/services/app",
                            scene.world.random(500) ? R"({"version":"2"})" : R"({"version":"1"})")
             .status == 200)
-      met("move");
+      count_fault("move");
   }
 
-  void all() {
-    using Do = void (Mix::*)();
-    static const Do list[] = {&Mix::kill,        &Mix::kill,          &Mix::kill_many,  &Mix::lose_disk,
-                              &Mix::freeze,      &Mix::freeze,        &Mix::cut,        &Mix::split,
-                              &Mix::restart,     &Mix::jump,          &Mix::slow_disk,  &Mix::weather,
-                              &Mix::worker_dies, &Mix::worker_leaves, &Mix::worker_ill, &Mix::address_passes,
-                              &Mix::crowd,       &Mix::layout,        &Mix::layout,     &Mix::invalid,
-                              &Mix::clear,       &Mix::clear,         &Mix::storm,      &Mix::move};
+  void inject_faults() {
+    using Action = void (RandomFaults::*)();
+    static const Action list[] = {&RandomFaults::kill,
+                                  &RandomFaults::kill,
+                                  &RandomFaults::kill_many,
+                                  &RandomFaults::lose_disk,
+                                  &RandomFaults::freeze,
+                                  &RandomFaults::freeze,
+                                  &RandomFaults::cut,
+                                  &RandomFaults::split,
+                                  &RandomFaults::restart,
+                                  &RandomFaults::jump_clock,
+                                  &RandomFaults::slow_disk,
+                                  &RandomFaults::degrade_network,
+                                  &RandomFaults::worker_dies,
+                                  &RandomFaults::worker_leaves,
+                                  &RandomFaults::make_backend_faulty,
+                                  &RandomFaults::address_passes,
+                                  &RandomFaults::crowd,
+                                  &RandomFaults::layout,
+                                  &RandomFaults::layout,
+                                  &RandomFaults::invalid,
+                                  &RandomFaults::send_purge,
+                                  &RandomFaults::send_purge,
+                                  &RandomFaults::storm,
+                                  &RandomFaults::move};
     for (turn = 0; turn < 25; ++turn) {
       for (auto n = 1 + scene.world.below(3); n; --n) (this->*list[scene.world.below(std::size(list))])();
       scene.fleet.sleep(Duration(scene.world.below(2500)));
@@ -174,18 +192,18 @@
     }
   }
 
-  void mend() {
+  void recover_and_check() {
     scene.world.heal_all();
     scene.world.network = scene.fleet.normal_conditions();
     for (auto& host : scene.fleet.hosts())
       host->disk_contents.min_latency = Duration(1), host->disk_contents.max_latency = Duration(4);
     for (auto& w : scene.fleet.backends())
       w->lose_percent = w->wrong_percent = w->bad_percent = 0, w->max_latency = Duration(8);
-    scene.fleet.sleep(Duration(5100));  // the last freeze is over
+    scene.fleet.sleep(Duration(5100));  // longer than the last freeze
     scene.fleet.start_all();
     scene.fleet.event(R"("t":"returned")");
     scene.require(await_all_ready(scene, Duration(15000)),
-                  "the fleet did not serve again 15 s after the machines returned");
+                  "not all nodes were ready 15 s after the hosts were restarted");
     scene.fleet.sleep(Duration(2000));
     for (auto& host : scene.fleet.hosts()) expect_releases(scene, *host, configurations);
     scene.fleet.sleep(Duration(20000));
@@ -199,9 +217,9 @@
     if (!start_traffic(scene, 50, simulated_configuration("\"1\",\"2\"", 3))) return;
     allow_version(scene, "2");
     for (int i = 0; i < 2; ++i) scene.fleet.add_backend("app", "2", 0);
-    auto m = std::make_shared<Mix>(Mix{scene, {}, 0});
-    m->all();
-    m->mend();
+    auto m = std::make_shared<RandomFaults>(RandomFaults{scene, {}, 0});
+    m->inject_faults();
+    m->recover_and_check();
     scene.figures = {{"layouts_read_back", m->configurations.size()}};
   };
 }
--- a/test/scenarios/sim_run.cpp
+++ b/test/scenarios/sim_run.cpp
@@ -1,6 +1,5 @@
-// Runs one case under one seed: the story and the callers are fibers; after
-// each event the rules that can be checked on the condition are; at the end the
-// journal is.
+// Runs one case with one seed. The scenario script and the clients are fibers. Rules on the
+// current state are checked after each event, rules on the journal at the end.
 #include <fstream>
 
 #include "rollout/rollout_controller.hpp"
@@ -9,18 +8,20 @@
 namespace dunlinwing::test {
 namespace {
 
-// What must hold after every single event, whatever has happened.
-struct Watch {
+// Invariants that are checked after every event.
+struct InvariantChecker {
   simulation::Fleet& fleet;
-  std::map<std::string, std::pair<void*, uint64_t>> shown;
-  std::map<std::string, uint64_t> told;  // generations already journalled as acknowledged
-  std::map<std::string, uint64_t> seat;  // host -> epoch of the set it was last seen with
-  std::map<uint64_t, std::string> sets;  // epoch -> the set
-  std::string broken;
-  std::map<std::pair<uint64_t, std::string>, std::set<std::string>> votes;  // ballot -> disks that have it
+  std::map<std::string, std::pair<void*, uint64_t>> last_generations;
+  std::map<std::string, uint64_t>
+      journalled_generations;                   // highest generation journalled as acknowledged, by node
+  std::map<std::string, uint64_t> last_epochs;  // host -> epoch of the replica set it last had
+  std::map<uint64_t, std::string> sets;         // epoch -> the replica set
+  std::string violation;
+  std::map<std::pair<uint64_t, std::string>, std::set<std::string>>
+      votes;  // ballot -> hosts that have synced it
 
-  // An assignment is acknowledged no sooner than its vote is on a majority of
-  // disks, and from then on every pull that begins will meet it.
+  // An assignment is acknowledged only once its vote is on a majority of disks; every pull
+  // that starts later returns it.
   void synced(const std::string& host, const pb::LogRecord& r) {
     if (r.register_state().name() != rollout::kRolloutKey || !r.register_state().has_accepted()) return;
     auto& on = votes[{r.register_state().accepted().round(), r.register_state().accepted().node()}];
@@ -29,40 +30,40 @@
     pb::RolloutState x;
     x.ParseFromString(r.register_state().value().data());
     for (auto& [n, a] : x.nodes())
-      if (a.generation() > told[n]) {
-        told[n] = a.generation();
-        f_event(n, a.generation());
+      if (a.generation() > journalled_generations[n]) {
+        journalled_generations[n] = a.generation();
+        journal_assignment(n, a.generation());
       }
   }
-  void f_event(const std::string& n, uint64_t g) {
+  void journal_assignment(const std::string& n, uint64_t g) {
     fleet.event(fmt::format(R"("t":"assigned","relay":"{}","generation":{})", n, g));
   }
 
-  void look() {
-    if (!broken.empty()) return;
+  void check_state() {
+    if (!violation.empty()) return;
     int replicas = 0;
     for (auto& host : fleet.hosts()) {
       if (!host->up()) continue;
       auto* n = host->node.get();
-      auto& [who, gen] = shown[host->name];
+      auto& [who, gen] = last_generations[host->name];
       if (who != n) {
         who = n;
         gen = 0;
       }
-      if (n->generation() < gen) broken = host->name + " fell back to a lower generation";
+      if (n->generation() < gen) violation = host->name + " fell back to a lower generation";
       gen = n->generation();
       auto& set = n->registers().replica_set();
-      if (set.epoch() && set.epoch() != seat[host->name]) {
-        seat[host->name] = set.epoch();
+      if (set.epoch() && set.epoch() != last_epochs[host->name]) {
+        last_epochs[host->name] = set.epoch();
         auto text = set.message().SerializeAsString();
         auto [at, fresh] = sets.emplace(set.epoch(), text);
         if (!fresh && at->second != text)
-          broken =
-              fmt::format("two sets of holders under epoch {}, one of them at {}", set.epoch(), host->name);
+          violation =
+              fmt::format("two replica sets with epoch {}, one of them at {}", set.epoch(), host->name);
       }
       replicas += n->leadership().is_leader();
     }
-    if (replicas > 1) broken = "two nodes hold the rollout duty";
+    if (replicas > 1) violation = "two nodes are the rollout leader";
   }
 };
 }  // namespace
@@ -75,11 +76,11 @@
   if (sim_case.shape) sim_case.shape(shape);
   simulation::Fleet fleet(world, shape);
   Scene scene{world, fleet, {}};
-  Watch watch{fleet, {}, {}, {}, {}, {}, {}};
-  world.synced = [&](auto& host, auto& r) { watch.synced(host, r); };
+  InvariantChecker invariants{fleet, {}, {}, {}, {}, {}, {}};
+  world.on_record_synced = [&](auto& host, auto& r) { invariants.synced(host, r); };
   sim_case.set_up(scene);
   world.run(
-      world.now() + scene.duration, [&] { watch.look(); },
+      world.now() + scene.duration, [&] { invariants.check_state(); },
       [&] {
         fleet.start_all();
         fleet.spawn_outside([&] {
@@ -88,7 +89,7 @@
         });
       });
   bool done = scene.script_done;
-  fleet.end();
+  fleet.kill_all();
   world.run(world.now() + Duration(20000), nullptr, nullptr);
   Journals js;
   for (auto& l : world.journal) js.add(l);
@@ -101,21 +102,21 @@
     sum.counts[k] = k.starts_with("longest") || k.starts_with("rate_top") || k.ends_with("kinds")
                         ? std::max(sum.counts[k], v)
                         : sum.counts[k] + v;
-  for (auto& [k, v] : world.faults_met) sum.counts["met_" + k] += v;
+  for (auto& [k, v] : world.fault_counts) sum.counts["met_" + k] += v;
   for (auto& [k, v] : scene.figures) sum.counts[k] = std::max(sum.counts[k], v);
   sum.counts["steps"] += world.steps();
-  expect(watch.broken.empty(), watch.broken);
+  expect(invariants.violation.empty(), invariants.violation);
   if (!r.breaches.empty())
     throw Failed(
         fmt::format("rule {} ({} breaches): {}", r.breaches[0].rule, r.breaches.size(), r.breaches[0].what));
   expect(scene.failure.empty(), scene.failure);
   auto late = r.figures["longest_not_run_ms"];
   expect(scene.reject_within == Duration(0) || Duration(static_cast<int64_t>(late)) <= scene.reject_within,
-         fmt::format("a request was turned away only after {} ms", late));
-  expect(!r.figures["no_retry_after"], "a request was turned away without being told when to come back");
+         fmt::format("a request was rejected only after {} ms", late));
+  expect(!r.figures["no_retry_after"], "a request was rejected without Retry-After");
   expect(!r.figures["lost_unexplained"],
-         fmt::format("{} requests were lost at relays that nothing befell", r.figures["lost_unexplained"]));
-  expect(done, "the story did not come to its end");
+         fmt::format("{} requests were lost at relays without a fault", r.figures["lost_unexplained"]));
+  expect(done, "the scenario script did not finish");
   for (auto& m : scene.required_faults) sum.required_faults.insert(m);
 }
 
--- a/test/support/byte_backend.hpp
+++ b/test/support/byte_backend.hpp
@@ -1,5 +1,5 @@
-// A stand-in backend that fails at one chosen byte: of a request it reads or of the
-// answer it sends. It counts the requests that reached it whole, by Attempt-Id.
+// A stub backend that fails at one chosen byte of a request it reads or of the response
+// it sends. It counts the completely received requests by Attempt-Id.
 #pragma once
 #include <charconv>
 #include <set>
@@ -8,25 +8,25 @@
 
 namespace dunlinwing::test {
 
-enum class Trouble { none, close, reset, silence };
+enum class BackendFault { none, close, reset, silence };
 
 // What the backend does with the first request that carries `victim` as its Attempt-Id.
 struct Plan {
   std::string victim;
-  Trouble trouble = Trouble::none;
-  bool receiving = false;  // whether `at` counts bytes of the request, else of the answer
-  size_t at = 0;           // bytes after which the trouble comes
-  bool chunked = false;    // the framing of every answer; else by length
-  std::string before;      // sent in one segment with the answer, ahead of it
-  std::string together;    // sent in one segment with the answer, behind it
-  std::string later;       // sent by itself soon after the answer
+  BackendFault fault = BackendFault::none;
+  bool receiving = false;  // whether `at` counts bytes of the request; otherwise of the response
+  size_t at = 0;           // bytes after which the fault occurs
+  bool chunked = false;    // whether responses are chunked; otherwise Content-Length
+  std::string before;      // sent in one segment with the response, before it
+  std::string together;    // sent in one segment with the response, after it
+  std::string later;       // sent separately soon after the response
   std::string early;       // sent once `at` bytes of the request are read
-  std::string instead;     // the victim's whole answer, in place of a good one
+  std::string instead;     // replaces the complete response to the victim
 };
 
 inline std::string good_body(const std::string& id) { return "made for " + id; }
 
-// A whole answer that names the request `id` and is stamped.
+// A complete response with the id of the request and a signature.
 inline std::string good_answer(const std::string& id, bool chunked) {
   auto body = good_body(id);
   auto head = fmt::format("HTTP/1.1 200 OK\r\nAttempt-Id: {}\r\nEdge-Signature: s.{}\r\n", id, id);
@@ -46,18 +46,19 @@
   ~ByteBackend() {
     closing_ = true;
     acceptor_->close();
-    for (auto& weak : lines_)
+    for (auto& weak : connections_)
       if (auto connection = weak.lock()) connection->interrupt();
     net::SystemClock clock;
     while (open_) clock.sleep(1ms);
   }
   std::string address() const { return fmt::format("127.0.0.1:{}", acceptor_->local_endpoint().port()); }
-  int whole(const std::string& id) const {
-    auto found = whole_.find(id);
-    return found == whole_.end() ? 0 : found->second;
+  int received_count(const std::string& id) const {
+    auto found = received_counts_.find(id);
+    return found == received_counts_.end() ? 0 : found->second;
   }
-  bool begun(const std::string& id) const { return begun_.count(id) > 0; }  // its head came
-  size_t request_bytes() const { return request_bytes_; }  // of the longest request that was read whole
+  bool begun(const std::string& id) const { return begun_.count(id) > 0; }  // its head was received
+  // The size of the longest request that was received completely.
+  size_t request_bytes() const { return request_bytes_; }
   void freeze() { frozen_ = true; }
   void thaw() { frozen_ = false; }
 
@@ -73,7 +74,7 @@
       if (failed) return;
       ++open_;
       auto connection = std::make_shared<net::Connection>(std::move(socket));
-      lines_.push_back(connection);
+      connections_.push_back(connection);
       pool().spawn([this, connection] {
         while (serve(*connection)) {
         }
@@ -90,7 +91,7 @@
     return std::string(head.substr(from, head.find('\r', from) - from));
   }
 
-  // Bytes of the request in `got`, once its head is whole.
+  // The size of the request in `got` in bytes, once its head is complete.
   static std::optional<size_t> request_size(std::string_view got) {
     auto end = got.find("\r\n\r\n");
     if (end == got.npos) return {};
@@ -105,38 +106,38 @@
     while (frozen_ && !closing_) clock.sleep(1ms);
   }
 
-  // Ends the connection as planned; a silence lasts until the other side is gone.
+  // Injects the planned fault; silence lasts until the peer closes the connection.
   bool fail(net::Connection& connection) {
-    if (plan_.trouble == Trouble::reset)
+    if (plan_.fault == BackendFault::reset)
       connection.socket().set_option(boost::asio::socket_base::linger(true, 0));
-    if (plan_.trouble == Trouble::silence) {
+    if (plan_.fault == BackendFault::silence) {
       connection.consume(connection.buffered().size());
       while (!connection.read_more()) connection.consume(connection.buffered().size());
     }
     return false;
   }
 
-  // Reads one request and answers it; false when the connection is to end.
+  // Reads one request and responds to it; false when the connection must be closed.
   bool serve(net::Connection& connection) {
-    bool told_early = false;
+    bool sent_early = false;
     std::optional<size_t> size;
     for (;;) {
       wait_while_frozen();
       auto got = connection.buffered();
       size = request_size(got);
       if (size) begun_.insert(header_of(got.substr(0, got.find("\r\n\r\n") + 2), "Attempt-Id"));
-      bool whole = size && got.size() >= *size;
+      bool complete = size && got.size() >= *size;
       bool is_victim = !hit_ && (plan_.victim.empty() || header_of(got, "Attempt-Id") == plan_.victim ||
                                  (expect_victim_ && !size));
       if (plan_.receiving && is_victim && got.size() >= plan_.at) {
-        if (!plan_.early.empty() && !std::exchange(told_early, true)) connection.write(plan_.early);
-        if (plan_.trouble != Trouble::none) {
+        if (!plan_.early.empty() && !std::exchange(sent_early, true)) connection.write(plan_.early);
+        if (plan_.fault != BackendFault::none) {
           hit_ = true;
           if (size && plan_.at >= *size) count(got, *size);
           return fail(connection);
         }
       }
-      if (whole) break;
+      if (complete) break;
       if (connection.read_more()) return false;
     }
     std::string head(connection.buffered().substr(0, connection.buffered().find("\r\n\r\n") + 2));
@@ -146,7 +147,7 @@
   }
 
   void count(std::string_view request, size_t size) {
-    ++whole_[header_of(request, "Attempt-Id")];
+    ++received_counts_[header_of(request, "Attempt-Id")];
     request_bytes_ = std::max(request_bytes_, size);
   }
 
@@ -154,7 +155,7 @@
     auto proper = good_answer(id, plan_.chunked);
     if (id != plan_.victim || std::exchange(hit_, true)) return !connection.write(proper);
     if (!plan_.instead.empty()) proper = plan_.instead;
-    if (plan_.trouble != Trouble::none && !plan_.receiving) {
+    if (plan_.fault != BackendFault::none && !plan_.receiving) {
       connection.write(std::string_view(proper).substr(0, plan_.at));
       return fail(connection);
     }
@@ -165,14 +166,14 @@
   }
 
  public:
-  // From now on the next bytes of a request are taken for the victim's, before its name is read.
+  // Treats the next bytes of a request as the victim's before its Attempt-Id is received.
   void expect_victim() { expect_victim_ = true; }
 
  private:
   Plan plan_;
   std::shared_ptr<Acceptor> acceptor_;
-  std::vector<std::weak_ptr<net::Connection>> lines_;
-  std::map<std::string, int> whole_;
+  std::vector<std::weak_ptr<net::Connection>> connections_;
+  std::map<std::string, int> received_counts_;
   std::set<std::string> begun_;
   size_t request_bytes_ = 0;
   int open_ = 0;
--- a/test/unit/main.cpp
+++ b/test/unit/main.cpp
@@ -1,4 +1,4 @@
-// Properties and small examples of the pure parts.
+// Runs the unit tests: properties and examples of single components.
 #include <gflags/gflags.h>
 
 #include "support/expect.hpp"
@@ -13,14 +13,14 @@
   for (auto* part : {&disk_cases,
                      &disk_fault_cases,
                      &acceptor_cases,
-                     &registry_cases,
+                     &register_cases,
                      &consensus_trace_cases,
                      &consensus_property_cases,
                      &rollout_cases,
-                     &fence_cases,
+                     &leadership_fence_cases,
                      &control_state_cases,
                      &contact_cases,
-                     &move_cases,
+                     &version_rollout_cases,
 
                      &attempt_decision_cases,
                      &canary_admission_cases,
@@ -41,8 +41,8 @@
                      &assignment_loader_cases,
                      &heartbeat_table_cases,
                      &compatibility_cases,
-                     &keepers_cases,
-                     &platform_words_cases,
+                     &replica_repair_cases,
+                     &platform_translation_cases,
                      &platform_rules_cases})
     for (auto& c : (*part)()) all.push_back(c);
   return run_all(all, FLAGS_case_name);
--- a/test/unit/unit_cases.hpp
+++ b/test/unit/unit_cases.hpp
@@ -1,4 +1,4 @@
-// The unit cases, a function for each part, and the bridge to RapidCheck.
+// The unit test cases, one function for each component, and the adapter for RapidCheck.
 #pragma once
 #include <rapidcheck.h>
 
@@ -9,14 +9,14 @@
 std::vector<Case> disk_cases();
 std::vector<Case> disk_fault_cases();
 std::vector<Case> acceptor_cases();
-std::vector<Case> registry_cases();
+std::vector<Case> register_cases();
 std::vector<Case> consensus_trace_cases();
 std::vector<Case> consensus_property_cases();
 std::vector<Case> rollout_cases();
-std::vector<Case> fence_cases();
+std::vector<Case> leadership_fence_cases();
 std::vector<Case> control_state_cases();
 std::vector<Case> contact_cases();
-std::vector<Case> move_cases();
+std::vector<Case> version_rollout_cases();
 std::vector<Case> attempt_decision_cases();
 std::vector<Case> canary_admission_cases();
 std::vector<Case> upstream_client_cases();
@@ -36,8 +36,8 @@
 std::vector<Case> assignment_loader_cases();
 std::vector<Case> heartbeat_table_cases();
 std::vector<Case> compatibility_cases();
-std::vector<Case> keepers_cases();
-std::vector<Case> platform_words_cases();
+std::vector<Case> replica_repair_cases();
+std::vector<Case> platform_translation_cases();
 std::vector<Case> platform_rules_cases();
 
 template <class F>
