--- a/src/canary/canary_analysis.hpp
+++ b/src/canary/canary_analysis.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// Each node's own evaluation of the canaries: it adds up the bad responses that all nodes report, across
-/// their restarts, and aborts a canary when there are too many or when any node reports having aborted it; a
-/// canary with a deadline also when it is clearly worse. This needs no leader; the leader only makes the
-/// verdict durable. Does no I/O; used by the control thread only.
+/// their restarts, and aborts a canary when there are too many or when any node reports having aborted it. A
+/// canary with a deadline is also aborted when it is clearly worse. This needs no leader; the leader only
+/// makes the verdict durable. Does no I/O; used by the control thread only.
 #pragma once
 #include <set>
 
--- a/src/canary/canary_share.hpp
+++ b/src/canary/canary_share.hpp
@@ -11,7 +11,7 @@
 inline constexpr int kDeadlinePercent = 6;
 /// The percentage while its instances are cold and their responses are weak evidence.
 inline constexpr int kColdPercent = 1;
-/// The percentage once there is enough evidence, or only what the switch needs is left of the allowance.
+/// The percentage once there is enough evidence, or the rest of the allowance is needed for the switch.
 inline constexpr int kWatchPercent = 1;
 /// Requests of the whole fleet that are sent to a canary with a deadline in advance of its share, once its
 /// instances are warm.
--- a/src/canary/canary_statistics.hpp
+++ b/src/canary/canary_statistics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The responses of a canary and of the version in place (the baseline), counted over all nodes, by route:
+/// The responses of a canary and of the current version (the baseline), counted over all nodes, by route:
 /// since the canary began, and since its backend instances became warm. Each node computes the sums itself
 /// from the counters in the statuses, across restarts of the reporting processes; none of it is stored. The
 /// verdict functions are pure.
--- a/src/limits/demand_estimator.hpp
+++ b/src/limits/demand_estimator.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Estimates each node's demand for each rate-limited service, by which the service's rate is split. Does no
-/// I/O; used by the thread that runs control only.
+/// I/O; used by the control thread only.
 #pragma once
 #include "base/common.hpp"
 #include "wire.pb.h"
--- a/src/limits/demand_share_tracker.hpp
+++ b/src/limits/demand_share_tracker.hpp
@@ -6,7 +6,7 @@
 /// Each node computes its own share from the statuses of all nodes. These reach nodes at different times, so
 /// an increase is used only after a bound, and a decrease at once: the shares in use add up to one except
 /// where the nodes' views differ, so a split of a hard limit has to keep a margin. Does no I/O; used by the
-/// thread that runs control only.
+/// control thread only.
 #pragma once
 #include <deque>
 
--- a/src/limits/rate_allocator.hpp
+++ b/src/limits/rate_allocator.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Maintains the quotas of rate-limited services on the rollout leader: observes the demand at each node and
 /// writes a service's quotas when they should fall or may rise. demand_estimator and rate_quotas decide. Used
-/// by the thread that runs control only.
+/// by the control thread only.
 ///
 /// After a takeover the leader does not know when quotas last fell, so it raises none for a bound; nor does
 /// it know the demand, so it lowers none because of low demand until it has observed it a few times.
--- a/src/limits/rate_limiter.hpp
+++ b/src/limits/rate_limiter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Spaces one node's requests to an origin evenly, at the node's quota of the origin's configured rate. The
+/// Spaces one node's requests to a service evenly, at the node's quota of the service's configured rate. The
 /// rate is kept over the whole fleet because the quotas of all nodes together never exceed it.
 #pragma once
 #include <mutex>
@@ -15,7 +15,7 @@
   double quota = 0;   ///< from which it was computed, in requests per second
 };
 
-/// The slots reserved so far. From any thread.
+/// The slots reserved so far. May be used from any thread.
 class RateLimiter {
  public:
   /// @param clock  has to outlive the limiter
--- a/src/limits/rate_quotas.hpp
+++ b/src/limits/rate_quotas.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Splits an origin's configured rate into quotas by node. Pure. Quotas fall at once, and rise only when no
-/// node can still be using a quota that has fallen. So the quotas in use never exceed the rate together.
+/// Splits a service's configured rate into quotas by node. Pure. Quotas fall at once, and rise only when no
+/// node can still be using a quota that has fallen. So the quotas in use together never exceed the rate.
 ///
 /// Each node may be early by one request, so N nodes may be early by N in any five seconds. The sum of the
 /// quotas and the number of nodes with one leave room for that within a tenth of the rate; the rest of the
--- a/src/limits/retry_budget.hpp
+++ b/src/limits/retry_budget.hpp
@@ -25,7 +25,7 @@
 /// than nodes each node gets at least one. Pure.
 [[nodiscard]] int retry_allowance_of_node(int64_t allowance, const AllowanceParticipant& participant);
 
-/// The retries earned by this node's requests, by service. From any thread.
+/// The retries earned by this node's requests, by service. May be used from any thread.
 ///
 /// Each request earns a fifth of a retry, and at most this node's share of the allowance is saved up. So over
 /// any period, ten seconds or other, there are no more retries than that share plus a fifth of the requests.
