--- a/src/consensus/acceptor.hpp
+++ b/src/consensus/acceptor.hpp
@@ -5,7 +5,7 @@
 ///
 /// Invariants: only synced state is sent to other nodes; a request whose epoch is below that of the replica
 /// set known here gets no vote.
-/// Threads: used by the fibers of the thread that runs control only.
+/// Threads: used by the fibers of the control thread only.
 #pragma once
 #include "base/ports.hpp"
 #include "consensus/replica_set.hpp"
--- a/src/consensus/record_writer.hpp
+++ b/src/consensus/record_writer.hpp
@@ -21,7 +21,7 @@
 /// - A change of memory while the snapshot was being written had its sync refused, so another snapshot is
 ///   written before any request is granted.
 ///
-/// Threads: used by the fibers of the thread that runs control only. sync() suspends its fiber.
+/// Threads: used by the fibers of the control thread only. sync() suspends its fiber.
 #pragma once
 #include "base/ports.hpp"
 
--- a/src/consensus/replica_set.hpp
+++ b/src/consensus/replica_set.hpp
@@ -6,7 +6,7 @@
 ///
 /// Invariant: quorums of sets with consecutive epochs always intersect, however many replicas are replaced in
 /// one step.
-/// Threads: used by the thread that runs control only.
+/// Threads: used by the control thread only.
 #pragma once
 #include "consensus/quorum_call.hpp"
 
--- a/src/membership/backend_instance.hpp
+++ b/src/membership/backend_instance.hpp
@@ -11,7 +11,7 @@
 /// One process of a service. It gets a new name at each start.
 struct BackendInstance {
   std::string instance, service, version, zone;
-  std::string address;      ///< HOST:PORT that accepts its requests
+  std::string address;      ///< IP:port that accepts its requests
   int capacity = 1;         ///< requests that it processes concurrently
   TimePoint cold_until{0};  ///< end of its warm-up, during which it is slow; 0: not reported
 };
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -2,7 +2,7 @@
 /// How a node finds the replica set. A node that knows none, or has had no read lease for a long time,
 /// queries its seeds and a few of the nodes that it remembers. At the first start of the fleet, once all
 /// seeds have responded and none knows a set, the seeds with a disk form the first set; every node computes
-/// the same one. Used by the thread that runs control only.
+/// the same one. Used by the control thread only.
 #pragma once
 #include "membership/state_cache.hpp"
 
@@ -13,7 +13,7 @@
   std::string node_name;
   Duration bound{2000};            ///< all periods here are fractions of it
   bool initial_boot = false;       ///< first start of the fleet, and the settings name no replicas
-  std::vector<std::string> seeds;  ///< control addresses, HOST:PORT
+  std::vector<std::string> seeds;  ///< control addresses, IP:port
 };
 
 /// What a node reports about itself under /v1/self.
--- a/src/membership/leadership.hpp
+++ b/src/membership/leadership.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// A leadership that at most one node has at a time. Its lease is a register written to a quorum of the
 /// replicas and renewed before it expires. The leader stops acting before the lease expires; its standby may
-/// take over once it has expired, other nodes only later. Used by the thread that runs control only.
+/// take over once it has expired, other nodes only later. Used by the control thread only.
 ///
 /// The lease lasts two bounds. The leader relies on three quarters of that, counted from before the write
 /// that renewed it; other nodes wait for all of it, counted from when they saw the last renewal. So no clocks
--- a/src/membership/leadership_fence.hpp
+++ b/src/membership/leadership_fence.hpp
@@ -3,7 +3,7 @@
 /// decided. A leader that was frozen, partitioned or restarted between a decision and its write changes
 /// nothing: its lease has expired, or its current lease has another term than the decision, or the value has
 /// a higher term, or its compare-and-set fails on the version that its successor wrote when it took over.
-/// Used by the thread that runs control only.
+/// Used by the control thread only.
 #pragma once
 #include "consensus/register_client.hpp"
 #include "membership/leadership.hpp"
--- a/src/membership/pull_schedule.hpp
+++ b/src/membership/pull_schedule.hpp
@@ -2,7 +2,7 @@
 /// When a node pulls next. Good pulls follow each other at a fixed period, or sooner when a caller waits for
 /// one. Failed pulls are retried quickly at first, because a message may have been lost or the replicas may
 /// be restarting, and then with a jittered backoff: retries must not add load to replicas that fail to
-/// respond because they are overloaded. Does no I/O; used by the thread that runs control only.
+/// respond because they are overloaded. Does no I/O; used by the control thread only.
 #pragma once
 #include <algorithm>
 
--- a/src/membership/read_lease_log.hpp
+++ b/src/membership/read_lease_log.hpp
@@ -2,7 +2,7 @@
 /// Logs when the read lease becomes valid and when it expires, with the likely cause: the outcomes of the
 /// pulls since the last good one.
 ///
-/// Threads: used by the thread that runs control only.
+/// Threads: used by the control thread only.
 #pragma once
 #include <string>
 
--- a/src/membership/replica_repair.hpp
+++ b/src/membership/replica_repair.hpp
@@ -5,7 +5,7 @@
 /// number of replicas in one step. ReplicaRepair runs it on every replica: the first one by name acts at
 /// once, each later one only if the change is still needed after a delay. So no leader is needed, and
 /// concurrent changes are harmless (a change of the set is a compare-and-set). An unfinished change is
-/// completed by the same rule. Used by the thread that runs control only.
+/// completed by the same rule. Used by the control thread only.
 #pragma once
 #include "membership/state_cache.hpp"
 
--- a/src/membership/replica_responses.hpp
+++ b/src/membership/replica_responses.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// What each replica last reported to this node about its registers, and when: the evidence by which a node
-/// determines a register's chosen value. Does no I/O; used by the thread that runs control only.
+/// determines a register's chosen value. Does no I/O; used by the control thread only.
 #pragma once
 #include <map>
 #include <string>
--- a/src/membership/state_cache.hpp
+++ b/src/membership/state_cache.hpp
@@ -12,7 +12,7 @@
 /// The size of a response is bounded, and the next pull continues where it ended: a node that lacks much
 /// state, as after a start, receives it even over a slow or busy link.
 ///
-/// Used by the thread that runs control only, except has_read_lease() and read_lease_end().
+/// Used by the control thread only, except has_read_lease(), read_lease_end() and last_good_pull().
 #pragma once
 #include <atomic>
 #include <set>
@@ -58,13 +58,13 @@
   /// @return whether it was good
   bool pull_once();
 
-  /// Whether the node may act on the state in this cache. From any thread.
+  /// Whether the node may act on the state in this cache. May be called from any thread.
   [[nodiscard]] bool has_read_lease() const;
 
-  /// From any thread.
+  /// When the read lease ends; 0: there was none. May be called from any thread.
   TimePoint read_lease_end() const;
 
-  /// When the last good pull began; 0: there was none. From any thread.
+  /// When the last good pull began; 0: there was none. May be called from any thread.
   TimePoint last_good_pull() const;
 
   /// The values as of the last good pull.
--- a/src/membership/status_table.hpp
+++ b/src/membership/status_table.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// The latest status of each node, by its source, with its version and its age. Replicas serve the table to
 /// nodes that pull; these merge the statuses they receive. A node is a member while its status is younger
-/// than a session. Does no I/O. Used by the thread that runs control only.
+/// than a session. Does no I/O. Used by the control thread only.
 #pragma once
 #include <set>
 
