--- a/src/proxy/routing_snapshot.hpp
+++ b/src/proxy/routing_snapshot.hpp
@@ -39,7 +39,7 @@
   std::map<std::string, std::shared_ptr<const config::RoutingConfiguration>> configurations;
   std::map<std::string, std::vector<membership::BackendInstance>> backend_instances;  ///< by service
   std::map<std::string, pb::ServiceState> service_states;                             ///< by service
-  std::set<std::string> aborted_canaries;      ///< services whose canary this node itself has stopped
+  std::set<std::string> aborted_canaries;      ///< services whose canary this node itself has aborted
   std::map<std::string, pb::PurgeSet> purges;  ///< by service, or kAllServices
   std::map<std::string, double> rate_quotas;   ///< by service: requests per second that this node may send
   std::map<std::string, limits::DemandShare> demand_shares;  ///< by service: this node's share of requests
@@ -56,7 +56,7 @@
 
 /// Completes the service states of a new snapshot before it is published. While a service has no current
 /// version, all versions that send heartbeats are eligible for configurations that list no versions. A
-/// service whose canary this node has stopped is not switched to that canary.
+/// service whose canary this node has aborted is not switched to that canary.
 void finalize_snapshot(RoutingSnapshot& snapshot);
 
 /// The versions of a service to which a request may be sent.
--- a/src/rollout/service_state.hpp
+++ b/src/rollout/service_state.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The recorded state of a service: its version in place, its canary, and its previous versions. This file
+/// The recorded state of a service: its current version, its canary, and its previous versions. This file
 /// has the changes that operators request; version_rollout.hpp has the steps that follow. Pure.
 ///
-/// Invariants: the version in place is neither a canary nor among the previous versions; a canary's number is
+/// Invariants: the current version is neither a canary nor among the previous versions; a canary's number is
 /// higher than those of all earlier canaries of the service.
 /// Threads: any; nothing is shared.
 #pragma once
--- a/src/rollout/version_initializer.cpp
+++ b/src/rollout/version_initializer.cpp
@@ -93,7 +93,7 @@
   return progress;
 }
 
-// Clears the version in place of services that are no longer configured, so that a service that is added
+// Clears the current version of services that are no longer configured, so that a service that is added
 // again starts without one.
 bool VersionInitializer::clear_removed_services() {
   const auto prefix = service_key("");
--- a/src/rollout/version_initializer.hpp
+++ b/src/rollout/version_initializer.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Records the version in place of each service for which no version rollout has set it: the first version
+/// Records the current version of each service for which no version rollout has set it: the first version
 /// in the routing configuration or, if that names none, the version that most of the service's backend
 /// instances report.
 ///
-/// If all backend instances of the version in place have been gone for a while, another version replaces it
+/// If all backend instances of the current version have been gone for a while, another version replaces it
 /// without a canary: the old one serves nothing, and no rollout has been requested.
 /// Threads: the fiber of the rollout controller; a write waits for the network.
 #pragma once
@@ -20,7 +20,7 @@
 std::string most_common_version(const BackendInstances& instances, const std::string& service,
                                 const std::string& except = {});
 
-/// Ensures, on the leader and outside of version rollouts, that each service has a version in place.
+/// Ensures, on the leader and outside of version rollouts, that each service has a current version.
 class VersionInitializer {
  public:
   /// The references have to outlive the object.
@@ -28,7 +28,7 @@
                      membership::StateCache& state_cache, const membership::LeadershipFence& fence,
                      Duration bound);
 
-  /// Records missing versions in place, and replaces versions whose instances are gone.
+  /// Records missing current versions, and replaces versions whose instances are gone.
   /// @param configuration  in force for the fleet; if null, nothing is done
   void tick(std::shared_ptr<const config::RoutingConfiguration> configuration);
 
@@ -59,8 +59,8 @@
   Duration bound_;
   std::shared_ptr<const config::RoutingConfiguration> configuration_;  ///< of the current tick
   std::string
-      completed_configuration_;  ///< name of the configuration whose services all have a version in place
-  std::map<std::string, TimePoint> gone_since_;  ///< by service: when its version in place was found gone
+      completed_configuration_;  ///< name of the configuration whose services all have a current version
+  std::map<std::string, TimePoint> gone_since_;  ///< by service: when its current version was found gone
 };
 
 }  // namespace dunlinwing::rollout
--- a/src/rollout/version_rollout.cpp
+++ b/src/rollout/version_rollout.cpp
@@ -19,7 +19,7 @@
   return found == totals.end() ? ResponseTotals{} : found->second;
 }
 
-// One step of a service without a deadline: judges the canary, and may revert the version in place.
+// One step of a service without a deadline: judges the canary, and may revert the current version.
 class ServiceStep {
  public:
   ServiceStep(const std::string& service, const pb::ServiceState& state,
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -114,7 +114,8 @@
 std::string DeadlineStep::switch_blocker() const {
   if (!observation_.all_warm) return "its workers are not warm yet";
   if (auto blocker = canary::promotion_blocker(observation_.sample); !blocker.empty()) return blocker;
-  // Warm instances of the new version must number three quarters of those in place, to take over their load.
+  // To take over the load, the new version needs three quarters as many warm instances as the current one
+  // has.
   const int warm = instance_count(observation_.warm_instances, version_);
   const int in_place = instance_count(observation_.instances, state_.current());
   if (warm * 4 < std::max(1, in_place) * 3)
--- a/src/software/artifacts.hpp
+++ b/src/software/artifacts.hpp
@@ -27,7 +27,7 @@
 enum class ChunkError {
   unknown_artifact,  ///< no recorded release names it
   gap,               ///< the chunk does not follow those that a majority has stored
-  no_majority,       ///< too few replicas answered
+  no_majority,       ///< too few replicas responded
 };
 
 /// Where this node stores artifacts.
