--- a/src/console/commands.hpp
+++ b/src/console/commands.hpp
@@ -20,7 +20,7 @@
 
 /// Commands on releases of any kind.
 Commands release_commands();
-/// Commands that show nodes, workers and other resources, and that roll out versions, purge and drain.
+/// Commands that show nodes, backend instances and other resources, and that roll out, purge and drain.
 Commands fleet_commands();
 /// holders: shows the replica set or changes it by one machine.
 ExitStatus replicas(Session& session);
--- a/src/control_api/majority_contact.hpp
+++ b/src/control_api/majority_contact.hpp
@@ -22,7 +22,7 @@
 
 /// Waits until a pull that began after this call has reached a majority: everything acknowledged before is
 /// then in the state cache.
-/// @return empty, or the response (503) when no majority answered
+/// @return empty, or the response (503) when no majority responded
 [[nodiscard]] std::optional<base::Response> await_majority_contact(node::Node& node);
 
 /// The response to a register operation that failed; always 503.
--- a/src/control_api/operator_write_log.hpp
+++ b/src/control_api/operator_write_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Logs for each write request of an operator when it reached its stages: received, written at a quorum,
+/// Logs when each write request of an operator reached its stages: received, written at a quorum,
 /// acknowledged, in force on this node.
 ///
 /// Threads: called in fibers of the control thread.
--- a/src/control_api/releases.cpp
+++ b/src/control_api/releases.cpp
@@ -75,7 +75,7 @@
   return std::any_of(state.previous_versions().begin(), state.previous_versions().end(), allowed);
 }
 
-/// Rejects a configuration that leaves out the version in place of a service: only a version rollout, through
+/// Rejects a configuration that leaves out the current version of a service: only a version rollout, through
 /// a canary, replaces that version.
 /// @return the response that rejects it, or that reports that the check could not be made; else empty
 std::optional<base::Response> check_versions(node::Node& node, const config::Release& release) {
--- a/src/control_api/replicas.hpp
+++ b/src/control_api/replicas.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The set of replicas as a resource: one machine is added or removed at a time. Handlers: see Handler in
+/// The replica set as a resource: one machine is added or removed at a time. Handlers: see Handler in
 /// control_api/api_context.hpp.
 #pragma once
 #include "control_api/api_context.hpp"
--- a/src/control_api/router.hpp
+++ b/src/control_api/router.hpp
@@ -17,7 +17,7 @@
   ~Router();
 
   /// Answers one request. Suspends the calling fiber of the control thread, for kResponseLimit at most,
-  /// unless the request asks to wait (a watch), uploads a chunk or changes the set of replicas.
+  /// unless the request asks to wait (a watch), uploads a chunk or changes the replica set.
   base::Response handle(base::Request& http);
 
  private:
--- a/src/control_api/services.cpp
+++ b/src/control_api/services.cpp
@@ -30,7 +30,7 @@
   return error_response(503, "the configuration in force cannot be read by this node's program");
 }
 
-/// Starts a canary of the version, or ends the running canary when the version is in place.
+/// Starts a canary of the version, or ends the running canary when the version is the current one.
 /// @return the response that rejects the request
 std::optional<base::Response> request_version(pb::ServiceState& state, const std::string& version,
                                               bool lift_quarantine,
--- a/src/control_api/services.hpp
+++ b/src/control_api/services.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Services: which version of each is in place, and the configuration that defines which services and
+/// Services: the current version of each, and the configuration that defines which services and
 /// versions there are.
 ///
 /// Threads: called in fibers of the control thread. The look-ups wait for a majority of the replicas.
@@ -11,7 +11,7 @@
 namespace dunlinwing::control_api {
 
 /// The configuration in force at a majority of the replicas, which may be newer than this node's.
-/// @return null when there is none; a 503 when no majority answers or this node cannot parse it
+/// @return null when there is none; a 503 when no majority responds or this node cannot parse it
 std::variant<std::shared_ptr<const config::RoutingConfiguration>, base::Response> configuration_in_force(
     node::Node& node);
 
@@ -20,10 +20,10 @@
 std::variant<std::shared_ptr<const config::ServiceConfiguration>, base::Response> service_for_version(
     node::Node& node, const std::string& name, const std::string& version);
 
-/// Sets the version in place if the service's register has none yet: the configuration's first, or the one
+/// Sets the current version if the service's register has none yet: the configuration's first, or the one
 /// that most instances run.
 /// @param requested  the version that is to replace it
-/// @return the response (503) when no majority answers
+/// @return the response (503) when no majority responds
 [[nodiscard]] std::optional<base::Response> ensure_current_version(
     const ApiContext& context, pb::ServiceState& state, const std::string& name,
     const config::ServiceConfiguration& service, const std::string& requested);
--- a/src/control_api/version_rollouts.cpp
+++ b/src/control_api/version_rollouts.cpp
@@ -99,7 +99,7 @@
   if (list.size() > kMaxEarlier) list.DeleteSubrange(0, list.size() - kMaxEarlier);
 }
 
-/// Makes the requested rollout the latest. A rollout to a version that is in place or quarantined
+/// Makes the requested rollout the latest. A rollout to a version that is current or quarantined
 /// ends at once.
 /// @param longest  the maximum duration of a request to the service
 void start_rollout(pb::ServiceState& state, const RolloutRequest& wanted, Duration longest) {
