--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -32,7 +32,7 @@
   std::function<std::variant<base::Response, base::AttemptError>(
       const ProcessRunPtr&, const std::string& address, const base::Request&, const base::AttemptRules&)>
       send;
-  std::function<bool(const std::string& address)> stands;
+  std::function<bool(const std::string& address)> can_connect;
 };
 
 // The two deployments of the specification: fourteen machines, five of them with a disk.
