--- a/src/base/common.hpp
+++ b/src/base/common.hpp
@@ -26,6 +26,6 @@
   return std::get_if<T>(&value);
 }
 
-extern const char* const kSoftware;  ///< this program's version
+extern const char* const kSoftwareVersion;  ///< this program's version
 
 }  // namespace dunlinwing
--- a/src/base/version.cpp
+++ b/src/base/version.cpp
@@ -4,6 +4,6 @@
 
 namespace dunlinwing {
 
-const char* const kSoftware = "0.1.0";
+const char* const kSoftwareVersion = "0.1.0";
 
 }  // namespace dunlinwing
--- a/src/console/main.cpp
+++ b/src/console/main.cpp
@@ -61,7 +61,7 @@
 
 int main(int argc, char** argv) {
   gflags::SetUsageMessage(usage());
-  gflags::SetVersionString(kSoftware);
+  gflags::SetVersionString(kSoftwareVersion);
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   if (argc < 2) return report_usage("no command given");
   auto found = console::commands().find(argv[1]);
--- a/src/control_api/status_page.cpp
+++ b/src/control_api/status_page.cpp
@@ -14,7 +14,7 @@
 Members identity_members(node::Node& node) {
   const auto& config = node.config();
   return {fmt::format(R"("name":{},"zone":{})", base::quote(config.name), base::quote(config.zone)),
-          fmt::format(R"("software":"{}","ready":{})", kSoftware, node.ready())};
+          fmt::format(R"("software":"{}","ready":{})", kSoftwareVersion, node.ready())};
 }
 
 Members state_members(node::Node& node, TimePoint now) {
--- a/src/node/application.cpp
+++ b/src/node/application.cpp
@@ -180,7 +180,7 @@
 void Application::run() {
   const NodeConfig& config = settings_.node;
   logger.info("{}: relay {} starting in zone {}; clients at {}, control API at {}, peers at {}.", config.name,
-              kSoftware, config.zone, settings_.client_address, settings_.control_address,
+              kSoftwareVersion, config.zone, settings_.client_address, settings_.control_address,
               config.peer_address);
   pool_.run([this] {
     node_->start();
--- a/src/node/assignment_loader.cpp
+++ b/src/node/assignment_loader.cpp
@@ -133,7 +133,7 @@
   }
   for (const auto& [sha256, target] : software::recorded_software(chosen))
     if (target.name == release) pending_software_ = target;
-  if (pending_software_ && pending_software_->version == kSoftware) {
+  if (pending_software_ && pending_software_->version == kSoftwareVersion) {
     running_releases_["software"] = release;
     pending_software_.reset();
   }
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -65,7 +65,7 @@
 
 int run(int argc, char** argv) {
   gflags::SetUsageMessage("a node of the dunlinwing delivery network\n  relay --config FILE [--check]");
-  gflags::SetVersionString(dw::kSoftware);
+  gflags::SetVersionString(dw::kSoftwareVersion);
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   if (argc > 1) {
     std::cerr << "relay: unexpected argument \"" << argv[1] << "\"; see relay --help\n";
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -128,7 +128,7 @@
     info.set_ready(ready());
     info.set_generation(assignment_loader.generation());
     info.set_load_error(assignment_loader.error());
-    info.set_software(kSoftware);
+    info.set_software(kSoftwareVersion);
     info.set_wall_ms(ports.clock.wall_ms());
     info.set_leaving(leaving);
     info.set_drained(drained);
--- a/test/fleet/next_version.cpp
+++ b/test/fleet/next_version.cpp
@@ -3,6 +3,6 @@
 
 namespace dunlinwing {
 
-const char* const kSoftware = "0.2.0";
+const char* const kSoftwareVersion = "0.2.0";
 
 }  // namespace dunlinwing
