--- a/src/canary/canary_share.hpp
+++ b/src/canary/canary_share.hpp
@@ -12,7 +12,7 @@
 /// The percentage while its instances are cold and their responses are weak evidence.
 inline constexpr int kColdPercent = 1;
 /// The percentage once there is enough evidence, or the rest of the allowance is needed for the switch.
-inline constexpr int kWatchPercent = 1;
+inline constexpr int kReducedPercent = 1;
 /// Requests of the whole fleet that are sent to a canary with a deadline in advance of its share, once its
 /// instances are warm.
 inline constexpr int64_t kInitialCredit = 36;
--- a/src/rollout/switch_schedule.cpp
+++ b/src/rollout/switch_schedule.cpp
@@ -36,7 +36,7 @@
   const double requests_in_all = canary + baseline + rate * seconds_left;
   const double allowance = requests_in_all * static_cast<double>(rules.system.canary_percent) / kPercent +
                            static_cast<double>(rules.system.max_canary_failures);
-  const double until_switch = rate * seconds_left * canary::kWatchPercent / kPercent;
+  const double until_switch = rate * seconds_left * canary::kReducedPercent / kPercent;
   const double left = std::max(0.0, allowance - canary - until_switch);
   return Duration(static_cast<int64_t>(left / rate * kMsPerSecond));
 }
--- a/src/rollout/version_rollout_deadline.cpp
+++ b/src/rollout/version_rollout_deadline.cpp
@@ -127,7 +127,7 @@
 // allowance is for the switch.
 void DeadlineStep::adjust_share() {
   const bool is_enough = canary::promotion_blocker(observation_.sample).empty();
-  const uint32_t percent = is_enough ? canary::kWatchPercent : canary::kDeadlinePercent;
+  const uint32_t percent = is_enough ? canary::kReducedPercent : canary::kDeadlinePercent;
   if (!observation_.all_warm || state_.percent() == percent) return;
   state_.set_percent(percent);
   persist(true);
