--- a/src/base/ports.hpp
+++ b/src/base/ports.hpp
@@ -103,8 +103,8 @@
 };
 
 /// How an attempt at a backend instance failed: nothing was sent; the instance itself
-/// reported that it did not run the request; or the outcome is unknown.
-enum class AttemptError { unsent, not_run, unknown };
+/// reported that it did not execute the request; or the outcome is unknown.
+enum class AttemptError { not_sent, not_executed, unknown };
 
 /// Limits and options of an attempt.
 struct AttemptRules {
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -228,13 +228,13 @@
     connect_limit.end = std::min(limit.end, begin + rules.connect_timeout);
   const auto lease = pool_->acquire(address, rules.idempotent, rules.max_connections, connect_limit,
                                     rules.on_connection_wait);
-  if (!lease) return AttemptError::unsent;
+  if (!lease) return AttemptError::not_sent;
   auto& connection = *lease->connection;
   WaitLimitGuard guard(connection, limit);
   const std::string head = request_head(request, address);
   link_.sent(head.size() + request.body.size());
   if (connection.write(head, request.body)) {
-    const auto error = connection.bytes_written() > 0 ? AttemptError::unknown : AttemptError::unsent;
+    const auto error = connection.bytes_written() > 0 ? AttemptError::unknown : AttemptError::not_sent;
     guard.release();
     lease->abandon();
     return error;
--- a/src/proxy/attempt_decision.cpp
+++ b/src/proxy/attempt_decision.cpp
@@ -19,9 +19,9 @@
                               const membership::BackendInstance& instance, const base::Request& request) {
   if (const auto* error = std::get_if<base::AttemptError>(&reply)) {
     switch (*error) {
-      case base::AttemptError::unsent:
+      case base::AttemptError::not_sent:
         return AttemptClass::not_sent;
-      case base::AttemptError::not_run:
+      case base::AttemptError::not_executed:
         return AttemptClass::not_executed;
       case base::AttemptError::unknown:
         return AttemptClass::no_response;
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -318,7 +318,7 @@
   Wait x;
   if (lost || !host.up())
     return world.wait(process_, lost ? limit : Duration(1), x),
-           lost ? base::AttemptError::unknown : base::AttemptError::unsent;
+           lost ? base::AttemptError::unknown : base::AttemptError::not_sent;
   auto v = run_exchange(world, fleet_.shape_, process_, host, request, true, limit);
   if (v->lost) return base::AttemptError::unknown;
   return v->response;
--- a/src/simulation/origin.cpp
+++ b/src/simulation/origin.cpp
@@ -67,13 +67,13 @@
       if (backend->alive && backend->address == address) return backend.get();
     return nullptr;
   };
-  if (!await_connection(address, rules)) return base::AttemptError::unsent;
+  if (!await_connection(address, rules)) return base::AttemptError::not_sent;
   const ConnectionInUse connection(connections_[address]);
   // A request that was sent arrives even if this process is frozen meanwhile.
   Wait way;
   world.wait(fleet_.outside_process_, Duration(1), way);
   auto* backend = find();
-  if (!backend) return base::AttemptError::unsent;
+  if (!backend) return base::AttemptError::not_sent;
   auto h = [&](const char* n) { return base::header(request.headers, n); };
   if (backend->foreign) {
     ++world.fault_counts["foreign"];
--- a/test/fleet/client.cpp
+++ b/test/fleet/client.cpp
@@ -85,7 +85,7 @@
       (a->status < 400 ? ok : out == "not-run" ? away : out == "unknown" ? unknown : other)++;
     } else {
       journal.line(fmt::format(R"({{"t":"lost","id":"{}","sent":{},"from":{},"at":{},"relay":"{}"}})", id,
-                               std::get<base::AttemptError>(x) != base::AttemptError::unsent, from, to,
+                               std::get<base::AttemptError>(x) != base::AttemptError::not_sent, from, to,
                                r.clients));
       ++lost;
     }
--- a/test/net/http_client_test.cpp
+++ b/test/net/http_client_test.cpp
@@ -195,7 +195,7 @@
   auto quick = r;
   quick.connect_timeout = 20ms;
   auto s = client.send(backend.addr(), get(), quick);
-  expect(std::get_if<AttemptError>(&s) && std::get<AttemptError>(s) == AttemptError::unsent,
+  expect(std::get_if<AttemptError>(&s) && std::get<AttemptError>(s) == AttemptError::not_sent,
          "more connections than allowed");
   pool().spawn([&] { second = body(client.send(backend.addr(), get(), r)); });
   condition->notify();
@@ -231,7 +231,7 @@
   r.connect_timeout = 50ms;
   auto s = client.send(address, get(), r);
   auto* d = std::get_if<AttemptError>(&s);
-  expect(d && *d == AttemptError::unsent, "an attempt without a connection did not fail as unsent");
+  expect(d && *d == AttemptError::not_sent, "an attempt without a connection did not fail as unsent");
   same(client.connections_to(address), 0, "open connections");
   expect(!client.can_connect(address, 50ms), "can_connect() succeeded");
 }
--- a/test/net/main.cpp
+++ b/test/net/main.cpp
@@ -73,7 +73,7 @@
   auto gone = m.addr();
   m.acc.close();
   r = http.send(gone, {"", "POST", "/", "x", {}}, 1s);
-  test::expect(std::get<base::AttemptError>(r) == base::AttemptError::unsent,
+  test::expect(std::get<base::AttemptError>(r) == base::AttemptError::not_sent,
                "a refused connection sent something");
   p = net.call(gone, pb::PeerRequest(), 1s);
   test::expect(std::get<base::PeerError>(p) == base::PeerError::unreachable,
--- a/test/platform/platform_stub.cpp
+++ b/test/platform/platform_stub.cpp
@@ -171,13 +171,13 @@
   };
   sleep(Duration(1));
   auto* instance = at(address);
-  if (!instance) return base::AttemptError::unsent;
+  if (!instance) return base::AttemptError::not_sent;
   if (instance->unreachable) {
     bool kept = world.below(3) == 0;  // sent on a connection that was already open: no error, no response
     sleep(kept ? rules.timeout
                : std::min(rules.timeout,
                           rules.connect_timeout > Duration(0) ? rules.connect_timeout : rules.timeout));
-    return kept ? base::AttemptError::unknown : base::AttemptError::unsent;
+    return kept ? base::AttemptError::unknown : base::AttemptError::not_sent;
   }
   auto h = [&](const char* n) { return base::header(request.headers, n); };
   auto name = instance->id, meant = h("Target-Instance");
--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -16,7 +16,7 @@
   bool can_connect(const std::string&, Duration) override { return false; }
   std::variant<base::Response, base::AttemptError> send(const std::string&, const base::Request&,
                                                         const base::AttemptRules&) override {
-    return base::AttemptError::unsent;
+    return base::AttemptError::not_sent;
   }
 };
 
--- a/test/unit/proxy/attempt_decision_test.cpp
+++ b/test/unit/proxy/attempt_decision_test.cpp
@@ -58,8 +58,8 @@
 }
 
 void classifies_errors() {
-  expect(classify(base::AttemptError::unsent) == AttemptClass::not_sent, "unsent");
-  expect(classify(base::AttemptError::not_run) == AttemptClass::not_executed, "not executed");
+  expect(classify(base::AttemptError::not_sent) == AttemptClass::not_sent, "unsent");
+  expect(classify(base::AttemptError::not_executed) == AttemptClass::not_executed, "not executed");
   expect(classify(base::AttemptError::unknown) == AttemptClass::no_response, "unknown");
 }
 
