--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -10,23 +10,23 @@
 
 namespace dunlinwing::base {
 namespace {
-std::atomic<Level> lowest_level{Level::info};
-constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info", "warn", "error"};  ///< by Level
+std::atomic<LogLevel> lowest_level{LogLevel::info};
+constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info", "warn", "error"};  ///< by LogLevel
 constexpr int64_t kNanosecondsPerMillisecond = 1000000;
 }  // namespace
 
-void set_level(Level level) { lowest_level = level; }
+void set_log_level(LogLevel level) { lowest_level = level; }
 
-bool parse_level(std::string_view name, Level& level) {
+bool parse_log_level(std::string_view name, LogLevel& level) {
   for (size_t i = 0; i < kLevelNames.size(); ++i) {
     if (kLevelNames[i] != name) continue;
-    level = static_cast<Level>(i);
+    level = static_cast<LogLevel>(i);
     return true;
   }
   return false;
 }
 
-void log_line(Level level, std::string_view part, const std::string& text) {
+void log_line(LogLevel level, std::string_view part, const std::string& text) {
   if (level < lowest_level.load()) return;
   timespec now{};
   clock_gettime(CLOCK_REALTIME, &now);
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -8,17 +8,17 @@
 
 namespace dunlinwing::base {
 
-enum class Level { debug, info, warn, error };
+enum class LogLevel { debug, info, warn, error };
 
 /// Drops lines below this level from now on; the default is info.
-void set_level(Level level);
+void set_log_level(LogLevel level);
 
 /// @param name  the name of an enumerator
 /// @return whether the name is known; if not, `level` is unchanged
-bool parse_level(std::string_view name, Level& level);
+bool parse_log_level(std::string_view name, LogLevel& level);
 
 /// Writes one line: the time (UTC), the level, the part's name and the text.
-void log_line(Level level, std::string_view part, const std::string& text);
+void log_line(LogLevel level, std::string_view part, const std::string& text);
 
 /// The logger of one part.
 class Log {
@@ -28,19 +28,19 @@
 
   template <class... Arguments>
   void debug(fmt::format_string<Arguments...> format, Arguments&&... arguments) const {
-    log_line(Level::debug, part_, fmt::format(format, std::forward<Arguments>(arguments)...));
+    log_line(LogLevel::debug, part_, fmt::format(format, std::forward<Arguments>(arguments)...));
   }
   template <class... Arguments>
   void info(fmt::format_string<Arguments...> format, Arguments&&... arguments) const {
-    log_line(Level::info, part_, fmt::format(format, std::forward<Arguments>(arguments)...));
+    log_line(LogLevel::info, part_, fmt::format(format, std::forward<Arguments>(arguments)...));
   }
   template <class... Arguments>
   void warn(fmt::format_string<Arguments...> format, Arguments&&... arguments) const {
-    log_line(Level::warn, part_, fmt::format(format, std::forward<Arguments>(arguments)...));
+    log_line(LogLevel::warn, part_, fmt::format(format, std::forward<Arguments>(arguments)...));
   }
   template <class... Arguments>
   void error(fmt::format_string<Arguments...> format, Arguments&&... arguments) const {
-    log_line(Level::error, part_, fmt::format(format, std::forward<Arguments>(arguments)...));
+    log_line(LogLevel::error, part_, fmt::format(format, std::forward<Arguments>(arguments)...));
   }
 
  private:
--- a/src/node/assignment_loader.cpp
+++ b/src/node/assignment_loader.cpp
@@ -47,8 +47,8 @@
 }
 
 void set_log_level(const config::SystemOptions& options) {
-  base::Level level{};
-  if (base::parse_level(options.log_level, level)) base::set_level(level);
+  base::LogLevel level{};
+  if (base::parse_log_level(options.log_level, level)) base::set_log_level(level);
 }
 }  // namespace
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -54,12 +54,12 @@
   if (!FLAGS_name.empty()) settings.node.name = FLAGS_name;
   if (!FLAGS_zone.empty()) settings.node.zone = FLAGS_zone;
   if (!FLAGS_log_level.empty()) settings.log_level = FLAGS_log_level;
-  dw::base::Level level{};
-  if (!dw::base::parse_level(settings.log_level, level)) {
+  dw::base::LogLevel level{};
+  if (!dw::base::parse_log_level(settings.log_level, level)) {
     std::cerr << "relay: --log_level must be one of debug, info, warn, error\n";
     return {};
   }
-  dw::base::set_level(level);
+  dw::base::set_log_level(level);
   return settings;
 }
 
--- a/test/measure/main.cpp
+++ b/test/measure/main.cpp
@@ -106,7 +106,7 @@
 
 int main(int argc, char** argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  dunlinwing::base::set_level(dunlinwing::base::Level::error);
+  dunlinwing::base::set_log_level(dunlinwing::base::LogLevel::error);
   int status = 0;
   if (FLAGS_part.empty()) {
     if (FLAGS_grow) dm::grow(FLAGS_seeds);
--- a/test/platform/main.cpp
+++ b/test/platform/main.cpp
@@ -17,8 +17,8 @@
 
 int main(int argc, char** argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  base::Level l;
-  if (base::parse_level(FLAGS_log_level, l)) base::set_level(l);
+  base::LogLevel l;
+  if (base::parse_log_level(FLAGS_log_level, l)) base::set_log_level(l);
   std::vector<test::Case> cs;
   bool complete = test::fault_kinds().count(FLAGS_case_name) > 0;
   for (auto& [name, kind] : test::fault_kinds())
--- a/test/scenarios/main.cpp
+++ b/test/scenarios/main.cpp
@@ -19,8 +19,8 @@
 
 int main(int argc, char** argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  base::Level l;
-  if (base::parse_level(FLAGS_log_level, l)) base::set_level(l);
+  base::LogLevel l;
+  if (base::parse_log_level(FLAGS_log_level, l)) base::set_log_level(l);
   auto shape = FLAGS_shape == "lobby"      ? simulation::lobby_shape()
                : FLAGS_shape == "practice" ? simulation::practice_shape()
                                            : simulation::FleetShape();
