--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -120,7 +120,7 @@
   void describe_node(pb::NodeInfo& info) {
     info.set_zone(config.zone);
     info.set_peer_address(config.peer_address);
-    info.set_http_address(config.http_address);
+    info.set_http_address(config.control_address);
     info.set_replica(has_disk && replica_set.has(config.name));
     info.set_disk(has_disk);
     info.set_shield(config.shield);
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -16,7 +16,7 @@
   std::string name;
   std::string zone;
   std::string peer_address;                  ///< IP:port at which other nodes call this one
-  std::string http_address;                  ///< IP:port of its control API; empty: it has none
+  std::string control_address;               ///< IP:port of its control API; empty: it has none
   std::vector<consensus::Replica> replicas;  ///< empty: the seeds form the first set
   std::vector<std::string> seeds;            ///< IP:port of control APIs
   bool initial_boot = true;                  ///< the whole fleet starts for the first time
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -51,7 +51,7 @@
     settings_.client_address = address("/listen/callers", listen.at("callers").string_or());
     settings_.control_address = address("/listen/control", listen.at("control").string_or());
     settings_.node.peer_address = address("/listen/peers", listen.at("peers").string_or());
-    settings_.node.http_address = settings_.control_address;  // empty on a machine without a control API
+    settings_.node.control_address = settings_.control_address;  // empty on a machine without a control API
   }
 
   void read_readiness_address() {
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -119,7 +119,7 @@
   config.name = n;
   config.zone = host.zone;
   config.peer_address = host.address;
-  config.http_address = "http:" + n;
+  config.control_address = "http:" + n;
   config.shield = host.shield;
   config.link_mbps = link_mbps(host);
   world_.links[n].inbound.set_rate(config.link_mbps);
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -156,7 +156,7 @@
   config.name = n.name;
   config.zone = n.zone;
   config.peer_address = n.address;
-  config.http_address = n.address;
+  config.control_address = n.address;
   config.bound = s.bound;
   config.scale = 600;
   for (auto& x : nodes)
--- a/test/measure/sockets.cpp
+++ b/test/measure/sockets.cpp
@@ -92,7 +92,7 @@
       node::NodeConfig config;
       config.name = fmt::format("{}{}", i < s.replicas ? "h" : "e", i + 1);
       config.zone = fmt::format("z{}", i % s.zones);
-      config.peer_address = config.http_address = addr(i);
+      config.peer_address = config.control_address = addr(i);
       config.replicas = hs;
       config.bound = s.bound;
       config.scale = 600;
