--- a/src/link/link.hpp
+++ b/src/link/link.hpp
@@ -25,15 +25,15 @@
   TrafficClass traffic_class = TrafficClass::control;
 
   /// Counts bytes that were received, or are sent without waiting.
-  void received(size_t bytes) const {
+  void count_received(size_t bytes) const {
     if (link) link->inbound.charge(traffic_class, bytes);
   }
-  void sent(size_t bytes) const {
+  void count_sent(size_t bytes) const {
     if (link) link->outbound.charge(traffic_class, bytes);
   }
 
   /// Number of bytes of a body that are sent at a time.
-  size_t outbound_part() const { return link ? link->outbound.part_bytes() : SIZE_MAX; }
+  size_t outbound_part_bytes() const { return link ? link->outbound.part_bytes() : SIZE_MAX; }
 
   /// Waits until a part may be sent; false when the limit passes first.
   /// @param since      when the first part was ready to be sent
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -109,7 +109,7 @@
     if (!await_link()) return false;
     const size_t before = connection_.buffered().size();
     const ErrorCode error = connection_.read_more(has_head_ ? kBodyReadSize : kResponseReadSize);
-    link_.received(connection_.buffered().size() - before);
+    link_.count_received(connection_.buffered().size() - before);
     return !error;
   }
 
@@ -232,7 +232,7 @@
   auto& connection = *lease->connection;
   WaitLimitGuard guard(connection, limit);
   const std::string head = request_head(request, address);
-  link_.sent(head.size() + request.body.size());
+  link_.count_sent(head.size() + request.body.size());
   if (connection.write(head, request.body)) {
     const auto error = connection.bytes_written() > 0 ? AttemptError::unknown : AttemptError::not_sent;
     guard.release();
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -299,7 +299,7 @@
 bool HttpServerConnection::respond(IncomingRequest& incoming) {
   auto message = incoming.parser.release();
   incoming.request.body = std::move(message.body());
-  server_.link.received(incoming.request.body.size());
+  server_.link.count_received(incoming.request.body.size());
   state_ = State::handling;
   struct Running {
     std::atomic<int>& count;
@@ -330,7 +330,7 @@
 // Writes each part once the link has capacity for it; the head is sent with the first.
 ErrorCode HttpServerConnection::write_parts(std::string_view head, std::string_view body) {
   const TimePoint since = steady_now();
-  const size_t most = server_.link.outbound_part();
+  const size_t most = server_.link.outbound_part_bytes();
   do {
     const std::string_view part = body.substr(0, most);
     if (!await_link(head.size() + part.size(), since, head.size() + body.size()))
@@ -349,7 +349,7 @@
   const link::LinkUse& link = server_.link;
   if (link.traffic_class == link::TrafficClass::clients)
     return link.await_outbound(bytes, since, remaining, server_.limits.load()->write_timeout);
-  link.sent(bytes);
+  link.count_sent(bytes);
   return true;
 }
 
--- a/src/net/peer_client.cpp
+++ b/src/net/peer_client.cpp
@@ -75,8 +75,8 @@
 // The bytes of fetched bodies are counted by the code that waits for link capacity for them.
 void PeerClient::count(const pb::PeerRequest& request, const pb::PeerResponse& response) const {
   const link::LinkUse use{link_, traffic_class_of(request)};
-  use.sent(request.ByteSizeLong());
-  if (use.traffic_class == link::TrafficClass::control) use.received(response.ByteSizeLong());
+  use.count_sent(request.ByteSizeLong());
+  if (use.traffic_class == link::TrafficClass::control) use.count_received(response.ByteSizeLong());
 }
 
 }  // namespace dunlinwing::net
--- a/src/net/peer_server.cpp
+++ b/src/net/peer_server.cpp
@@ -87,11 +87,11 @@
   /// Accounts for a call on the link. A response to a fetch waits until the link has capacity for it.
   bool await_link(const pb::PeerRequest& request, const pb::PeerResponse& response) {
     const link::LinkUse use{link_, traffic_class_of(request)};
-    use.received(request.ByteSizeLong());
+    use.count_received(request.ByteSizeLong());
     const size_t bytes = response.ByteSizeLong();
     if (use.traffic_class == link::TrafficClass::fetches)
       return use.await_outbound(bytes, SystemClock().now(), bytes, kWriteTimeout);
-    use.sent(bytes);
+    use.count_sent(bytes);
     return true;
   }
 
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -86,7 +86,7 @@
 static pb::PeerResponse answer_peer(node::Node& node, link::Link& link, const pb::PeerRequest& request) {
   constexpr Duration kWriteTimeout(5000);
   const link::LinkUse use{&link, net::traffic_class_of(request)};
-  use.received(request.ByteSizeLong());
+  use.count_received(request.ByteSizeLong());
   pb::PeerResponse response;
   if (request.has_forward())
     *response.mutable_forward() = node.handle_forwarded(request.forward());
@@ -94,7 +94,7 @@
     response = node.handle_peer_request(request);
   const size_t bytes = response.ByteSizeLong();
   if (use.traffic_class != link::TrafficClass::fetches)
-    use.sent(bytes);
+    use.count_sent(bytes);
   else if (!use.await_outbound(bytes, TimePoint(0), bytes, kWriteTimeout))
     response.set_error("the link is full");
   return response;
@@ -267,9 +267,9 @@
   const link::LinkUse use{&link, control ? link::TrafficClass::control : link::TrafficClass::clients};
   const TimePoint since = world.now();
   size_t remaining = exchange->response.body.size();
-  if (control) use.sent(remaining);
+  if (control) use.count_sent(remaining);
   do {
-    const size_t part = control ? remaining : std::min(remaining, use.outbound_part());
+    const size_t part = control ? remaining : std::min(remaining, use.outbound_part_bytes());
     if (!control && !use.await_outbound(part, since, remaining, kWriteTimeout)) return;
     remaining -= part;
     world.transmit(host, "", part, Duration(0), [&world, exchange, is_last = remaining == 0] {
--- a/src/simulation/ports.cpp
+++ b/src/simulation/ports.cpp
@@ -82,7 +82,7 @@
     world_.transmit(process_->host, host, request.ByteSizeLong(), d, *arrive);
   };
   const link::LinkUse use{link_, net::traffic_class_of(request)};
-  use.sent(request.ByteSizeLong());
+  use.count_sent(request.ByteSizeLong());
   send();
   if (world_.random(world_.network.duplicate_permille)) {
     ++world_.fault_counts["twice"];
@@ -92,7 +92,8 @@
   const TimePoint end = world_.now() + rules.timeout;
   while (!t->reply && !t->refused && !base::is_cancelled(rules.cancellation) && world_.now() < end)
     world_.wait(process_, end - world_.now(), t->wait);
-  if (t->reply && use.traffic_class == link::TrafficClass::control) use.received(t->reply->ByteSizeLong());
+  if (t->reply && use.traffic_class == link::TrafficClass::control)
+    use.count_received(t->reply->ByteSizeLong());
   if (t->reply) return *t->reply;
   return t->refused ? base::PeerError::unreachable : base::PeerError::timed_out;
 }
