--- a/src/config/routing_configuration.cpp
+++ b/src/config/routing_configuration.cpp
@@ -82,8 +82,8 @@
 
 RequestKind read_kind(const base::Json& value) {
   auto kind = value.string_or();
-  if (kind == "safe") return RequestKind::safe;
-  if (kind == "unsafe") return RequestKind::unsafe;
+  if (kind == "safe") return RequestKind::idempotent;
+  if (kind == "unsafe") return RequestKind::non_idempotent;
   if (kind == "cacheable") return RequestKind::cacheable;
   return RequestKind::by_method;
 }
--- a/src/config/routing_configuration.hpp
+++ b/src/config/routing_configuration.hpp
@@ -27,8 +27,8 @@
 /// Whether a request may run more than once.
 enum class RequestKind {
   by_method,  ///< not set by the route: as HTTP defines for the method
-  safe,
-  unsafe,
+  idempotent,
+  non_idempotent,
   cacheable,
 };
 
--- a/src/proxy/upstream_client.cpp
+++ b/src/proxy/upstream_client.cpp
@@ -64,7 +64,7 @@
 bool RequestContext::is_idempotent() const {
   if (route->kind == config::RequestKind::by_method)
     return is_safe_method(request.method) && service->retry_idempotent;
-  return route->kind != config::RequestKind::unsafe;
+  return route->kind != config::RequestKind::non_idempotent;
 }
 
 bool RequestContext::is_cancellable() const {
--- a/test/unit/platform/translation_test.cpp
+++ b/test/unit/platform/translation_test.cpp
@@ -63,12 +63,13 @@
              cacheable->max_attempts == 2 && cacheable->name == "r-obj",
          "a cacheable route");
   auto* split = configuration.match("GET", "B.example", "/get/1").route;
-  expect(split && split->kind == config::RequestKind::safe && split->weighted_services.size() == 2 &&
+  expect(split && split->kind == config::RequestKind::idempotent && split->weighted_services.size() == 2 &&
              split->weighted_services[0].service == "huvo" && split->weighted_services[0].weight == 70,
          "a split");
   auto* unsafe = configuration.match("POST", "a.example", "/post/1").route;
-  expect(unsafe && unsafe->kind == config::RequestKind::unsafe && unsafe->weighted_services.size() == 1,
-         "a non-idempotent route");
+  expect(
+      unsafe && unsafe->kind == config::RequestKind::non_idempotent && unsafe->weighted_services.size() == 1,
+      "a non-idempotent route");
   expect(!configuration.match("GET", "c.example", "/get/1").route, "another host");
   expect(configuration.services.at("huvo").rate == 590 &&
              configuration.services.at("huvo").max_connections == 130 &&
