--- a/src/config/release.cpp
+++ b/src/config/release.cpp
@@ -84,8 +84,8 @@
                   json.at("express").string_or(),
                   json.at("supersedes").string_or(),
                   content};
-  read_hold(json.at("holds"), "one_min", release.hold_times.one, errors);
-  read_hold(json.at("holds"), "two_min", release.hold_times.two, errors);
+  read_hold(json.at("holds"), "one_min", release.hold_times.phase_one, errors);
+  read_hold(json.at("holds"), "two_min", release.hold_times.phase_two, errors);
   if (!errors.empty()) return errors;
   return release;
 }
--- a/src/config/release.hpp
+++ b/src/config/release.hpp
@@ -12,8 +12,8 @@
 
 /// How long a release runs on the first nodes before its rollout continues.
 struct HoldTimes {
-  Duration one{0};  ///< in phase one: one node
-  Duration two{0};  ///< in phase two: one zone
+  Duration phase_one{0};  ///< while one node runs it
+  Duration phase_two{0};  ///< while one zone runs it
 };
 
 /// The minimum hold times of a kind.
--- a/src/rollout/release_state_machine.cpp
+++ b/src/rollout/release_state_machine.cpp
@@ -196,8 +196,8 @@
 }  // namespace
 
 Duration RolloutRules::hold_time(const config::Release& release, pb::Phase phase) const {
-  auto hold_ms =
-      static_cast<double>((phase == pb::ONE ? release.hold_times.one : release.hold_times.two).count());
+  auto hold_ms = static_cast<double>(
+      (phase == pb::ONE ? release.hold_times.phase_one : release.hold_times.phase_two).count());
   if (phase == pb::THREE) hold_ms /= kZoneHoldFraction;
   return Duration(static_cast<int64_t>(hold_ms / scale));
 }
--- a/test/unit/config/config_test.cpp
+++ b/test/unit/config/config_test.cpp
@@ -42,10 +42,10 @@
               "error pointers");
          same(error_pointers_of_release("layout", document(16)), std::string("valid"), "error pointers");
          auto holds = config::minimum_hold_times("software");
-         expect(holds.one == std::chrono::hours(24) && holds.two == std::chrono::hours(24),
+         expect(holds.phase_one == std::chrono::hours(24) && holds.phase_two == std::chrono::hours(24),
                 "software holds 24 and 24 hours");
          holds = config::minimum_hold_times("system");
-         expect(holds.one == std::chrono::minutes(30) && holds.two == std::chrono::hours(2),
+         expect(holds.phase_one == std::chrono::minutes(30) && holds.phase_two == std::chrono::hours(2),
                 "system holds 30 min and 2 h");
        }},
   };
