--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -320,7 +320,7 @@
   return names;
 }
 
-pb::PeerResponse Acceptor::answer(const pb::PeerRequest& request) {
+pb::PeerResponse Acceptor::handle(const pb::PeerRequest& request) {
   auto& impl = *impl_;
   if (request.has_snapshot()) return impl.answer_snapshot();
   if (request.has_adopt()) return impl.answer_adopt(request.adopt());
--- a/src/consensus/acceptor.hpp
+++ b/src/consensus/acceptor.hpp
@@ -34,7 +34,7 @@
 
   /// Handles a prepare, accept, read, snapshot or adopt request. Suspends the fiber until the state in
   /// the response is synced, or the round timeout is over.
-  [[nodiscard]] pb::PeerResponse answer(const pb::PeerRequest& request);
+  [[nodiscard]] pb::PeerResponse handle(const pb::PeerRequest& request);
 
   /// Appends the changes synced after the position to the response, oldest first. `position` and `more` in
   /// the response state how far it reaches. A position from another boot counts as 0.
--- a/src/consensus/quorum_call.cpp
+++ b/src/consensus/quorum_call.cpp
@@ -40,8 +40,8 @@
   const auto end = ports.clock.now() + timeout;
   for (size_t i = 0; i < replicas.size(); ++i) {
     auto request = make_request(i);
-    if (local.answer && replicas[i].name == local.node_name)
-      send(ports, call, i, [answer = local.answer, request = std::move(request)] { return answer(request); });
+    if (local.handle && replicas[i].name == local.node_name)
+      send(ports, call, i, [handle = local.handle, request = std::move(request)] { return handle(request); });
     else
       send(ports, call, i,
            [&peers = ports.peers, address = replicas[i].address, request = std::move(request), timeout] {
--- a/src/consensus/quorum_call.hpp
+++ b/src/consensus/quorum_call.hpp
@@ -25,7 +25,7 @@
 /// This node, as one of the replicas.
 struct LocalMember {
   std::string node_name;
-  LocalReplica answer;  ///< used instead of the network; null on a node that is not a replica
+  LocalReplica handle;  ///< used instead of the network; null on a node that is not a replica
 };
 /// Makes the request for the replica at an index.
 using RequestFactory = std::function<pb::PeerRequest(size_t index)>;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -83,7 +83,7 @@
                       : nullptr),
         registers(ports, config.name, replica_set, config.bound / 4,
                   acceptor ? consensus::LocalReplica(
-                                 [this](const pb::PeerRequest& request) { return acceptor->answer(request); })
+                                 [this](const pb::PeerRequest& request) { return acceptor->handle(request); })
                            : consensus::LocalReplica()),
         state_cache(
             ports, {config.name, config.bound}, registers, acceptor.get(),
@@ -246,7 +246,7 @@
   }
 
   pb::PeerResponse handle_consensus_request(const pb::PeerRequest& request) {
-    if (acceptor) return acceptor->answer(request);
+    if (acceptor) return acceptor->handle(request);
     if (!request.has_adopt()) return peer_error("this node holds no state");
     replica_set.adopt(request.adopt().replica_set());
     pb::PeerResponse response;
--- a/test/measure/catchup.cpp
+++ b/test/measure/catchup.cpp
@@ -95,7 +95,7 @@
       pb::PeerRequest request;
       request.set_epoch(host.node->registers().replica_set().epoch());
       request.mutable_read_register()->set_name(key(i));
-      n += host.node->acceptor()->answer(request).vote().register_state().value().version() < version;
+      n += host.node->acceptor()->handle(request).vote().register_state().value().version() < version;
     }
     return n;
   }
--- a/test/scenarios/disk_scenarios.cpp
+++ b/test/scenarios/disk_scenarios.cpp
@@ -56,7 +56,7 @@
   request.mutable_prepare()->mutable_ballot()->set_round(static_cast<uint64_t>(scene.world.now().count()));
   request.mutable_prepare()->mutable_ballot()->set_node("test");
   scene.world.spawn(host.process, [node, request, asked] {
-    auto reply = node->acceptor()->answer(request);
+    auto reply = node->acceptor()->handle(request);
     asked->yes = reply.vote().granted() && !reply.vote().non_voting();
     asked->done = true;
   });
--- a/test/unit/compatibility/compatibility_test.cpp
+++ b/test/unit/compatibility/compatibility_test.cpp
@@ -373,13 +373,13 @@
   pb::Vote read(const std::string& name) {
     auto read = request();
     read.mutable_read_register()->set_name(name);
-    return acceptor.answer(read).vote();
+    return acceptor.handle(read).vote();
   }
   pb::Vote prepare(const std::string& name, const pb::Ballot& ballot) {
     auto prepare = request();
     prepare.mutable_prepare()->set_name(name);
     *prepare.mutable_prepare()->mutable_ballot() = ballot;
-    return acceptor.answer(prepare).vote();
+    return acceptor.handle(prepare).vote();
   }
 };
 
--- a/test/unit/consensus/acceptor_test.cpp
+++ b/test/unit/consensus/acceptor_test.cpp
@@ -67,19 +67,19 @@
     pb::PeerRequest request;
     request.mutable_prepare()->set_name("r");
     request.mutable_prepare()->mutable_ballot()->set_round(round);
-    return acceptor.answer(request).vote();
+    return acceptor.handle(request).vote();
   }
   pb::Vote accept(uint64_t round, uint64_t version) {
     pb::PeerRequest request;
     request.mutable_accept()->set_name("r");
     request.mutable_accept()->mutable_ballot()->set_round(round);
     request.mutable_accept()->mutable_value()->set_version(version);
-    return acceptor.answer(request).vote();
+    return acceptor.handle(request).vote();
   }
   uint64_t read_version() {
     pb::PeerRequest request;
     request.mutable_read_register()->set_name("r");
-    return acceptor.answer(request).vote().register_state().value().version();
+    return acceptor.handle(request).vote().register_state().value().version();
   }
   uint64_t version_on_disk() {
     auto copy = contents;
@@ -101,7 +101,7 @@
     expect(fixture.prepare(3).non_voting(), "a non-voting replica gave a promise");
     pb::PeerRequest snapshot_request;
     snapshot_request.mutable_snapshot();
-    expect(fixture.acceptor.answer(snapshot_request).has_snapshot() == false,
+    expect(fixture.acceptor.handle(snapshot_request).has_snapshot() == false,
            "a non-voting replica returned a snapshot");
     pb::PullResponse pull;
     fixture.acceptor.append_changes({}, 0, pull);
@@ -131,7 +131,7 @@
     request.mutable_accept()->mutable_ballot()->set_node("p");
     request.mutable_accept()->mutable_value()->set_version(version);
     request.mutable_accept()->mutable_value()->set_data(std::string(100, 'x'));
-    expect(fixture.acceptor.answer(request).vote().granted(), "an accept failed");
+    expect(fixture.acceptor.handle(request).vote().granted(), "an accept failed");
   };
   fixture.run_script([&] {
     for (int i = 0; i < kRegisters; ++i) accept_named(fmt::format("r{}", i), 1, 1);
--- a/test/unit/consensus/consensus_harness.cpp
+++ b/test/unit/consensus/consensus_harness.cpp
@@ -127,7 +127,7 @@
     set.adopt(first_set);
     if (replica) acceptor = std::make_unique<consensus::Acceptor>(ports, disk, name, set, kRoundLimit);
     consensus::LocalReplica local;
-    if (replica) local = [this](const pb::PeerRequest& request) { return acceptor->answer(request); };
+    if (replica) local = [this](const pb::PeerRequest& request) { return acceptor->handle(request); };
     client = std::make_unique<consensus::RegisterClient>(ports, name, set, kRoundLimit, local);
     membership::StateCacheConfig config{name, kStalenessBound};
     cache = std::make_unique<membership::StateCache>(
@@ -136,7 +136,7 @@
   }
 
   pb::PeerResponse answer(const pb::PeerRequest& request) {
-    return request.has_pull() ? cache->handle_pull(request) : acceptor->answer(request);
+    return request.has_pull() ? cache->handle_pull(request) : acceptor->handle(request);
   }
 };
 
