--- a/src/software/stager.cpp
+++ b/src/software/stager.cpp
@@ -55,7 +55,7 @@
   void remove_next() {
     executor.run([&] {
       ::unlink(path(kNextFile).c_str());
-      storage::sync_dir(options.release_directory);
+      storage::sync_folder(options.release_directory);
     });
   }
 
@@ -115,7 +115,7 @@
         placed = PlacementResult::wrong_digest;
       else if (::chmod(fetched.c_str(), kProgramMode) == 0 &&
                ::rename(fetched.c_str(), path(program).c_str()) == 0 &&
-               storage::sync_dir(options.release_directory))
+               storage::sync_folder(options.release_directory))
         placed = PlacementResult::done;
     });
     return placed;
--- a/src/storage/artifact_files.cpp
+++ b/src/storage/artifact_files.cpp
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-bool sync_dir(const std::string& folder) {
+bool sync_folder(const std::string& folder) {
   const FileDescriptor opened(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   return opened.is_open() && ::fsync(opened.get()) == 0;
 }
@@ -83,7 +83,7 @@
     const FileDescriptor file(::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
     if (!file.is_open() || !write_all(file, bytes) || ::fsync(file.get()) != 0) return false;
   }
-  return ::rename(new_path.c_str(), path.c_str()) == 0 && sync_dir(path.substr(0, path.rfind('/')));
+  return ::rename(new_path.c_str(), path.c_str()) == 0 && sync_folder(path.substr(0, path.rfind('/')));
 }
 
 std::string ArtifactFiles::path(const std::string& sha256) const { return folder_ + "/artifact." + sha256; }
@@ -111,7 +111,7 @@
   if (end < total) return ArtifactProgress{end, false};
   if (sha256_hex_of(incomplete) != sha256) return discard(incomplete);
   if (::rename(incomplete.c_str(), path(sha256).c_str()) != 0) return {};
-  if (!sync_dir(folder_)) return discard(path(sha256));
+  if (!sync_folder(folder_)) return discard(path(sha256));
   return ArtifactProgress{end, true};
 }
 
--- a/src/storage/artifact_files.hpp
+++ b/src/storage/artifact_files.hpp
@@ -47,6 +47,6 @@
 /// @return false when any step fails; the file then has its old or its new contents
 [[nodiscard]] bool replace_file(const std::string& path, const std::string& bytes);
 /// Makes the file names in a folder durable.
-bool sync_dir(const std::string& folder);
+bool sync_folder(const std::string& folder);
 
 }  // namespace dunlinwing::storage
