--- a/src/console/session.hpp
+++ b/src/console/command_context.hpp
@@ -16,7 +16,7 @@
   outcome_unknown = 6,  ///< a change may have been made or not
 };
 
-struct Session {
+struct CommandContext {
   Client& client;
   base::Clock& clock;
   std::vector<std::string> arguments;  ///< after the command
--- a/src/console/commands.hpp
+++ b/src/console/commands.hpp
@@ -2,7 +2,7 @@
 /// The operators' commands, by name. Each writes a resource at the fleet's control address or shows
 /// resources.
 #pragma once
-#include "console/session.hpp"
+#include "console/command_context.hpp"
 
 namespace dunlinwing::console {
 
@@ -11,7 +11,7 @@
   std::string description;  ///< what it does, for the help text
   size_t min_arguments;
   size_t max_arguments;
-  std::function<ExitStatus(Session&)> run;
+  std::function<ExitStatus(CommandContext&)> run;
 };
 
 using Commands = std::map<std::string, Command>;
@@ -23,8 +23,8 @@
 /// Commands that show nodes, backend instances and other resources, and that roll out, purge and drain.
 Commands fleet_commands();
 /// holders: shows the replica set or changes it by one machine.
-ExitStatus replicas(Session& session);
+ExitStatus replicas(CommandContext& context);
 /// doctor: checks everything that an operator would check, and reports what is wrong.
-ExitStatus diagnose(Session& session);
+ExitStatus diagnose(CommandContext& context);
 
 }  // namespace dunlinwing::console
--- a/src/console/diagnose.cpp
+++ b/src/console/diagnose.cpp
@@ -22,14 +22,14 @@
 }
 
 /// @return whether any seed answers
-bool check_seeds(Session& session, Findings& findings) {
+bool check_seeds(CommandContext& context, Findings& findings) {
   size_t unreachable_seeds = 0;
-  for (const auto& seed : session.client.seeds()) {
-    if (session.client.get_from(seed, "/readyz", kReadinessLimit).status != 0) continue;
+  for (const auto& seed : context.client.seeds()) {
+    if (context.client.get_from(seed, "/readyz", kReadinessLimit).status != 0) continue;
     ++unreachable_seeds;
     findings.push_back(fmt::format("seed {} does not answer", seed));
   }
-  return unreachable_seeds < session.client.seeds().size();
+  return unreachable_seeds < context.client.seeds().size();
 }
 
 void check_node(const base::Json& node, Findings& findings) {
@@ -122,18 +122,18 @@
   return workers;
 }
 
-void check_services(Session& session, Findings& findings) {
-  auto workers = count_workers(session.client.get("/v1/workers").body);
-  auto layouts = assigned_layouts(session.client.get("/v1/assignments").body);
+void check_services(CommandContext& context, Findings& findings) {
+  auto workers = count_workers(context.client.get("/v1/workers").body);
+  auto layouts = assigned_layouts(context.client.get("/v1/assignments").body);
   if (layouts.empty())
     findings.emplace_back("no layout is in force: record one with: console apply layout NAME FILE");
   for (const auto& layout : layouts) {
-    auto release = session.client.get("/v1/releases/layout/" + layout);
+    auto release = context.client.get("/v1/releases/layout/" + layout);
     for (auto& [name, service] : release.body.at("document").at("content").at("services").members()) {
       if (!allowed_workers(workers[name], service.at("versions").strings()))
         findings.push_back(
             fmt::format("service {} of layout {} has no worker of an allowed version", name, layout));
-      auto state = session.client.get("/v1/services/" + name);
+      auto state = context.client.get("/v1/services/" + name);
       for (auto& [version, reason] : state.body.at("quarantined").members())
         findings.push_back(
             fmt::format("service {}: version {} is in quarantine: {}", name, version, reason.string_or()));
@@ -148,8 +148,8 @@
     findings.emplace_back("the rollout leadership has no understudy");
 }
 
-void print_findings(const Session& session, const Findings& findings) {
-  if (!session.json) {
+void print_findings(const CommandContext& context, const Findings& findings) {
+  if (!context.json) {
     for (const auto& finding : findings) std::cout << "- " << finding << "\n";
     if (findings.empty()) std::cout << "nothing is wrong\n";
     return;
@@ -163,10 +163,10 @@
 }
 }  // namespace
 
-ExitStatus diagnose(Session& session) {
+ExitStatus diagnose(CommandContext& context) {
   Findings findings;
-  bool reachable = check_seeds(session, findings);
-  auto nodes = session.client.get("/v1/nodes");
+  bool reachable = check_seeds(context, findings);
+  auto nodes = context.client.get("/v1/nodes");
   if (nodes.status != 200) {
     findings.emplace_back(
         reachable
@@ -175,11 +175,11 @@
             : "no seed answers: nothing more can be said from here");
   } else {
     check_nodes(nodes.body, findings);
-    check_releases(session.client.get("/v1/releases").body, findings);
-    check_services(session, findings);
-    check_leaders(session.client.get("/v1/duties").body, findings);
+    check_releases(context.client.get("/v1/releases").body, findings);
+    check_services(context, findings);
+    check_leaders(context.client.get("/v1/duties").body, findings);
   }
-  print_findings(session, findings);
+  print_findings(context, findings);
   return findings.empty() ? ExitStatus::ok : ExitStatus::negative;
 }
 
--- a/src/console/fleet_commands.cpp
+++ b/src/console/fleet_commands.cpp
@@ -24,8 +24,8 @@
                     {facts.at("software").string_or(), 0}});
 }
 
-ExitStatus nodes(Session& session) {
-  return print_reply(session, session.client.get("/v1/nodes"), [](const base::Json& body) {
+ExitStatus nodes(CommandContext& context) {
+  return print_reply(context, context.client.get("/v1/nodes"), [](const base::Json& body) {
     std::cout << row({{"NAME", 10},
                       {"ZONE", 6},
                       {"MEMBER", 7},
@@ -43,8 +43,8 @@
   return worker.at("gone").bool_or() ? "gone" : "beating";
 }
 
-ExitStatus workers(Session& session) {
-  return print_reply(session, session.client.get("/v1/workers"), [](const base::Json& body) {
+ExitStatus workers(CommandContext& context) {
+  return print_reply(context, context.client.get("/v1/workers"), [](const base::Json& body) {
     std::cout << row(
         {{"INSTANCE", 16}, {"SERVICE", 14}, {"VERSION", 10}, {"ZONE", 6}, {"ADDRESS", 22}, {"STATE", 0}});
     for (auto& worker : body.at("workers").items()) {
@@ -59,56 +59,56 @@
   });
 }
 
-ExitStatus leaders(Session& session) {
-  return print_reply(session, session.client.get("/v1/duties"), [](const base::Json& body) {
+ExitStatus leaders(CommandContext& context) {
+  return print_reply(context, context.client.get("/v1/duties"), [](const base::Json& body) {
     for (auto& [name, leader] : body.members())
       std::cout << name << ": " << leader.at("holder").string_or() << ", understudy "
                 << leader.at("understudy").string_or() << ", term " << leader.at("term").string_or() << "\n";
   });
 }
 
-ExitStatus get(Session& session) {
-  const auto& resource = session.arguments[0];
-  auto reply = session.client.get(resource.starts_with("/") ? resource : "/v1/" + resource);
+ExitStatus get(CommandContext& context) {
+  const auto& resource = context.arguments[0];
+  auto reply = context.client.get(resource.starts_with("/") ? resource : "/v1/" + resource);
   if (reply.status != 200) return report_rejection(reply);
   std::cout << reply.text;
   return ExitStatus::ok;
 }
 
 /// The optional third argument is a time in seconds: the rollout completes within it or is rolled back.
-ExitStatus move(Session& session) {
-  const auto& service = session.arguments[0];
-  auto version = base::quote(session.arguments[1]);
-  if (session.arguments.size() <= 2)
+ExitStatus move(CommandContext& context) {
+  const auto& service = context.arguments[0];
+  auto version = base::quote(context.arguments[1]);
+  if (context.arguments.size() <= 2)
     return print_confirmation(
-        session, session.client.put("/v1/services/" + service, fmt::format(R"({{"version":{}}})", version)),
+        context, context.client.put("/v1/services/" + service, fmt::format(R"({{"version":{}}})", version)),
         "stated; watch it with: console get services/" + service);
-  auto within_ms = std::strtoll(session.arguments[2].c_str(), nullptr, 10) * 1000;
+  auto within_ms = std::strtoll(context.arguments[2].c_str(), nullptr, 10) * 1000;
   auto body = fmt::format(R"({{"version":{},"within_ms":{}}})", version, within_ms);
-  return print_confirmation(session, session.client.put("/v1/moves/" + service, body),
+  return print_confirmation(context, context.client.put("/v1/moves/" + service, body),
                             "asked for; see how it goes with: console get moves/" + service);
 }
 
-ExitStatus purge(Session& session) {
-  const auto& arguments = session.arguments;
+ExitStatus purge(CommandContext& context) {
+  const auto& arguments = context.arguments;
   auto path = arguments.size() > 3 ? fmt::format(R"(,"path":{})", base::quote(arguments[3])) : "";
   auto body = fmt::format(R"({{"service":{},"kind":{}{}}})", base::quote(arguments[1]),
                           base::quote(arguments[2]), path);
-  return print_confirmation(session, session.client.put("/v1/purges/" + arguments[0], body),
+  return print_confirmation(context, context.client.put("/v1/purges/" + arguments[0], body),
                             "purged; no relay serves it two seconds from now");
 }
 
-ExitStatus put_drain(Session& session, bool drained) {
-  auto path = fmt::format("/v1/drains/{}/{}", session.arguments[0], session.arguments[1]);
-  auto body = fmt::format(R"({{"drained":{},"reason":{}}})", drained, base::quote(session.reason));
-  return print_confirmation(session, session.client.put(path, body),
+ExitStatus put_drain(CommandContext& context, bool drained) {
+  auto path = fmt::format("/v1/drains/{}/{}", context.arguments[0], context.arguments[1]);
+  auto body = fmt::format(R"({{"drained":{},"reason":{}}})", drained, base::quote(context.reason));
+  return print_confirmation(context, context.client.put(path, body),
                             drained ? "draining" : "no longer drained");
 }
 
-ExitStatus drain(Session& session) {
-  return session.reason.empty() ? report_missing_reason() : put_drain(session, true);
+ExitStatus drain(CommandContext& context) {
+  return context.reason.empty() ? report_missing_reason() : put_drain(context, true);
 }
-ExitStatus undrain(Session& session) { return put_drain(session, false); }
+ExitStatus undrain(CommandContext& context) { return put_drain(context, false); }
 }  // namespace
 
 Commands fleet_commands() {
--- a/src/console/main.cpp
+++ b/src/console/main.cpp
@@ -51,8 +51,8 @@
   net::SystemClock clock;
   pool.run([&] {
     console::Client client(http, seeds);
-    console::Session session{client, clock, arguments, FLAGS_json, FLAGS_reason, FLAGS_wait};
-    auto status = command.run(session);
+    console::CommandContext context{client, clock, arguments, FLAGS_json, FLAGS_reason, FLAGS_wait};
+    auto status = command.run(context);
     std::cout << std::flush;
     net::EventLoopPool::stop(static_cast<int>(status));
   });
--- a/src/console/output.cpp
+++ b/src/console/output.cpp
@@ -14,18 +14,18 @@
   return line + "\n";
 }
 
-ExitStatus print_reply(const Session& session, const Reply& reply,
+ExitStatus print_reply(const CommandContext& context, const Reply& reply,
                        const std::function<void(const base::Json&)>& print_table) {
   if (reply.status != 200 && reply.status != 202) return report_rejection(reply);
-  if (session.json)
+  if (context.json)
     std::cout << reply.text;
   else
     print_table(reply.body);
   return ExitStatus::ok;
 }
 
-ExitStatus print_confirmation(const Session& session, const Reply& reply, const std::string& message) {
-  return print_reply(session, reply, [&](const base::Json&) { std::cout << message << "\n"; });
+ExitStatus print_confirmation(const CommandContext& context, const Reply& reply, const std::string& message) {
+  return print_reply(context, reply, [&](const base::Json&) { std::cout << message << "\n"; });
 }
 
 ExitStatus report_rejection(const Reply& reply) {
--- a/src/console/output.hpp
+++ b/src/console/output.hpp
@@ -2,7 +2,7 @@
 /// The console's output: tables for people or, with --json, the relay's JSON for programs. Results go to
 /// standard output, errors to standard error.
 #pragma once
-#include "console/session.hpp"
+#include "console/command_context.hpp"
 
 namespace dunlinwing::console {
 
@@ -16,12 +16,12 @@
 std::string row(const std::vector<Cell>& cells);
 
 /// Prints a reply: as received with --json, otherwise by `print_table`; or reports why the request failed.
-ExitStatus print_reply(const Session& session, const Reply& reply,
+ExitStatus print_reply(const CommandContext& context, const Reply& reply,
                        const std::function<void(const base::Json&)>& print_table);
 
 /// Like print_reply(), for a requested change.
 /// @param message  printed when the change was made
-ExitStatus print_confirmation(const Session& session, const Reply& reply, const std::string& message);
+ExitStatus print_confirmation(const CommandContext& context, const Reply& reply, const std::string& message);
 
 /// Reports why a request was not carried out.
 ExitStatus report_rejection(const Reply& reply);
--- a/src/console/release_commands.cpp
+++ b/src/console/release_commands.cpp
@@ -31,18 +31,18 @@
 }
 
 /// The path of the release that the first two arguments name.
-std::string release_path(const Session& session) {
-  return release_path(session.arguments[0], session.arguments[1]);
+std::string release_path(const CommandContext& context) {
+  return release_path(context.arguments[0], context.arguments[1]);
 }
 
 bool has_failed(const std::string& phase) { return phase == "STOPPED" || phase == "WITHDRAWN"; }
 
-ExitStatus apply(Session& session) {
-  auto document = read_file(session.arguments[2]);
+ExitStatus apply(CommandContext& context) {
+  auto document = read_file(context.arguments[2]);
   if (!document) return ExitStatus::usage;
-  auto reply = session.client.put(release_path(session), *document);
+  auto reply = context.client.put(release_path(context), *document);
   return print_confirmation(
-      session, reply,
+      context, reply,
       reply.status == 202 ? "recorded; rollout will take it up" : "was recorded before, unchanged");
 }
 
@@ -55,10 +55,10 @@
                     {progress.at("why").string_or(), 0}});
 }
 
-ExitStatus list(Session& session) {
+ExitStatus list(CommandContext& context) {
   auto reply =
-      session.client.get(session.arguments.empty() ? "/v1/releases" : "/v1/releases/" + session.arguments[0]);
-  return print_reply(session, reply, [](const base::Json& body) {
+      context.client.get(context.arguments.empty() ? "/v1/releases" : "/v1/releases/" + context.arguments[0]);
+  return print_reply(context, reply, [](const base::Json& body) {
     std::cout << row({{"KIND", 9}, {"NAME", 20}, {"PHASE", 12}, {"ZONE", 6}, {"WHY", 0}});
     for (auto& release : body.at("releases").items()) print_release_row(release);
   });
@@ -81,9 +81,9 @@
     std::cout << "waived    " << check << ": " << reason.string_or() << "\n";
 }
 
-ExitStatus status(Session& session) {
-  auto reply = session.client.get(release_path(session));
-  auto shown = print_reply(session, reply, print_release);
+ExitStatus status(CommandContext& context) {
+  auto reply = context.client.get(release_path(context));
+  auto shown = print_reply(context, reply, print_release);
   if (shown != ExitStatus::ok) return shown;
   return has_failed(reply.body.at("course").at("phase").string_or()) ? ExitStatus::negative : ExitStatus::ok;
 }
@@ -97,12 +97,12 @@
 }
 
 /// Follows a release until it ends, a line for each change of phase or reason.
-ExitStatus watch(Session& session) {
-  const int seconds = session.wait_seconds ? session.wait_seconds : kDefaultWatchSeconds;
-  const TimePoint end = session.clock.now() + Duration(seconds * 1000LL);
+ExitStatus watch(CommandContext& context) {
+  const int seconds = context.wait_seconds ? context.wait_seconds : kDefaultWatchSeconds;
+  const TimePoint end = context.clock.now() + Duration(seconds * 1000LL);
   std::string last;
-  while (session.clock.now() < end) {
-    auto reply = session.client.get(release_path(session));
+  while (context.clock.now() < end) {
+    auto reply = context.client.get(release_path(context));
     if (reply.status != 200) return report_rejection(reply);
     auto progress = reply.body.at("course");
     auto phase = progress.at("phase").string_or("not taken up yet");
@@ -111,7 +111,7 @@
     last = line;
     if (phase == "DONE") return ExitStatus::ok;
     if (has_failed(phase)) return ExitStatus::negative;
-    session.clock.sleep(kWatchInterval);
+    context.clock.sleep(kWatchInterval);
   }
   std::cerr << "console: the release did not end within the time limit\n";
   return ExitStatus::negative;
@@ -123,18 +123,18 @@
 }
 
 /// Resumes an interrupted upload: the fleet reports how many bytes it stores.
-ExitStatus upload(Session& session) {
-  auto release = session.client.get(release_path("software", session.arguments[0]));
+ExitStatus upload(CommandContext& context) {
+  auto release = context.client.get(release_path("software", context.arguments[0]));
   if (release.status != 200) return report_rejection(release);
-  auto data = read_file(session.arguments[1]);
+  auto data = read_file(context.arguments[1]);
   if (!data) return ExitStatus::usage;
   auto path = "/v1/artifacts/" + release.body.at("document").at("content").at("sha256").string_or();
-  auto progress = session.client.get(path);
+  auto progress = context.client.get(path);
   if (progress.status != 200) return report_rejection(progress);
   while (!progress.body.at("whole").bool_or()) {
     auto stored_bytes = static_cast<uint64_t>(progress.body.at("held").integer_or());
     if (stored_bytes >= data->size()) return report_wrong_file();
-    auto reply = session.client.put(fmt::format("{}?offset={}", path, stored_bytes),
+    auto reply = context.client.put(fmt::format("{}?offset={}", path, stored_bytes),
                                     data->substr(stored_bytes, kChunkBytes));
     if (reply.status == 409) return report_wrong_file(", or another upload is under way");
     if (reply.status != 200) return report_rejection(reply);
@@ -166,9 +166,9 @@
   return differences;
 }
 
-ExitStatus diff(Session& session) {
-  auto left = session.client.get(release_path(session));
-  auto right = session.client.get(release_path(session.arguments[0], session.arguments[2]));
+ExitStatus diff(CommandContext& context) {
+  auto left = context.client.get(release_path(context));
+  auto right = context.client.get(release_path(context.arguments[0], context.arguments[2]));
   if (left.status != 200) return report_rejection(left);
   if (right.status != 200) return report_rejection(right);
   int differences = print_differences(left.body.at("document"), right.body.at("document"), "");
@@ -177,17 +177,19 @@
 
 /// Records an operator action on a release together with the reason.
 /// @param resource  path of the action, below the release's path
-ExitStatus put_with_reason(Session& session, const std::string& resource, const std::string& message) {
-  if (session.reason.empty()) return report_missing_reason();
-  auto body = fmt::format(R"({{"reason":{}}})", base::quote(session.reason));
-  return print_confirmation(session, session.client.put(release_path(session) + resource, body), message);
+ExitStatus put_with_reason(CommandContext& context, const std::string& resource, const std::string& message) {
+  if (context.reason.empty()) return report_missing_reason();
+  auto body = fmt::format(R"({{"reason":{}}})", base::quote(context.reason));
+  return print_confirmation(context, context.client.put(release_path(context) + resource, body), message);
 }
 
-ExitStatus waive(Session& session) {
-  return put_with_reason(session, "/waivers/" + session.arguments[2], "waived");
+ExitStatus waive(CommandContext& context) {
+  return put_with_reason(context, "/waivers/" + context.arguments[2], "waived");
+}
+ExitStatus withdraw(CommandContext& context) { return put_with_reason(context, "/withdrawal", "withdrawn"); }
+ExitStatus express(CommandContext& context) {
+  return put_with_reason(context, "/express", "sent by express");
 }
-ExitStatus withdraw(Session& session) { return put_with_reason(session, "/withdrawal", "withdrawn"); }
-ExitStatus express(Session& session) { return put_with_reason(session, "/express", "sent by express"); }
 }  // namespace
 
 Commands release_commands() {
--- a/src/console/replica_commands.cpp
+++ b/src/console/replica_commands.cpp
@@ -34,10 +34,10 @@
 
 /// The replica set, and whether each replica reports that its disk votes; or the exit status when that cannot
 /// be read, after the error was printed.
-std::variant<ReplicaStates, ExitStatus> read_replicas(Session& session) {
-  auto set = session.client.get("/v1/holders");
+std::variant<ReplicaStates, ExitStatus> read_replicas(CommandContext& context) {
+  auto set = context.client.get("/v1/holders");
   if (set.status != 200) return report_rejection(set);
-  auto nodes = session.client.get("/v1/nodes");
+  auto nodes = context.client.get("/v1/nodes");
   if (nodes.status != 200) return report_rejection(nodes);
   ReplicaStates states;
   for (auto& replica : set.body.at("holders").items()) {
@@ -45,7 +45,7 @@
     state.http_address = http_address(nodes.body.at("nodes"), state.name);
     if (!state.http_address.empty())
       state.votes =
-          session.client.get_from(state.http_address, "/status", kStatusLimit).body.at("votes").bool_or();
+          context.client.get_from(state.http_address, "/status", kStatusLimit).body.at("votes").bool_or();
     states.push_back(state);
   }
   return states;
@@ -56,8 +56,8 @@
   return state.http_address.empty() ? "away" : "not yet";
 }
 
-ExitStatus list(Session& session) {
-  auto result = read_replicas(session);
+ExitStatus list(CommandContext& context) {
+  auto result = read_replicas(context);
   if (auto* error = std::get_if<ExitStatus>(&result)) return *error;
   bool all_vote = true;
   std::cout << row({{"HOLDER", 10}, {"PEERS", 22}, {"VOTES", 0}});
@@ -68,25 +68,25 @@
   return all_vote ? ExitStatus::ok : ExitStatus::negative;
 }
 
-bool is_voting(Session& session, const std::string& name) {
-  auto result = read_replicas(session);
+bool is_voting(CommandContext& context, const std::string& name) {
+  auto result = read_replicas(context);
   if (auto* states = std::get_if<ReplicaStates>(&result))
     for (auto& state : *states)
       if (state.name == name && state.votes) return true;
   return false;
 }
 
-ExitStatus add(Session& session) {
-  const auto& name = session.arguments[1];
-  auto body = fmt::format(R"({{"holder":true,"address":{}}})", base::quote(session.arguments[2]));
-  auto reply = session.client.put(replica_path(name), body);
+ExitStatus add(CommandContext& context) {
+  const auto& name = context.arguments[1];
+  auto body = fmt::format(R"({{"holder":true,"address":{}}})", base::quote(context.arguments[2]));
+  auto reply = context.client.put(replica_path(name), body);
   if (reply.status != 200) return report_rejection(reply);
   std::cout << name << " holds the state from now on; waiting until its disk is filled and votes\n"
             << std::flush;
-  const int seconds = session.wait_seconds ? session.wait_seconds : kDefaultWaitSeconds;
-  for (auto end = session.clock.now() + Duration(1000 * seconds); session.clock.now() < end;
-       session.clock.sleep(kVoteInterval)) {
-    if (!is_voting(session, name)) continue;
+  const int seconds = context.wait_seconds ? context.wait_seconds : kDefaultWaitSeconds;
+  for (auto end = context.clock.now() + Duration(1000 * seconds); context.clock.now() < end;
+       context.clock.sleep(kVoteInterval)) {
+    if (!is_voting(context, name)) continue;
     std::cout << name << " votes\n";
     return ExitStatus::ok;
   }
@@ -94,27 +94,27 @@
   return ExitStatus::negative;
 }
 
-ExitStatus remove(Session& session) {
-  const auto& name = session.arguments[1];
-  auto result = read_replicas(session);
+ExitStatus remove(CommandContext& context) {
+  const auto& name = context.arguments[1];
+  auto result = read_replicas(context);
   if (auto* error = std::get_if<ExitStatus>(&result)) return *error;
   for (auto& state : std::get<ReplicaStates>(result)) {
     if (state.name == name || state.votes) continue;
     std::cerr << "console: " << state.name << " remains a holder but does not vote; wait until it votes\n";
     return ExitStatus::rejected;
   }
-  auto reply = session.client.put(replica_path(name), R"({"holder":false})");
+  auto reply = context.client.put(replica_path(name), R"({"holder":false})");
   if (reply.status != 200) return report_rejection(reply);
   std::cout << name << " holds the state no more\n";
   return ExitStatus::ok;
 }
 }  // namespace
 
-ExitStatus replicas(Session& session) {
-  const auto& arguments = session.arguments;
-  if (arguments.empty() || (arguments[0] == "list" && arguments.size() == 1)) return list(session);
-  if (arguments[0] == "add" && arguments.size() == 3) return add(session);
-  if (arguments[0] == "remove" && arguments.size() == 2) return remove(session);
+ExitStatus replicas(CommandContext& context) {
+  const auto& arguments = context.arguments;
+  if (arguments.empty() || (arguments[0] == "list" && arguments.size() == 1)) return list(context);
+  if (arguments[0] == "add" && arguments.size() == 3) return add(context);
+  if (arguments[0] == "remove" && arguments.size() == 2) return remove(context);
   std::cerr << "console: usage: holders [list], holders add NAME IP:PORT, or holders remove NAME\n";
   return ExitStatus::usage;
 }
