--- a/src/net/peer_client.cpp
+++ b/src/net/peer_client.cpp
@@ -53,7 +53,7 @@
   const bool is_traffic = traffic_class_of(request) != link::TrafficClass::control;
   const PeerConnections::LendingTerms terms{max_connections_, is_traffic};
   PeerConnections& connections = peer_connections();
-  auto [connection, reused] = connections.borrow(address, limit, terms);
+  auto [connection, reused] = connections.acquire(address, limit, terms);
   if (!connection) return base::PeerError::unreachable;
   auto result = exchange(*connection, request, limit);
   const bool bytes_left = !connection->buffered().empty();
--- a/src/net/peer_connections.cpp
+++ b/src/net/peer_connections.cpp
@@ -82,8 +82,8 @@
   return false;
 }
 
-PeerConnections::Lease PeerConnections::borrow(const std::string& address, const WaitLimit& limit,
-                                               const LendingTerms& terms) {
+PeerConnections::Lease PeerConnections::acquire(const std::string& address, const WaitLimit& limit,
+                                                const LendingTerms& terms) {
   prune(Clock::now());
   for (;;) {
     if (may_lend(address, terms)) {
--- a/src/net/peer_connections.hpp
+++ b/src/net/peer_connections.hpp
@@ -30,7 +30,7 @@
 
   /// Waits within the limit for an idle connection, or until a new one may be opened.
   /// @param address  IP:port
-  Lease borrow(const std::string& address, const WaitLimit& limit, const LendingTerms& terms);
+  Lease acquire(const std::string& address, const WaitLimit& limit, const LendingTerms& terms);
 
   /// Returns a connection after a complete response, with no unread bytes.
   void give_back(const std::string& address, std::shared_ptr<Connection> connection,
