--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -133,7 +133,7 @@
   std::exchange(pool_, nullptr)->give_back(address_, std::move(connection), keep_alive, only_idempotent);
 }
 
-void ConnectionPool::Lease::abandon() {
+void ConnectionPool::Lease::discard() {
   connection->reset();
   connection.reset();
 }
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -34,7 +34,7 @@
     void give_back(std::optional<Duration> keep_alive, bool only_idempotent = false);
 
     /// Resets the connection, so that undelivered bytes are never delivered.
-    void abandon();
+    void discard();
 
     std::shared_ptr<Connection> connection;
     bool reused = false;  ///< a response has been read from the connection before
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -236,14 +236,14 @@
   if (connection.write(head, request.body)) {
     const auto error = connection.bytes_written() > 0 ? AttemptError::unknown : AttemptError::not_sent;
     guard.release();
-    lease->abandon();
+    lease->discard();
     return error;
   }
   ResponseMatcher matcher(*lease, request, rules);
   auto response = matcher.read({max_body_bytes_, link_});
   guard.release();
   if (!response) {
-    lease->abandon();
+    lease->discard();
     return AttemptError::unknown;
   }
   matcher.give_back();
