--- a/src/consensus/acceptor.hpp
+++ b/src/consensus/acceptor.hpp
@@ -5,7 +5,7 @@
 ///
 /// Invariants: only synced state is sent to other nodes; a request whose epoch is below that of the replica
 /// set known here gets no vote.
-/// Threads: used by the fibers of the thread that runs control only.
+/// Threads: used by the fibers of the control thread only.
 #pragma once
 #include "base/ports.hpp"
 #include "consensus/replica_set.hpp"
@@ -34,7 +34,7 @@
 
   /// Handles a prepare, accept, read, snapshot or adopt request. Suspends the fiber until the state in
   /// the response is synced, or the round timeout is over.
-  [[nodiscard]] pb::PeerResponse answer(const pb::PeerRequest& request);
+  [[nodiscard]] pb::PeerResponse handle(const pb::PeerRequest& request);
 
   /// Appends the changes synced after the position to the response, oldest first. `position` and `more` in
   /// the response state how far it reaches. A position from another boot counts as 0.
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -109,7 +109,7 @@
     if (!await_link()) return false;
     const size_t before = connection_.buffered().size();
     const ErrorCode error = connection_.read_more(has_head_ ? kBodyReadSize : kResponseReadSize);
-    link_.received(connection_.buffered().size() - before);
+    link_.count_received(connection_.buffered().size() - before);
     return !error;
   }
 
@@ -228,22 +228,22 @@
     connect_limit.end = std::min(limit.end, begin + rules.connect_timeout);
   const auto lease = pool_->acquire(address, rules.idempotent, rules.max_connections, connect_limit,
                                     rules.on_connection_wait);
-  if (!lease) return AttemptError::unsent;
+  if (!lease) return AttemptError::not_sent;
   auto& connection = *lease->connection;
   WaitLimitGuard guard(connection, limit);
   const std::string head = request_head(request, address);
-  link_.sent(head.size() + request.body.size());
+  link_.count_sent(head.size() + request.body.size());
   if (connection.write(head, request.body)) {
-    const auto error = connection.bytes_written() > 0 ? AttemptError::unknown : AttemptError::unsent;
+    const auto error = connection.bytes_written() > 0 ? AttemptError::unknown : AttemptError::not_sent;
     guard.release();
-    lease->abandon();
+    lease->discard();
     return error;
   }
   ResponseMatcher matcher(*lease, request, rules);
   auto response = matcher.read({max_body_bytes_, link_});
   guard.release();
   if (!response) {
-    lease->abandon();
+    lease->discard();
     return AttemptError::unknown;
   }
   matcher.give_back();
--- a/src/net/peer_client.cpp
+++ b/src/net/peer_client.cpp
@@ -53,7 +53,7 @@
   const bool is_traffic = traffic_class_of(request) != link::TrafficClass::control;
   const PeerConnections::LendingTerms terms{max_connections_, is_traffic};
   PeerConnections& connections = peer_connections();
-  auto [connection, reused] = connections.borrow(address, limit, terms);
+  auto [connection, reused] = connections.acquire(address, limit, terms);
   if (!connection) return base::PeerError::unreachable;
   auto result = exchange(*connection, request, limit);
   const bool bytes_left = !connection->buffered().empty();
@@ -75,8 +75,8 @@
 // The bytes of fetched bodies are counted by the code that waits for link capacity for them.
 void PeerClient::count(const pb::PeerRequest& request, const pb::PeerResponse& response) const {
   const link::LinkUse use{link_, traffic_class_of(request)};
-  use.sent(request.ByteSizeLong());
-  if (use.traffic_class == link::TrafficClass::control) use.received(response.ByteSizeLong());
+  use.count_sent(request.ByteSizeLong());
+  if (use.traffic_class == link::TrafficClass::control) use.count_received(response.ByteSizeLong());
 }
 
 }  // namespace dunlinwing::net
--- a/src/node/assignment_loader.cpp
+++ b/src/node/assignment_loader.cpp
@@ -47,8 +47,8 @@
 }
 
 void set_log_level(const config::SystemOptions& options) {
-  base::Level level{};
-  if (base::parse_level(options.log_level, level)) base::set_level(level);
+  base::LogLevel level{};
+  if (base::parse_log_level(options.log_level, level)) base::set_log_level(level);
 }
 }  // namespace
 
@@ -133,7 +133,7 @@
   }
   for (const auto& [sha256, target] : software::recorded_software(chosen))
     if (target.name == release) pending_software_ = target;
-  if (pending_software_ && pending_software_->version == kSoftware) {
+  if (pending_software_ && pending_software_->version == kSoftwareVersion) {
     running_releases_["software"] = release;
     pending_software_.reset();
   }
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -54,18 +54,18 @@
   if (!FLAGS_name.empty()) settings.node.name = FLAGS_name;
   if (!FLAGS_zone.empty()) settings.node.zone = FLAGS_zone;
   if (!FLAGS_log_level.empty()) settings.log_level = FLAGS_log_level;
-  dw::base::Level level{};
-  if (!dw::base::parse_level(settings.log_level, level)) {
+  dw::base::LogLevel level{};
+  if (!dw::base::parse_log_level(settings.log_level, level)) {
     std::cerr << "relay: --log_level must be one of debug, info, warn, error\n";
     return {};
   }
-  dw::base::set_level(level);
+  dw::base::set_log_level(level);
   return settings;
 }
 
 int run(int argc, char** argv) {
   gflags::SetUsageMessage("a node of the dunlinwing delivery network\n  relay --config FILE [--check]");
-  gflags::SetVersionString(dw::kSoftware);
+  gflags::SetVersionString(dw::kSoftwareVersion);
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   if (argc > 1) {
     std::cerr << "relay: unexpected argument \"" << argv[1] << "\"; see relay --help\n";
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -83,7 +83,7 @@
                       : nullptr),
         registers(ports, config.name, replica_set, config.bound / 4,
                   acceptor ? consensus::LocalReplica(
-                                 [this](const pb::PeerRequest& request) { return acceptor->answer(request); })
+                                 [this](const pb::PeerRequest& request) { return acceptor->handle(request); })
                            : consensus::LocalReplica()),
         state_cache(
             ports, {config.name, config.bound}, registers, acceptor.get(),
@@ -120,7 +120,7 @@
   void describe_node(pb::NodeInfo& info) {
     info.set_zone(config.zone);
     info.set_peer_address(config.peer_address);
-    info.set_http_address(config.http_address);
+    info.set_http_address(config.control_address);
     info.set_replica(has_disk && replica_set.has(config.name));
     info.set_disk(has_disk);
     info.set_shield(config.shield);
@@ -128,7 +128,7 @@
     info.set_ready(ready());
     info.set_generation(assignment_loader.generation());
     info.set_load_error(assignment_loader.error());
-    info.set_software(kSoftware);
+    info.set_software(kSoftwareVersion);
     info.set_wall_ms(ports.clock.wall_ms());
     info.set_leaving(leaving);
     info.set_drained(drained);
@@ -246,7 +246,7 @@
   }
 
   pb::PeerResponse handle_consensus_request(const pb::PeerRequest& request) {
-    if (acceptor) return acceptor->answer(request);
+    if (acceptor) return acceptor->handle(request);
     if (!request.has_adopt()) return peer_error("this node holds no state");
     replica_set.adopt(request.adopt().replica_set());
     pb::PeerResponse response;
--- a/test/measure/hollow.cpp
+++ b/test/measure/hollow.cpp
@@ -95,7 +95,7 @@
   bool can_connect(const std::string&, Duration) override { return true; }
   std::variant<base::Response, base::AttemptError> send(const std::string&, const base::Request&,
                                                         const base::AttemptRules&) override {
-    return base::AttemptError::unsent;
+    return base::AttemptError::not_sent;
   }
 };
 }  // namespace
@@ -156,7 +156,7 @@
   config.name = n.name;
   config.zone = n.zone;
   config.peer_address = n.address;
-  config.http_address = n.address;
+  config.control_address = n.address;
   config.bound = s.bound;
   config.scale = 600;
   for (auto& x : nodes)
