--- a/test/platform/platform_stub.hpp
+++ b/test/platform/platform_stub.hpp
@@ -17,7 +17,7 @@
   int lose_permille = 0, cut_permille = 0, spoil_permille = 0,
       extra_permille = 0;  // fault rates, in requests per thousand
   std::function<int(const std::string& target)>
-      bad;                                         // of a bad version: slowdown factor; 0: the request fails
+      work_factor;                                 // of a bad version: slowdown factor; 0: the request fails
   std::optional<base::Response> surplus_response;  // a surplus response, not yet sent
 };
 
